--- a/.ci/KnownRed.java
+++ b/.ci/KnownRed.java
@@ -12,10 +12,11 @@
 import org.w3c.dom.NodeList;
 
 /**
- * Judges a test run that went on past failures: {@code java KnownRed.java KNOWN-RED.txt MODULE...}. Only the tests that the
- * file names may fail, and they have to be run; any other failure, a skipped test, a test class without a report, a line that is malformed, and a
- * fourth line fail the run. A line is {@code package.Class#method | cause | issue N}. Exit codes: 0 passed, 1 failed, 2 wrong
- * arguments.
+ * Judges a test run that went on past failures: {@code java KnownRed.java KNOWN-RED.txt MODULE...}.
+ * Only the tests that the file names may fail, and they have to be run; any other failure, a
+ * skipped test, a test class without a report, a line that is malformed, and a fourth line fail the
+ * run. A line is {@code package.Class#method | cause | issue N}. Exit codes: 0 passed, 1 failed, 2
+ * wrong arguments.
  */
 public final class KnownRed {
   private static final int MOST = 3;
@@ -35,25 +36,40 @@
     if (ends.isEmpty()) {
       fault("no test was run");
     }
-    ends.forEach((test, ended) -> {
-      if (ended.contains("failed") && !known.containsKey(test)) {
-        fault("failed: " + test);
-      }
-      if (ended.contains("skipped")) {
-        fault("skipped: " + test);
-      }
-    });
-    known.forEach((test, rest) -> {
-      List<String> ended = ends.getOrDefault(test, List.of());
-      if (ended.isEmpty()) {
-        fault("known red, but not run: " + test);
-      } else {
-        System.out.println("known red, " + (ended.contains("failed") ? "FAILED" : "passed this time: strike it out once its cause is mended")
-            + ": " + test + " | " + rest);
-      }
-    });
-    System.out.println(faults == 0 ? "all but known failures passed: " + ends.size() + " tests, " + known.size() + " of them known red"
-        : faults + " faults");
+    ends.forEach(
+        (test, ended) -> {
+          if (ended.contains("failed") && !known.containsKey(test)) {
+            fault("failed: " + test);
+          }
+          if (ended.contains("skipped")) {
+            fault("skipped: " + test);
+          }
+        });
+    known.forEach(
+        (test, rest) -> {
+          List<String> ended = ends.getOrDefault(test, List.of());
+          if (ended.isEmpty()) {
+            fault("known red, but not run: " + test);
+          } else {
+            System.out.println(
+                "known red, "
+                    + (ended.contains("failed")
+                        ? "FAILED"
+                        : "passed this time: strike it out once its cause is mended")
+                    + ": "
+                    + test
+                    + " | "
+                    + rest);
+          }
+        });
+    System.out.println(
+        faults == 0
+            ? "all but known failures passed: "
+                + ends.size()
+                + " tests, "
+                + known.size()
+                + " of them known red"
+            : faults + " faults");
     System.exit(faults == 0 ? 0 : 1);
   }
 
@@ -67,7 +83,11 @@
     List<String> lines = Files.exists(file) ? Files.readAllLines(file) : List.of();
     for (String line : lines) {
       String[] parts = line.split(" \\| ", -1);
-      boolean sound = parts.length == 3 && parts[0].matches("[\\w.]+#\\w+") && parts[1].strip().length() >= 10 && parts[2].matches("issue \\d+");
+      boolean sound =
+          parts.length == 3
+              && parts[0].matches("[\\w.]+#\\w+")
+              && parts[1].strip().length() >= 10
+              && parts[2].matches("issue \\d+");
       if (!sound) {
         fault("a line that is not 'package.Class#method | cause | issue N': " + line);
       } else if (known.put(parts[0], parts[1] + " | " + parts[2]) != null) {
@@ -88,22 +108,34 @@
     }
     List<Path> tests;
     try (Stream<Path> found = Files.walk(classes)) {
-      tests = found.filter(path -> path.getFileName().toString().matches("[A-Za-z0-9]+Test\\.class")).toList();
+      tests =
+          found
+              .filter(path -> path.getFileName().toString().matches("[A-Za-z0-9]+Test\\.class"))
+              .toList();
     }
     for (Path test : tests) {
-      String name = classes.relativize(test).toString().replaceAll("\\.class$", "").replace('/', '.');
+      String name =
+          classes.relativize(test).toString().replaceAll("\\.class$", "").replace('/', '.');
       Path report = module.resolve("target/surefire-reports/TEST-" + name + ".xml");
       if (!Files.exists(report)) {
         fault("no report of " + name);
         continue;
       }
-      NodeList cases = DocumentBuilderFactory.newInstance().newDocumentBuilder().parse(report.toFile()).getElementsByTagName("testcase");
+      NodeList cases =
+          DocumentBuilderFactory.newInstance()
+              .newDocumentBuilder()
+              .parse(report.toFile())
+              .getElementsByTagName("testcase");
       for (int i = 0; i < cases.getLength(); i++) {
         Element one = (Element) cases.item(i);
         String method = one.getAttribute("name").replaceAll("[(\\[{].*", "").strip();
-        boolean failed = one.getElementsByTagName("failure").getLength() + one.getElementsByTagName("error").getLength() > 0;
+        boolean failed =
+            one.getElementsByTagName("failure").getLength()
+                    + one.getElementsByTagName("error").getLength()
+                > 0;
         boolean skipped = one.getElementsByTagName("skipped").getLength() > 0;
-        ends.computeIfAbsent(one.getAttribute("classname") + "#" + method, absent -> new ArrayList<>())
+        ends.computeIfAbsent(
+                one.getAttribute("classname") + "#" + method, absent -> new ArrayList<>())
             .add(failed ? "failed" : skipped ? "skipped" : "passed");
       }
     }
--- a/cli/src/main/java/tidebank/cli/Archive.java
+++ b/cli/src/main/java/tidebank/cli/Archive.java
@@ -12,18 +12,23 @@
 import tidebank.lab.site.Site;
 
 /**
- * Part of the build: an archive of the classes that serving loads, as the JVM leaves it behind. A gatherer started with it
- * maps them instead of reading and checking each, which is half of what a start costs.
+ * Part of the build: an archive of the classes that serving loads, as the JVM leaves it behind. A
+ * gatherer started with it maps them instead of reading and checking each, which is half of what a
+ * start costs.
  */
 @Command(
     name = "archive",
-    description = "Serves a second of scans on loopback and keeps an archive of the classes that this loaded, for "
-        + "-XX:SharedArchiveFile.",
+    description =
+        "Serves a second of scans on loopback and keeps an archive of the classes that this loaded,"
+            + " for -XX:SharedArchiveFile.",
     mixinStandardHelpOptions = true)
 final class Archive implements Callable<Integer> {
   private static final int SECONDS = 1;
 
-  @Option(names = {"-o", "--out"}, description = "the archive (default: ${DEFAULT-VALUE})", paramLabel = "FILE",
+  @Option(
+      names = {"-o", "--out"},
+      description = "the archive (default: ${DEFAULT-VALUE})",
+      paramLabel = "FILE",
       defaultValue = "gatherer/target/tidebank.jsa")
   Path out;
 
@@ -33,9 +38,10 @@
     Path fresh = target.resolveSibling(target.getFileName() + ".new");
     Files.createDirectories(target.getParent());
     Files.deleteIfExists(fresh);
-    Replay.Plan plan = new Replay.Plan(Site.standard(), 1, 8, 1, List.of())
-        .withJvmFlags("-Djava.net.preferIPv4Stack=true", "-XX:ArchiveClassesAtExit=" + fresh);
-    new Replay(plan, record -> { }, sent -> { }).run(Demo.rows(1, SECONDS).iterator());
+    Replay.Plan plan =
+        new Replay.Plan(Site.standard(), 1, 8, 1, List.of())
+            .withJvmFlags("-Djava.net.preferIPv4Stack=true", "-XX:ArchiveClassesAtExit=" + fresh);
+    new Replay(plan, record -> {}, sent -> {}).run(Demo.rows(1, SECONDS).iterator());
     if (!Files.exists(fresh)) {
       throw new IOException("no archive came of it: " + fresh);
     }
--- a/cli/src/main/java/tidebank/cli/ChaosCommands.java
+++ b/cli/src/main/java/tidebank/cli/ChaosCommands.java
@@ -38,11 +38,17 @@
 /** A fleet of processes under faults, by script or by seed. */
 @Command(
     name = "chaos",
-    description = "Breaks a fleet of processes and the links between them, by a script or one drawn from a seed, and judges what was "
-        + "seen from outside.",
+    description =
+        "Breaks a fleet of processes and the links between them, by a script or one drawn from a"
+            + " seed, and judges what was seen from outside.",
     mixinStandardHelpOptions = true,
     synopsisSubcommandLabel = "COMMAND",
-    subcommands = {ChaosCommands.Run.class, ChaosCommands.ListAll.class, ChaosCommands.Show.class, ChaosCommands.Loaded.class})
+    subcommands = {
+      ChaosCommands.Run.class,
+      ChaosCommands.ListAll.class,
+      ChaosCommands.Show.class,
+      ChaosCommands.Loaded.class
+    })
 final class ChaosCommands implements Callable<Integer> {
   @Spec private CommandSpec spec;
 
@@ -51,34 +57,54 @@
     throw new ParameterException(spec.commandLine(), "a command is missing");
   }
 
-  @Command(name = "run", description = "Plays scripts, each on a fleet of its own on loopback. Linux only.",
+  @Command(
+      name = "run",
+      description = "Plays scripts, each on a fleet of its own on loopback. Linux only.",
       mixinStandardHelpOptions = true,
       exitCodeListHeading = "%nExit codes:%n",
-      exitCodeList = {"0:all held", "1:something did not hold, or a run failed", "2:wrong arguments or script"})
+      exitCodeList = {
+        "0:all held",
+        "1:something did not hold, or a run failed",
+        "2:wrong arguments or script"
+      })
   static final class Run implements Callable<Integer> {
     private static final Pattern RANGE = Pattern.compile("(\\d{1,15})\\.\\.(\\d{1,15})");
     private static final long MOST = 100_000;
-    private static final DateTimeFormatter NAME = DateTimeFormatter.ofPattern("yyyyMMdd-HHmmss").withZone(ZoneOffset.UTC);
+    private static final DateTimeFormatter NAME =
+        DateTimeFormatter.ofPattern("yyyyMMdd-HHmmss").withZone(ZoneOffset.UTC);
 
     @Spec private CommandSpec spec;
 
-    @Parameters(paramLabel = "SCRIPT", arity = "0..*", description = "names that `chaos list` shows, or files")
+    @Parameters(
+        paramLabel = "SCRIPT",
+        arity = "0..*",
+        description = "names that `chaos list` shows, or files")
     private List<String> scripts = List.of();
 
     @Option(names = "--seed", paramLabel = "N", description = "draws a script from this seed")
     private Long seed;
 
-    @Option(names = "--seeds", paramLabel = "A..B", description = "the same for all seeds from A to B")
+    @Option(
+        names = "--seeds",
+        paramLabel = "A..B",
+        description = "the same for all seeds from A to B")
     private String seeds;
 
-    @Option(names = "--out", paramLabel = "DIR", defaultValue = "runs/chaos",
+    @Option(
+        names = "--out",
+        paramLabel = "DIR",
+        defaultValue = "runs/chaos",
         description = "where each run gets its folder; default ${DEFAULT-VALUE}")
     private Path out;
 
     @Option(names = "--keep", description = "keeps the folders of runs that held, too")
     private boolean keep;
 
-    @Option(names = "--at-once", paramLabel = "N", defaultValue = "1", description = "how many runs at a time; default ${DEFAULT-VALUE}")
+    @Option(
+        names = "--at-once",
+        paramLabel = "N",
+        defaultValue = "1",
+        description = "how many runs at a time; default ${DEFAULT-VALUE}")
     private int atOnce;
 
     @Option(names = "--json", description = "prints a JSON object a run")
@@ -97,18 +123,23 @@
       }
       if (seeds != null) {
         Matcher range = RANGE.matcher(seeds);
-        if (!range.matches() || Long.parseLong(range.group(2)) < Long.parseLong(range.group(1))
+        if (!range.matches()
+            || Long.parseLong(range.group(2)) < Long.parseLong(range.group(1))
             || Long.parseLong(range.group(2)) - Long.parseLong(range.group(1)) >= MOST) {
-          throw new ParameterException(spec.commandLine(), "--seeds: found " + seeds + ", wanted a range such as 1..200");
+          throw new ParameterException(
+              spec.commandLine(), "--seeds: found " + seeds + ", wanted a range such as 1..200");
         }
         LongStream.rangeClosed(Long.parseLong(range.group(1)), Long.parseLong(range.group(2)))
             .forEach(one -> jobs.add(new Job(Drawn.script(one), one)));
       }
       if (jobs.isEmpty()) {
-        throw new ParameterException(spec.commandLine(), "a script, --seed or --seeds is missing; `chaos list` shows scripts");
+        throw new ParameterException(
+            spec.commandLine(),
+            "a script, --seed or --seeds is missing; `chaos list` shows scripts");
       }
       if (atOnce < 1 || atOnce > 64) {
-        throw new ParameterException(spec.commandLine(), "--at-once: found " + atOnce + ", wanted 1 to 64");
+        throw new ParameterException(
+            spec.commandLine(), "--at-once: found " + atOnce + ", wanted 1 to 64");
       }
       return all(jobs);
     }
@@ -118,10 +149,15 @@
       int broken = 0;
       Map<String, List<Long>> gaps = new TreeMap<>();
       try {
-        List<Future<Play.Verdict>> runs = jobs.stream().map(job -> pool.submit(() -> one(job, jobs.size() == 1))).toList();
+        List<Future<Play.Verdict>> runs =
+            jobs.stream().map(job -> pool.submit(() -> one(job, jobs.size() == 1))).toList();
         for (Future<Play.Verdict> run : runs) {
           broken += run.get().held() ? 0 : 1;
-          run.get().gaps().forEach((kind, some) -> gaps.computeIfAbsent(kind, absent -> new ArrayList<>()).addAll(some));
+          run.get()
+              .gaps()
+              .forEach(
+                  (kind, some) ->
+                      gaps.computeIfAbsent(kind, absent -> new ArrayList<>()).addAll(some));
         }
       } catch (InterruptedException fault) {
         Thread.currentThread().interrupt();
@@ -148,11 +184,17 @@
 
     private Play.Verdict one(Job job, boolean alone) throws IOException {
       Path folder = folder(job.script().name());
-      Play.Verdict verdict = new Play(job.script(), job.seed(), folder, line -> {
-        if (alone && !json) {
-          say(line);
-        }
-      }).run();
+      Play.Verdict verdict =
+          new Play(
+                  job.script(),
+                  job.seed(),
+                  folder,
+                  line -> {
+                    if (alone && !json) {
+                      say(line);
+                    }
+                  })
+              .run();
       say(json ? new ObjectMapper().writeValueAsString(verdict) : line(verdict));
       if (verdict.held() && !keep) {
         delete(folder);
@@ -165,7 +207,8 @@
     private synchronized Path folder(String name) throws IOException {
       Path made = out.resolve(NAME.format(Instant.now()) + "-" + name).toAbsolutePath();
       for (int i = 2; Files.exists(made); i++) {
-        made = made.resolveSibling(made.getFileName().toString().replaceAll("~\\d+$", "") + "~" + i);
+        made =
+            made.resolveSibling(made.getFileName().toString().replaceAll("~\\d+$", "") + "~" + i);
       }
       return Files.createDirectories(made);
     }
@@ -180,12 +223,22 @@
   }
 
   private static String line(Play.Verdict verdict) {
-    return String.format("%-20s %s in %.1f s; %d commands, %d reports, %d of %d scans counted%s", verdict.script(),
-        verdict.held() ? "held" : "BROKEN", verdict.took() / 1e6, verdict.commands(), verdict.publications(), verdict.counted(),
-        verdict.scans(), verdict.broken().stream().map(one -> "\n  " + one).reduce("", String::concat));
+    return String.format(
+        "%-20s %s in %.1f s; %d commands, %d reports, %d of %d scans counted%s",
+        verdict.script(),
+        verdict.held() ? "held" : "BROKEN",
+        verdict.took() / 1e6,
+        verdict.commands(),
+        verdict.publications(),
+        verdict.counted(),
+        verdict.scans(),
+        verdict.broken().stream().map(one -> "\n  " + one).reduce("", String::concat));
   }
 
-  @Command(name = "list", description = "Lists the scripts that come with the program.", mixinStandardHelpOptions = true)
+  @Command(
+      name = "list",
+      description = "Lists the scripts that come with the program.",
+      mixinStandardHelpOptions = true)
   static final class ListAll implements Callable<Integer> {
     @Spec private CommandSpec spec;
 
@@ -198,7 +251,10 @@
     }
   }
 
-  @Command(name = "show", description = "Shows what came of a run, from its folder.", mixinStandardHelpOptions = true)
+  @Command(
+      name = "show",
+      description = "Shows what came of a run, from its folder.",
+      mixinStandardHelpOptions = true)
   static final class Show implements Callable<Integer> {
     @Spec private CommandSpec spec;
 
@@ -213,11 +269,13 @@
       Play.Verdict verdict = RunFiles.verdict(run);
       PrintWriter out = spec.commandLine().getOut();
       if (json) {
-        out.println(new ObjectMapper().writerWithDefaultPrettyPrinter().writeValueAsString(verdict));
+        out.println(
+            new ObjectMapper().writerWithDefaultPrettyPrinter().writeValueAsString(verdict));
         return Tidebank.DONE;
       }
       out.println(line(verdict));
-      for (String name : List.of("report.html", "timeline.svg", "history.jsonl", "script.toml", "logs")) {
+      for (String name :
+          List.of("report.html", "timeline.svg", "history.jsonl", "script.toml", "logs")) {
         out.println("  " + run.resolve(name));
       }
       out.println("again: " + RunFiles.again(verdict, run));
@@ -225,36 +283,68 @@
     }
   }
 
-  @Command(name = "load", description = "Measures what stewards bear: agents that renew as fast as they are answered.",
+  @Command(
+      name = "load",
+      description = "Measures what stewards bear: agents that renew as fast as they are answered.",
       mixinStandardHelpOptions = true)
   static final class Loaded implements Callable<Integer> {
     @Spec private CommandSpec spec;
 
-    @Option(names = "--agents", paramLabel = "N", split = ",", defaultValue = "100,1000", description = "default ${DEFAULT-VALUE}")
+    @Option(
+        names = "--agents",
+        paramLabel = "N",
+        split = ",",
+        defaultValue = "100,1000",
+        description = "default ${DEFAULT-VALUE}")
     private List<Integer> agents;
 
-    @Option(names = "--stewards", paramLabel = "N", split = ",", defaultValue = "1,3,5", description = "default ${DEFAULT-VALUE}")
+    @Option(
+        names = "--stewards",
+        paramLabel = "N",
+        split = ",",
+        defaultValue = "1,3,5",
+        description = "default ${DEFAULT-VALUE}")
     private List<Integer> stewards;
 
-    @Option(names = "--seconds", paramLabel = "S", defaultValue = "10", description = "of each; default ${DEFAULT-VALUE}")
+    @Option(
+        names = "--seconds",
+        paramLabel = "S",
+        defaultValue = "10",
+        description = "of each; default ${DEFAULT-VALUE}")
     private long seconds;
 
-    @Option(names = "--commands", paramLabel = "N", defaultValue = "" + Long.MAX_VALUE, description = "after which each ends sooner")
+    @Option(
+        names = "--commands",
+        paramLabel = "N",
+        defaultValue = "" + Long.MAX_VALUE,
+        description = "after which each ends sooner")
     private long commands;
 
     @Override
     public Integer call() throws IOException {
       PrintWriter out = spec.commandLine().getOut();
-      out.println("stewards  agents  commands  made again  a second  median ms  99% ms  leader MB  largest MB  disk KB");
+      out.println(
+          "stewards  agents  commands  made again  a second  median ms  99% ms  leader MB  largest"
+              + " MB  disk KB");
       for (int count : stewards) {
         for (int many : agents) {
           if (count < 1 || count > 5 || count % 2 == 0 || many < 1 || many > 5000) {
-            throw new ParameterException(spec.commandLine(), "wanted 1, 3 or 5 stewards and 1 to 5000 agents");
+            throw new ParameterException(
+                spec.commandLine(), "wanted 1, 3 or 5 stewards and 1 to 5000 agents");
           }
           Path folder = Files.createTempDirectory("tidebank-load");
           Load.Result one = Load.run(folder, count, many, commands, seconds);
-          out.printf("%8d  %6d  %8d  %10d  %8.0f  %9.2f  %6.2f  %9d  %10d  %7d%n", one.stewards(), one.agents(), one.asked(),
-              one.failed(), one.perS(), one.p50Us() / 1e3, one.p99Us() / 1e3, one.leaderKb() >> 10, one.mostKb() >> 10,
+          out.printf(
+              "%8d  %6d  %8d  %10d  %8.0f  %9.2f  %6.2f  %9d  %10d  %7d%n",
+              one.stewards(),
+              one.agents(),
+              one.asked(),
+              one.failed(),
+              one.perS(),
+              one.p50Us() / 1e3,
+              one.p99Us() / 1e3,
+              one.leaderKb() >> 10,
+              one.mostKb() >> 10,
               one.diskBytes() >> 10);
           out.flush();
           Run.delete(folder);
--- a/cli/src/main/java/tidebank/cli/FleetCommands.java
+++ b/cli/src/main/java/tidebank/cli/FleetCommands.java
@@ -33,8 +33,17 @@
     description = "Shows and steers the fleet's duties: who is a member, and who owns what.",
     mixinStandardHelpOptions = true,
     synopsisSubcommandLabel = "COMMAND",
-    subcommands = {FleetCommands.Status.class, FleetCommands.Members.class, FleetCommands.Duties.class, FleetCommands.History.class,
-        FleetCommands.Move.class, FleetCommands.Drain.class, FleetCommands.Admit.class, FleetCommands.Retire.class, FleetDemo.class})
+    subcommands = {
+      FleetCommands.Status.class,
+      FleetCommands.Members.class,
+      FleetCommands.Duties.class,
+      FleetCommands.History.class,
+      FleetCommands.Move.class,
+      FleetCommands.Drain.class,
+      FleetCommands.Admit.class,
+      FleetCommands.Retire.class,
+      FleetDemo.class
+    })
 final class FleetCommands implements Callable<Integer> {
   @Spec private CommandSpec spec;
 
@@ -46,12 +55,17 @@
   /** One steward's process. */
   @Command(
       name = "steward",
-      description = "Runs a steward, one of the fleet's control processes, configured by its own file.",
+      description =
+          "Runs a steward, one of the fleet's control processes, configured by its own file.",
       mixinStandardHelpOptions = true,
       exitCodeListHeading = "%nExit codes:%n",
       exitCodeList = {"0:ended by SIGTERM", "1:it could not start", "2:wrong arguments or file"})
   static final class StewardCommand implements Callable<Integer> {
-    @Option(names = "--config", required = true, paramLabel = "FILE", description = "such as deploy/steward.toml")
+    @Option(
+        names = "--config",
+        required = true,
+        paramLabel = "FILE",
+        description = "such as deploy/steward.toml")
     private Path config;
 
     @Override
@@ -64,14 +78,21 @@
   abstract static class Calling implements Callable<Integer> {
     @Spec private CommandSpec spec;
 
-    @Option(names = "--stewards", paramLabel = "HOST:PORT", split = ",", defaultValue = "127.0.0.1:7200",
+    @Option(
+        names = "--stewards",
+        paramLabel = "HOST:PORT",
+        split = ",",
+        defaultValue = "127.0.0.1:7200",
         description = "where the stewards listen; default ${DEFAULT-VALUE}")
     private List<String> stewards;
 
     @Option(names = "--json", description = "prints JSON")
     protected boolean json;
 
-    @Option(names = "--patience-ms", paramLabel = "MS", defaultValue = "10000",
+    @Option(
+        names = "--patience-ms",
+        paramLabel = "MS",
+        defaultValue = "10000",
         description = "how long to go on asking; default ${DEFAULT-VALUE}")
     private long patienceMs;
 
@@ -87,9 +108,11 @@
       return new StewardClient(stewards, patienceMs);
     }
 
-    protected int show(Object whole, List<String> head, Stream<List<String>> rows) throws JsonProcessingException {
+    protected int show(Object whole, List<String> head, Stream<List<String>> rows)
+        throws JsonProcessingException {
       if (json) {
-        out().println(new ObjectMapper().writerWithDefaultPrettyPrinter().writeValueAsString(whole));
+        out()
+            .println(new ObjectMapper().writerWithDefaultPrettyPrinter().writeValueAsString(whole));
         return Tidebank.DONE;
       }
       List<List<String>> all = new ArrayList<>(List.of(head));
@@ -120,8 +143,13 @@
     }
 
     protected static String member(LeaseBook.State state, LeaseBook.Member member) {
-      return member.retired() ? "retired" : member.aliveUntil() <= state.now() ? "silent"
-          : member.draining() ? "drained" : member.calmAt() > state.now() ? "held off" : "alive";
+      return member.retired()
+          ? "retired"
+          : member.aliveUntil() <= state.now()
+              ? "silent"
+              : member.draining()
+                  ? "drained"
+                  : member.calmAt() > state.now() ? "held off" : "alive";
     }
 
     /** The owner at the moment of the last command that the stewards decided, or a dash. */
@@ -144,7 +172,9 @@
     abstract int once() throws IOException;
   }
 
-  @Command(name = "status", description = "Says in a few lines whether every duty has its owner.",
+  @Command(
+      name = "status",
+      description = "Says in a few lines whether every duty has its owner.",
       mixinStandardHelpOptions = true)
   static final class Status extends Shown {
     @Override
@@ -152,14 +182,33 @@
       LeaseBook.State state = client().state();
       Map<String, Integer> members = new TreeMap<>();
       state.members().forEach(member -> members.merge(member(state, member), 1, Integer::sum));
-      List<String> without = state.duties().stream().filter(duty -> owner(state, duty).equals("-"))
-          .map(LeaseBook.Duty::name).toList();
-      Map<String, Object> whole = Map.of("term", state.term(), "members", members, "duties", state.duties().size(),
-          "without_owner", without, "lease_ms", state.terms().leaseUs() / 1000);
-      return show(whole, List.of("term", "members", "duties", "without owner", "lease"), Stream.of(List.of(
-          String.valueOf(state.term()), members.isEmpty() ? "none" : members.toString().replaceAll("[{}]", ""),
-          String.valueOf(state.duties().size()), without.isEmpty() ? "none" : String.join(", ", without),
-          state.terms().leaseUs() / 1000 + " ms")));
+      List<String> without =
+          state.duties().stream()
+              .filter(duty -> owner(state, duty).equals("-"))
+              .map(LeaseBook.Duty::name)
+              .toList();
+      Map<String, Object> whole =
+          Map.of(
+              "term",
+              state.term(),
+              "members",
+              members,
+              "duties",
+              state.duties().size(),
+              "without_owner",
+              without,
+              "lease_ms",
+              state.terms().leaseUs() / 1000);
+      return show(
+          whole,
+          List.of("term", "members", "duties", "without owner", "lease"),
+          Stream.of(
+              List.of(
+                  String.valueOf(state.term()),
+                  members.isEmpty() ? "none" : members.toString().replaceAll("[{}]", ""),
+                  String.valueOf(state.duties().size()),
+                  without.isEmpty() ? "none" : String.join(", ", without),
+                  state.terms().leaseUs() / 1000 + " ms")));
     }
   }
 
@@ -168,26 +217,52 @@
     @Override
     int once() throws IOException {
       LeaseBook.State state = client().state();
-      return show(state.members(), List.of("member", "is", "duties"), state.members().stream().map(member -> List.of(
-          member.name(), member(state, member), String.join(", ", state.duties().stream()
-              .filter(duty -> owner(state, duty).equals(member.name())).map(LeaseBook.Duty::name).toList()))));
+      return show(
+          state.members(),
+          List.of("member", "is", "duties"),
+          state.members().stream()
+              .map(
+                  member ->
+                      List.of(
+                          member.name(),
+                          member(state, member),
+                          String.join(
+                              ", ",
+                              state.duties().stream()
+                                  .filter(duty -> owner(state, duty).equals(member.name()))
+                                  .map(LeaseBook.Duty::name)
+                                  .toList()))));
     }
   }
 
-  @Command(name = "duties", description = "Lists the duties with their owners and what is published.",
+  @Command(
+      name = "duties",
+      description = "Lists the duties with their owners and what is published.",
       mixinStandardHelpOptions = true)
   static final class Duties extends Shown {
     @Override
     int once() throws IOException {
       LeaseBook.State state = client().state();
-      return show(state.duties(), List.of("duty", "owner", "token", "meant for", "pinned to", "revision", "published"),
-          state.duties().stream().map(duty -> List.of(duty.name(), owner(state, duty), String.valueOf(duty.token()),
-              dash(duty.meant()), dash(duty.pinned()), String.valueOf(duty.revision()), dash(duty.value()))));
+      return show(
+          state.duties(),
+          List.of("duty", "owner", "token", "meant for", "pinned to", "revision", "published"),
+          state.duties().stream()
+              .map(
+                  duty ->
+                      List.of(
+                          duty.name(),
+                          owner(state, duty),
+                          String.valueOf(duty.token()),
+                          dash(duty.meant()),
+                          dash(duty.pinned()),
+                          String.valueOf(duty.revision()),
+                          dash(duty.value()))));
     }
-
   }
 
-  @Command(name = "history", description = "Tells what became of a duty: the last 64 grants, releases and moves.",
+  @Command(
+      name = "history",
+      description = "Tells what became of a duty: the last 64 grants, releases and moves.",
       mixinStandardHelpOptions = true)
   static final class History extends Shown {
     @Parameters(paramLabel = "DUTY", description = "the duty's name")
@@ -199,12 +274,23 @@
       if (past == null) {
         throw new Fault.DutyUnknown(duty);
       }
-      return show(past, List.of("when", "token", "what", "member"), past.stream().map(one -> List.of(
-          Instant.ofEpochMilli(one.wallMs()).toString(), String.valueOf(one.token()), one.what(), dash(one.who()))));
+      return show(
+          past,
+          List.of("when", "token", "what", "member"),
+          past.stream()
+              .map(
+                  one ->
+                      List.of(
+                          Instant.ofEpochMilli(one.wallMs()).toString(),
+                          String.valueOf(one.token()),
+                          one.what(),
+                          dash(one.who()))));
     }
   }
 
-  @Command(name = "move", description = "Has a duty at one member, or with --anywhere where it falls.",
+  @Command(
+      name = "move",
+      description = "Has a duty at one member, or with --anywhere where it falls.",
       mixinStandardHelpOptions = true)
   static final class Move extends Calling {
     @Parameters(paramLabel = "DUTY", description = "the duty's name")
@@ -225,8 +311,14 @@
     @Override
     public Integer call() throws IOException {
       String to = where.anywhere ? "" : where.to;
-      return operate(Kind.MOVE, to, duty, duty + " is meant " + (to.isEmpty() ? "for any member" : "for " + to)
-          + " now; its owner lets go of it with its next renewal");
+      return operate(
+          Kind.MOVE,
+          to,
+          duty,
+          duty
+              + " is meant "
+              + (to.isEmpty() ? "for any member" : "for " + to)
+              + " now; its owner lets go of it with its next renewal");
     }
   }
 
@@ -236,16 +328,22 @@
     protected String name;
   }
 
-  @Command(name = "drain", description = "Takes all duties from a member, and gives it no other.",
+  @Command(
+      name = "drain",
+      description = "Takes all duties from a member, and gives it no other.",
       mixinStandardHelpOptions = true)
   static final class Drain extends ToMember {
     @Override
     public Integer call() throws IOException {
-      return operate(Kind.DRAIN, name, "", name + " gets no duty any more, and lets go of those it has");
+      return operate(
+          Kind.DRAIN, name, "", name + " gets no duty any more, and lets go of those it has");
     }
   }
 
-  @Command(name = "admit", description = "Lets a drained member have duties again.", mixinStandardHelpOptions = true)
+  @Command(
+      name = "admit",
+      description = "Lets a drained member have duties again.",
+      mixinStandardHelpOptions = true)
   static final class Admit extends ToMember {
     @Override
     public Integer call() throws IOException {
@@ -253,12 +351,18 @@
     }
   }
 
-  @Command(name = "retire", description = "Ends a name for good: no process may be a member under it again.",
+  @Command(
+      name = "retire",
+      description = "Ends a name for good: no process may be a member under it again.",
       mixinStandardHelpOptions = true)
   static final class Retire extends ToMember {
     @Override
     public Integer call() throws IOException {
-      return operate(Kind.RETIRE, name, "", name + " is retired; its duties go on elsewhere once its lease has ended");
+      return operate(
+          Kind.RETIRE,
+          name,
+          "",
+          name + " is retired; its duties go on elsewhere once its lease has ended");
     }
   }
 }
--- a/cli/src/main/java/tidebank/cli/FleetDemo.java
+++ b/cli/src/main/java/tidebank/cli/FleetDemo.java
@@ -20,13 +20,16 @@
 /** An owner stopped and woken again, before one's eyes. */
 @Command(
     name = "demo",
-    description = "Starts three stewards and three gatherers on loopback, stops the owner of the fleet's report past its lease, lets "
-        + "another take over, and wakes the first. Needs no configuration; takes some ten seconds.",
+    description =
+        "Starts three stewards and three gatherers on loopback, stops the owner of the fleet's"
+            + " report past its lease, lets another take over, and wakes the first. Needs no"
+            + " configuration; takes some ten seconds.",
     mixinStandardHelpOptions = true)
 final class FleetDemo implements Callable<Integer> {
   private static final long EVERY_MS = 400;
   private static final long PATIENCE_MS = 20_000;
-  private static final String SETTINGS = "[duties]\nnames = [\"report\"]\n[lease]\nms = 1500\n[election]\nms = 200\n";
+  private static final String SETTINGS =
+      "[duties]\nnames = [\"report\"]\n[lease]\nms = 1500\n[election]\nms = 200\n";
 
   @Spec private CommandSpec spec;
   private long began;
@@ -49,26 +52,42 @@
       }
       say("three stewards and three gatherers started; their files are in " + folder);
       LeaseBook.Duty first = until(client, duty -> duty.revision() >= 2);
-      say(first.owner() + " owns the report by token " + first.token() + " and has published " + first.value());
+      say(
+          first.owner()
+              + " owns the report by token "
+              + first.token()
+              + " and has published "
+              + first.value());
       GathererProcess owner = gatherers.get(Integer.parseInt(first.owner().substring(1)));
       owner.stop();
       say(owner.name() + " is stopped (SIGSTOP): it neither renews nor knows that it does not");
       LeaseBook.Duty second = until(client, duty -> duty.publishedBy() > first.token());
-      say("its lease has ended; " + second.owner() + " owns the report by token " + second.token() + " and has published "
-          + second.value());
+      say(
+          "its lease has ended; "
+              + second.owner()
+              + " owns the report by token "
+              + second.token()
+              + " and has published "
+              + second.value());
       owner.wake();
       say(owner.name() + " is woken and goes on where it stood");
       LeaseBook.Duty third = until(client, duty -> duty.revision() >= second.revision() + 3);
       boolean harm = third.publishedBy() < second.token();
-      say("three reports later: " + third.value() + "; " + (harm ? "an old token was believed" : "nothing by token "
-          + first.token() + " was believed since"));
+      say(
+          "three reports later: "
+              + third.value()
+              + "; "
+              + (harm
+                  ? "an old token was believed"
+                  : "nothing by token " + first.token() + " was believed since"));
       return harm ? Tidebank.FAILED : Tidebank.DONE;
     } finally {
       gatherers.forEach(GathererProcess::close);
     }
   }
 
-  private static LeaseBook.Duty until(StewardClient client, Predicate<LeaseBook.Duty> wanted) throws IOException {
+  private static LeaseBook.Duty until(StewardClient client, Predicate<LeaseBook.Duty> wanted)
+      throws IOException {
     long end = System.nanoTime() + PATIENCE_MS * 1_000_000;
     while (System.nanoTime() < end) {
       for (LeaseBook.Duty duty : client.state().duties()) {
@@ -83,6 +102,7 @@
         throw new IOException("interrupted");
       }
     }
-    throw new IOException("the duty did not come so far in " + PATIENCE_MS / 1000 + " s: " + client.state().duties());
+    throw new IOException(
+        "the duty did not come so far in " + PATIENCE_MS / 1000 + " s: " + client.state().duties());
   }
 }
--- a/cli/src/main/java/tidebank/cli/Playing.java
+++ b/cli/src/main/java/tidebank/cli/Playing.java
@@ -21,17 +21,27 @@
 
 /** Plays rows, keeps what came of it and tells it. */
 final class Playing {
-  private static final ObjectMapper JSON = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
+  private static final ObjectMapper JSON =
+      new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
 
   private Playing() {}
 
   /**
-   * Plays and reports. The first Ctrl-C ends the sending and accounts for what was sent; the second ends all at once.
+   * Plays and reports. The first Ctrl-C ends the sending and accounts for what was sent; the second
+   * ends all at once.
    *
    * @return the exit code: 0 if all rules were kept
    */
-  static int play(Replay.Plan plan, Iterator<TraceRow> rows, long count, String trace, Path runs, boolean json,
-      boolean capture, PrintWriter out) throws IOException {
+  static int play(
+      Replay.Plan plan,
+      Iterator<TraceRow> rows,
+      long count,
+      String trace,
+      Path runs,
+      boolean json,
+      boolean capture,
+      PrintWriter out)
+      throws IOException {
     Map<String, Object> manifest = new LinkedHashMap<>();
     manifest.put("trace", trace);
     manifest.put("gatherers", plan.gatherers());
@@ -41,20 +51,33 @@
     manifest.put("incidents", plan.incidents().toString());
     manifest.put("commit", RunFolder.commit(Path.of(System.getProperty("tidebank.home", "."))));
     manifest.put("java", System.getProperty("java.runtime.version"));
-    manifest.put("machine", System.getProperty("os.name") + " " + System.getProperty("os.arch") + ", "
-        + Runtime.getRuntime().availableProcessors() + " cores");
-    try (RunFolder folder = RunFolder.create(runs, trace); Progress progress = new Progress("sent", count)) {
-      Replay replay = new Replay(capture ? plan.capturing(folder.folder().resolve("capture")) : plan, folder::add, progress);
+    manifest.put(
+        "machine",
+        System.getProperty("os.name")
+            + " "
+            + System.getProperty("os.arch")
+            + ", "
+            + Runtime.getRuntime().availableProcessors()
+            + " cores");
+    try (RunFolder folder = RunFolder.create(runs, trace);
+        Progress progress = new Progress("sent", count)) {
+      Replay replay =
+          new Replay(
+              capture ? plan.capturing(folder.folder().resolve("capture")) : plan,
+              folder::add,
+              progress);
       AtomicInteger interrupts = new AtomicInteger();
-      Signal.handle(new Signal("INT"), signal -> {
-        if (interrupts.incrementAndGet() == 1) {
-          System.err.println("\ntidebank: ending; again to end at once");
-          replay.interrupt();
-        } else {
-          replay.kill();
-          Runtime.getRuntime().halt(Tidebank.FAILED);
-        }
-      });
+      Signal.handle(
+          new Signal("INT"),
+          signal -> {
+            if (interrupts.incrementAndGet() == 1) {
+              System.err.println("\ntidebank: ending; again to end at once");
+              replay.interrupt();
+            } else {
+              replay.kill();
+              Runtime.getRuntime().halt(Tidebank.FAILED);
+            }
+          });
       Replay.Outcome outcome = replay.run(rows);
       manifest.put("interrupted", interrupts.get() > 0);
       ObjectNode report = folder.finish(outcome, manifest);
@@ -66,37 +89,68 @@
         print(outcome, folder.folder(), out);
       }
       out.flush();
-      return outcome.rulesKept() && outcome.exitCodes().values().stream().allMatch(code -> code == 0)
-          ? Tidebank.DONE : Tidebank.FAILED;
+      return outcome.rulesKept()
+              && outcome.exitCodes().values().stream().allMatch(code -> code == 0)
+          ? Tidebank.DONE
+          : Tidebank.FAILED;
     }
   }
 
   private static void print(Replay.Outcome outcome, Path folder, PrintWriter out) {
     Account.Figures figures = outcome.figures();
-    out.printf(Locale.ROOT, "%,d scans in %.1f s, %,d dispatches at the shard servers%n", figures.scans(),
-        outcome.seconds(), outcome.dispatches());
-    figures.ends().forEach((end, number) -> out.printf(Locale.ROOT, "  %-15s %,8d%n",
-        end.name().toLowerCase(Locale.ROOT).replace('_', ' '), number));
-    out.printf(Locale.ROOT, "service %.3f; worst 10 s %.3f (from second %d); worst table type %.3f%s; worst account %.3f%s%n",
-        figures.whole(), figures.worstWindow(), figures.worstWindowFromS(), figures.worstType(),
-        named(figures.worstTypeName()), figures.worstAccount(), named(figures.worstAccountName()));
+    out.printf(
+        Locale.ROOT,
+        "%,d scans in %.1f s, %,d dispatches at the shard servers%n",
+        figures.scans(),
+        outcome.seconds(),
+        outcome.dispatches());
+    figures
+        .ends()
+        .forEach(
+            (end, number) ->
+                out.printf(
+                    Locale.ROOT,
+                    "  %-15s %,8d%n",
+                    end.name().toLowerCase(Locale.ROOT).replace('_', ' '),
+                    number));
+    out.printf(
+        Locale.ROOT,
+        "service %.3f; worst 10 s %.3f (from second %d); worst table type %.3f%s; worst account"
+            + " %.3f%s%n",
+        figures.whole(),
+        figures.worstWindow(),
+        figures.worstWindowFromS(),
+        figures.worstType(),
+        named(figures.worstTypeName()),
+        figures.worstAccount(),
+        named(figures.worstAccountName()));
     out.printf(Locale.ROOT, "score %.3f%n", figures.score());
-    out.printf(Locale.ROOT, "answers: median %.1f ms, 99%% within %.1f ms; the sender was late by %.1f ms at 99%%, %.1f at most%n",
-        outcome.latency().getValueAtPercentile(50) / 1000.0, outcome.latency().getValueAtPercentile(99) / 1000.0,
-        outcome.lateness().getValueAtPercentile(99) / 1000.0, outcome.lateness().getMaxValue() / 1000.0);
+    out.printf(
+        Locale.ROOT,
+        "answers: median %.1f ms, 99%% within %.1f ms; the sender was late by %.1f ms at 99%%, %.1f"
+            + " at most%n",
+        outcome.latency().getValueAtPercentile(50) / 1000.0,
+        outcome.latency().getValueAtPercentile(99) / 1000.0,
+        outcome.lateness().getValueAtPercentile(99) / 1000.0,
+        outcome.lateness().getMaxValue() / 1000.0);
     if (outcome.rulesKept()) {
-      out.printf(Locale.ROOT, "all six rules kept, checked over %,d tries%n", outcome.scansJudged());
+      out.printf(
+          Locale.ROOT, "all six rules kept, checked over %,d tries%n", outcome.scansJudged());
     } else {
       out.println("RULES BROKEN: " + outcome.brokenRules());
-      for (RuleAudit.Broken broken : outcome.broken().subList(0, Math.min(10, outcome.broken().size()))) {
+      for (RuleAudit.Broken broken :
+          outcome.broken().subList(0, Math.min(10, outcome.broken().size()))) {
         out.println("  rule " + broken.rule() + ": " + broken.what());
       }
     }
-    outcome.exitCodes().forEach((name, code) -> {
-      if (code != 0) {
-        out.println("gatherer " + name + " ended with " + code);
-      }
-    });
+    outcome
+        .exitCodes()
+        .forEach(
+            (name, code) -> {
+              if (code != 0) {
+                out.println("gatherer " + name + " ended with " + code);
+              }
+            });
     out.println("report: " + folder.resolve("report.html"));
     if (Files.isDirectory(folder.resolve("capture"))) {
       out.println("captures: " + folder.resolve("capture") + "/g0 and on; see: capture replay");
--- a/cli/src/main/java/tidebank/cli/Progress.java
+++ b/cli/src/main/java/tidebank/cli/Progress.java
@@ -29,7 +29,8 @@
     last = now;
     any = true;
     String share = all > 0 ? String.format(" of %,d (%d%%)", all, 100 * count / all) : "";
-    out.print("\r" + what + String.format(" %,d%s, %d s ", count, share, (now - start) / 1_000_000_000));
+    out.print(
+        "\r" + what + String.format(" %,d%s, %d s ", count, share, (now - start) / 1_000_000_000));
     out.flush();
   }
 
--- a/cli/src/main/java/tidebank/cli/Tidebank.java
+++ b/cli/src/main/java/tidebank/cli/Tidebank.java
@@ -18,14 +18,25 @@
 /** The command line {@code tidebank}. */
 @Command(
     name = "tidebank",
-    description = "A gateway in front of a sharded, replicated store, and the tools to rehearse it.",
+    description =
+        "A gateway in front of a sharded, replicated store, and the tools to rehearse it.",
     mixinStandardHelpOptions = true,
     version = "tidebank 0.2.0",
     synopsisSubcommandLabel = "COMMAND",
     exitCodeListHeading = "%nExit codes:%n",
     exitCodeList = {"0:done", "1:failed", "2:wrong arguments or configuration"},
-    subcommands = {Serve.class, Serve.WireHost.class, Demo.class, Archive.class, TraceCommands.class, CaptureCommands.class,
-        FleetCommands.StewardCommand.class, FleetCommands.class, ChaosCommands.class, GenerateCompletion.class})
+    subcommands = {
+      Serve.class,
+      Serve.WireHost.class,
+      Demo.class,
+      Archive.class,
+      TraceCommands.class,
+      CaptureCommands.class,
+      FleetCommands.StewardCommand.class,
+      FleetCommands.class,
+      ChaosCommands.class,
+      GenerateCompletion.class
+    })
 public final class Tidebank implements Callable<Integer> {
   static final int DONE = 0;
   static final int FAILED = 1;
@@ -33,16 +44,24 @@
 
   @Spec CommandSpec spec;
 
-  @Option(names = "--log-form", scope = ScopeType.INHERIT, description = "how the log on standard error looks: text, json",
+  @Option(
+      names = "--log-form",
+      scope = ScopeType.INHERIT,
+      description = "how the log on standard error looks: text, json",
       paramLabel = "FORM")
   void logForm(String form) {
     if (!form.equals("text") && !form.equals("json")) {
-      throw new ParameterException(spec.commandLine(), "--log-form: found " + form + ", wanted text or json");
+      throw new ParameterException(
+          spec.commandLine(), "--log-form: found " + form + ", wanted text or json");
     }
     System.setProperty("tidebank.log.form", form);
   }
 
-  @Option(names = "--log-level", scope = ScopeType.INHERIT, description = "error, warn, info or debug", paramLabel = "LEVEL")
+  @Option(
+      names = "--log-level",
+      scope = ScopeType.INHERIT,
+      description = "error, warn, info or debug",
+      paramLabel = "LEVEL")
   void logLevel(String level) {
     System.setProperty("tidebank.log.level", level);
   }
@@ -55,21 +74,34 @@
   /** The command line with its exit codes; standard output and error are the process's. */
   static CommandLine commandLine() {
     CommandLine line = new CommandLine(new Tidebank());
-    line.setExecutionExceptionHandler((fault, command, parsed) -> {
-      Throwable cause = fault instanceof UncheckedIOException unchecked ? unchecked.getCause() : fault;
-      if (cause instanceof Fault known) {
-        boolean json = parsed.expandedArgs().contains("--json");
-        command.getErr().println(json ? new ObjectMapper().writeValueAsString(known.told()) : known.told().lines());
-        return FAILED;
-      }
-      String text = cause instanceof IOException || cause instanceof IllegalArgumentException
-          ? cause.getMessage() : String.valueOf(cause);
-      command.getErr().println("tidebank: " + String.valueOf(text).replace("\n", "\ntidebank: "));
-      if (!(cause instanceof IOException) && !(cause instanceof IllegalArgumentException)) {
-        cause.printStackTrace(command.getErr());
-      }
-      return cause instanceof Malformed || cause instanceof IllegalArgumentException ? WRONG : FAILED;
-    });
+    line.setExecutionExceptionHandler(
+        (fault, command, parsed) -> {
+          Throwable cause =
+              fault instanceof UncheckedIOException unchecked ? unchecked.getCause() : fault;
+          if (cause instanceof Fault known) {
+            boolean json = parsed.expandedArgs().contains("--json");
+            command
+                .getErr()
+                .println(
+                    json
+                        ? new ObjectMapper().writeValueAsString(known.told())
+                        : known.told().lines());
+            return FAILED;
+          }
+          String text =
+              cause instanceof IOException || cause instanceof IllegalArgumentException
+                  ? cause.getMessage()
+                  : String.valueOf(cause);
+          command
+              .getErr()
+              .println("tidebank: " + String.valueOf(text).replace("\n", "\ntidebank: "));
+          if (!(cause instanceof IOException) && !(cause instanceof IllegalArgumentException)) {
+            cause.printStackTrace(command.getErr());
+          }
+          return cause instanceof Malformed || cause instanceof IllegalArgumentException
+              ? WRONG
+              : FAILED;
+        });
     return line;
   }
 
--- a/cli/src/main/java/tidebank/cli/Watch.java
+++ b/cli/src/main/java/tidebank/cli/Watch.java
@@ -14,7 +14,10 @@
 import picocli.CommandLine;
 import tidebank.base.Fault;
 
-/** A screen that shows a command's output anew as it changes. Where there is no terminal, each change is printed below the one before. */
+/**
+ * A screen that shows a command's output anew as it changes. Where there is no terminal, each
+ * change is printed below the one before.
+ */
 final class Watch {
   private static final long EVERY_MS = 500;
 
--- a/cli/src/test/java/tidebank/cli/ChaosCommandsTest.java
+++ b/cli/src/test/java/tidebank/cli/ChaosCommandsTest.java
@@ -24,7 +24,8 @@
   private int run(String... args) {
     StringWriter told = new StringWriter();
     StringWriter faults = new StringWriter();
-    CommandLine line = Tidebank.commandLine().setOut(new PrintWriter(told)).setErr(new PrintWriter(faults));
+    CommandLine line =
+        Tidebank.commandLine().setOut(new PrintWriter(told)).setErr(new PrintWriter(faults));
     int code = line.execute(args);
     out = told.toString();
     err = faults.toString();
@@ -35,7 +36,9 @@
   void aScriptIsListedPlayedKeptAndShown() throws Exception {
     assertThat(run("chaos", "list")).isZero();
     assertThat(out).contains("owner-killed").contains("An owner is killed");
-    assertThat(run("chaos", "run", "owner-killed", "--json", "--keep", "--out", folder.toString())).as(out + err).isZero();
+    assertThat(run("chaos", "run", "owner-killed", "--json", "--keep", "--out", folder.toString()))
+        .as(out + err)
+        .isZero();
     JsonNode verdict = new ObjectMapper().readTree(out);
     assertThat(verdict.path("broken").size()).isZero();
     assertThat(verdict.path("gaps").path("kill").size()).isEqualTo(1);
@@ -44,7 +47,10 @@
       run = runs.findFirst().orElseThrow();
     }
     assertThat(run("chaos", "show", run.toString())).isZero();
-    assertThat(out).contains("owner-killed").contains("held").contains("again: bin/tidebank chaos run owner-killed");
+    assertThat(out)
+        .contains("owner-killed")
+        .contains("held")
+        .contains("again: bin/tidebank chaos run owner-killed");
     assertThat(run("chaos", "show", run.toString(), "--json")).isZero();
     assertThat(new ObjectMapper().readTree(out)).isEqualTo(verdict);
   }
@@ -55,8 +61,12 @@
     assertThat(err).contains("TB-1201").contains("chaos list");
     assertThat(run("chaos", "show", folder.toString())).isEqualTo(1);
     assertThat(err).contains("TB-1202").contains("--keep");
-    for (String[] wrong : new String[][] {{}, {"--seeds", "5..1"}, {"--seeds", "x"}, {"owner-killed", "--at-once", "0"}}) {
-      String[] all = Stream.concat(Stream.of("chaos", "run"), Stream.of(wrong)).toArray(String[]::new);
+    for (String[] wrong :
+        new String[][] {
+          {}, {"--seeds", "5..1"}, {"--seeds", "x"}, {"owner-killed", "--at-once", "0"}
+        }) {
+      String[] all =
+          Stream.concat(Stream.of("chaos", "run"), Stream.of(wrong)).toArray(String[]::new);
       assertThat(run(all)).as(String.join(" ", all)).isEqualTo(2);
     }
     assertThat(run("chaos", "load", "--stewards", "2", "--agents", "1")).isEqualTo(2);
@@ -64,7 +74,20 @@
 
   @Test
   void theLoadOnAStewardIsMeasured() {
-    assertThat(run("chaos", "load", "--stewards", "1", "--agents", "5", "--commands", "50", "--seconds", "60")).as(err).isZero();
+    assertThat(
+            run(
+                "chaos",
+                "load",
+                "--stewards",
+                "1",
+                "--agents",
+                "5",
+                "--commands",
+                "50",
+                "--seconds",
+                "60"))
+        .as(err)
+        .isZero();
     String[] row = out.lines().skip(1).findFirst().orElseThrow().trim().split(" +");
     assertThat(row).hasSize(10);
     assertThat(Integer.parseInt(row[2])).as("commands").isGreaterThanOrEqualTo(50);
--- a/cli/src/test/java/tidebank/cli/TidebankTest.java
+++ b/cli/src/test/java/tidebank/cli/TidebankTest.java
@@ -31,7 +31,10 @@
   private int run(String... args) {
     out.getBuffer().setLength(0);
     err.getBuffer().setLength(0);
-    return Tidebank.commandLine().setOut(new PrintWriter(out)).setErr(new PrintWriter(err)).execute(args);
+    return Tidebank.commandLine()
+        .setOut(new PrintWriter(out))
+        .setErr(new PrintWriter(err))
+        .execute(args);
   }
 
   private JsonNode json() throws Exception {
@@ -40,7 +43,9 @@
 
   private String trace() {
     String file = folder.resolve("t.parquet").toString();
-    assertThat(run("trace", "import", EXAMPLE.toString(), "-o", file, "--json")).as(err.toString()).isZero();
+    assertThat(run("trace", "import", EXAMPLE.toString(), "-o", file, "--json"))
+        .as(err.toString())
+        .isZero();
     return file;
   }
 
@@ -59,7 +64,8 @@
       assertThat(command.getUsageMessage()).as(name).contains("Usage: " + name);
       assertThat(command.getCommandSpec().usageMessage().description()).as(name).isNotEmpty();
     }
-    assertThat(AutoComplete.bash("tidebank", Tidebank.commandLine())).contains("_picocli_tidebank_trace_replay");
+    assertThat(AutoComplete.bash("tidebank", Tidebank.commandLine()))
+        .contains("_picocli_tidebank_trace_replay");
   }
 
   @Test
@@ -98,16 +104,30 @@
     for (JsonNode count : told.path("left_out")) {
       rejected += count.asLong();
     }
-    assertThat(told.path("rows_out").asLong() + rejected).isEqualTo(told.path("lines_in").asLong())
+    assertThat(told.path("rows_out").asLong() + rejected)
+        .isEqualTo(told.path("lines_in").asLong())
         .isEqualTo(Files.readAllLines(EXAMPLE).size());
     assertThat(told.path("rejected").path("duplicate").asLong()).isGreaterThan(10);
   }
 
   @Test
   void aMappingsFaultIsTwoAndNamesItsLine() throws Exception {
-    Path mapping = Files.writeString(folder.resolve("m.toml"),
-        "layout = \"google-2011-task-events\"\n[map]\ntable_type = '\"depot-manifest\"'\ndepot = 'jb_id'\n");
-    assertThat(run("trace", "import", EXAMPLE.toString(), "-o", folder.resolve("x").toString(), "--mapping", mapping.toString()))
+    Path mapping =
+        Files.writeString(
+            folder.resolve("m.toml"),
+            "layout = \"google-2011-task-events\"\n"
+                + "[map]\n"
+                + "table_type = '\"depot-manifest\"'\n"
+                + "depot = 'jb_id'\n");
+    assertThat(
+            run(
+                "trace",
+                "import",
+                EXAMPLE.toString(),
+                "-o",
+                folder.resolve("x").toString(),
+                "--mapping",
+                mapping.toString()))
         .isEqualTo(2);
     assertThat(err.toString()).contains("m.toml:4: map.depot").contains("did you mean \"job_id\"?");
   }
@@ -118,12 +138,38 @@
     assertThat(run("trace", "show", file, "--rows", "2", "--json")).isZero();
     assertThat(json().path("shown")).hasSize(2);
     String busy = folder.resolve("busy.parquet").toString();
-    assertThat(run("trace", "shape", file, "-o", busy, "--from-s", "20", "--until-s", "50", "--rate", "60", "--json")).isZero();
+    assertThat(
+            run(
+                "trace",
+                "shape",
+                file,
+                "-o",
+                busy,
+                "--from-s",
+                "20",
+                "--until-s",
+                "50",
+                "--rate",
+                "60",
+                "--json"))
+        .isZero();
     assertThat(json().path("after").path("ratePerS").asDouble()).isBetween(54.0, 66.0);
-    assertThat(run("trace", "stats", file, busy, "--html", folder.resolve("s.html").toString())).isZero();
+    assertThat(run("trace", "stats", file, busy, "--html", folder.resolve("s.html").toString()))
+        .isZero();
     assertThat(folder.resolve("s.html")).content().contains("<svg").doesNotContain("<script");
-    assertThat(run("trace", "synth", file, "-o", folder.resolve("m.parquet").toString(), "--seconds", "300", "--json")).isZero();
-    assertThat(json().path("off").path("Zipf exponent of keys").path("off").asDouble()).isBetween(-0.2, 0.2);
+    assertThat(
+            run(
+                "trace",
+                "synth",
+                file,
+                "-o",
+                folder.resolve("m.parquet").toString(),
+                "--seconds",
+                "300",
+                "--json"))
+        .isZero();
+    assertThat(json().path("off").path("Zipf exponent of keys").path("off").asDouble())
+        .isBetween(-0.2, 0.2);
   }
 
   @Test
@@ -132,8 +178,24 @@
     String runs = folder.resolve("runs").toString();
     List<String> folders = new ArrayList<>();
     for (int i = 0; i < 2; i++) {
-      assertThat(run("trace", "replay", file, "--gatherers", "1", "--servers", "8", "--seconds", "3", "--runs", runs, "--json",
-          "--incident", "1:server-drains:2")).as(out + "" + err).isZero();
+      assertThat(
+              run(
+                  "trace",
+                  "replay",
+                  file,
+                  "--gatherers",
+                  "1",
+                  "--servers",
+                  "8",
+                  "--seconds",
+                  "3",
+                  "--runs",
+                  runs,
+                  "--json",
+                  "--incident",
+                  "1:server-drains:2"))
+          .as(out + "" + err)
+          .isZero();
       folders.add(json().path("folder").asText());
       assertThat(json().path("rules_kept").asBoolean()).isTrue();
       assertThat(json().path("scans").asLong()).isGreaterThan(10);
@@ -154,18 +216,30 @@
     } finally {
       System.setProperty("tidebank.home", home == null ? "" : home);
     }
-    Process start = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-        "-XX:+UseSerialGC", "-Xshare:on", "-XX:SharedArchiveFile=" + archive, "-Xlog:class+load", "-jar", jar.toString())
-        .redirectErrorStream(true).start();
-    String log = new String(start.getInputStream().readAllBytes(), java.nio.charset.StandardCharsets.UTF_8);
+    Process start =
+        new ProcessBuilder(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-XX:+UseSerialGC",
+                "-Xshare:on",
+                "-XX:SharedArchiveFile=" + archive,
+                "-Xlog:class+load",
+                "-jar",
+                jar.toString())
+            .redirectErrorStream(true)
+            .start();
+    String log =
+        new String(start.getInputStream().readAllBytes(), java.nio.charset.StandardCharsets.UTF_8);
     assertThat(start.waitFor()).as(log).isEqualTo(2);
     assertThat(log.lines().filter(line -> line.contains("tidebank.Main source:")))
-        .singleElement().asString().contains("shared objects file (top)");
+        .singleElement()
+        .asString()
+        .contains("shared objects file (top)");
   }
 
   @Test
   void dutiesAreShownAndSteeredAndFaultsSayWhatToDo() throws Exception {
-    try (Stewards stewards = new Stewards(folder, 1, "[duties]\nnames = [\"report\"]\n[election]\nms = 200\n")) {
+    try (Stewards stewards =
+        new Stewards(folder, 1, "[duties]\nnames = [\"report\"]\n[election]\nms = 200\n")) {
       String at = stewards.addresses().get(0);
       StewardClient client = new StewardClient(stewards.addresses(), 20_000);
       client.command(tidebank.lease.Command.of(Kind.JOIN, "a", 1, "g0"));
@@ -173,9 +247,13 @@
         Thread.onSpinWait();
       }
       assertThat(json().get(0).path("name").asText()).isEqualTo("report");
-      assertThat(run("fleet", "move", "report", "--to", "g0", "--stewards", at)).as(err.toString()).isZero();
+      assertThat(run("fleet", "move", "report", "--to", "g0", "--stewards", at))
+          .as(err.toString())
+          .isZero();
       assertThat(run("fleet", "duties", "--stewards", at)).isZero();
-      assertThat(out.toString()).contains("pinned to").containsPattern("report +- +0 +g0 +g0 +0 +-");
+      assertThat(out.toString())
+          .contains("pinned to")
+          .containsPattern("report +- +0 +g0 +g0 +0 +-");
       assertThat(run("fleet", "history", "report", "--stewards", at)).isZero();
       assertThat(out.toString()).contains("moved to").contains("g0");
       assertThat(run("fleet", "history", "nothing", "--stewards", at)).isEqualTo(1);
@@ -189,11 +267,16 @@
       assertThat(json().path("members").path("retired").asInt()).isEqualTo(1);
       assertThat(json().path("without_owner").get(0).asText()).isEqualTo("report");
       assertThat(run("fleet", "move", "nothing", "--anywhere", "--stewards", at)).isEqualTo(1);
-      assertThat(err.toString()).startsWith("tidebank: TB-1001: ").contains("what to do: ").contains("trying again: ");
+      assertThat(err.toString())
+          .startsWith("tidebank: TB-1001: ")
+          .contains("what to do: ")
+          .contains("trying again: ");
       assertThat(run("fleet", "drain", "nobody", "--stewards", at, "--json")).isEqualTo(1);
-      assertThat(new ObjectMapper().readTree(err.toString()).path("code").asText()).isEqualTo("TB-1015");
+      assertThat(new ObjectMapper().readTree(err.toString()).path("code").asText())
+          .isEqualTo("TB-1015");
     }
-    assertThat(run("fleet", "status", "--stewards", "127.0.0.1:1", "--patience-ms", "10")).isEqualTo(1);
+    assertThat(run("fleet", "status", "--stewards", "127.0.0.1:1", "--patience-ms", "10"))
+        .isEqualTo(1);
     assertThat(err.toString()).contains("TB-1106");
     assertThat(run("fleet", "move", "report")).isEqualTo(2);
   }
@@ -201,6 +284,9 @@
   @Test
   void theFleetsDemoShowsAnOwnerStoppedAndWokenWithoutHarm() {
     assertThat(run("fleet", "demo")).as(out + "" + err).isZero();
-    assertThat(out.toString()).containsPattern("g\\d is stopped").containsPattern("g\\d is woken").contains("was believed since");
+    assertThat(out.toString())
+        .containsPattern("g\\d is stopped")
+        .containsPattern("g\\d is woken")
+        .contains("was believed since");
   }
 }
--- a/cli/src/test/java/tidebank/cli/WatchTest.java
+++ b/cli/src/test/java/tidebank/cli/WatchTest.java
@@ -23,17 +23,26 @@
   private String watched(String type, List<List<String>> texts) throws Exception {
     PipedOutputStream keys = new PipedOutputStream();
     try (PipedInputStream in = new PipedInputStream(keys);
-        Terminal terminal = TerminalBuilder.builder().system(false).streams(in, screen).type(type).dumb(type.equals("dumb")).build()) {
+        Terminal terminal =
+            TerminalBuilder.builder()
+                .system(false)
+                .streams(in, screen)
+                .type(type)
+                .dumb(type.equals("dumb"))
+                .build()) {
       terminal.setSize(new Size(20, 5));
-      int code = Watch.over(terminal, () -> {
-        List<String> text = texts.get(Math.min(shown.size(), texts.size() - 1));
-        shown.add(text.get(0));
-        if (shown.size() >= texts.size()) {
-          keys.write('q');
-          keys.flush();
-        }
-        return text;
-      });
+      int code =
+          Watch.over(
+              terminal,
+              () -> {
+                List<String> text = texts.get(Math.min(shown.size(), texts.size() - 1));
+                shown.add(text.get(0));
+                if (shown.size() >= texts.size()) {
+                  keys.write('q');
+                  keys.flush();
+                }
+                return text;
+              });
       assertThat(code).isZero();
     }
     return screen.toString();
@@ -41,8 +50,17 @@
 
   @Test
   void eachChangeIsShownInPlaceCutToTheScreenUntilQIsPressed() throws Exception {
-    String seen = watched("ansi", List.of(List.of("owner g0", "x".repeat(30)), List.of("owner g1", "a", "b", "c", "d", "e")));
-    assertThat(seen).contains("owner g0").contains("x".repeat(19)).doesNotContain("x".repeat(20)).contains("1").doesNotContain("e\r");
+    String seen =
+        watched(
+            "ansi",
+            List.of(
+                List.of("owner g0", "x".repeat(30)), List.of("owner g1", "a", "b", "c", "d", "e")));
+    assertThat(seen)
+        .contains("owner g0")
+        .contains("x".repeat(19))
+        .doesNotContain("x".repeat(20))
+        .contains("1")
+        .doesNotContain("e\r");
     assertThat(shown).startsWith("owner g0", "owner g1");
   }
 
@@ -50,6 +68,7 @@
   void whereThereIsNoTerminalOnlyWhatChangedIsPrintedAnew() throws Exception {
     String seen = watched("dumb", List.of(List.of("one"), List.of("one"), List.of("two")));
     // The key that was pressed is echoed by such a terminal itself, wherever it falls.
-    assertThat(seen.replace("q", "").lines().map(String::strip).filter(line -> !line.isEmpty())).containsExactly("one", "two");
+    assertThat(seen.replace("q", "").lines().map(String::strip).filter(line -> !line.isEmpty()))
+        .containsExactly("one", "two");
   }
 }
--- a/examples/MakeTraces.java
+++ b/examples/MakeTraces.java
@@ -9,8 +9,9 @@
 import java.util.SplittableRandom;
 
 /**
- * Writes the small traces of this folder, made by us in two public layouts: {@code java examples/MakeTraces.java}. The
- * same ones every time. They hold some of what real files hold: rows out of order, told twice, empty, and no numbers.
+ * Writes the small traces of this folder, made by us in two public layouts: {@code java
+ * examples/MakeTraces.java}. The same ones every time. They hold some of what real files hold: rows
+ * out of order, told twice, empty, and no numbers.
  */
 public final class MakeTraces {
   private static final int SECONDS = 120;
@@ -29,7 +30,9 @@
     for (int second = 0; second < SECONDS; second++) {
       rush = chance.nextDouble() < (rush ? 0.85 : 0.05);
       double rate = rush ? busy : calm;
-      for (double at = -Math.log(1 - chance.nextDouble()) / rate; at < 1; at -= Math.log(1 - chance.nextDouble()) / rate) {
+      for (double at = -Math.log(1 - chance.nextDouble()) / rate;
+          at < 1;
+          at -= Math.log(1 - chance.nextDouble()) / rate) {
         times.add(second + at);
       }
     }
@@ -54,10 +57,28 @@
       int job = 3418309 + zipf(chance, 400);
       int kind = chance.nextInt(100) < 35 ? 2 + chance.nextInt(2) : chance.nextInt(2);
       double cpu = Math.min(0.5, 0.0125 * Math.exp(chance.nextDouble() * 3));
-      String tail = String.format(Locale.ROOT, "user-%d,%d,%d,%.4f,%.4f,%.4f,0", job % 7, kind, chance.nextInt(12), cpu,
-          cpu * 0.8, 0.0004);
+      String tail =
+          String.format(
+              Locale.ROOT,
+              "user-%d,%d,%d,%.4f,%.4f,%.4f,0",
+              job % 7,
+              kind,
+              chance.nextInt(12),
+              cpu,
+              cpu * 0.8,
+              0.0004);
       lines.add(us + ",," + job + "," + task + ",,0," + tail);
-      lines.add(us + chance.nextInt(400_000) + ",," + job + "," + task + ",m" + chance.nextInt(40) + ",1," + tail);
+      lines.add(
+          us
+              + chance.nextInt(400_000)
+              + ",,"
+              + job
+              + ","
+              + task
+              + ",m"
+              + chance.nextInt(40)
+              + ",1,"
+              + tail);
       if (chance.nextInt(60) == 0) {
         lines.add(us + ",," + job + "," + task + ",,0," + tail);
       }
@@ -85,14 +106,41 @@
       String id = "0b13" + Integer.toHexString(0x100000 + trace++);
       long ms = Math.round(at * 1000);
       int service = zipf(chance, 60);
-      lines.add(row++ + "," + id + "," + ms + ",0.1,(?),http,MS_" + service + ",if_" + service + "," + (5 + chance.nextInt(80)));
+      lines.add(
+          row++
+              + ","
+              + id
+              + ","
+              + ms
+              + ",0.1,(?),http,MS_"
+              + service
+              + ",if_"
+              + service
+              + ","
+              + (5 + chance.nextInt(80)));
       int calls = 1 + chance.nextInt(4);
       for (int call = 1; call <= calls; call++) {
         String kind = chance.nextInt(3) == 0 ? "rpc" : chance.nextInt(2) == 0 ? "mc" : "db";
         int callee = zipf(chance, 200);
         int rt = 1 + chance.nextInt(30);
-        lines.add(row++ + "," + id + "," + (ms + chance.nextInt(20)) + ",0.1." + call + ",MS_" + service + "," + kind + ",MS_"
-            + callee + ",if_" + callee + "," + (chance.nextInt(10) == 0 ? -rt : rt));
+        lines.add(
+            row++
+                + ","
+                + id
+                + ","
+                + (ms + chance.nextInt(20))
+                + ",0.1."
+                + call
+                + ",MS_"
+                + service
+                + ","
+                + kind
+                + ",MS_"
+                + callee
+                + ",if_"
+                + callee
+                + ","
+                + (chance.nextInt(10) == 0 ? -rt : rt));
       }
     }
     lines.add(row + ",0b13ffffff,7000,0.1,UNKNOWN,rpc,MS_3,,");
--- a/gatherer/src/main/java/tidebank/Brain.java
+++ b/gatherer/src/main/java/tidebank/Brain.java
@@ -6,11 +6,11 @@
 import tidebank.model.Scan.Verdict;
 
 /**
- * All decisions of one gatherer. A front makes one Brain an instance and calls {@link #on} with the clock and
- * all that happened to the instance since the last call; the answer is what to do now, in order. The
- * interface is the package {@code tidebank.model}: Settings, Event and Action in and out, the rest the state
- * kept here. Events change the state, {@link #review} settles what is wanted (dispatches, verdicts,
- * wake-ups), {@link #settle} alone emits the difference.
+ * All decisions of one gatherer. A front makes one Brain an instance and calls {@link #on} with the
+ * clock and all that happened to the instance since the last call; the answer is what to do now, in
+ * order. The interface is the package {@code tidebank.model}: Settings, Event and Action in and
+ * out, the rest the state kept here. Events change the state, {@link #review} settles what is
+ * wanted (dispatches, verdicts, wake-ups), {@link #settle} alone emits the difference.
  */
 public final class Brain {
   private static final double CAP_START = 8;
@@ -22,11 +22,14 @@
   private static final double HALF = 0.5;
   private static final long TROUBLE_US = 1_000_000;
   private static final long EVIDENCE_US = 4 * TROUBLE_US;
-  // Shares of a target time: how long a dispatch may take at the least and at the most before it is overdue.
+  // Shares of a target time: how long a dispatch may take at the least and at the most before it is
+  // overdue.
   private static final double PATIENCE_LEAST = 0.33;
   private static final double PATIENCE_MOST = 0.6;
+
   /** What a second step needs of the target time. */
   private static final double STEP_RESERVE = 0.35;
+
   private static final double OUT_LONG = 1.4;
   private static final double PATIENCE_TYPICAL = 5;
   private static final double TYPICAL_START = 0.1;
@@ -35,7 +38,8 @@
   private static final double LOW = 0.2;
   private static final double LEARN = 1.0 / 32;
   private static final double LEARN_FAST = 1.0 / 16;
-  // The sequential test: the share of bad ends of a sound and of a sick server, and the error it may make.
+  // The sequential test: the share of bad ends of a sound and of a sick server, and the error it
+  // may make.
   private static final double BAD_SOUND = 0.05;
   private static final double BAD_SICK = 0.5;
   private static final double TEST_ERROR = 0.01;
@@ -48,9 +52,15 @@
   private static final int FATAL = 2;
   private static final int SCOUT_TARGETS = 16;
   private static final int MARGIN_TICKS = 3;
-  /** The most of its target time that an answer leaves early: a cold gatherer's first large scan takes it. */
+
+  /**
+   * The most of its target time that an answer leaves early: a cold gatherer's first large scan
+   * takes it.
+   */
   private static final double EARLY_MOST = 0.2;
+
   private static final double SUM_SLACK = 0.00005;
+
   /** How many deviations of chance a cold server's calls stay under what it bears. */
   private static final double CHANCE = 4;
 
@@ -65,38 +75,59 @@
   private final Map<String, Part> parts = new HashMap<>();
   private final List<Scan> decided = new ArrayList<>();
   private final List<Dispatch> unsettled = new ArrayList<>();
+
   /** When scans were first asked for, by table type and key. */
   private final Map<String, Long> asked = new LinkedHashMap<>();
+
   private final Window taken = new Window();
   private final Window breaks = new Window();
   private final Window further = new Window();
   private final List<Action> actions = new ArrayList<>();
   private final long shortestTarget;
-  /** What a scan or a wake-up waited for our own processor of late: an answer waits so on its way out. */
+
+  /**
+   * What a scan or a wake-up waited for our own processor of late: an answer waits so on its way
+   * out.
+   */
   private double lag;
+
   private final long margin;
+
   /** How many of our parts a home may hold before a part goes elsewhere. */
   private double spill = SPILL_START;
+
   private double typical;
+
   /** The same, but forgetting with time as well. */
   private double recent;
+
   private long recentAt;
-  /** Evidence of silence on connections without and with recent use: it grows with each, up to 1. */
+
+  /**
+   * Evidence of silence on connections without and with recent use: it grows with each, up to 1.
+   */
   private double idleLoss;
+
   private double busyLoss;
+
   /** What a quick answer takes, one that hardly waited. */
   private double service;
+
   /** The share of our latest dispatches that were overdue or refused, whatever the servers. */
   private double strain = OVERLOADED_SHARE * STRAIN_START;
+
   private long calls;
+
   /** When the instance itself ends. */
   private long endAt = Long.MAX_VALUE;
+
   private long now;
   private long armedAt = Long.MAX_VALUE;
   private long timers;
   private boolean following;
   private boolean followAnswered;
   private long askAt;
+
   /** When the call to discovery that is out was made. */
   private long calledAt;
 
@@ -133,7 +164,8 @@
       Scan scan = byNumber.get(taken.number());
       this.taken.add(now, settings.rules().ratioSpanUs());
       if (scan != null && scan.verdict == Verdict.OPEN) {
-        Part part = new Part(taken.id(), scan, taken.shard(), taken.weight(), taken.key(), scan.step);
+        Part part =
+            new Part(taken.id(), scan, taken.shard(), taken.weight(), taken.key(), scan.step);
         part.stage = Stage.HELD;
         scan.parts.add(part);
         parts.put(part.id, part);
@@ -184,8 +216,12 @@
     long late = now - event.askedAt();
     lag = Math.max(late, lag + (late - lag) * LEARN_FAST);
     long left = event.limitAt() - now;
-    TableType type = settings.tableTypes().getOrDefault(event.type(),
-        new TableType(event.type(), Repeat.NON_REPLAYABLE, 0, left, left, 0, 1, 1, 0));
+    TableType type =
+        settings
+            .tableTypes()
+            .getOrDefault(
+                event.type(),
+                new TableType(event.type(), Repeat.NON_REPLAYABLE, 0, left, left, 0, 1, 1, 0));
     Scan scan = new Scan(event.id(), event.number(), type, event.limitAt());
     scan.targetAt = firstAsked(event, type) + type.targetUs();
     scans.put(scan.id, scan);
@@ -195,8 +231,8 @@
   }
 
   /**
-   * How long before its time an answer is given, so that its last byte is out by then. Bounded, as a lone stall
-   * of our own process is no reason to give up the scans that come after it.
+   * How long before its time an answer is given, so that its last byte is out by then. Bounded, as
+   * a lone stall of our own process is no reason to give up the scans that come after it.
    */
   private long early(Scan scan) {
     return margin + Math.round(Math.min(lag, scan.type.targetUs() * EARLY_MOST));
@@ -214,7 +250,8 @@
 
   private void takeEnd(Event.DispatchEnded ended) {
     Part part = parts.get(ended.part());
-    if (part == null || ended.dispatch() >= part.dispatches.size()
+    if (part == null
+        || ended.dispatch() >= part.dispatches.size()
         || !part.dispatches.get(ended.dispatch()).out) {
       return;
     }
@@ -254,13 +291,16 @@
     switch (dispatch.outcome) {
       case COMPLETED -> {
         srv.heardAt = now;
-        // Up again, as it seems, where nothing sent to it came through for longer than a lone refusal lasts.
+        // Up again, as it seems, where nothing sent to it came through for longer than a lone
+        // refusal lasts.
         if (dispatch.sentAt - shortestTarget * HALF >= srv.downAt) {
           started(srv, now);
         }
         srv.downAt = Long.MAX_VALUE;
         typical += (tookUs - typical) * LEARN;
-        recent += (tookUs - recent) * Math.max(LEARN, 1 - Math.exp((recentAt - now) / (double) EVIDENCE_US));
+        recent +=
+            (tookUs - recent)
+                * Math.max(LEARN, 1 - Math.exp((recentAt - now) / (double) EVIDENCE_US));
         recentAt = now;
         if (!dispatch.overdue) {
           service += (tookUs < service ? -1 : LOW / (1 - LOW)) * service * LEARN;
@@ -280,7 +320,8 @@
         halve(shard);
       }
       case ERROR -> doubt(srv, DOUBT_BAD);
-      // A lone connection ends for many a reason: all that was out on it is one fault, no sign of a restart.
+      // A lone connection ends for many a reason: all that was out on it is one fault, no sign of a
+      // restart.
       case SPOILT, BROKEN, UNREACHABLE -> {
         learnSilence(dispatch);
         doubt(srv, srv.firstFault(now) && !reaped(dispatch) ? DOUBT_BAD : 0);
@@ -294,7 +335,7 @@
         }
         srv.brokeAt = dispatch.outcome == Outcome.BROKEN ? now : Long.MIN_VALUE / 2;
       }
-      default -> { }
+      default -> {}
     }
   }
 
@@ -319,15 +360,17 @@
 
   /** While answers wait, a part out for long tells of the queue; a failed connection never does. */
   private void learnSilence(Dispatch dispatch) {
-    if (!waiting() && dispatch.outcome != Outcome.SPOILT || dispatch.outcome == Outcome.UNREACHABLE) {
+    if (!waiting() && dispatch.outcome != Outcome.SPOILT
+        || dispatch.outcome == Outcome.UNREACHABLE) {
       idleLoss += dispatch.idle ? (1 - idleLoss) * LEARN_FAST : 0;
       busyLoss += dispatch.idle ? 0 : (1 - busyLoss) * LEARN_FAST;
     }
   }
 
   /**
-   * Whether a dispatch may be out on a connection dropped unseen: one without recent use, while silence on
-   * such outweighs silence on others. They are closed before use then; silence tells nothing of the server.
+   * Whether a dispatch may be out on a connection dropped unseen: one without recent use, while
+   * silence on such outweighs silence on others. They are closed before use then; silence tells
+   * nothing of the server.
    */
   private boolean reaped(Dispatch dispatch) {
     return dispatch.idle && idleLoss >= SLOW * BAD_SOUND && idleLoss >= SLOW * busyLoss;
@@ -353,7 +396,9 @@
     if (strained && now - srv.strainedAt >= TROUBLE_US || now - srv.toldAt >= TROUBLE_US) {
       srv.toldAt = now;
       srv.strainedAt = strained ? now : srv.strainedAt;
-      strain += ((strained ? 1 : 0) - strain) / Math.max(1 / STRAIN_FAST, Math.min(1 / LEARN, fleet.size()));
+      strain +=
+          ((strained ? 1 : 0) - strain)
+              / Math.max(1 / STRAIN_FAST, Math.min(1 / LEARN, fleet.size()));
     }
   }
 
@@ -361,7 +406,10 @@
     return strain >= OVERLOADED_SHARE;
   }
 
-  /** Whether the answers that come have waited: a queue makes all answers slow, silence only some missing. */
+  /**
+   * Whether the answers that come have waited: a queue makes all answers slow, silence only some
+   * missing.
+   */
   private boolean waiting() {
     return recent >= Math.min(SLOW * service, shortestTarget * PATIENCE_LEAST);
   }
@@ -375,7 +423,8 @@
       }
       scan.parts.forEach(part -> part.dispatches.forEach(this::watch));
       if (!scan.selected) {
-        scan.parts.sort(Comparator.comparingDouble((Part p) -> -p.weight).thenComparingInt(p -> p.shard));
+        scan.parts.sort(
+            Comparator.comparingDouble((Part p) -> -p.weight).thenComparingInt(p -> p.shard));
       }
       if (!scan.selected && !scouting(scan)) {
         select(scan);
@@ -404,8 +453,13 @@
       return;
     }
     boolean calm = !sparse() || strain < OVERLOADED_SHARE * HALF;
-    if (scan.type.floor() >= scan.type.need() || calm && ranked.stream().map(p -> shard(p.shard))
-        .noneMatch(shard -> shard.capPerReplica < CAP_START || now - shard.troubledAt < TROUBLE_US)) {
+    if (scan.type.floor() >= scan.type.need()
+        || calm
+            && ranked.stream()
+                .map(p -> shard(p.shard))
+                .noneMatch(
+                    shard ->
+                        shard.capPerReplica < CAP_START || now - shard.troubledAt < TROUBLE_US)) {
       return;
     }
     int most = ranked.size();
@@ -434,23 +488,29 @@
   }
 
   /**
-   * Exception: among so many gatherers that our share of a replica's cap, as two would have it, is under one
-   * part, our own parts tell nothing of its load. Past T it is taken as loaded as our latest dispatches were
-   * strained, and a refused part goes on, as it was none of our parts that filled the server.
+   * Exception: among so many gatherers that our share of a replica's cap, as two would have it, is
+   * under one part, our own parts tell nothing of its load. Past T it is taken as loaded as our
+   * latest dispatches were strained, and a refused part goes on, as it was none of our parts that
+   * filled the server.
    */
   private boolean sparse() {
     return settings.instances() > 2 * CAP_START;
   }
 
   /**
-   * Exception: while connections broke of late with parts out, a scan's heaviest part goes first and alone,
-   * the others once it is in, or out for twice the typical time. A scan that brings its servers down reaches
-   * one of them so, not all. Costs sound scans the scout's time; not while overload is seen.
+   * Exception: while connections broke of late with parts out, a scan's heaviest part goes first
+   * and alone, the others once it is in, or out for twice the typical time. A scan that brings its
+   * servers down reaches one of them so, not all. Costs sound scans the scout's time; not while
+   * overload is seen.
    */
   private boolean scouting(Scan scan) {
     int broken = breaks.count(now, SCOUT_TARGETS * shortestTarget);
     Part scout = scan.parts.size() < 2 ? null : scan.parts.get(0);
-    if (broken < FATAL || overload() || scout == null || scan.step > 0 || scan.limitAt - now <= margin
+    if (broken < FATAL
+        || overload()
+        || scout == null
+        || scan.step > 0
+        || scan.limitAt - now <= margin
         || scout.stage == Stage.IN) {
       return false;
     }
@@ -472,16 +532,26 @@
         && part.dispatches.stream().allMatch(d -> !d.out || d.overdue || straggles(d))) {
       if (!furtherEver(part)) {
         part.stage = part.out() == 0 ? Stage.LOST : part.stage;
-      } else if ((!overload() || part.neverCame() || sparse() && !part.mayHaveRun()) && budgetLeft()) {
+      } else if ((!overload() || part.neverCame() || sparse() && !part.mayHaveRun())
+          && budgetLeft()) {
         ShardServer srv = place(part);
-        // A copy is worth its work only off a sick server, for one of the last parts, or out for very long.
+        // A copy is worth its work only off a sick server, for one of the last parts, or out for
+        // very long.
         long longAgo = now - Math.round(patience(part.scan) * OUT_LONG);
-        boolean sick = part.dispatches.stream().allMatch(
-            d -> !d.out || d.server.sick || d.sentAt <= longAgo || straggles(d) || reaped(d));
+        boolean sick =
+            part.dispatches.stream()
+                .allMatch(
+                    d ->
+                        !d.out
+                            || d.server.sick
+                            || d.sentAt <= longAgo
+                            || straggles(d)
+                            || reaped(d));
         if (srv != null && (part.out() == 0 || settings.limits().secondCopies() && sick)) {
           send(part, srv);
         } else if (srv != null && !srv.sick) {
-          // One dispatch out at a time: it is called back from a sick server, and sent on once ended.
+          // One dispatch out at a time: it is called back from a sick server, and sent on once
+          // ended.
           part.dispatches.stream().filter(d -> d.server.sick).forEach(this::unwant);
         }
       }
@@ -494,7 +564,8 @@
     Scan scan = dispatch.part.scan;
     long at = dispatch.sentAt + Math.round(scan.type.targetUs() * PATIENCE_LEAST);
     agenda.at(now < at ? at : Long.MAX_VALUE, scan);
-    return now >= at && settings.limits().secondCopies()
+    return now >= at
+        && settings.limits().secondCopies()
         && scan.left <= Math.max(1, scan.parts.size() * IDLE);
   }
 
@@ -523,34 +594,45 @@
       return part.scan.type.repeat() == Repeat.REPLAYABLE || !part.mayHaveRun();
     }
     long windowEnd = now + settings.tickUs() - part.scan.type.windowUs();
-    return part.dispatches.stream().filter(d -> d.out || !d.outcome.neverRan)
+    return part.dispatches.stream()
+        .filter(d -> d.out || !d.outcome.neverRan)
         .allMatch(d -> d.sentAt > windowEnd);
   }
 
   /** Rule 6, a tick longer than its span to stay on the safe side. */
   private boolean budgetLeft() {
     Settings.Rules rules = settings.rules();
-    return rules.ratioSpanUs() <= 0 || further.count(now, rules.ratioSpanUs() + settings.tickUs()) + 1
-        <= rules.freeResends() + rules.extraRatio() * taken.count(now, rules.ratioSpanUs());
+    return rules.ratioSpanUs() <= 0
+        || further.count(now, rules.ratioSpanUs() + settings.tickUs()) + 1
+            <= rules.freeResends() + rules.extraRatio() * taken.count(now, rules.ratioSpanUs());
   }
 
   /** The replica for the next dispatch of a part, or null where none can take it now. */
   private ShardServer place(Part part) {
     String salt = (part.key.isEmpty() ? part.scan.id : part.key) + '/' + part.shard + '/';
-    List<ShardServer> open = fleet.holders(part.shard).stream()
-        .filter(srv -> part.dispatches.stream().noneMatch(d -> d.out && d.server == srv) && coldRoom(srv))
-        .sorted(Comparator.comparingDouble((ShardServer srv) -> -Chance.share(salt + srv.id))).toList();
+    List<ShardServer> open =
+        fleet.holders(part.shard).stream()
+            .filter(
+                srv ->
+                    part.dispatches.stream().noneMatch(d -> d.out && d.server == srv)
+                        && coldRoom(srv))
+            .sorted(Comparator.comparingDouble((ShardServer srv) -> -Chance.share(salt + srv.id)))
+            .toList();
     if (open.isEmpty()) {
       return null;
     }
     ShardServer home = open.get(0);
-    boolean trial = home.sick && now >= home.trialAt && home.out.isEmpty() && part.dispatches.isEmpty();
+    boolean trial =
+        home.sick && now >= home.trialAt && home.out.isEmpty() && part.dispatches.isEmpty();
     if (trial && part.scan.type.repeat() != Repeat.NON_REPLAYABLE) {
       return home;
     }
-    List<ShardServer> fresh = open.stream()
-        .filter(srv -> part.dispatches.stream().noneMatch(d -> d.server == srv)).toList();
-    List<ShardServer> sound = (fresh.isEmpty() ? open : fresh).stream().filter(srv -> !srv.sick).toList();
+    List<ShardServer> fresh =
+        open.stream()
+            .filter(srv -> part.dispatches.stream().noneMatch(d -> d.server == srv))
+            .toList();
+    List<ShardServer> sound =
+        (fresh.isEmpty() ? open : fresh).stream().filter(srv -> !srv.sick).toList();
     List<ShardServer> pick = !sound.isEmpty() ? sound : fresh.isEmpty() ? open : fresh;
     if (pick.get(0) == home && held(home) <= Math.min(spill, home.spill)) {
       return home;
@@ -559,9 +641,9 @@
   }
 
   /**
-   * Our own parts at a server, by call where parts share calls. Exceptions: a further part of a call counts
-   * half, as it queues behind the first; an overdue part counts as a full home, as it tells of a server that
-   * stands still.
+   * Our own parts at a server, by call where parts share calls. Exceptions: a further part of a
+   * call counts half, as it queues behind the first; an overdue part counts as a full home, as it
+   * tells of a server that stands still.
    */
   private double held(ShardServer srv) {
     double held = 0;
@@ -575,11 +657,11 @@
   }
 
   /**
-   * Rule 4. A warm server is taken to carry what one core can, or as many as its told size; a cold one the
-   * cold share of that, rising evenly. Ours is one part of as many as there are gatherers, over any window.
-   * Where that is under one call, the fleet's calls go round by rank, each turn lasting until the next:
-   * chance alone lets a fleet exceed its budget, and so does a restarted gatherer, which forgot whether it
-   * sent. So only turns that begin after we were told count.
+   * Rule 4. A warm server is taken to carry what one core can, or as many as its told size; a cold
+   * one the cold share of that, rising evenly. Ours is one part of as many as there are gatherers,
+   * over any window. Where that is under one call, the fleet's calls go round by rank, each turn
+   * lasting until the next: chance alone lets a fleet exceed its budget, and so does a restarted
+   * gatherer, which forgot whether it sent. So only turns that begin after we were told count.
    */
   private boolean coldRoom(ShardServer srv) {
     Settings.Rules rules = settings.rules();
@@ -589,21 +671,24 @@
     }
     // The window that ends now began when less was allowed.
     double then = Math.max(0, age - rules.tipAfterUs()) / (double) rules.coldUs();
-    double fair = (rules.coldFrom() + (1 - rules.coldFrom()) * then) * srv.coldRate / settings.instances();
+    double fair =
+        (rules.coldFrom() + (1 - rules.coldFrom()) * then) * srv.coldRate / settings.instances();
     return srv.coldSends.count(now, rules.tipAfterUs()) + 1 <= Math.max(1, fair)
         && (fair >= 1 || coldTurn(srv) > srv.coldTurn);
   }
 
   /**
-   * The number of our turn, by the calls that the fleet has been allowed since the start. When calls come is
-   * chance: the mean is kept so low that four deviations still lie under the budget and two of its own.
+   * The number of our turn, by the calls that the fleet has been allowed since the start. When
+   * calls come is chance: the mean is kept so low that four deviations still lie under the budget
+   * and two of its own.
    */
   private long coldTurn(ShardServer srv) {
     Settings.Rules rules = settings.rules();
     double age = Math.max(0, now - srv.startedAt);
     double grown = rules.coldFrom() * age + (1 - rules.coldFrom()) * age * age / 2 / rules.coldUs();
     double least = Math.max(SUM_SLACK, rules.coldFrom() * srv.coldRate);
-    double low = Math.sqrt(Math.pow(Math.sqrt(least) + 1, 2) + 1 + CHANCE * CHANCE / 4) - CHANCE / 2;
+    double low =
+        Math.sqrt(Math.pow(Math.sqrt(least) + 1, 2) + 1 + CHANCE * CHANCE / 4) - CHANCE / 2;
     double calls = grown / rules.tipAfterUs() * srv.coldRate * low * low / Math.max(1, least);
     return (long) Math.floor(calls / settings.instances() - srv.coldPhase);
   }
@@ -629,16 +714,22 @@
     Dispatch dispatch = new Dispatch(part, part.dispatches.size(), srv, now, srv.call);
     dispatch.dueAt = now + patience(scan);
     dispatch.idle = srv.heardAt > 0 && now - srv.heardAt >= shortestTarget * HALF;
-    // Nothing heard since an overdue part was sent: its connection may have fallen silent, not its server.
-    dispatch.anew = srv.silentAt >= srv.heardAt
-        || reaped(dispatch) && (scan.type.repeat() != Repeat.REPLAYABLE || chance.next() >= LEARN);
+    // Nothing heard since an overdue part was sent: its connection may have fallen silent, not its
+    // server.
+    dispatch.anew =
+        srv.silentAt >= srv.heardAt
+            || reaped(dispatch)
+                && (scan.type.repeat() != Repeat.REPLAYABLE || chance.next() >= LEARN);
     dispatch.idle &= !dispatch.anew;
     srv.silentAt = -1;
     part.dispatches.add(dispatch);
     // Where it could not be called back, a dispatch has to end by itself before the next may go.
-    boolean one = !settings.limits().secondCopies() && !settings.limits().cancel() && furtherEver(part);
-    dispatch.stopAt = one && dispatch.dueAt < scan.targetAt ? dispatch.dueAt
-        : scan.type.lateBenefit() > 0 || now >= scan.targetAt ? scan.limitAt : scan.targetAt;
+    boolean one =
+        !settings.limits().secondCopies() && !settings.limits().cancel() && furtherEver(part);
+    dispatch.stopAt =
+        one && dispatch.dueAt < scan.targetAt
+            ? dispatch.dueAt
+            : scan.type.lateBenefit() > 0 || now >= scan.targetAt ? scan.limitAt : scan.targetAt;
     if (dispatch.number > 0) {
       further.add(now, settings.rules().ratioSpanUs() + settings.tickUs());
     }
@@ -687,7 +778,9 @@
       close(scan, Verdict.ANSWER_WHOLE);
     } else if (enough && (pending <= 0 || all || now >= answerAt || now >= endAt)) {
       close(scan, Verdict.ANSWER_IN_PART);
-    } else if (fatal || in + pending < floor - SUM_SLACK || now >= endAt
+    } else if (fatal
+        || in + pending < floor - SUM_SLACK
+        || now >= endAt
         || type.lateBenefit() <= 0 && now >= scan.targetAt) {
       giveUp(scan);
     } else {
@@ -697,8 +790,8 @@
 
   /** A throttling reply says that trying again is harmless. */
   private void giveUp(Scan scan) {
-    boolean harmless = scan.type.repeat() == Repeat.REPLAYABLE
-        || scan.parts.stream().noneMatch(Part::mayHaveRun);
+    boolean harmless =
+        scan.type.repeat() == Repeat.REPLAYABLE || scan.parts.stream().noneMatch(Part::mayHaveRun);
     close(scan, harmless ? Verdict.THROTTLE : Verdict.ABANDON);
   }
 
@@ -738,8 +831,12 @@
         askAt = now;
         calledAt = now;
       }
-      wakeAt = Math.min(wakeAt, !following ? askAt
-          : followAnswered ? Long.MAX_VALUE : askAt + settings.rules().askEveryUs());
+      wakeAt =
+          Math.min(
+              wakeAt,
+              !following
+                  ? askAt
+                  : followAnswered ? Long.MAX_VALUE : askAt + settings.rules().askEveryUs());
     }
     for (Dispatch dispatch : unsettled) {
       if (dispatch.out && dispatch.wanted && !dispatch.sent) {
@@ -748,7 +845,10 @@
           actions.add(new Action.Close(dispatch.server.id));
         }
         actions.add(new Action.Send(dispatch.part.id, dispatch.server.id, dispatch.stopAt));
-      } else if (dispatch.out && !dispatch.wanted && !dispatch.cancelled && settings.limits().cancel()) {
+      } else if (dispatch.out
+          && !dispatch.wanted
+          && !dispatch.cancelled
+          && settings.limits().cancel()) {
         dispatch.cancelled = true;
         actions.add(new Action.Cancel(dispatch.part.id, dispatch.number));
       }
@@ -764,10 +864,15 @@
     boolean whole = scan.verdict == Verdict.ANSWER_WHOLE;
     switch (scan.verdict) {
       case ANSWER_WHOLE, ANSWER_IN_PART -> actions.add(new Action.Answer(scan.id, whole));
-      case THROTTLE -> actions.add(new Action.Throttle(scan.id, settings.limits().holdOff()
-          ? Math.min(shortestTarget, settings.limits().maxHoldOffUs()) : 0));
+      case THROTTLE ->
+          actions.add(
+              new Action.Throttle(
+                  scan.id,
+                  settings.limits().holdOff()
+                      ? Math.min(shortestTarget, settings.limits().maxHoldOffUs())
+                      : 0));
       case ABANDON -> actions.add(new Action.Abandon(scan.id));
-      default -> { }
+      default -> {}
     }
     if ((whole || scan.verdict == Verdict.ANSWER_IN_PART) && scan.moreSteps()) {
       scan.step++;
--- a/gatherer/src/main/java/tidebank/Main.java
+++ b/gatherer/src/main/java/tidebank/Main.java
@@ -46,24 +46,29 @@
   }
 
   /**
-   * Serves until SIGTERM, whose hook waits for the last answer and then ends with 0. Each SIGHUP has the
-   * configuration read again, here and not on the event loop; signals that come meanwhile count as one.
+   * Serves until SIGTERM, whose hook waits for the last answer and then ends with 0. Each SIGHUP
+   * has the configuration read again, here and not on the event loop; signals that come meanwhile
+   * count as one.
    */
   private static void serve(OperatorFile own) throws IOException {
     Semaphore reloads = new Semaphore(0);
     Signal.handle(new Signal("HUP"), signal -> reloads.release());
     AtomicBoolean starting = new AtomicBoolean();
     CompletableFuture<Gatherer> started = new CompletableFuture<>();
-    // A signal before anything listens ends the program at once; amid the start, when that is done and undone again.
-    Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-      if (!starting.get() && !started.isDone()) {
-        Runtime.getRuntime().halt(0);
-      }
-      if (!started.handle((it, fault) -> fault != null).join()) {
-        started.join().stop().join();
-        Runtime.getRuntime().halt(0);
-      }
-    }));
+    // A signal before anything listens ends the program at once; amid the start, when that is done
+    // and undone again.
+    Runtime.getRuntime()
+        .addShutdownHook(
+            new Thread(
+                () -> {
+                  if (!starting.get() && !started.isDone()) {
+                    Runtime.getRuntime().halt(0);
+                  }
+                  if (!started.handle((it, fault) -> fault != null).join()) {
+                    started.join().stop().join();
+                    Runtime.getRuntime().halt(0);
+                  }
+                }));
     Gatherer gatherer;
     try {
       Log.style(own.log());
--- a/gatherer/src/main/java/tidebank/base/Counters.java
+++ b/gatherer/src/main/java/tidebank/base/Counters.java
@@ -7,7 +7,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Named counts of one gatherer, of what is odd as well as of what is usual. They belong to its event loop. */
+/**
+ * Named counts of one gatherer, of what is odd as well as of what is usual. They belong to its
+ * event loop.
+ */
 public final class Counters {
   private static final Logger LOG = LoggerFactory.getLogger(Counters.class);
   private final Map<String, long[]> counts = new TreeMap<>();
@@ -36,7 +39,9 @@
     }
   }
 
-  /** What must hold: asserted where assertions are on, counted elsewhere. Returns whether it does. */
+  /**
+   * What must hold: asserted where assertions are on, counted elsewhere. Returns whether it does.
+   */
   public boolean must(boolean holds, String what) {
     assert holds : what;
     if (!holds) {
@@ -47,7 +52,8 @@
 
   @Override
   public String toString() {
-    return counts.entrySet().stream().map(entry -> entry.getKey() + "=" + entry.getValue()[0])
+    return counts.entrySet().stream()
+        .map(entry -> entry.getKey() + "=" + entry.getValue()[0])
         .collect(Collectors.joining(" "));
   }
 }
--- a/gatherer/src/main/java/tidebank/base/Fault.java
+++ b/gatherer/src/main/java/tidebank/base/Fault.java
@@ -11,9 +11,9 @@
 import java.util.Optional;
 
 /**
- * What can go wrong, each condition a type of its own: a code that stays, what happened with the values involved (the
- * message), whether trying again can help, and what an operator can do. {@code docs/errors.md} has an entry for each, and
- * a test holds the two to each other.
+ * What can go wrong, each condition a type of its own: a code that stays, what happened with the
+ * values involved (the message), whether trying again can help, and what an operator can do. {@code
+ * docs/errors.md} has an entry for each, and a test holds the two to each other.
  */
 public abstract sealed class Fault extends IOException {
   @Serial private static final long serialVersionUID = 1L;
@@ -45,12 +45,20 @@
 
     /** For people, one line a field. */
     public String lines() {
-      String retry = switch (again) {
-        case NO -> "does not help";
-        case LATER -> "later may help";
-        case ELSEWHERE -> "elsewhere may help";
-      };
-      return "tidebank: " + code + ": " + what + "\n  trying again: " + retry + "\n  what to do: " + advice;
+      String retry =
+          switch (again) {
+            case NO -> "does not help";
+            case LATER -> "later may help";
+            case ELSEWHERE -> "elsewhere may help";
+          };
+      return "tidebank: "
+          + code
+          + ": "
+          + what
+          + "\n  trying again: "
+          + retry
+          + "\n  what to do: "
+          + advice;
     }
   }
 
@@ -86,15 +94,21 @@
 
   /** All conditions there are, but for {@link Refused}, which stands for any. */
   public static List<Entry> entries() {
-    return Arrays.stream(Fault.class.getPermittedSubclasses()).filter(type -> type != Refused.class)
-        .map(type -> type.getAnnotation(Entry.class)).toList();
+    return Arrays.stream(Fault.class.getPermittedSubclasses())
+        .filter(type -> type != Refused.class)
+        .map(type -> type.getAnnotation(Entry.class))
+        .toList();
   }
 
   // ---- members and duties
 
-  @Entry(code = "TB-1001", again = Again.NO,
-      advice = "Compare the name with those under duties.names in deploy/steward.toml; add it there and restart the stewards one "
-          + "after the other.")
+  /** No duty of this name is configured. */
+  @Entry(
+      code = "TB-1001",
+      again = Again.NO,
+      advice =
+          "Compare the name with those under duties.names in deploy/steward.toml; add it there and"
+              + " restart the stewards one after the other.")
   public static final class DutyUnknown extends Fault {
     @Serial private static final long serialVersionUID = 1L;
 
@@ -103,8 +117,13 @@
     }
   }
 
-  @Entry(code = "TB-1002", again = Again.LATER,
-      advice = "Nothing needs doing: an owner that has gone loses the duty when its lease ends. tidebank fleet duties shows who holds it.")
+  /** Another member holds the lease of the duty. */
+  @Entry(
+      code = "TB-1002",
+      again = Again.LATER,
+      advice =
+          "Nothing needs doing: an owner that has gone loses the duty when its lease ends. tidebank"
+              + " fleet duties shows who holds it.")
   public static final class DutyHeld extends Fault {
     @Serial private static final long serialVersionUID = 1L;
 
@@ -113,19 +132,35 @@
     }
   }
 
-  @Entry(code = "TB-1003", again = Again.NO,
-      advice = "Nothing needs doing where a duty was moved. To have it at a member of your choice: tidebank fleet move DUTY --to NAME.")
+  /** The duty is assigned to another member. */
+  @Entry(
+      code = "TB-1003",
+      again = Again.NO,
+      advice =
+          "Nothing needs doing where a duty was moved. To have it at a member of your choice:"
+              + " tidebank fleet move DUTY --to NAME.")
   public static final class DutyElsewhere extends Fault {
     @Serial private static final long serialVersionUID = 1L;
 
     public DutyElsewhere(String duty, String wanted, String asker) {
-      super("duty '" + duty + "' is meant for " + (wanted.isEmpty() ? "nobody" : wanted) + ", not for " + asker);
+      super(
+          "duty '"
+              + duty
+              + "' is meant for "
+              + (wanted.isEmpty() ? "nobody" : wanted)
+              + ", not for "
+              + asker);
     }
   }
 
-  @Entry(code = "TB-1004", again = Again.NO,
-      advice = "Nothing needs doing: a successor is at work, and what the old owner wanted to do was kept from taking effect. If it comes "
-          + "often, see why owners stall: their log, their processor share.")
+  /** The fencing token is not the current one of the duty. */
+  @Entry(
+      code = "TB-1004",
+      again = Again.NO,
+      advice =
+          "Nothing needs doing: a successor is at work, and what the old owner wanted to do was"
+              + " kept from taking effect. If it comes often, see why owners stall: their log,"
+              + " their processor share.")
   public static final class TokenOld extends Fault {
     @Serial private static final long serialVersionUID = 1L;
 
@@ -134,9 +169,14 @@
     }
   }
 
-  @Entry(code = "TB-1005", again = Again.LATER,
-      advice = "Nothing needs doing: the duty is claimed anew with a new token. If it comes often, renewals take longer than the lease: "
-          + "raise lease.ms in deploy/steward.toml, or see what slows the stewards.")
+  /** The lease under this token has expired. */
+  @Entry(
+      code = "TB-1005",
+      again = Again.LATER,
+      advice =
+          "Nothing needs doing: the duty is claimed anew with a new token. If it comes often,"
+              + " renewals take longer than the lease: raise lease.ms in deploy/steward.toml, or"
+              + " see what slows the stewards.")
   public static final class LeaseOver extends Fault {
     @Serial private static final long serialVersionUID = 1L;
 
@@ -145,20 +185,33 @@
     }
   }
 
-  @Entry(code = "TB-1006", again = Again.LATER,
-      advice = "A member that was restarted gets its name once the old process's lease has ended. If it lasts, two processes run under one "
-          + "name: give one of them another NODE_NAME.")
+  /** Another live process is a member under the same name. */
+  @Entry(
+      code = "TB-1006",
+      again = Again.LATER,
+      advice =
+          "A member that was restarted gets its name once the old process's lease has ended. If it"
+              + " lasts, two processes run under one name: give one of them another NODE_NAME.")
   public static final class NameTaken extends Fault {
     @Serial private static final long serialVersionUID = 1L;
 
     public NameTaken(String name, long leftUs) {
-      super("another process is member under the name '" + name + "', for " + leftUs / 1000 + " ms more at least");
+      super(
+          "another process is member under the name '"
+              + name
+              + "', for "
+              + leftUs / 1000
+              + " ms more at least");
     }
   }
 
-  @Entry(code = "TB-1007", again = Again.LATER,
-      advice = "Nothing needs doing: the member joins again. If it comes often, its calls take longer than the lease: see its log and the "
-          + "way between it and the stewards.")
+  /** The member is not registered, or its session was replaced. */
+  @Entry(
+      code = "TB-1007",
+      again = Again.LATER,
+      advice =
+          "Nothing needs doing: the member joins again. If it comes often, its calls take longer"
+              + " than the lease: see its log and the way between it and the stewards.")
   public static final class MemberUnknown extends Fault {
     @Serial private static final long serialVersionUID = 1L;
 
@@ -167,8 +220,13 @@
     }
   }
 
-  @Entry(code = "TB-1008", again = Again.NO,
-      advice = "The name was retired by an operator. Start the process under another NODE_NAME, or stop it.")
+  /** An operator retired the member. */
+  @Entry(
+      code = "TB-1008",
+      again = Again.NO,
+      advice =
+          "The name was retired by an operator. Start the process under another NODE_NAME, or stop"
+              + " it.")
   public static final class MemberRetired extends Fault {
     @Serial private static final long serialVersionUID = 1L;
 
@@ -177,9 +235,13 @@
     }
   }
 
-  @Entry(code = "TB-1009", again = Again.LATER,
-      advice = "Raise limits.members in deploy/steward.toml and restart the stewards one after the other. Names that fell silent make room by "
-          + "themselves, retired ones do not.")
+  /** The configured limit of members is reached. */
+  @Entry(
+      code = "TB-1009",
+      again = Again.LATER,
+      advice =
+          "Raise limits.members in deploy/steward.toml and restart the stewards one after the"
+              + " other. Names that fell silent make room by themselves, retired ones do not.")
   public static final class MembersFull extends Fault {
     @Serial private static final long serialVersionUID = 1L;
 
@@ -188,8 +250,13 @@
     }
   }
 
-  @Entry(code = "TB-1010", again = Again.NO,
-      advice = "An older call of a session came after a newer one. If it is not a late copy, two processes share a session: restart one.")
+  /** A call of a session arrived after a newer one of the same session. */
+  @Entry(
+      code = "TB-1010",
+      again = Again.NO,
+      advice =
+          "An older call of a session came after a newer one. If it is not a late copy, two"
+              + " processes share a session: restart one.")
   public static final class CallOld extends Fault {
     @Serial private static final long serialVersionUID = 1L;
 
@@ -198,18 +265,33 @@
     }
   }
 
-  @Entry(code = "TB-1011", again = Again.NO,
-      advice = "Read what is published now, and decide again: tidebank fleet duties --json shows revision and value.")
+  /** A conditional write named a revision that is no longer current. */
+  @Entry(
+      code = "TB-1011",
+      again = Again.NO,
+      advice =
+          "Read what is published now, and decide again: tidebank fleet duties --json shows"
+              + " revision and value.")
   public static final class RevisionMoved extends Fault {
     @Serial private static final long serialVersionUID = 1L;
 
     public RevisionMoved(String duty, long given, long current) {
-      super("what is published under duty '" + duty + "' is at revision " + current + ", not " + given);
+      super(
+          "what is published under duty '"
+              + duty
+              + "' is at revision "
+              + current
+              + ", not "
+              + given);
     }
   }
 
-  @Entry(code = "TB-1012", again = Again.NO,
-      advice = "Shorten what is published: it is to name a file of the fleet's folder, not to hold it.")
+  /** A field is longer than allowed. */
+  @Entry(
+      code = "TB-1012",
+      again = Again.NO,
+      advice =
+          "Shorten what is published: it is to name a file of the fleet's folder, not to hold it.")
   public static final class ValueLong extends Fault {
     @Serial private static final long serialVersionUID = 1L;
 
@@ -218,8 +300,13 @@
     }
   }
 
-  @Entry(code = "TB-1013", again = Again.NO,
-      advice = "Give the gatherer a NODE_NAME of letters, digits, and . _ - within, as a file of the fleet's folder is named after it.")
+  /** The name is not allowed for a member. */
+  @Entry(
+      code = "TB-1013",
+      again = Again.NO,
+      advice =
+          "Give the gatherer a NODE_NAME of letters, digits, and . _ - within, as a file of the"
+              + " fleet's folder is named after it.")
   public static final class NameUnfit extends Fault {
     @Serial private static final long serialVersionUID = 1L;
 
@@ -228,9 +315,14 @@
     }
   }
 
-  @Entry(code = "TB-1014", again = Again.LATER,
-      advice = "See that fleet.folder in deploy/gatherer.toml is there, the same for all members, writable for the gatherer's user, and has "
-          + "space. Scans are served meanwhile; the fleet's report waits.")
+  /** The fleet's shared folder cannot be read or written. */
+  @Entry(
+      code = "TB-1014",
+      again = Again.LATER,
+      advice =
+          "See that fleet.folder in deploy/gatherer.toml is there, the same for all members,"
+              + " writable for the gatherer's user, and has space. Scans are served meanwhile; the"
+              + " fleet's report waits.")
   public static final class FleetFolderUnusable extends Fault {
     @Serial private static final long serialVersionUID = 1L;
 
@@ -239,7 +331,10 @@
     }
   }
 
-  @Entry(code = "TB-1015", again = Again.NO,
+  /** A command names a member that does not exist. */
+  @Entry(
+      code = "TB-1015",
+      again = Again.NO,
       advice = "Compare the name with those that tidebank fleet members lists.")
   public static final class NobodyCalled extends Fault {
     @Serial private static final long serialVersionUID = 1L;
@@ -251,20 +346,32 @@
 
   // ---- stewards
 
-  @Entry(code = "TB-1101", again = Again.ELSEWHERE,
-      advice = "Ask the steward that is named; the fleet commands do so by themselves. If none is named, an election is under way: ask "
-          + "again within some seconds.")
+  /** The steward that was asked is not the leader. */
+  @Entry(
+      code = "TB-1101",
+      again = Again.ELSEWHERE,
+      advice =
+          "Ask the steward that is named; the fleet commands do so by themselves. If none is named,"
+              + " an election is under way: ask again within some seconds.")
   public static final class NotLeading extends Fault {
     @Serial private static final long serialVersionUID = 1L;
 
     public NotLeading(String steward, String leader) {
-      super("steward " + steward + " does not lead; " + (leader.isEmpty() ? "nobody is known to" : leader + " does"));
+      super(
+          "steward "
+              + steward
+              + " does not lead; "
+              + (leader.isEmpty() ? "nobody is known to" : leader + " does"));
     }
   }
 
-  @Entry(code = "TB-1102", again = Again.LATER,
-      advice = "Most of the stewards have to run and reach each other. Start those that are down; see each one's log for its peers. Serving "
-          + "goes on meanwhile.")
+  /** The stewards did not reach a quorum in time. */
+  @Entry(
+      code = "TB-1102",
+      again = Again.LATER,
+      advice =
+          "Most of the stewards have to run and reach each other. Start those that are down; see"
+              + " each one's log for its peers. Serving goes on meanwhile.")
   public static final class NoMajority extends Fault {
     @Serial private static final long serialVersionUID = 1L;
 
@@ -273,7 +380,10 @@
     }
   }
 
-  @Entry(code = "TB-1103", again = Again.LATER,
+  /** The leader changed between taking a call and committing it. */
+  @Entry(
+      code = "TB-1103",
+      again = Again.LATER,
       advice = "Nothing needs doing: the same call, sent again, takes effect once.")
   public static final class LeaderChanged extends Fault {
     @Serial private static final long serialVersionUID = 1L;
@@ -283,8 +393,13 @@
     }
   }
 
-  @Entry(code = "TB-1104", again = Again.NO,
-      advice = "Correct the body: docs/fleet-control.md shows one of each kind. A body has 64 KiB at most.")
+  /** The body of a call cannot be parsed. */
+  @Entry(
+      code = "TB-1104",
+      again = Again.NO,
+      advice =
+          "Correct the body: docs/fleet-control.md shows one of each kind. A body has 64 KiB at"
+              + " most.")
   public static final class CallMalformed extends Fault {
     @Serial private static final long serialVersionUID = 1L;
 
@@ -293,8 +408,13 @@
     }
   }
 
-  @Entry(code = "TB-1105", again = Again.NO,
-      advice = "Use POST /fleet/command, GET /fleet/state, GET /fleet/history, GET /fleet/wanted?name=NAME&wait_ms=MS or GET /health/ready.")
+  /** The steward has no resource at this method and path. */
+  @Entry(
+      code = "TB-1105",
+      again = Again.NO,
+      advice =
+          "Use POST /fleet/command, GET /fleet/state, GET /fleet/history, GET"
+              + " /fleet/wanted?name=NAME&wait_ms=MS or GET /health/ready.")
   public static final class PathUnknown extends Fault {
     @Serial private static final long serialVersionUID = 1L;
 
@@ -303,8 +423,13 @@
     }
   }
 
-  @Entry(code = "TB-1106", again = Again.ELSEWHERE,
-      advice = "See that the stewards run and that the addresses given by --stewards are those of http in deploy/steward.toml.")
+  /** No steward accepted a connection. */
+  @Entry(
+      code = "TB-1106",
+      again = Again.ELSEWHERE,
+      advice =
+          "See that the stewards run and that the addresses given by --stewards are those of http"
+              + " in deploy/steward.toml.")
   public static final class StewardsUnreached extends Fault {
     @Serial private static final long serialVersionUID = 1L;
 
@@ -313,9 +438,14 @@
     }
   }
 
-  @Entry(code = "TB-1107", again = Again.NO,
-      advice = "Bring the folder back from a copy. Without one, and only while all other stewards run: move it away, start this steward "
-          + "empty, then restart the one that leads, and wait until this one has written a snapshot.")
+  /** A snapshot of the replicated log's state is unreadable. */
+  @Entry(
+      code = "TB-1107",
+      again = Again.NO,
+      advice =
+          "Bring the folder back from a copy. Without one, and only while all other stewards run:"
+              + " move it away, start this steward empty, then restart the one that leads, and wait"
+              + " until this one has written a snapshot.")
   public static final class SnapshotDamaged extends Fault {
     @Serial private static final long serialVersionUID = 1L;
 
@@ -324,9 +454,13 @@
     }
   }
 
-  @Entry(code = "TB-1108", again = Again.NO,
-      advice = "Make the folder of deploy/steward.toml writable for the steward's user, free some space in it, or name another one; and end "
-          + "any other steward that uses it.")
+  /** The steward's storage folder cannot be read or written. */
+  @Entry(
+      code = "TB-1108",
+      again = Again.NO,
+      advice =
+          "Make the folder of deploy/steward.toml writable for the steward's user, free some space"
+              + " in it, or name another one; and end any other steward that uses it.")
   public static final class FolderUnusable extends Fault {
     @Serial private static final long serialVersionUID = 1L;
 
@@ -335,8 +469,13 @@
     }
   }
 
-  @Entry(code = "TB-1109", again = Again.NO,
-      advice = "End the other program, or give the address of http or of the steward's own line under peers in deploy/steward.toml another port.")
+  /** The address to listen on is in use or not available. */
+  @Entry(
+      code = "TB-1109",
+      again = Again.NO,
+      advice =
+          "End the other program, or give the address of http or of the steward's own line under"
+              + " peers in deploy/steward.toml another port.")
   public static final class AddressTaken extends Fault {
     @Serial private static final long serialVersionUID = 1L;
 
@@ -347,8 +486,12 @@
 
   // ---- the rig
 
-  @Entry(code = "TB-1201", again = Again.NO,
-      advice = "Give the path of a script's file, or one of the names that tidebank chaos list shows.")
+  /** No chaos script has this name. */
+  @Entry(
+      code = "TB-1201",
+      again = Again.NO,
+      advice =
+          "Give the path of a script's file, or one of the names that tidebank chaos list shows.")
   public static final class ScriptUnknown extends Fault {
     @Serial private static final long serialVersionUID = 1L;
 
@@ -357,9 +500,13 @@
     }
   }
 
-  @Entry(code = "TB-1202", again = Again.NO,
-      advice = "Give the folder of a run, as tidebank chaos run named it; runs that held leave none unless it is asked to keep them "
-          + "by --keep.")
+  /** The folder does not hold a recorded chaos run. */
+  @Entry(
+      code = "TB-1202",
+      again = Again.NO,
+      advice =
+          "Give the folder of a run, as tidebank chaos run named it; runs that held leave none"
+              + " unless it is asked to keep them by --keep.")
   public static final class RunUnknown extends Fault {
     @Serial private static final long serialVersionUID = 1L;
 
--- a/gatherer/src/main/java/tidebank/base/LineBound.java
+++ b/gatherer/src/main/java/tidebank/base/LineBound.java
@@ -1,8 +1,9 @@
 package tidebank.base;
 
 /**
- * How many log lines a second are let through. Touched by all threads that log, Netty's among them. Its law: of all lines asked for, each
- * was let through, or denied and told of exactly once, and no second lets more through than it may.
+ * How many log lines a second are let through. Touched by all threads that log, Netty's among them.
+ * Its law: of all lines asked for, each was let through, or denied and told of exactly once, and no
+ * second lets more through than it may.
  */
 public final class LineBound {
   /** What {@link #take} says of a line that is one too many. */
--- a/gatherer/src/main/java/tidebank/base/Log.java
+++ b/gatherer/src/main/java/tidebank/base/Log.java
@@ -20,8 +20,9 @@
 import org.slf4j.event.KeyValuePair;
 
 /**
- * How a process that serves logs: Logback, set up by hand, as reading its XML would cost a share of the start. One line an
- * entry on standard error, as text for people or as JSON; lines beyond a bound a second are counted, not written.
+ * How a process that serves logs: Logback, set up by hand, as reading its XML would cost a share of
+ * the start. One line an entry on standard error, as text for people or as JSON; lines beyond a
+ * bound a second are counted, not written.
  */
 public final class Log {
   /** How a line looks. */
@@ -67,9 +68,11 @@
     encoder.start();
     appender.setEncoder(encoder);
     appender.start();
-    // Of libraries, only warnings and errors are worth a line; to whoever looks closely, also what they inform of.
+    // Of libraries, only warnings and errors are worth a line; to whoever looks closely, also what
+    // they inform of.
     ch.qos.logback.classic.Logger root = context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
-    root.setLevel(style.least().toInt() < org.slf4j.event.Level.INFO.toInt() ? Level.INFO : Level.WARN);
+    root.setLevel(
+        style.least().toInt() < org.slf4j.event.Level.INFO.toInt() ? Level.INFO : Level.WARN);
     root.addAppender(appender);
     context.getLogger("tidebank").setLevel(Level.convertAnSLF4JLevel(style.least()));
   }
@@ -97,8 +100,11 @@
     @Override
     public String doLayout(ILoggingEvent event) {
       StringBuilder line = new StringBuilder(160);
-      line.append(Instant.ofEpochMilli(event.getTimeStamp()).truncatedTo(ChronoUnit.MILLIS)).append(' ')
-          .append(event.getLevel()).append(' ').append(plain(event.getFormattedMessage()));
+      line.append(Instant.ofEpochMilli(event.getTimeStamp()).truncatedTo(ChronoUnit.MILLIS))
+          .append(' ')
+          .append(event.getLevel())
+          .append(' ')
+          .append(plain(event.getFormattedMessage()));
       if (event.getKeyValuePairs() != null) {
         for (KeyValuePair field : event.getKeyValuePairs()) {
           line.append(' ').append(field.key).append('=').append(plain(String.valueOf(field.value)));
@@ -106,7 +112,10 @@
       }
       IThrowableProxy cause = event.getThrowableProxy();
       if (cause != null) {
-        line.append(": ").append(cause.getClassName()).append(": ").append(plain(String.valueOf(cause.getMessage())));
+        line.append(": ")
+            .append(cause.getClassName())
+            .append(": ")
+            .append(plain(String.valueOf(cause.getMessage())));
         if (cause.getStackTraceElementProxyArray().length > 0) {
           line.append(' ').append(cause.getStackTraceElementProxyArray()[0].getSTEAsString());
         }
@@ -134,9 +143,14 @@
       long left = bound.take(event.getTimeStamp() / 1000);
       if (left > 0) {
         String text = left + " log lines left out";
-        System.err.println(form == Form.JSON
-            ? "{\"timestamp\":" + event.getTimeStamp() + ",\"level\":\"WARN\",\"message\":\"" + text + "\"}"
-            : Instant.ofEpochMilli(event.getTimeStamp()) + " WARN " + text);
+        System.err.println(
+            form == Form.JSON
+                ? "{\"timestamp\":"
+                    + event.getTimeStamp()
+                    + ",\"level\":\"WARN\",\"message\":\""
+                    + text
+                    + "\"}"
+                : Instant.ofEpochMilli(event.getTimeStamp()) + " WARN " + text);
       }
       return left == LineBound.DENIED ? FilterReply.DENY : FilterReply.NEUTRAL;
     }
--- a/gatherer/src/main/java/tidebank/capture/Codec.java
+++ b/gatherer/src/main/java/tidebank/capture/Codec.java
@@ -21,10 +21,11 @@
 import tidebank.model.Settings;
 
 /**
- * Entries as bytes and back. Whole numbers are varints (signed ones by zigzag), times are differences to the one before,
- * texts are numbered when they first come. Every entry, event and action stands behind its length, so that a reader passes
- * over fields that a later version has added at the end, and over kinds that it does not know. State is that of one block:
- * a block is read without any other. Pure.
+ * Entries as bytes and back. Whole numbers are varints (signed ones by zigzag), times are
+ * differences to the one before, texts are numbered when they first come. Every entry, event and
+ * action stands behind its length, so that a reader passes over fields that a later version has
+ * added at the end, and over kinds that it does not know. State is that of one block: a block is
+ * read without any other. Pure.
  */
 final class Codec {
   private static final int STARTED = 1;
@@ -234,10 +235,11 @@
 
     private void report(Map<String, Double> report) {
       whole(report.size());
-      report.forEach((name, value) -> {
-        text(name);
-        number(value);
-      });
+      report.forEach(
+          (name, value) -> {
+            text(name);
+            number(value);
+          });
     }
 
     private void time(long nowUs) {
@@ -245,7 +247,10 @@
       now = nowUs;
     }
 
-    /** A number for a text that came before in this block; else 0 and the text. Null counts as a text of its own. */
+    /**
+     * A number for a text that came before in this block; else 0 and the text. Null counts as a
+     * text of its own.
+     */
     private void text(String text) {
       if (text == null) {
         whole(1);
@@ -395,35 +400,50 @@
       int outer = most;
       int kind = octet();
       int end = inner();
-      Event event = switch (kind) {
-        case 1 -> {
-          ListKind list = of(ListKind.values());
-          int count = count();
-          List<Listed> lines = new ArrayList<>(Math.min(count, 1024));
-          for (int i = 0; i < count; i++) {
-            int around = most;
-            octet();
-            int lineEnd = inner();
-            lines.add(new Listed(text(), (int) signed(), of(ServerStatus.values()), signed(), number()));
-            leave(lineEnd, around);
-          }
-          yield new Event.ListSeen(list, lines);
-        }
-        case 2 -> {
-          Event.ScanTaken scan =
-              new Event.ScanTaken(text(), signed(), text(), text(), now, now + signed(), octet() == 1, text());
-          // Captures of 0.2.0 before the fleet test do not tell it.
-          yield at == end ? scan : new Event.ScanTaken(scan.id(), scan.number(), scan.type(), scan.account(),
-              now - signed(), scan.limitAt(), scan.resent(), scan.key());
-        }
-        case 3 -> new Event.PartTaken(text(), signed(), (int) signed(), number(), text());
-        case 4 -> new Event.DispatchEnded(text(), (int) signed(), of(Outcome.values()), signed(), octet() == 1, report());
-        case 5 -> new Event.ScanLapsed(text());
-        case 6 -> new Event.Ending(now + signed());
-        case 7 -> new Event.TimerDue(signed());
-        case 8 -> new Event.Probed(text(), of(Outcome.values()), signed(), report());
-        default -> null;
-      };
+      Event event =
+          switch (kind) {
+            case 1 -> {
+              ListKind list = of(ListKind.values());
+              int count = count();
+              List<Listed> lines = new ArrayList<>(Math.min(count, 1024));
+              for (int i = 0; i < count; i++) {
+                int around = most;
+                octet();
+                int lineEnd = inner();
+                lines.add(
+                    new Listed(
+                        text(), (int) signed(), of(ServerStatus.values()), signed(), number()));
+                leave(lineEnd, around);
+              }
+              yield new Event.ListSeen(list, lines);
+            }
+            case 2 -> {
+              Event.ScanTaken scan =
+                  new Event.ScanTaken(
+                      text(), signed(), text(), text(), now, now + signed(), octet() == 1, text());
+              // Captures of 0.2.0 before the fleet test do not tell it.
+              yield at == end
+                  ? scan
+                  : new Event.ScanTaken(
+                      scan.id(),
+                      scan.number(),
+                      scan.type(),
+                      scan.account(),
+                      now - signed(),
+                      scan.limitAt(),
+                      scan.resent(),
+                      scan.key());
+            }
+            case 3 -> new Event.PartTaken(text(), signed(), (int) signed(), number(), text());
+            case 4 ->
+                new Event.DispatchEnded(
+                    text(), (int) signed(), of(Outcome.values()), signed(), octet() == 1, report());
+            case 5 -> new Event.ScanLapsed(text());
+            case 6 -> new Event.Ending(now + signed());
+            case 7 -> new Event.TimerDue(signed());
+            case 8 -> new Event.Probed(text(), of(Outcome.values()), signed(), report());
+            default -> null;
+          };
       leave(end, outer);
       return event;
     }
@@ -432,19 +452,20 @@
       int outer = most;
       int kind = octet();
       int end = inner();
-      Action action = switch (kind) {
-        case 1 -> new Action.Send(text(), text(), now + signed());
-        case 2 -> new Action.Cancel(text(), (int) signed());
-        case 3 -> new Action.Answer(text(), octet() == 1);
-        case 4 -> new Action.Throttle(text(), signed());
-        case 5 -> new Action.Abandon(text());
-        case 6 -> new Action.SetTimer(signed(), signed());
-        case 7 -> new Action.Probe(text());
-        case 8 -> new Action.Close(text());
-        case 9 -> new Action.Follow(octet() == 1);
-        case 10 -> new Action.Note(text());
-        default -> null;
-      };
+      Action action =
+          switch (kind) {
+            case 1 -> new Action.Send(text(), text(), now + signed());
+            case 2 -> new Action.Cancel(text(), (int) signed());
+            case 3 -> new Action.Answer(text(), octet() == 1);
+            case 4 -> new Action.Throttle(text(), signed());
+            case 5 -> new Action.Abandon(text());
+            case 6 -> new Action.SetTimer(signed(), signed());
+            case 7 -> new Action.Probe(text());
+            case 8 -> new Action.Close(text());
+            case 9 -> new Action.Follow(octet() == 1);
+            case 10 -> new Action.Note(text());
+            default -> null;
+          };
       leave(end, outer);
       return action;
     }
--- a/gatherer/src/main/java/tidebank/capture/Entry.java
+++ b/gatherer/src/main/java/tidebank/capture/Entry.java
@@ -7,7 +7,10 @@
 
 /** One thing that a capture tells, in the order in which it happened. */
 public sealed interface Entry {
-  /** A module was started: the first one, or one anew after a failed turn. All that it knew before is forgotten. */
+  /**
+   * A module was started: the first one, or one anew after a failed turn. All that it knew before
+   * is forgotten.
+   */
   record Started(Settings settings, long seed) implements Entry {}
 
   /**
@@ -20,9 +23,15 @@
    */
   record Turn(long nowUs, List<Event> events, int digest, List<Action> actions) implements Entry {}
 
-  /** A turn failed: what the module had been told in it, and nothing of what it wanted was done in full. */
+  /**
+   * A turn failed: what the module had been told in it, and nothing of what it wanted was done in
+   * full.
+   */
   record Failed(long nowUs, List<Event> events, String cause) implements Entry {}
 
-  /** So many turns are missing here: there was no room for them. What follows can't be replayed from before. */
+  /**
+   * So many turns are missing here: there was no room for them. What follows can't be replayed from
+   * before.
+   */
   record Gap(long turns) implements Entry {}
 }
--- a/gatherer/src/main/java/tidebank/capture/Keeping.java
+++ b/gatherer/src/main/java/tidebank/capture/Keeping.java
@@ -4,8 +4,9 @@
 import java.util.List;
 
 /**
- * Decides how a capture is kept: when a block is written, when a segment ends, which old ones go, and when to try again
- * after the disk failed. Pure: sizes and times come in, whole microseconds and bytes.
+ * Decides how a capture is kept: when a block is written, when a segment ends, which old ones go,
+ * and when to try again after the disk failed. Pure: sizes and times come in, whole microseconds
+ * and bytes.
  */
 final class Keeping {
   /** A kept segment. */
@@ -18,10 +19,14 @@
    * @param blockUs or when its first entry is so old
    * @param segmentBytes a segment ends past this size
    * @param segmentUs or past this age
-   * @param budgetBytes all segments together stay below this, the open one counted with its full size
+   * @param budgetBytes all segments together stay below this, the open one counted with its full
+   *     size
    */
   record Bounds(int blockBytes, long blockUs, long segmentBytes, long segmentUs, long budgetBytes) {
-    /** A block of 128 KB or half a second, a segment of ten minutes: what a kill may cost, and what one file holds. */
+    /**
+     * A block of 128 KB or half a second, a segment of ten minutes: what a kill may cost, and what
+     * one file holds.
+     */
     static Bounds of(long segmentBytes, long budgetBytes) {
       return new Bounds(128 << 10, 500_000, segmentBytes, 600_000_000, budgetBytes);
     }
@@ -29,8 +34,13 @@
 
   /** First wait after a failure; doubled each time up to the most. */
   private static final long RETRY_FIRST_US = 1_000_000;
+
   private static final long RETRY_MOST_US = 60_000_000;
-  /** Events and actions that may wait for each turn that may: a stalled disk must not fill the heap with large turns. */
+
+  /**
+   * Events and actions that may wait for each turn that may: a stalled disk must not fill the heap
+   * with large turns.
+   */
   private static final int A_TURN = 32;
 
   private final Bounds bounds;
@@ -41,7 +51,10 @@
     this.bounds = bounds;
   }
 
-  /** Whether a turn of so many events and actions may wait beside so many, in a ring of so many turns. */
+  /**
+   * Whether a turn of so many events and actions may wait beside so many, in a ring of so many
+   * turns.
+   */
   static boolean mayWait(long waiting, int more, int ringTurns) {
     return waiting == 0 || waiting + more <= (long) A_TURN * ringTurns;
   }
--- a/gatherer/src/main/java/tidebank/capture/Recorder.java
+++ b/gatherer/src/main/java/tidebank/capture/Recorder.java
@@ -17,9 +17,9 @@
 import tidebank.model.Settings;
 
 /**
- * Records what a module is told. The loop only puts a turn into a ring of fixed size; a thread of its own packs and writes.
- * What finds no room, or no disk, is missing, and the capture says how much and where. Nothing here ever waits for the
- * loop, or the loop for it.
+ * Records what a module is told. The loop only puts a turn into a ring of fixed size; a thread of
+ * its own packs and writes. What finds no room, or no disk, is missing, and the capture says how
+ * much and where. Nothing here ever waits for the loop, or the loop for it.
  */
 public final class Recorder implements TurnLog, AutoCloseable {
   /**
@@ -33,7 +33,12 @@
    * @param force whether each block is forced to the disk, or only each segment at its end
    */
   public record Plan(
-      Path folder, boolean wholeActions, int ringTurns, long segmentBytes, long budgetBytes, boolean force) {}
+      Path folder,
+      boolean wholeActions,
+      int ringTurns,
+      long segmentBytes,
+      long budgetBytes,
+      boolean force) {}
 
   private static final Logger LOG = LoggerFactory.getLogger(Recorder.class);
   private static final long POLL_MS = 50;
@@ -48,8 +53,13 @@
   private final Thread thread;
   private final AtomicLong lost = new AtomicLong();
   private final AtomicLong waiting = new AtomicLong();
-  /** Turns that found no room since the last gap was put into the ring; the last ones are said at the end. */
+
+  /**
+   * Turns that found no room since the last gap was put into the ring; the last ones are said at
+   * the end.
+   */
   private final AtomicLong missed = new AtomicLong();
+
   private volatile boolean closing;
 
   private Codec.Encoder block = new Codec.Encoder();
@@ -82,7 +92,9 @@
 
   @Override
   public void turn(long nowUs, List<Event> events, List<Action> actions) {
-    put(new Waiting(new Entry.Turn(nowUs, events, 0, null), actions, events.size() + actions.size()));
+    put(
+        new Waiting(
+            new Entry.Turn(nowUs, events, 0, null), actions, events.size() + actions.size()));
   }
 
   @Override
@@ -146,8 +158,12 @@
     }
     Entry entry = one.entry;
     if (entry instanceof Entry.Turn turn) {
-      entry = new Entry.Turn(turn.nowUs(), turn.events(), Codec.digest(one.actions),
-          plan.wholeActions() ? one.actions : null);
+      entry =
+          new Entry.Turn(
+              turn.nowUs(),
+              turn.events(),
+              Codec.digest(one.actions),
+              plan.wholeActions() ? one.actions : null);
     }
     block.add(entry);
     blockTurns++;
@@ -183,7 +199,9 @@
       blockTurns = 0;
     } catch (IOException fault) {
       // What may stand there in part is told by the reader; the next try begins a new segment.
-      LOG.warn("the capture can't be written, tried again in {} s: {}", (keeping.failed(now) - now) / 1_000_000,
+      LOG.warn(
+          "the capture can't be written, tried again in {} s: {}",
+          (keeping.failed(now) - now) / 1_000_000,
           fault.toString());
       abandon();
       drop();
@@ -238,7 +256,10 @@
     close(LAST_MS);
   }
 
-  /** The same within this many milliseconds; a disk slower than that leaves a torn tail, which the reader tells. */
+  /**
+   * The same within this many milliseconds; a disk slower than that leaves a torn tail, which the
+   * reader tells.
+   */
   public void close(long mostMs) {
     closing = true;
     try {
--- a/gatherer/src/main/java/tidebank/capture/Segments.java
+++ b/gatherer/src/main/java/tidebank/capture/Segments.java
@@ -17,9 +17,9 @@
 import java.util.zip.Inflater;
 
 /**
- * The files of a capture. A segment is a head (magic, version, its number, a checksum) and blocks: packed length, plain
- * length, CRC32C over both and the packed bytes, the bytes. A block is whole or it is none; what stands behind the first
- * that is not is never read as data, and is told.
+ * The files of a capture. A segment is a head (magic, version, its number, a checksum) and blocks:
+ * packed length, plain length, CRC32C over both and the packed bytes, the bytes. A block is whole
+ * or it is none; what stands behind the first that is not is never read as data, and is told.
  */
 public final class Segments {
   static final long MAGIC = 0x5442_4341_5054_0001L;
@@ -38,7 +38,10 @@
   /** The segments of a folder, the oldest first. */
   public static List<Path> in(Path folder) throws IOException {
     try (Stream<Path> files = Files.list(folder)) {
-      return files.filter(file -> NAME.matcher(file.getFileName().toString()).matches()).sorted().toList();
+      return files
+          .filter(file -> NAME.matcher(file.getFileName().toString()).matches())
+          .sorted()
+          .toList();
     }
   }
 
@@ -54,7 +57,9 @@
     private long bytes;
 
     Writer(Path folder, long number) throws IOException {
-      channel = FileChannel.open(path(folder, number), StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
+      channel =
+          FileChannel.open(
+              path(folder, number), StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
       try {
         ByteBuffer head = ByteBuffer.allocate(HEAD).putLong(MAGIC).putInt(VERSION).putLong(number);
         head.putInt(crc(head.array(), 0, HEAD - 4)).flip();
@@ -78,8 +83,12 @@
           packed = java.util.Arrays.copyOf(packed, 2 * packed.length);
         }
       }
-      ByteBuffer block = ByteBuffer.allocate(BLOCK_HEAD + length).putInt(length).putInt(plain.length).putInt(0)
-          .put(packed, 0, length);
+      ByteBuffer block =
+          ByteBuffer.allocate(BLOCK_HEAD + length)
+              .putInt(length)
+              .putInt(plain.length)
+              .putInt(0)
+              .put(packed, 0, length);
       block.putInt(8, blockCrc(length, plain.length, packed, length)).flip();
       write(block);
     }
@@ -132,11 +141,14 @@
   public static Read read(Path file) throws IOException {
     byte[] all = Files.readAllBytes(file);
     ByteBuffer in = ByteBuffer.wrap(all);
-    if (all.length < HEAD || in.getLong(0) != MAGIC || in.getInt(HEAD - 4) != crc(all, 0, HEAD - 4)) {
+    if (all.length < HEAD
+        || in.getLong(0) != MAGIC
+        || in.getInt(HEAD - 4) != crc(all, 0, HEAD - 4)) {
       return new Read(number(file), List.of(), 0, 0, "no whole head of a capture");
     }
     if (in.getInt(8) > VERSION) {
-      throw new IOException(file + ": version " + in.getInt(8) + " is newer than the known " + VERSION);
+      throw new IOException(
+          file + ": version " + in.getInt(8) + " is newer than the known " + VERSION);
     }
     in.position(HEAD);
     List<Entry> entries = new ArrayList<>();
--- a/gatherer/src/main/java/tidebank/capture/TurnLog.java
+++ b/gatherer/src/main/java/tidebank/capture/TurnLog.java
@@ -5,18 +5,22 @@
 import tidebank.model.Event;
 import tidebank.model.Settings;
 
-/** Is told of every turn, on the loop; it must neither wait nor fail, and keeps the lists it is given as they are. */
+/**
+ * Is told of every turn, on the loop; it must neither wait nor fail, and keeps the lists it is
+ * given as they are.
+ */
 public interface TurnLog {
-  TurnLog NONE = new TurnLog() {
-    @Override
-    public void started(Settings settings, long seed) {}
+  TurnLog NONE =
+      new TurnLog() {
+        @Override
+        public void started(Settings settings, long seed) {}
 
-    @Override
-    public void turn(long nowUs, List<Event> events, List<Action> actions) {}
+        @Override
+        public void turn(long nowUs, List<Event> events, List<Action> actions) {}
 
-    @Override
-    public void failed(long nowUs, List<Event> events, Throwable cause) {}
-  };
+        @Override
+        public void failed(long nowUs, List<Event> events, Throwable cause) {}
+      };
 
   /** The module was started, or started anew. */
   void started(Settings settings, long seed);
--- a/gatherer/src/main/java/tidebank/config/Json.java
+++ b/gatherer/src/main/java/tidebank/config/Json.java
@@ -55,7 +55,8 @@
   public static boolean flag(JsonNode node, String field) throws Malformed {
     JsonNode value = node.get(field);
     if (value != null && !value.isNull() && !value.isBoolean()) {
-      throw new Malformed("field '" + field + "': found " + brief(value) + ", wanted true or false");
+      throw new Malformed(
+          "field '" + field + "': found " + brief(value) + ", wanted true or false");
     }
     return value != null && value.booleanValue();
   }
@@ -76,7 +77,8 @@
   public static long span(JsonNode node, String field, double absentMs) throws Malformed {
     long span = micros(node, field, absentMs);
     if (span < 0) {
-      throw new Malformed("field '" + field + "': found " + brief(node.get(field)) + ", wanted a number from 0");
+      throw new Malformed(
+          "field '" + field + "': found " + brief(node.get(field)) + ", wanted a number from 0");
     }
     return span;
   }
@@ -88,11 +90,13 @@
   public static Map<String, Double> numbers(JsonNode node) {
     Map<String, Double> values = new LinkedHashMap<>();
     if (node != null && node.isObject()) {
-      node.fields().forEachRemaining(field -> {
-        if (field.getValue().isNumber()) {
-          values.put(field.getKey(), field.getValue().doubleValue());
-        }
-      });
+      node.fields()
+          .forEachRemaining(
+              field -> {
+                if (field.getValue().isNumber()) {
+                  values.put(field.getKey(), field.getValue().doubleValue());
+                }
+              });
     }
     return values;
   }
--- a/gatherer/src/main/java/tidebank/config/NodeConfig.java
+++ b/gatherer/src/main/java/tidebank/config/NodeConfig.java
@@ -13,8 +13,8 @@
 import tidebank.model.Settings;
 
 /**
- * All that a gatherer is started with. {@code known} is the list of shard servers as it last had it, in
- * discovery's form, or null.
+ * All that a gatherer is started with. {@code known} is the list of shard servers as it last had
+ * it, in discovery's form, or null.
  */
 public record NodeConfig(
     String name,
@@ -27,20 +27,24 @@
     Settings settings) {
   private static final int SOCKETS_DEFAULT = 1024;
   private static final int SOCKETS_LEAST = 128;
+
   /** What the heap that {@code run} fixes and the machine's own parts take at rest. */
   private static final int MEMORY_LEAST_MB = 80;
+
   private static final long SECOND_US = 1_000_000;
   private static final int KIB = 1024;
+
   /** PROTOCOL: a body holds no more than this. */
   private static final int BODY_MOST = 64 * KIB;
 
   /**
-   * How the descriptors are shared out. Past {@code clients} a further connection is answered with a plain
-   * refusal and closed; past {@code clientsMost} none is accepted until one has gone. Past {@code resting} connections
-   * without a request the one that has been so for longest is closed: clients hold a third of the descriptors at most,
-   * and some never ask again. The rest bounds what one
-   * connection may hold: requests not yet answered, the buffers it is read into (a body keeps them, so they are
-   * small) and, from {@code writeHigh} down to {@code writeLow}, bytes not yet written.
+   * How the descriptors are shared out. Past {@code clients} a further connection is answered with
+   * a plain refusal and closed; past {@code clientsMost} none is accepted until one has gone. Past
+   * {@code resting} connections without a request the one that has been so for longest is closed:
+   * clients hold a third of the descriptors at most, and some never ask again. The rest bounds what
+   * one connection may hold: requests not yet answered, the buffers it is read into (a body keeps
+   * them, so they are small) and, from {@code writeHigh} down to {@code writeLow}, bytes not yet
+   * written.
    */
   public record Budgets(
       int clients,
@@ -55,13 +59,23 @@
       int writeLow,
       int writeHigh) {
     /**
-     * Half for clients, who hold a third at most for requests, so that silent ones find room beside them, an eighth for
-     * refusals, a quarter for shard servers; the rest stays free.
+     * Half for clients, who hold a third at most for requests, so that silent ones find room beside
+     * them, an eighth for refusals, a quarter for shard servers; the rest stays free.
      */
     static Budgets of(int sockets) {
       int eighth = sockets / 8;
-      return new Budgets(4 * eighth, 5 * eighth, 3 * eighth / 2, 2 * eighth, Math.max(1, eighth / 8),
-          16, 64, 2 * KIB, 16 * KIB, 32 * KIB, 128 * KIB);
+      return new Budgets(
+          4 * eighth,
+          5 * eighth,
+          3 * eighth / 2,
+          2 * eighth,
+          Math.max(1, eighth / 8),
+          16,
+          64,
+          2 * KIB,
+          16 * KIB,
+          32 * KIB,
+          128 * KIB);
     }
   }
 
@@ -94,7 +108,10 @@
     return read(env, file(env));
   }
 
-  /** The same while the program runs: the environment is that of its start, so the file's discovery is newer. */
+  /**
+   * The same while the program runs: the environment is that of its start, so the file's discovery
+   * is newer.
+   */
   public static NodeConfig reread(Map<String, String> env) throws Malformed {
     JsonNode file = file(env);
     Map<String, String> rest = new HashMap<>(env);
@@ -117,8 +134,13 @@
     if (settings.tableTypes().isEmpty()) {
       throw wrong("settings.services", "none", "a list of table types");
     }
-    if (settings.layout().shards() < 1 || settings.layout().positions() < 1 || settings.layout().width() < 1) {
-      throw wrong("settings.specifics", String.valueOf(settings.layout()), "slices, positions and width from 1");
+    if (settings.layout().shards() < 1
+        || settings.layout().positions() < 1
+        || settings.layout().width() < 1) {
+      throw wrong(
+          "settings.specifics",
+          String.valueOf(settings.layout()),
+          "slices, positions and width from 1");
     }
     JsonNode known = file.path("known");
     return new NodeConfig(
@@ -144,7 +166,10 @@
       }
       return file;
     } catch (JsonProcessingException fault) {
-      throw wrong("NODE_CONFIG", path + ": " + fault.getOriginalMessage(), "a file that holds a JSON object");
+      throw wrong(
+          "NODE_CONFIG",
+          path + ": " + fault.getOriginalMessage(),
+          "a file that holds a JSON object");
     } catch (IOException | RuntimeException fault) {
       if (fault instanceof Malformed malformed) {
         throw malformed;
--- a/gatherer/src/main/java/tidebank/config/OperatorFile.java
+++ b/gatherer/src/main/java/tidebank/config/OperatorFile.java
@@ -10,16 +10,18 @@
 import tidebank.fleet.Retention;
 
 /**
- * The operator's own file (deploy/gatherer.toml): what a gatherer does beyond its platform's configuration. All of it is
- * off or at its default where the file or a key is absent.
+ * The operator's own file (deploy/gatherer.toml): what a gatherer does beyond its platform's
+ * configuration. All of it is off or at its default where the file or a key is absent.
  *
  * @param log how the process logs
  * @param countersEveryUs how often the counters are logged, in microseconds
  * @param capture how everything that the module is told is recorded, or null
  * @param fleet how the gatherer takes part in its fleet's duties, or null
  */
-public record OperatorFile(Log.Style log, long countersEveryUs, Recorder.Plan capture, FleetAgent.Plan fleet) {
-  public static final OperatorFile DEFAULT = new OperatorFile(Log.Style.DEFAULT, 60_000_000, null, null);
+public record OperatorFile(
+    Log.Style log, long countersEveryUs, Recorder.Plan capture, FleetAgent.Plan fleet) {
+  public static final OperatorFile DEFAULT =
+      new OperatorFile(Log.Style.DEFAULT, 60_000_000, null, null);
   private static final long MB = 1 << 20;
 
   private enum Kept {
@@ -29,9 +31,14 @@
 
   private static Recorder.Plan capture(Toml.Table capture) {
     String folder = capture.text("folder", "");
-    Recorder.Plan plan = new Recorder.Plan(Path.of(folder), capture.choice("actions", Kept.DIGEST, Kept.class) == Kept.WHOLE,
-        (int) capture.whole("ring_turns", 4096, 16, 1 << 20), capture.whole("segment_mb", 8, 1, 1024) * MB,
-        capture.whole("budget_mb", 200, 2, 1 << 20) * MB, capture.flag("force", false));
+    Recorder.Plan plan =
+        new Recorder.Plan(
+            Path.of(folder),
+            capture.choice("actions", Kept.DIGEST, Kept.class) == Kept.WHOLE,
+            (int) capture.whole("ring_turns", 4096, 16, 1 << 20),
+            capture.whole("segment_mb", 8, 1, 1024) * MB,
+            capture.whole("budget_mb", 200, 2, 1 << 20) * MB,
+            capture.flag("force", false));
     if (plan.budgetBytes() < 2 * plan.segmentBytes()) {
       capture.fault("budget_mb", "is less than two segments of segment_mb");
     }
@@ -42,8 +49,10 @@
     List<String> stewards = fleet.texts("stewards");
     String folder = fleet.text("folder", "");
     long every = fleet.whole("every_ms", 60_000, 100, 86_400_000) * 1000;
-    Retention.Bounds keep = new Retention.Bounds(fleet.whole("keep_days", 30, 1, 3650) * 86_400_000_000L,
-        fleet.whole("keep_mb", 1000, 1, 1 << 30) * MB);
+    Retention.Bounds keep =
+        new Retention.Bounds(
+            fleet.whole("keep_days", 30, 1, 3650) * 86_400_000_000L,
+            fleet.whole("keep_mb", 1000, 1, 1 << 30) * MB);
     for (String steward : stewards) {
       if (!steward.matches("[^:]+:\\d{1,5}")) {
         fleet.fault("stewards", "found " + steward + ", wanted addresses such as 127.0.0.1:7200");
@@ -65,7 +74,8 @@
   /** How a process logs, by the table {@code log} of its file. */
   public static Log.Style style(Toml.Table log) {
     LogLevel level = log.choice("level", LogLevel.INFO, LogLevel.class);
-    return new Log.Style(Level.valueOf(level.name().toUpperCase(Locale.ROOT)),
+    return new Log.Style(
+        Level.valueOf(level.name().toUpperCase(Locale.ROOT)),
         log.choice("form", Log.Form.TEXT, Log.Form.class),
         (int) log.whole("lines_a_second", Log.Style.DEFAULT.linesASecond(), 1, 10_000));
   }
--- a/gatherer/src/main/java/tidebank/config/SettingsReader.java
+++ b/gatherer/src/main/java/tidebank/config/SettingsReader.java
@@ -8,7 +8,10 @@
 import tidebank.model.Settings;
 import tidebank.model.TableType;
 
-/** Reads an instance's settings. A figure that is absent becomes the one that permits or promises nothing. */
+/**
+ * Reads an instance's settings. A figure that is absent becomes the one that permits or promises
+ * nothing.
+ */
 public final class SettingsReader {
   private static final double MS_NEVER = 1e12;
 
--- a/gatherer/src/main/java/tidebank/config/Toml.java
+++ b/gatherer/src/main/java/tidebank/config/Toml.java
@@ -22,14 +22,18 @@
 import java.util.regex.Pattern;
 
 /**
- * A TOML file that is read by a checked description of its keys. What is wrong is gathered, not thrown at the first
- * sight: {@link #check} names every faulty, missing and unknown key with its line, an unknown one with the known key
- * that is nearest to it.
+ * A TOML file that is read by a checked description of its keys. What is wrong is gathered, not
+ * thrown at the first sight: {@link #check} names every faulty, missing and unknown key with its
+ * line, an unknown one with the known key that is nearest to it.
  */
 public final class Toml {
-  private static final Pattern HEADER = Pattern.compile("^\\s*\\[{1,2}\\s*([^\\]]+?)\\s*\\]{1,2}\\s*(#.*)?$");
-  private static final Pattern KEY = Pattern.compile("^\\s*((?:\"[^\"]*\"|'[^']*'|[A-Za-z0-9_.-]+)(?:\\s*\\.\\s*"
-      + "(?:\"[^\"]*\"|'[^']*'|[A-Za-z0-9_-]+))*)\\s*=.*$");
+  private static final Pattern HEADER =
+      Pattern.compile("^\\s*\\[{1,2}\\s*([^\\]]+?)\\s*\\]{1,2}\\s*(#.*)?$");
+  private static final Pattern KEY =
+      Pattern.compile(
+          "^\\s*((?:\"[^\"]*\"|'[^']*'|[A-Za-z0-9_.-]+)(?:\\s*\\.\\s*"
+              + "(?:\"[^\"]*\"|'[^']*'|[A-Za-z0-9_-]+))*)\\s*=.*$");
+
   /** An edit distance up to a third of the key still counts as a slip. */
   private static final int NEAR = 3;
 
@@ -46,7 +50,8 @@
       tree = new TomlMapper().readTree(text);
     } catch (JsonProcessingException fault) {
       JsonLocation at = fault.getLocation();
-      throw new Malformed(name + (at == null ? "" : ":" + at.getLineNr()) + ": " + fault.getOriginalMessage());
+      throw new Malformed(
+          name + (at == null ? "" : ":" + at.getLineNr()) + ": " + fault.getOriginalMessage());
     } catch (IOException | RuntimeException fault) {
       throw new Malformed(name + ": no TOML: " + fault.getMessage());
     }
@@ -88,7 +93,10 @@
     }
   }
 
-  /** Jackson reads TOML as a whole and forgets the lines, so they are noted here by a light pass over the text. */
+  /**
+   * Jackson reads TOML as a whole and forgets the lines, so they are noted here by a light pass
+   * over the text.
+   */
   private void index(String text) {
     String prefix = "";
     Map<String, Integer> tables = new HashMap<>();
@@ -127,7 +135,7 @@
   }
 
   private int line(String key) {
-    for (String at = key; !at.isEmpty();) {
+    for (String at = key; !at.isEmpty(); ) {
       Integer line = lines.get(at);
       if (line != null) {
         return line;
@@ -162,8 +170,12 @@
           continue;
         }
         int same = a.charAt(i - 1) == b.charAt(j - 1) ? 0 : 1;
-        edits[i][j] = Math.min(Math.min(edits[i - 1][j], edits[i][j - 1]) + 1, edits[i - 1][j - 1] + same);
-        if (i > 1 && j > 1 && a.charAt(i - 1) == b.charAt(j - 2) && a.charAt(i - 2) == b.charAt(j - 1)) {
+        edits[i][j] =
+            Math.min(Math.min(edits[i - 1][j], edits[i][j - 1]) + 1, edits[i - 1][j - 1] + same);
+        if (i > 1
+            && j > 1
+            && a.charAt(i - 1) == b.charAt(j - 2)
+            && a.charAt(i - 2) == b.charAt(j - 1)) {
           edits[i][j] = Math.min(edits[i][j], edits[i - 2][j - 2] + 1);
         }
       }
@@ -205,7 +217,8 @@
       Toml.this.fault(full(key), what);
     }
 
-    private <T> T typed(String key, T absent, boolean needed, String wanted, Function<JsonNode, T> read) {
+    private <T> T typed(
+        String key, T absent, boolean needed, String wanted, Function<JsonNode, T> read) {
       JsonNode value = at(key);
       if (value.isMissingNode()) {
         if (needed) {
@@ -222,7 +235,8 @@
     }
 
     public String text(String key, String absent) {
-      return typed(key, absent, false, "a text", value -> value.isTextual() ? value.textValue() : null);
+      return typed(
+          key, absent, false, "a text", value -> value.isTextual() ? value.textValue() : null);
     }
 
     public String needText(String key) {
@@ -230,54 +244,91 @@
     }
 
     public boolean flag(String key, boolean absent) {
-      return typed(key, absent, false, "true or false", value -> value.isBoolean() ? value.booleanValue() : null);
+      return typed(
+          key,
+          absent,
+          false,
+          "true or false",
+          value -> value.isBoolean() ? value.booleanValue() : null);
     }
 
     public long whole(String key, long absent, long least, long most) {
-      return typed(key, absent, false, "a whole number from " + least + (most == Long.MAX_VALUE ? "" : " to " + most),
-          value -> value.canConvertToLong() && value.isIntegralNumber() && value.longValue() >= least
-              && value.longValue() <= most ? value.longValue() : null);
+      return typed(
+          key,
+          absent,
+          false,
+          "a whole number from " + least + (most == Long.MAX_VALUE ? "" : " to " + most),
+          value ->
+              value.canConvertToLong()
+                      && value.isIntegralNumber()
+                      && value.longValue() >= least
+                      && value.longValue() <= most
+                  ? value.longValue()
+                  : null);
     }
 
     public double number(String key, double absent, double least, double most) {
-      return typed(key, absent, false, "a number from " + least + " to " + most,
-          value -> value.isNumber() && value.doubleValue() >= least && value.doubleValue() <= most
-              ? value.doubleValue() : null);
+      return typed(
+          key,
+          absent,
+          false,
+          "a number from " + least + " to " + most,
+          value ->
+              value.isNumber() && value.doubleValue() >= least && value.doubleValue() <= most
+                  ? value.doubleValue()
+                  : null);
     }
 
     public <E extends Enum<E>> E choice(String key, E absent, Class<E> choices) {
-      List<String> names = Arrays.stream(choices.getEnumConstants()).map(e -> e.name().toLowerCase(Locale.ROOT)
-          .replace('_', '-')).toList();
-      return typed(key, absent, false, "one of " + String.join(", ", names), value -> {
-        int row = value.isTextual() ? names.indexOf(value.textValue()) : -1;
-        return row < 0 ? null : choices.getEnumConstants()[row];
-      });
+      List<String> names =
+          Arrays.stream(choices.getEnumConstants())
+              .map(e -> e.name().toLowerCase(Locale.ROOT).replace('_', '-'))
+              .toList();
+      return typed(
+          key,
+          absent,
+          false,
+          "one of " + String.join(", ", names),
+          value -> {
+            int row = value.isTextual() ? names.indexOf(value.textValue()) : -1;
+            return row < 0 ? null : choices.getEnumConstants()[row];
+          });
     }
 
     public List<String> texts(String key) {
-      return typed(key, List.of(), false, "a list of texts", value -> {
-        List<String> texts = new ArrayList<>();
-        for (JsonNode item : value) {
-          if (!item.isTextual()) {
-            return null;
-          }
-          texts.add(item.textValue());
-        }
-        return value.isArray() ? texts : null;
-      });
+      return typed(
+          key,
+          List.of(),
+          false,
+          "a list of texts",
+          value -> {
+            List<String> texts = new ArrayList<>();
+            for (JsonNode item : value) {
+              if (!item.isTextual()) {
+                return null;
+              }
+              texts.add(item.textValue());
+            }
+            return value.isArray() ? texts : null;
+          });
     }
 
     public List<Double> numbers(String key) {
-      return typed(key, List.of(), false, "a list of numbers", value -> {
-        List<Double> numbers = new ArrayList<>();
-        for (JsonNode item : value) {
-          if (!item.isNumber()) {
-            return null;
-          }
-          numbers.add(item.doubleValue());
-        }
-        return value.isArray() ? numbers : null;
-      });
+      return typed(
+          key,
+          List.of(),
+          false,
+          "a list of numbers",
+          value -> {
+            List<Double> numbers = new ArrayList<>();
+            for (JsonNode item : value) {
+              if (!item.isNumber()) {
+                return null;
+              }
+              numbers.add(item.doubleValue());
+            }
+            return value.isArray() ? numbers : null;
+          });
     }
 
     /** A table below this one; an absent one is empty. */
@@ -306,15 +357,17 @@
     public Map<String, String> freeTexts() {
       anyKey = true;
       Map<String, String> values = new LinkedHashMap<>();
-      node.fields().forEachRemaining(entry -> {
-        if (entry.getValue().isTextual()) {
-          values.put(entry.getKey(), entry.getValue().textValue());
-        } else if (entry.getValue().isValueNode()) {
-          values.put(entry.getKey(), entry.getValue().asText());
-        } else {
-          fault(entry.getKey(), "found " + entry.getValue() + ", wanted a text");
-        }
-      });
+      node.fields()
+          .forEachRemaining(
+              entry -> {
+                if (entry.getValue().isTextual()) {
+                  values.put(entry.getKey(), entry.getValue().textValue());
+                } else if (entry.getValue().isValueNode()) {
+                  values.put(entry.getKey(), entry.getValue().asText());
+                } else {
+                  fault(entry.getKey(), "found " + entry.getValue() + ", wanted a text");
+                }
+              });
       return values;
     }
 
@@ -322,13 +375,19 @@
       if (anyKey || !node.isObject()) {
         return;
       }
-      node.fieldNames().forEachRemaining(key -> {
-        if (!known.contains(key)) {
-          String near = nearest(key, known);
-          fault(key, "unknown key" + (near == null ? "; known are " + String.join(", ", known)
-              : "; did you mean \"" + near + "\"?"));
-        }
-      });
+      node.fieldNames()
+          .forEachRemaining(
+              key -> {
+                if (!known.contains(key)) {
+                  String near = nearest(key, known);
+                  fault(
+                      key,
+                      "unknown key"
+                          + (near == null
+                              ? "; known are " + String.join(", ", known)
+                              : "; did you mean \"" + near + "\"?"));
+                }
+              });
     }
   }
 }
--- a/gatherer/src/main/java/tidebank/config/package-info.java
+++ b/gatherer/src/main/java/tidebank/config/package-info.java
@@ -1,2 +1,5 @@
-/** The one place where the environment, the configuration file and the settings are read, checked and defaulted. */
+/**
+ * The one place where the environment, the configuration file and the settings are read, checked
+ * and defaulted.
+ */
 package tidebank.config;
--- a/gatherer/src/main/java/tidebank/discovery/DiscoverySide.java
+++ b/gatherer/src/main/java/tidebank/discovery/DiscoverySide.java
@@ -30,17 +30,19 @@
 import tidebank.model.Chance;
 import tidebank.model.Event.ListKind;
 import tidebank.model.ListCalls;
-import tidebank.node.Timers;
 import tidebank.node.Clock;
 import tidebank.node.ListPort;
+import tidebank.node.Timers;
 import tidebank.node.Turn;
 
 /**
- * Watches discovery on one connection: calls that wait for changes, each renewed at once. A watch goes on from the version
- * that we know, also from before a start or a loss: for a whole list all instances wait in turn, a hundred at once far
- * longer than each may. It is asked for where no version is known or an answer did not fit. Any call that fails, in whatever way, ends the watch and is told; when to begin again is not decided here. Where
- * the settings promise that changes come unasked, this side keeps that promise: it begins by itself, and again
- * after each failure. How long it waits for what is {@link ListCalls}'s to say.
+ * Watches discovery on one connection: calls that wait for changes, each renewed at once. A watch
+ * goes on from the version that we know, also from before a start or a loss: for a whole list all
+ * instances wait in turn, a hundred at once far longer than each may. It is asked for where no
+ * version is known or an answer did not fit. Any call that fails, in whatever way, ends the watch
+ * and is told; when to begin again is not decided here. Where the settings promise that changes
+ * come unasked, this side keeps that promise: it begins by itself, and again after each failure.
+ * How long it waits for what is {@link ListCalls}'s to say.
  */
 public final class DiscoverySide implements ListPort {
   private static final Logger LOG = LoggerFactory.getLogger(DiscoverySide.class);
@@ -61,12 +63,22 @@
   private InetSocketAddress address;
   private Link link;
   private boolean following;
+
   /** Whether the watch that is on has been answered at all. */
   private boolean confirmed;
-  /** The version that we have come to, known from before the start or from a watch that was lost; below 0: none. */
+
+  /**
+   * The version that we have come to, known from before the start or from a watch that was lost;
+   * below 0: none.
+   */
   private long version = -1;
 
-  public DiscoverySide(NodeConfig config, Bootstrap template, Turn turn, Clock clock, Timers timers,
+  public DiscoverySide(
+      NodeConfig config,
+      Bootstrap template,
+      Turn turn,
+      Clock clock,
+      Timers timers,
       Counters counters) {
     this.transport = config.transport();
     this.address = config.discovery();
@@ -80,7 +92,10 @@
     this.counters = counters;
   }
 
-  /** From the list of this version that the gatherer was started with; by itself where the settings promise that. */
+  /**
+   * From the list of this version that the gatherer was started with; by itself where the settings
+   * promise that.
+   */
   public void begin(long known) {
     version = known;
     begin();
@@ -102,7 +117,10 @@
     }
   }
 
-  /** Discovery is at another address, whose versions may count anew; a watch on the old one is of no use. */
+  /**
+   * Discovery is at another address, whose versions may count anew; a watch on the old one is of no
+   * use.
+   */
   public void moved(InetSocketAddress to) {
     if (to.equals(address)) {
       return;
@@ -204,26 +222,40 @@
     }
 
     void connect() {
-      ChannelFuture connecting = template.clone().handler(new ChannelInitializer<Channel>() {
-        @Override
-        protected void initChannel(Channel fresh) {
-          fresh.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(16 * transport.bodyMost()),
-              Link.this);
-        }
-      }).connect(address);
+      ChannelFuture connecting =
+          template
+              .clone()
+              .handler(
+                  new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel fresh) {
+                      fresh
+                          .pipeline()
+                          .addLast(
+                              new HttpClientCodec(),
+                              new HttpObjectAggregator(16 * transport.bodyMost()),
+                              Link.this);
+                    }
+                  })
+              .connect(address);
       channel = connecting.channel();
-      connecting.addListener((ChannelFutureListener) done -> {
-        if (!done.isSuccess()) {
-          failed(String.valueOf(done.cause().getMessage()));
-        }
-      });
+      connecting.addListener(
+          (ChannelFutureListener)
+              done -> {
+                if (!done.isSuccess()) {
+                  failed(String.valueOf(done.cause().getMessage()));
+                }
+              });
     }
 
     void ask(String next) {
       path = next;
-      DefaultFullHttpRequest request = new DefaultFullHttpRequest(
-          HttpVersion.HTTP_1_1, HttpMethod.GET, path, Unpooled.EMPTY_BUFFER);
-      request.headers().set(HttpHeaderNames.HOST, address.getHostString() + ':' + address.getPort());
+      DefaultFullHttpRequest request =
+          new DefaultFullHttpRequest(
+              HttpVersion.HTTP_1_1, HttpMethod.GET, path, Unpooled.EMPTY_BUFFER);
+      request
+          .headers()
+          .set(HttpHeaderNames.HOST, address.getHostString() + ':' + address.getPort());
       channel.writeAndFlush(request, channel.voidPromise());
     }
 
@@ -241,7 +273,8 @@
     }
 
     @Override
-    protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) throws IOException {
+    protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response)
+        throws IOException {
       if (link != this) {
         return;
       }
--- a/gatherer/src/main/java/tidebank/discovery/ListReader.java
+++ b/gatherer/src/main/java/tidebank/discovery/ListReader.java
@@ -40,14 +40,21 @@
 
   private static Member member(JsonNode host) throws Malformed {
     String id = Json.text(host, "host");
-    ServerStatus status = switch (Json.text(host, "health")) {
-      case "Ready" -> ServerStatus.IN_SERVICE;
-      case "Terminating" -> ServerStatus.DRAINING;
-      case "Gone" -> ServerStatus.GONE;
-      default -> throw new Malformed("host '" + id + "' has an unknown health");
-    };
-    Listed line = new Listed(id, (int) Json.whole(host, "block"), status,
-        Clock.ofUnixMillis(Math.max(0, Math.round(Json.number(host, "born_ms", 0)))), Json.number(host, "share", 1));
-    return new Member(line, NodeConfig.address("dial of host '" + id + "'", Json.text(host, "dial")));
+    ServerStatus status =
+        switch (Json.text(host, "health")) {
+          case "Ready" -> ServerStatus.IN_SERVICE;
+          case "Terminating" -> ServerStatus.DRAINING;
+          case "Gone" -> ServerStatus.GONE;
+          default -> throw new Malformed("host '" + id + "' has an unknown health");
+        };
+    Listed line =
+        new Listed(
+            id,
+            (int) Json.whole(host, "block"),
+            status,
+            Clock.ofUnixMillis(Math.max(0, Math.round(Json.number(host, "born_ms", 0)))),
+            Json.number(host, "share", 1));
+    return new Member(
+        line, NodeConfig.address("dial of host '" + id + "'", Json.text(host, "dial")));
   }
 }
--- a/gatherer/src/main/java/tidebank/fleet/FleetAgent.java
+++ b/gatherer/src/main/java/tidebank/fleet/FleetAgent.java
@@ -17,19 +17,26 @@
 import tidebank.lease.LeaseBook;
 
 /**
- * A gatherer's part in the fleet, on a thread of its own: it stays a member, owns the duties that are meant for it, and does
- * them. Nothing of it touches the event loop but by a {@link Handover}; neither waits for the other. If the stewards are
- * gone it stops its duties and goes on asking; scans notice nothing.
+ * A gatherer's part in the fleet, on a thread of its own: it stays a member, owns the duties that
+ * are meant for it, and does them. Nothing of it touches the event loop but by a {@link Handover};
+ * neither waits for the other. If the stewards are gone it stops its duties and goes on asking;
+ * scans notice nothing.
  */
 public final class FleetAgent {
   private static final Logger LOG = LoggerFactory.getLogger(FleetAgent.class);
   private static final String REPORT = "report";
   private static final String RETENTION = "retention";
+
   /** Names that one list of removals may have, so that its file stays small. */
   private static final int REMOVALS_MOST = 1000;
-  /** How long it waits before it asks again where nobody answered, and the most it sleeps at a time. */
+
+  /**
+   * How long it waits before it asks again where nobody answered, and the most it sleeps at a time.
+   */
   private static final long PAUSE_MS = 50;
+
   private static final long NAP_MS = 20;
+
   /** How long the stewards may let a call wait that has no news for it. */
   private static final int NEWS_MS = 5000;
 
@@ -38,7 +45,8 @@
    *
    * @param stewards where they listen, as host:port
    * @param folder that all members share
-   * @param everyUs how often each tells its counters, a report is made and what is stored is looked through, in microseconds
+   * @param everyUs how often each tells its counters, a report is made and what is stored is looked
+   *     through, in microseconds
    * @param keep how long and how much is stored
    */
   public record Plan(List<String> stewards, Path folder, long everyUs, Retention.Bounds keep) {}
@@ -64,7 +72,8 @@
    * @param counters what the gatherer has counted since its start; asked for on its event loop
    * @param loop that event loop
    */
-  public FleetAgent(Plan plan, String name, Supplier<SortedMap<String, Long>> counters, Executor loop) {
+  public FleetAgent(
+      Plan plan, String name, Supplier<SortedMap<String, Long>> counters, Executor loop) {
     this.loop = loop;
     this.plan = plan;
     this.name = name;
@@ -84,7 +93,10 @@
     return this;
   }
 
-  /** Lets go of all duties while the gatherer drains, so that others need not wait for the leases' ends. Returns at once. */
+  /**
+   * Lets go of all duties while the gatherer drains, so that others need not wait for the leases'
+   * ends. Returns at once.
+   */
   public void leave() {
     handover.leave();
   }
@@ -113,7 +125,10 @@
         Thread.currentThread().interrupt();
         return;
       } catch (IOException fault) {
-        Fault named = fault instanceof Fault known ? known : new Fault.FleetFolderUnusable(plan.folder().toString(), fault.toString());
+        Fault named =
+            fault instanceof Fault known
+                ? known
+                : new Fault.FleetFolderUnusable(plan.folder().toString(), fault.toString());
         say(named.told());
         pause();
       } catch (RuntimeException fault) {
@@ -124,7 +139,10 @@
     }
   }
 
-  /** Waits at the stewards for a duty to claim, so that it is claimed at once and not with the next renewal. */
+  /**
+   * Waits at the stewards for a duty to claim, so that it is claimed at once and not with the next
+   * renewal.
+   */
   private void hear() {
     StewardLink own = new StewardLink(plan.stewards());
     while (!handover.leaving()) {
@@ -135,7 +153,8 @@
       } catch (IOException | RuntimeException fault) {
         LOG.debug("no news to be had", fault);
       }
-      // What was told may take a moment to be claimed, and stewards that are gone are not to be asked without a pause.
+      // What was told may take a moment to be claimed, and stewards that are gone are not to be
+      // asked without a pause.
       pause();
     }
   }
@@ -158,7 +177,11 @@
         } else {
           said = "";
           if (command.kind() == Command.Kind.CLAIM) {
-            LOG.info("owns duty " + command.duty() + " by token " + holder.mayAct(command.duty(), now(), 0));
+            LOG.info(
+                "owns duty "
+                    + command.duty()
+                    + " by token "
+                    + holder.mayAct(command.duty(), now(), 0));
           }
         }
         return answer.get();
@@ -203,9 +226,9 @@
   }
 
   /**
-   * The duty: reads what is published, writes the next report beside it under a name with the token, and has it published. If
-   * the process stands still anywhere in between, the stewards refuse the old token or the old revision, and the file is
-   * of no account.
+   * The duty: reads what is published, writes the next report beside it under a name with the
+   * token, and has it published. If the process stands still anywhere in between, the stewards
+   * refuse the old token or the old revision, and the file is of no account.
    */
   private void report() throws IOException {
     long token = holder.mayAct(REPORT, now(), 0);
@@ -218,9 +241,13 @@
     if (duty == null) {
       return;
     }
-    List<String> alive = state.get().members().stream().filter(member -> member.aliveUntil() > state.get().now())
-        .map(LeaseBook.Member::name).toList();
-    FleetReport next = folder().read(duty.value()).next(duty.value(), token, alive, folder().told());
+    List<String> alive =
+        state.get().members().stream()
+            .filter(member -> member.aliveUntil() > state.get().now())
+            .map(LeaseBook.Member::name)
+            .toList();
+    FleetReport next =
+        folder().read(duty.value()).next(duty.value(), token, alive, folder().told());
     String written = folder().write(next);
     Answer answer = call(holder.publish(REPORT, duty.revision(), written, now()));
     if (answer != null && answer.fault() == null) {
@@ -230,12 +257,16 @@
   }
 
   private static LeaseBook.Duty duty(Optional<LeaseBook.State> state, String name) {
-    return state.flatMap(known -> known.duties().stream().filter(one -> one.name().equals(name)).findFirst()).orElse(null);
+    return state
+        .flatMap(
+            known -> known.duties().stream().filter(one -> one.name().equals(name)).findFirst())
+        .orElse(null);
   }
 
   /**
-   * The duty: finishes the removals that are published, as their owner may have died over them, then lists what is kept too long and has the
-   * list published, and only then removes what it names. Whoever stands still in between removes late what was to go, or has its list refused.
+   * The duty: finishes the removals that are published, as their owner may have died over them,
+   * then lists what is kept too long and has the list published, and only then removes what it
+   * names. Whoever stands still in between removes late what was to go, or has its list refused.
    */
   private void retain() throws IOException {
     long token = holder.mayAct(RETENTION, now(), 0);
@@ -251,14 +282,25 @@
     Retention before = folder().removal(duty.value());
     folder().remove(before);
     LeaseBook.Duty report = duty(state, REPORT);
-    Retention next = before.next(duty.value(), token, folder().stock(report == null ? "" : report.value(), 2 * REMOVALS_MOST,
-        this::ask), plan.keep(), REMOVALS_MOST);
+    Retention next =
+        before.next(
+            duty.value(),
+            token,
+            folder().stock(report == null ? "" : report.value(), 2 * REMOVALS_MOST, this::ask),
+            plan.keep(),
+            REMOVALS_MOST);
     if (next.names().isEmpty()) {
       return;
     }
     Answer answer = call(holder.publish(RETENTION, duty.revision(), folder().write(next), now()));
     if (answer != null && answer.fault() == null && holder.mayAct(RETENTION, now(), 0) == token) {
-      LOG.info("removed " + folder().remove(next) + " of " + next.names().size() + " files by list " + next.number());
+      LOG.info(
+          "removed "
+              + folder().remove(next)
+              + " of "
+              + next.names().size()
+              + " files by list "
+              + next.number());
       folder().tidy(next);
     }
   }
--- a/gatherer/src/main/java/tidebank/fleet/FleetFolder.java
+++ b/gatherer/src/main/java/tidebank/fleet/FleetFolder.java
@@ -25,7 +25,10 @@
 import org.slf4j.LoggerFactory;
 import tidebank.base.Fault;
 
-/** The folder that all members share: what each has counted, and the reports. Every file is there whole or not at all. */
+/**
+ * The folder that all members share: what each has counted, and the reports. Every file is there
+ * whole or not at all.
+ */
 final class FleetFolder {
   private static final Logger LOG = LoggerFactory.getLogger(FleetFolder.class);
   private static final int REPORTS_KEPT = 100;
@@ -56,14 +59,20 @@
     put(told.resolve(name + ".json"), LeaseCodec.bytes(now));
   }
 
-  /** What members told last. A file that can't be read counts as none: its member is named as missing. */
+  /**
+   * What members told last. A file that can't be read counts as none: its member is named as
+   * missing.
+   */
   Map<String, FleetReport.Told> told() throws IOException {
     Map<String, FleetReport.Told> all = new TreeMap<>();
     try (Stream<Path> files = Files.list(told)) {
-      for (Path file : files.filter(one -> one.getFileName().toString().endsWith(".json")).toList()) {
+      for (Path file :
+          files.filter(one -> one.getFileName().toString().endsWith(".json")).toList()) {
         String name = file.getFileName().toString();
         try {
-          all.put(name.substring(0, name.length() - 5), LeaseCodec.read(Files.readAllBytes(file), FleetReport.Told.class));
+          all.put(
+              name.substring(0, name.length() - 5),
+              LeaseCodec.read(Files.readAllBytes(file), FleetReport.Told.class));
         } catch (IOException fault) {
           LOG.warn("what " + name + " holds can't be read: " + fault.getMessage());
         }
@@ -72,7 +81,10 @@
     return all;
   }
 
-  /** A report under a name that no other token ever has; it counts only once the stewards have published that name. */
+  /**
+   * A report under a name that no other token ever has; it counts only once the stewards have
+   * published that name.
+   */
   String write(FleetReport report) throws IOException {
     String name = "report-" + report.number() + "-by-" + report.token() + ".json";
     put(reports.resolve(name), LeaseCodec.bytes(report));
@@ -80,12 +92,14 @@
   }
 
   FleetReport read(String published) throws IOException {
-    return published.isEmpty() ? FleetReport.NONE : LeaseCodec.read(Files.readAllBytes(reports.resolve(published)), FleetReport.class);
+    return published.isEmpty()
+        ? FleetReport.NONE
+        : LeaseCodec.read(Files.readAllBytes(reports.resolve(published)), FleetReport.class);
   }
 
   /**
-   * Removes reports long before the published one, and those beside it that never were. Late or twice, it does no harm: no name
-   * that it removes can be published any more.
+   * Removes reports long before the published one, and those beside it that never were. Late or
+   * twice, it does no harm: no name that it removes can be published any more.
    */
   void tidy(FleetReport published) throws IOException {
     tidy(reports, published.number());
@@ -108,10 +122,15 @@
   /** The number in the name of a report or a list of removals; of any other file the greatest. */
   private static long number(Path file) {
     String[] words = file.getFileName().toString().split("-");
-    return words.length == 4 && words[1].matches("\\d{1,18}") ? Long.parseLong(words[1]) : Long.MAX_VALUE;
+    return words.length == 4 && words[1].matches("\\d{1,18}")
+        ? Long.parseLong(words[1])
+        : Long.MAX_VALUE;
   }
 
-  /** A list under a name that no other token ever has; nothing is removed before the stewards have published that name. */
+  /**
+   * A list under a name that no other token ever has; nothing is removed before the stewards have
+   * published that name.
+   */
   String write(Retention list) throws IOException {
     String name = "removal-" + list.number() + "-by-" + list.token() + ".json";
     put(removals.resolve(name), LeaseCodec.bytes(list));
@@ -119,17 +138,21 @@
   }
 
   Retention removal(String published) throws IOException {
-    return published.isEmpty() ? Retention.NONE : LeaseCodec.read(Files.readAllBytes(removals.resolve(published)), Retention.class);
+    return published.isEmpty()
+        ? Retention.NONE
+        : LeaseCodec.read(Files.readAllBytes(removals.resolve(published)), Retention.class);
   }
 
   /**
-   * What is stored. Ages are told by the clock of the folder's own system, by a file written just now, not by this process's: a wall clock
-   * that is wrong here removes nothing.
+   * What is stored. Ages are told by the clock of the folder's own system, by a file written just
+   * now, not by this process's: a wall clock that is wrong here removes nothing.
    *
-   * @param report the report that was published when this was last looked at: it and all later ones are still needed, as is the newest
-   *     file of each folder, which somebody may be writing
-   * @param most files that are told of, the oldest: what is stored may be more than fits this process
-   * @param between run after each thousand files, as a look through a large folder lasts longer than a lease
+   * @param report the report that was published when this was last looked at: it and all later ones
+   *     are still needed, as is the newest file of each folder, which somebody may be writing
+   * @param most files that are told of, the oldest: what is stored may be more than fits this
+   *     process
+   * @param between run after each thousand files, as a look through a large folder lasts longer
+   *     than a lease
    */
   Retention.Stock stock(String report, int most, Between between) throws IOException {
     Path touched = Files.createTempFile(folder, "now", ".part");
@@ -144,21 +167,29 @@
     }
     List<Retention.Item> items = new ArrayList<>();
     for (Seen file : look.oldest) {
-      items.add(new Retention.Item(folder.relativize(file.path()).toString(), file.bytes(), now - file.atUs(),
-          file.atUs() == look.newest.get(file.path().getParent())));
+      items.add(
+          new Retention.Item(
+              folder.relativize(file.path()).toString(),
+              file.bytes(),
+              now - file.atUs(),
+              file.atUs() == look.newest.get(file.path().getParent())));
     }
     return new Retention.Stock(look.bytes, items);
   }
 
   private record Seen(Path path, long bytes, long atUs) {}
 
-  /** Goes through all files and remembers the oldest that are not needed, and when the newest of each folder was written. */
+  /**
+   * Goes through all files and remembers the oldest that are not needed, and when the newest of
+   * each folder was written.
+   */
   private static final class Look extends SimpleFileVisitor<Path> {
     private final int most;
     private final Between between;
     private final Predicate<Path> needed;
     private final Map<Path, Long> newest = new HashMap<>();
-    private final PriorityQueue<Seen> oldest = new PriorityQueue<>(Comparator.comparingLong(Seen::atUs).reversed());
+    private final PriorityQueue<Seen> oldest =
+        new PriorityQueue<>(Comparator.comparingLong(Seen::atUs).reversed());
     private long bytes;
     private long files;
 
@@ -193,13 +224,18 @@
     }
   }
 
-  /** Removes what a published list names; twice or late, it does no harm. Names that lead out of the kept folders are left alone. */
+  /**
+   * Removes what a published list names; twice or late, it does no harm. Names that lead out of the
+   * kept folders are left alone.
+   */
   int remove(Retention published) throws IOException {
     int removed = 0;
     for (String name : published.names()) {
       Path file = folder.resolve(name).normalize();
-      if (file.startsWith(folder.normalize()) && file.getNameCount() > folder.normalize().getNameCount() + 1
-          && Retention.FOLDERS.contains(folder.normalize().relativize(file).getName(0).toString())) {
+      if (file.startsWith(folder.normalize())
+          && file.getNameCount() > folder.normalize().getNameCount() + 1
+          && Retention.FOLDERS.contains(
+              folder.normalize().relativize(file).getName(0).toString())) {
         removed += Files.deleteIfExists(file) ? 1 : 0;
       } else {
         LOG.warn("left alone, as it is none of the fleet's stored files: " + name);
@@ -210,8 +246,12 @@
 
   private static void put(Path file, byte[] bytes) throws IOException {
     Path beside = file.resolveSibling(file.getFileName() + ".part");
-    try (FileChannel channel = FileChannel.open(beside, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING,
-        StandardOpenOption.WRITE)) {
+    try (FileChannel channel =
+        FileChannel.open(
+            beside,
+            StandardOpenOption.CREATE,
+            StandardOpenOption.TRUNCATE_EXISTING,
+            StandardOpenOption.WRITE)) {
       ByteBuffer buffer = ByteBuffer.wrap(bytes);
       while (buffer.hasRemaining()) {
         channel.write(buffer);
--- a/gatherer/src/main/java/tidebank/fleet/Handover.java
+++ b/gatherer/src/main/java/tidebank/fleet/Handover.java
@@ -5,19 +5,25 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * What a gatherer's event loop, its agent's thread and the one that waits for news hand each other; neither ever waits for the other, so that a loop that stalls costs no
- * lease. Requests and takes are the agent's, answers the loop's. Its law: one request for counters is out at a time, each set of counters is taken at most once, and was counted after the request
- * that it answers; news are taken at most
- * once and never lost; once {@link #leave} has been called, {@link #leaving} is true for all.
+ * What a gatherer's event loop, its agent's thread and the one that waits for news hand each other;
+ * neither ever waits for the other, so that a loop that stalls costs no lease. Requests and takes
+ * are the agent's, answers the loop's. Its law: one request for counters is out at a time, each set
+ * of counters is taken at most once, and was counted after the request that it answers; news are
+ * taken at most once and never lost; once {@link #leave} has been called, {@link #leaving} is true
+ * for all.
  */
 public final class Handover {
   /** A request is out. The agent's alone. */
   private boolean out;
+
   private final AtomicReference<SortedMap<String, Long>> counted = new AtomicReference<>();
   private final AtomicBoolean news = new AtomicBoolean();
   private volatile boolean left;
 
-  /** The agent's: whether the loop is to be asked for counters now; if so, a request is out until what it brought is taken. */
+  /**
+   * The agent's: whether the loop is to be asked for counters now; if so, a request is out until
+   * what it brought is taken.
+   */
   public boolean ask() {
     boolean free = !out;
     out = true;
--- a/gatherer/src/main/java/tidebank/fleet/LeaseCodec.java
+++ b/gatherer/src/main/java/tidebank/fleet/LeaseCodec.java
@@ -9,8 +9,8 @@
 
 /** Commands, answers and state as JSON, on the wire and in the log. */
 public final class LeaseCodec {
-  private static final ObjectMapper MAPPER = new ObjectMapper()
-      .configure(DeserializationFeature.FAIL_ON_TRAILING_TOKENS, true);
+  private static final ObjectMapper MAPPER =
+      new ObjectMapper().configure(DeserializationFeature.FAIL_ON_TRAILING_TOKENS, true);
 
   private LeaseCodec() {}
 
@@ -26,7 +26,9 @@
     return MAPPER.readValue(bytes, type);
   }
 
-  /** A command from outside: any text is possible, and no field may be missing that its kind needs. */
+  /**
+   * A command from outside: any text is possible, and no field may be missing that its kind needs.
+   */
   public static Command command(byte[] body) throws Fault.CallMalformed {
     Command command;
     try {
@@ -39,10 +41,20 @@
     if (command == null || command.kind() == null || command.kind() == Command.Kind.PLAN) {
       throw new Fault.CallMalformed("field 'kind' names no command");
     }
-    Command whole = new Command(command.kind(), text(command.session()), command.number(), text(command.name()),
-        text(command.duty()), command.token(), command.revision(), text(command.value()), null);
+    Command whole =
+        new Command(
+            command.kind(),
+            text(command.session()),
+            command.number(),
+            text(command.name()),
+            text(command.duty()),
+            command.token(),
+            command.revision(),
+            text(command.value()),
+            null);
     if (whole.session().isEmpty() || whole.session().length() > 128 || whole.number() < 1) {
-      throw new Fault.CallMalformed("field 'session' is to be a text of 1 to 128 characters, 'number' to be from 1 up");
+      throw new Fault.CallMalformed(
+          "field 'session' is to be a text of 1 to 128 characters, 'number' to be from 1 up");
     }
     if (whole.name().isEmpty() && command.kind() != Command.Kind.MOVE) {
       throw new Fault.CallMalformed("field 'name' is missing");
--- a/gatherer/src/main/java/tidebank/fleet/Retention.java
+++ b/gatherer/src/main/java/tidebank/fleet/Retention.java
@@ -6,9 +6,11 @@
 import java.util.Set;
 
 /**
- * What is stored too long, or beyond a budget. A removal has two steps: its list is published by the duty's token, and only what a
- * published list names is removed, by its owner or, if that died in between, by the next one before it makes a list of its own. Names never
- * come back, so that whoever wakes late with a published list removes what was to go anyway, and one whose list was refused removes nothing.
+ * What is stored too long, or beyond a budget. A removal has two steps: its list is published by
+ * the duty's token, and only what a published list names is removed, by its owner or, if that died
+ * in between, by the next one before it makes a list of its own. Names never come back, so that
+ * whoever wakes late with a published list removes what was to go anyway, and one whose list was
+ * refused removes nothing.
  */
 public record Retention(long number, String follows, long token, List<String> names) {
   /** Before the first list. */
@@ -25,7 +27,10 @@
   /** What is stored: all bytes there are, and the oldest files, as many as were asked for. */
   public record Stock(long bytes, List<Item> oldest) {}
 
-  /** A stored file: its name in the fleet's folder, its size, how long ago it was last written, and whether it is still needed. */
+  /**
+   * A stored file: its name in the fleet's folder, its size, how long ago it was last written, and
+   * whether it is still needed.
+   */
   public record Item(String name, long bytes, long ageUs, boolean needed) {}
 
   /**
@@ -36,7 +41,8 @@
    * @param most names of one list; what is left over stands in the next
    */
   public Retention next(String published, long by, Stock stock, Bounds bounds, int most) {
-    List<Item> may = new ArrayList<>(stock.oldest().stream().filter(item -> !item.needed()).toList());
+    List<Item> may =
+        new ArrayList<>(stock.oldest().stream().filter(item -> !item.needed()).toList());
     may.sort(Comparator.comparingLong(Item::ageUs).reversed().thenComparing(Item::name));
     long bytes = stock.bytes();
     List<String> over = new ArrayList<>();
