--- a/gatherer/src/main/java/tidebank/fleet/StewardLink.java
+++ b/gatherer/src/main/java/tidebank/fleet/StewardLink.java
@@ -14,7 +14,10 @@
 import tidebank.lease.Command;
 import tidebank.lease.LeaseBook;
 
-/** A member's calls to the stewards, one at a time, on the agent's thread. Remembers who answered last. */
+/**
+ * A member's calls to the stewards, one at a time, on the agent's thread. Remembers who answered
+ * last.
+ */
 final class StewardLink {
   private static final int TIMEOUT_MS = 1000;
 
@@ -27,7 +30,10 @@
     next = stewards.get(0);
   }
 
-  /** What the stewards made of it, or nothing: it may or may not have taken effect, and may be sent again. */
+  /**
+   * What the stewards made of it, or nothing: it may or may not have taken effect, and may be sent
+   * again.
+   */
   Optional<Answer> command(Command command) throws IOException {
     byte[] body = call("/fleet/command", LeaseCodec.bytes(command), TIMEOUT_MS);
     return body == null ? Optional.empty() : Optional.of(LeaseCodec.read(body, Answer.class));
@@ -35,12 +41,17 @@
 
   Optional<LeaseBook.State> state() throws IOException {
     byte[] body = call("/fleet/state", null, TIMEOUT_MS);
-    return body == null ? Optional.empty() : Optional.of(LeaseCodec.read(body, LeaseBook.State.class));
+    return body == null
+        ? Optional.empty()
+        : Optional.of(LeaseCodec.read(body, LeaseBook.State.class));
   }
 
-  /** Waits until there is a duty that this member should claim and nobody has; whether there is one. */
+  /**
+   * Waits until there is a duty that this member should claim and nobody has; whether there is one.
+   */
   boolean news(String name, int waitMs) throws IOException {
-    String query = "?name=" + URLEncoder.encode(name, StandardCharsets.UTF_8) + "&wait_ms=" + waitMs;
+    String query =
+        "?name=" + URLEncoder.encode(name, StandardCharsets.UTF_8) + "&wait_ms=" + waitMs;
     byte[] body = call("/fleet/wanted" + query, null, waitMs + TIMEOUT_MS);
     return body != null && LeaseCodec.read(body, String[].class).length > 0;
   }
@@ -49,7 +60,8 @@
   private byte[] call(String path, byte[] body, int timeoutMs) throws Fault.Refused {
     String asked = next;
     try {
-      HttpURLConnection call = (HttpURLConnection) URI.create("http://" + asked + path).toURL().openConnection();
+      HttpURLConnection call =
+          (HttpURLConnection) URI.create("http://" + asked + path).toURL().openConnection();
       call.setConnectTimeout(TIMEOUT_MS);
       call.setReadTimeout(timeoutMs);
       call.setInstanceFollowRedirects(false);
--- a/gatherer/src/main/java/tidebank/front/ClientConnection.java
+++ b/gatherer/src/main/java/tidebank/front/ClientConnection.java
@@ -21,28 +21,44 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import tidebank.front.ScanReader.Rejected;
-import tidebank.node.Timers;
 import tidebank.node.ScanRequest;
+import tidebank.node.Timers;
 
-/** One client's connection. Requests that come before earlier ones are answered are answered in their order. */
+/**
+ * One client's connection. Requests that come before earlier ones are answered are answered in
+ * their order.
+ */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
   private static final Logger LOG = LoggerFactory.getLogger(ClientConnection.class);
-  /** A close over bytes that were not read resets the connection, and the answer under way on it goes with that. */
+
+  /**
+   * A close over bytes that were not read resets the connection, and the answer under way on it
+   * goes with that.
+   */
   private static final ChannelFutureListener HALF_CLOSE =
       done -> ((DuplexChannel) done.channel()).shutdownOutput();
 
   private final ClientSide side;
   private final boolean surplus;
   private final ArrayDeque<Exchange> exchanges = new ArrayDeque<>();
-  /** A first or next request that does not come whole, or an answer that is not read: it ends the connection. */
+
+  /**
+   * A first or next request that does not come whole, or an answer that is not read: it ends the
+   * connection.
+   */
   private final Timers.Timer slow = Timers.timer(this::slow);
+
   private Channel channel;
   private long connectedAt;
   private long headAt;
   private long restsSince;
   private boolean asked;
   private boolean ending;
-  /** Its last answer is written; what still comes is read and dropped until the client ends or its time is up. */
+
+  /**
+   * Its last answer is written; what still comes is read and dropped until the client ends or its
+   * time is up.
+   */
   private boolean lingering;
 
   ClientConnection(ClientSide side, boolean surplus) {
@@ -94,7 +110,10 @@
     side.timers.set(slow, side.clock.now() + side.transport.requestWithinUs());
   }
 
-  /** The first bytes of a request are here: from now on its time runs. A first one has had it since it connected. */
+  /**
+   * The first bytes of a request are here: from now on its time runs. A first one has had it since
+   * it connected.
+   */
   void begun() {
     if (headAt == 0 && !lingering) {
       headAt = side.clock.now();
@@ -108,7 +127,8 @@
   @Override
   public void channelRead(ChannelHandlerContext context, Object message) {
     try {
-      // A client has one request open at a time. Reading on past the bound, and past answers that are not read, shows its end.
+      // A client has one request open at a time. Reading on past the bound, and past answers that
+      // are not read, shows its end.
       boolean full = exchanges.size() >= side.pipelineMost() || !channel.isWritable();
       if (!ending && surplus && message instanceof HttpRequest) {
         side.counters.add("front.refused-connections");
@@ -149,7 +169,8 @@
 
   private void answer(Exchange exchange, FullHttpRequest request, long at) {
     // A transfer coding that is left here is none that Netty has read.
-    if (request.decoderResult().isFailure() || request.headers().contains(HttpHeaderNames.TRANSFER_ENCODING)) {
+    if (request.decoderResult().isFailure()
+        || request.headers().contains(HttpHeaderNames.TRANSFER_ENCODING)) {
       side.counters.add("front.malformed");
       reject(exchange, HttpResponseStatus.BAD_REQUEST, "no valid HTTP");
       return;
@@ -170,7 +191,10 @@
     refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
   }
 
-  /** What is no request of this protocol ends its connection: whoever goes on like that holds no place here. */
+  /**
+   * What is no request of this protocol ends its connection: whoever goes on like that holds no
+   * place here.
+   */
   private void reject(Exchange exchange, HttpResponseStatus status, String text) {
     ending = true;
     exchange.respond(status, text);
@@ -260,8 +284,8 @@
   }
 
   /**
-   * The client has ended its side. This comes in the pass in which that is read, before the turn that would still send
-   * for it; the end of the channel is only told after that turn.
+   * The client has ended its side. This comes in the pass in which that is read, before the turn
+   * that would still send for it; the end of the channel is only told after that turn.
    */
   @Override
   public void userEventTriggered(ChannelHandlerContext context, Object event) {
--- a/gatherer/src/main/java/tidebank/front/ClientSide.java
+++ b/gatherer/src/main/java/tidebank/front/ClientSide.java
@@ -2,10 +2,10 @@
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.ChannelInitializer;
-import io.netty.channel.ChannelFuture;
 import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpObjectAggregator;
 import io.netty.handler.codec.http.HttpResponseEncoder;
@@ -15,8 +15,8 @@
 import java.util.function.BooleanSupplier;
 import tidebank.base.Counters;
 import tidebank.config.NodeConfig;
-import tidebank.node.Timers;
 import tidebank.node.Clock;
+import tidebank.node.Timers;
 import tidebank.node.Turn;
 
 /** Listens for clients and keeps their connections within their budget. */
@@ -30,15 +30,25 @@
   private final NodeConfig config;
   private final BooleanSupplier ready;
   private final Set<ClientConnection> connections = new LinkedHashSet<>();
+
   /** Those that have not asked for anything yet, the oldest first: the first to give way. */
   private final Set<ClientConnection> unasked = new LinkedHashSet<>();
-  /** Those between two requests, or past their last answer, the one that has rested longest first. */
+
+  /**
+   * Those between two requests, or past their last answer, the one that has rested longest first.
+   */
   private final Set<ClientConnection> resting = new LinkedHashSet<>();
+
   private Channel listener;
   private boolean draining;
   private boolean ended;
 
-  public ClientSide(NodeConfig config, Turn turn, Clock clock, Timers timers, Counters counters,
+  public ClientSide(
+      NodeConfig config,
+      Turn turn,
+      Clock clock,
+      Timers timers,
+      Counters counters,
       BooleanSupplier ready) {
     this.config = config;
     this.turn = turn;
@@ -52,33 +62,40 @@
 
   /** Binds the listening socket. */
   public ChannelFuture listen(ServerBootstrap template) {
-    ChannelFuture binding = template.childHandler(new ChannelInitializer<Channel>() {
-      @Override
-      protected void initChannel(Channel channel) {
-        accepted(channel);
-      }
-    }).bind(config.listen());
+    ChannelFuture binding =
+        template
+            .childHandler(
+                new ChannelInitializer<Channel>() {
+                  @Override
+                  protected void initChannel(Channel channel) {
+                    accepted(channel);
+                  }
+                })
+            .bind(config.listen());
     listener = binding.channel();
     return binding;
   }
 
   private void accepted(Channel channel) {
     // What makes room may itself have been beyond the budget, and then leaves none.
-    boolean surplus = connections.size() >= config.budgets().clients()
-        && !(makeRoom() && connections.size() < config.budgets().clients());
+    boolean surplus =
+        connections.size() >= config.budgets().clients()
+            && !(makeRoom() && connections.size() < config.budgets().clients());
     ClientConnection connection = new ClientConnection(this, surplus);
     connections.add(connection);
     unasked.add(connection);
-    channel.pipeline().addLast(
-        new ChannelInboundHandlerAdapter() {
-          @Override
-          public void channelRead(ChannelHandlerContext context, Object message) {
-            connection.begun();
-            context.fireChannelRead(message);
-          }
-        },
-        new StrictRequestDecoder(),
-        new HttpResponseEncoder());
+    channel
+        .pipeline()
+        .addLast(
+            new ChannelInboundHandlerAdapter() {
+              @Override
+              public void channelRead(ChannelHandlerContext context, Object message) {
+                connection.begun();
+                context.fireChannelRead(message);
+              }
+            },
+            new StrictRequestDecoder(),
+            new HttpResponseEncoder());
     if (!surplus) {
       channel.pipeline().addLast(bodies(connection));
     }
@@ -98,12 +115,13 @@
   }
 
   /**
-   * Closes the oldest connection that never asked, if its first request would be here by now, else the one that rests
-   * longest, as it is the likeliest not to ask again.
+   * Closes the oldest connection that never asked, if its first request would be here by now, else
+   * the one that rests longest, as it is the likeliest not to ask again.
    */
   private boolean makeRoom() {
     ClientConnection silent = unasked.isEmpty() ? null : unasked.iterator().next();
-    boolean late = silent != null && clock.now() - silent.connectedAt() >= transport.connectTimeoutUs();
+    boolean late =
+        silent != null && clock.now() - silent.connectedAt() >= transport.connectTimeoutUs();
     ClientConnection last = late || resting.isEmpty() ? silent : resting.iterator().next();
     if (last != null) {
       counters.add("front.closed-for-room");
@@ -118,8 +136,8 @@
   }
 
   /**
-   * It is between two requests. If many are, the longest so gives back its share of what clients may hold, but not so
-   * soon that its client may be asking on.
+   * It is between two requests. If many are, the longest so gives back its share of what clients
+   * may hold, but not so soon that its client may be asking on.
    */
   void rests(ClientConnection connection) {
     connection.restsFrom(clock.now());
@@ -169,7 +187,10 @@
     }
   }
 
-  /** Closes those that have had their last answer since before this moment; all that are left at the end of time. */
+  /**
+   * Closes those that have had their last answer since before this moment; all that are left at the
+   * end of time.
+   */
   public void close(long since) {
     for (ClientConnection connection : List.copyOf(connections)) {
       if (since == Long.MAX_VALUE || connection.lingers() && connection.restsSince() <= since) {
--- a/gatherer/src/main/java/tidebank/front/Exchange.java
+++ b/gatherer/src/main/java/tidebank/front/Exchange.java
@@ -25,8 +25,10 @@
   private static final JsonFactory JSON = new JsonFactory();
 
   private final ClientConnection connection;
+
   /** The id of the scan that the turn took from it, or null. */
   String scan;
+
   FullHttpResponse response;
 
   Exchange(ClientConnection connection) {
@@ -43,7 +45,9 @@
       respond(HttpResponseStatus.INTERNAL_SERVER_ERROR, "the answer could not be written");
       return;
     }
-    finish(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, body), "application/json");
+    finish(
+        new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, body),
+        "application/json");
   }
 
   private ByteBuf body(boolean whole, List<Value> values) throws IOException {
@@ -87,7 +91,8 @@
     ByteBuf body = Unpooled.copiedBuffer(text + '\n', StandardCharsets.US_ASCII);
     FullHttpResponse made = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
     if (holdOffUs > 0) {
-      made.headers().set(HttpHeaderNames.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", holdOffUs / 1e6));
+      made.headers()
+          .set(HttpHeaderNames.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", holdOffUs / 1e6));
     }
     finish(made, "text/plain");
   }
--- a/gatherer/src/main/java/tidebank/front/ScanReader.java
+++ b/gatherer/src/main/java/tidebank/front/ScanReader.java
@@ -36,11 +36,15 @@
 
   private static final Pattern ID = Pattern.compile("[A-Za-z0-9_-]{1,64}");
   private static final Pattern TIME_LEFT = Pattern.compile("([0-9]{1,12}(?:\\.[0-9]{1,6})?)([mu])");
+
   /** How far each share may be off by rounding. */
   private static final double ROUNDING = 0.0005;
 
-  private final ObjectMapper mapper = JsonMapper.builder().enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
-      .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION).build();
+  private final ObjectMapper mapper =
+      JsonMapper.builder()
+          .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
+          .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
+          .build();
   private final Settings settings;
 
   ScanReader(Settings settings) {
@@ -69,9 +73,16 @@
     }
     // No client waits longer than its table type's query timeout, whatever it says.
     limitAt = Math.min(limitAt, headAt + settings.tableTypes().get(type).timeoutUs());
-    return new ScanRequest(id, type, request.headers().get("X-Account", ""), headAt, limitAt,
-        request.headers().get("X-Repeat", "").equals("1"), request.headers().get("X-Session-Key", ""),
-        predicate.textValue().getBytes(UTF_8), ranges(body.path("ranges")));
+    return new ScanRequest(
+        id,
+        type,
+        request.headers().get("X-Account", ""),
+        headAt,
+        limitAt,
+        request.headers().get("X-Repeat", "").equals("1"),
+        request.headers().get("X-Session-Key", ""),
+        predicate.textValue().getBytes(UTF_8),
+        ranges(body.path("ranges")));
   }
 
   private static long timeLeft(String text) throws Rejected {
@@ -79,7 +90,8 @@
     if (!parts.matches()) {
       throw new Rejected(400, "X-Time-Left is missing or no time such as 480m");
     }
-    long us = Math.round(Double.parseDouble(parts.group(1)) * (parts.group(2).equals("m") ? 1000 : 1));
+    long us =
+        Math.round(Double.parseDouble(parts.group(1)) * (parts.group(2).equals("m") ? 1000 : 1));
     if (us <= 0) {
       throw new Rejected(400, "X-Time-Left is no time above 0");
     }
@@ -96,7 +108,9 @@
     for (JsonNode range : list) {
       JsonNode shard = range.path("range");
       double weight = range.path("portion").isNumber() ? range.path("portion").doubleValue() : -1;
-      if (!shard.isIntegralNumber() || !shard.canConvertToInt() || shard.intValue() < 0
+      if (!shard.isIntegralNumber()
+          || !shard.canConvertToInt()
+          || shard.intValue() < 0
           || shard.intValue() >= settings.layout().shards()) {
         throw new Rejected(400, "range is no known shard");
       }
--- a/gatherer/src/main/java/tidebank/lease/Answer.java
+++ b/gatherer/src/main/java/tidebank/lease/Answer.java
@@ -12,7 +12,8 @@
  * @param terms what the grants were given by
  * @param revision what is published now, where the command was about that
  */
-public record Answer(Fault.Told fault, List<Grant> grants, List<String> wanted, Terms terms, long revision) {
+public record Answer(
+    Fault.Told fault, List<Grant> grants, List<String> wanted, Terms terms, long revision) {
   /** A duty that the member owns, by this token. */
   public record Grant(String duty, long token) {}
 }
--- a/gatherer/src/main/java/tidebank/lease/Assignment.java
+++ b/gatherer/src/main/java/tidebank/lease/Assignment.java
@@ -9,8 +9,9 @@
 import tidebank.model.Chance;
 
 /**
- * Which member each duty is meant for: by rendezvous hashing, so that a member's coming or going moves few duties; with a
- * capacity, so that none has many more than others; and sticky, as a move costs a gap without an owner.
+ * Which member each duty is meant for: by rendezvous hashing, so that a member's coming or going
+ * moves few duties; with a capacity, so that none has many more than others; and sticky, as a move
+ * costs a gap without an owner.
  */
 final class Assignment {
   /** Duties that a member may have, over an even share. */
@@ -24,7 +25,10 @@
    * @param now who has or was last meant to have each, where there is such a member
    * @param pinned where an operator wants each
    */
-  static Map<String, String> of(Collection<String> duties, List<String> members, Map<String, String> now,
+  static Map<String, String> of(
+      Collection<String> duties,
+      List<String> members,
+      Map<String, String> now,
       Map<String, String> pinned) {
     Map<String, String> meant = new TreeMap<>();
     if (members.isEmpty()) {
@@ -45,13 +49,16 @@
     }
     for (String duty : duties) {
       if (!meant.containsKey(duty)) {
-        members.stream().filter(member -> loads.getOrDefault(member, 0) < most)
-            .max(Comparator.comparingDouble((String member) -> Chance.folded(duty + '/' + member))
-                .thenComparing(Comparator.naturalOrder()))
-            .ifPresent(member -> {
-              meant.put(duty, member);
-              loads.merge(member, 1, Integer::sum);
-            });
+        members.stream()
+            .filter(member -> loads.getOrDefault(member, 0) < most)
+            .max(
+                Comparator.comparingDouble((String member) -> Chance.folded(duty + '/' + member))
+                    .thenComparing(Comparator.naturalOrder()))
+            .ifPresent(
+                member -> {
+                  meant.put(duty, member);
+                  loads.merge(member, 1, Integer::sum);
+                });
       }
     }
     return meant;
--- a/gatherer/src/main/java/tidebank/lease/Command.java
+++ b/gatherer/src/main/java/tidebank/lease/Command.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * What a member or an operator wants of the stewards. Session and number make it take effect once: a repeated one gets the
- * first one's answer.
+ * What a member or an operator wants of the stewards. Session and number make it take effect once:
+ * a repeated one gets the first one's answer.
  *
  * @param session who asks: a name that no other process ever has
  * @param number grows by one with each new command of a session
@@ -15,9 +15,20 @@
  * @param value what is to be published
  * @param plan what the stewards are to go by, in a command of that kind only, else null
  */
-public record Command(Kind kind, String session, long number, String name, String duty, long token, long revision,
-    String value, Plan plan) {
-  /** Terms and the names of all duties. In the log, as all stewards must go by the same at the same place in it. */
+public record Command(
+    Kind kind,
+    String session,
+    long number,
+    String name,
+    String duty,
+    long token,
+    long revision,
+    String value,
+    Plan plan) {
+  /**
+   * Terms and the names of all duties. In the log, as all stewards must go by the same at the same
+   * place in it.
+   */
   public record Plan(Terms terms, List<String> duties) {}
 
   /** What is wanted, and the fields that say more. */
@@ -34,7 +45,10 @@
     RELEASE,
     /** To replace what is published under a duty (name, duty, token, revision, value). */
     PUBLISH,
-    /** An operator's: the duty is to be at this member, or anywhere if no name is given (duty, name). */
+    /**
+     * An operator's: the duty is to be at this member, or anywhere if no name is given (duty,
+     * name).
+     */
     MOVE,
     /** An operator's: the member is to get no duty and to lose those it has (name). */
     DRAIN,
--- a/gatherer/src/main/java/tidebank/lease/Holder.java
+++ b/gatherer/src/main/java/tidebank/lease/Holder.java
@@ -8,10 +8,11 @@
 import tidebank.lease.Answer.Grant;
 
 /**
- * A member's side: what it should ask the stewards for next, and what it owns until when by its own monotonic clock. It has
- * one command out at a time, which it repeats unchanged until it is answered. A lease counts from before its command was first
- * sent: the stewards may have taken the first copy. What may be done is asked for just before it is done; whoever stops
- * in between is caught at the resource, by the token.
+ * A member's side: what it should ask the stewards for next, and what it owns until when by its own
+ * monotonic clock. It has one command out at a time, which it repeats unchanged until it is
+ * answered. A lease counts from before its command was first sent: the stewards may have taken the
+ * first copy. What may be done is asked for just before it is done; whoever stops in between is
+ * caught at the resource, by the token.
  */
 public class Holder {
   /** A duty that is owned: its token, and the end of the lease on the own clock. */
@@ -31,7 +32,9 @@
   private Command out;
   private long askedAt;
 
-  /** @param session a name that no other process and no earlier start ever had */
+  /**
+   * @param session a name that no other process and no earlier start ever had
+   */
   public Holder(String name, String session) {
     this.name = name;
     this.session = session;
@@ -69,7 +72,10 @@
     return left ? Long.MAX_VALUE : joined ? renewedAt + renewEvery : joinAt;
   }
 
-  /** There may be news for this member: it renews, and so hears them, as soon as it can. Leases last as they did. */
+  /**
+   * There may be news for this member: it renews, and so hears them, as soon as it can. Leases last
+   * as they did.
+   */
   public void hearSoon(long now) {
     renewedAt = Math.min(renewedAt, now - renewEvery);
   }
@@ -92,8 +98,11 @@
         return release;
       }
     }
-    return wanted.stream().filter(duty -> !owned.containsKey(duty)).findFirst()
-        .map(duty -> about(Command.Kind.CLAIM, duty, 0)).orElse(null);
+    return wanted.stream()
+        .filter(duty -> !owned.containsKey(duty))
+        .findFirst()
+        .map(duty -> about(Command.Kind.CLAIM, duty, 0))
+        .orElse(null);
   }
 
   private Command about(Command.Kind kind, String duty, long token) {
@@ -103,7 +112,17 @@
   /** A command of the holder's own, such as to publish; only where none is out. */
   public Command publish(String duty, long revision, String value, long now) {
     if (out == null && owned.containsKey(duty)) {
-      out = new Command(Command.Kind.PUBLISH, session, ++number, name, duty, owned.get(duty).token(), revision, value, null);
+      out =
+          new Command(
+              Command.Kind.PUBLISH,
+              session,
+              ++number,
+              name,
+              duty,
+              owned.get(duty).token(),
+              revision,
+              value,
+              null);
       askedAt = now;
     }
     return out;
@@ -122,16 +141,25 @@
     joined = !gone && (joined || fault == null);
     left = retired || command.kind() == Command.Kind.LEAVE;
     renewEvery = answer.terms().renewUs();
-    renewedAt = command.kind() == Command.Kind.RENEW || command.kind() == Command.Kind.JOIN ? askedAt : renewedAt;
+    renewedAt =
+        command.kind() == Command.Kind.RENEW || command.kind() == Command.Kind.JOIN
+            ? askedAt
+            : renewedAt;
     joinAt = command.kind() == Command.Kind.JOIN ? askedAt + renewEvery : joinAt;
-    // A claim or a renewal sets the end of a lease; any other answer only tells what is owned still.
-    owned.keySet().removeIf(duty -> answer.grants().stream().noneMatch(grant -> grant.duty().equals(duty)));
+    // A claim or a renewal sets the end of a lease; any other answer only tells what is owned
+    // still.
+    owned
+        .keySet()
+        .removeIf(duty -> answer.grants().stream().noneMatch(grant -> grant.duty().equals(duty)));
     for (Grant grant : answer.grants()) {
-      boolean renewed = command.kind() == Command.Kind.RENEW
-          || command.kind() == Command.Kind.CLAIM && command.duty().equals(grant.duty());
+      boolean renewed =
+          command.kind() == Command.Kind.RENEW
+              || command.kind() == Command.Kind.CLAIM && command.duty().equals(grant.duty());
       Owned before = owned.get(grant.duty());
       if (renewed) {
-        owned.put(grant.duty(), new Owned(grant.token(), countsFrom(askedAt, now) + lasts(answer.terms())));
+        owned.put(
+            grant.duty(),
+            new Owned(grant.token(), countsFrom(askedAt, now) + lasts(answer.terms())));
       } else if (before == null || before.token() != grant.token()) {
         // Owned, as it seems, by an answer that was never heard: of no use before it is renewed.
         owned.put(grant.duty(), new Owned(grant.token(), Long.MIN_VALUE / 2));
@@ -140,11 +168,17 @@
     wanted = leaving ? List.of() : answer.wanted();
     if (command.kind() == Command.Kind.CLAIM && fault != null) {
       // Refused: to be looked at again with the next renewal.
-      wanted = wanted.stream().filter(duty -> !duty.equals(command.duty()) || owned.containsKey(duty)).toList();
+      wanted =
+          wanted.stream()
+              .filter(duty -> !duty.equals(command.duty()) || owned.containsKey(duty))
+              .toList();
     }
   }
 
-  /** The token by which something may be done for a duty now, or 0; with this much time left at the least. */
+  /**
+   * The token by which something may be done for a duty now, or 0; with this much time left at the
+   * least.
+   */
   public long mayAct(String duty, long now, long margin) {
     Owned one = owned.get(duty);
     return one != null && !leaving && inTime(one, now, margin) ? one.token() : 0;
@@ -161,7 +195,10 @@
 
   // ---- rules that must hold, one method each
 
-  /** What is let go of may not be acted for from the moment that this is asked: a successor hears of it first. */
+  /**
+   * What is let go of may not be acted for from the moment that this is asked: a successor hears of
+   * it first.
+   */
   protected void letGo(String duty) {
     owned.remove(duty);
   }
@@ -189,7 +226,18 @@
   /** All of the state, for whoever compares two of them. */
   @Override
   public String toString() {
-    return name + session + owned + wanted + number + ' ' + renewedAt + ' ' + joinAt + joined + leaving + left
+    return name
+        + session
+        + owned
+        + wanted
+        + number
+        + ' '
+        + renewedAt
+        + ' '
+        + joinAt
+        + joined
+        + leaving
+        + left
         + (out == null ? "" : out.kind() + out.duty() + askedAt);
   }
 }
--- a/gatherer/src/main/java/tidebank/lease/LeaseBook.java
+++ b/gatherer/src/main/java/tidebank/lease/LeaseBook.java
@@ -12,20 +12,33 @@
 import tidebank.lease.Answer.Grant;
 
 /**
- * The stewards' side: who is a member, who owns which duty until when, and what is published. A deterministic machine; the
- * same commands in the same order give the same answers and the same state. The leading steward stamps each command with its
- * term and its monotonic clock. Clocks of two leaders have nothing in common, so that with the first command of a new term
- * all that was not over lasts a whole lease from then: the old leader cannot have granted more.
+ * The stewards' side: who is a member, who owns which duty until when, and what is published. A
+ * deterministic machine; the same commands in the same order give the same answers and the same
+ * state. The leading steward stamps each command with its term and its monotonic clock. Clocks of
+ * two leaders have nothing in common, so that with the first command of a new term all that was not
+ * over lasts a whole lease from then: the old leader cannot have granted more.
  */
 public class LeaseBook {
   /** Operators' sessions whose last answer is kept, those that asked last. */
   private static final int OPERATORS = 64;
+
   /** How often a member's hold-off doubles that keeps coming and going. */
   private static final int DOUBLINGS = 5;
 
-  /** A name that is or was a member, in the time of the term; {@code calmAt}: it is meant for no duty before. */
-  public record Member(String name, String session, long aliveUntil, long calmAt, int strikes, boolean draining,
-      boolean retired, long number, Answer answer) {
+  /**
+   * A name that is or was a member, in the time of the term; {@code calmAt}: it is meant for no
+   * duty before.
+   */
+  public record Member(
+      String name,
+      String session,
+      long aliveUntil,
+      long calmAt,
+      int strikes,
+      boolean draining,
+      boolean retired,
+      long number,
+      Answer answer) {
     private Member until(long at, long calm) {
       return new Member(name, session, at, calm, strikes, draining, retired, number, answer);
     }
@@ -39,9 +52,21 @@
     }
   }
 
-  /** A duty: the last token granted and to whom, until when; where it is meant to be and pinned; what is published. */
-  public record Duty(String name, long token, String owner, String session, long until, String meant, String pinned,
-      long revision, long publishedBy, String value) {
+  /**
+   * A duty: the last token granted and to whom, until when; where it is meant to be and pinned;
+   * what is published.
+   */
+  public record Duty(
+      String name,
+      long token,
+      String owner,
+      String session,
+      long until,
+      String meant,
+      String pinned,
+      long revision,
+      long publishedBy,
+      String value) {
     private Duty held(long by, String whose, String in, long end) {
       return new Duty(name, by, whose, in, end, meant, pinned, revision, publishedBy, value);
     }
@@ -59,13 +84,23 @@
   public record Operator(String session, long number, Answer answer) {}
 
   /** All of the state, to be kept. */
-  public record State(Terms terms, long term, long now, long tokenFloor, List<Member> members, List<Duty> duties,
+  public record State(
+      Terms terms,
+      long term,
+      long now,
+      long tokenFloor,
+      List<Member> members,
+      List<Duty> duties,
       List<Operator> operators) {
     /** Duties that nobody has, by the member that each is meant for. */
     public SortedMap<String, List<String>> unclaimed() {
       SortedMap<String, List<String>> free = new TreeMap<>();
-      duties.stream().filter(duty -> !duty.meant().isEmpty() && (duty.owner().isEmpty() || now >= duty.until()))
-          .forEach(duty -> free.computeIfAbsent(duty.meant(), member -> new ArrayList<>()).add(duty.name()));
+      duties.stream()
+          .filter(
+              duty -> !duty.meant().isEmpty() && (duty.owner().isEmpty() || now >= duty.until()))
+          .forEach(
+              duty ->
+                  free.computeIfAbsent(duty.meant(), member -> new ArrayList<>()).add(duty.name()));
       return free;
     }
 
@@ -78,8 +113,13 @@
   private Terms terms;
   private long term;
   private long now;
-  /** The greatest token of any duty that was taken out: one that comes back under its name goes on from there. */
+
+  /**
+   * The greatest token of any duty that was taken out: one that comes back under its name goes on
+   * from there.
+   */
   private long tokenFloor;
+
   private final SortedMap<String, Member> members = new TreeMap<>();
   private final SortedMap<String, Duty> duties = new TreeMap<>();
   private final Map<String, Operator> operators = new LinkedHashMap<>();
@@ -99,7 +139,13 @@
   }
 
   public State state() {
-    return new State(terms, term, now, tokenFloor, List.copyOf(members.values()), List.copyOf(duties.values()),
+    return new State(
+        terms,
+        term,
+        now,
+        tokenFloor,
+        List.copyOf(members.values()),
+        List.copyOf(duties.values()),
         List.copyOf(operators.values()));
   }
 
@@ -111,7 +157,8 @@
     now = Math.max(now, at);
     String name = command.name();
     Member before = members.get(name);
-    boolean known = command.ofMember() && before != null && before.session().equals(command.session());
+    boolean known =
+        command.ofMember() && before != null && before.session().equals(command.session());
     Operator operator = command.ofMember() ? null : operators.get(command.session());
     long last = known ? before.number() : operator != null ? operator.number() : 0;
     if (last > 0 && repeated(command.number(), last)) {
@@ -127,7 +174,8 @@
       answer = new Answer(null, grants(command.session()), wanted(command), terms, revision);
     } catch (Fault fault) {
       assign();
-      return remember(command, new Answer(fault.told(), grants(command.session()), wanted(command), terms, 0));
+      return remember(
+          command, new Answer(fault.told(), grants(command.session()), wanted(command), terms, 0));
     }
     return remember(command, answer);
   }
@@ -140,7 +188,9 @@
       if (operators.size() > OPERATORS) {
         operators.remove(operators.keySet().iterator().next());
       }
-    } else if (member != null && member.session().equals(command.session()) && command.number() > member.number()) {
+    } else if (member != null
+        && member.session().equals(command.session())
+        && command.number() > member.number()) {
       members.put(member.name(), member.answered(command.number(), answer));
     }
     return answer;
@@ -148,12 +198,23 @@
 
   // ---- rules that must hold, one method each
 
-  /** With a new leader, whatever the old one may have granted or renewed last lasts a whole lease from now. */
+  /**
+   * With a new leader, whatever the old one may have granted or renewed last lasts a whole lease
+   * from now.
+   */
   protected void newLeader(long in, long at) {
-    members.replaceAll((name, member) -> member.until(
-        member.aliveUntil() > now ? at + terms.leaseUs() : at, at + Math.max(0, member.calmAt() - now)));
-    duties.replaceAll((name, duty) -> duty.held(duty.token(), duty.owner(), duty.session(),
-        over(duty) ? at : at + terms.leaseUs()));
+    members.replaceAll(
+        (name, member) ->
+            member.until(
+                member.aliveUntil() > now ? at + terms.leaseUs() : at,
+                at + Math.max(0, member.calmAt() - now)));
+    duties.replaceAll(
+        (name, duty) ->
+            duty.held(
+                duty.token(),
+                duty.owner(),
+                duty.session(),
+                over(duty) ? at : at + terms.leaseUs()));
     term = in;
     now = at;
   }
@@ -170,7 +231,10 @@
     return duty.token() + 1;
   }
 
-  /** Whether a command speaks for the duty's owner: by the last token there is, and by the session it was granted to. */
+  /**
+   * Whether a command speaks for the duty's owner: by the last token there is, and by the session
+   * it was granted to.
+   */
   protected boolean current(Duty duty, Command command) {
     return command.token() == duty.token() && duty.session().equals(command.session());
   }
@@ -191,12 +255,16 @@
     switch (command.kind()) {
       case RENEW -> {
         members.put(command.name(), before.until(now + terms.leaseUs(), before.calmAt()));
-        duties.replaceAll((name, duty) -> duty.session().equals(command.session()) && !over(duty)
-            ? duty.held(duty.token(), duty.owner(), duty.session(), now + terms.leaseUs()) : duty);
+        duties.replaceAll(
+            (name, duty) ->
+                duty.session().equals(command.session()) && !over(duty)
+                    ? duty.held(duty.token(), duty.owner(), duty.session(), now + terms.leaseUs())
+                    : duty);
       }
       case LEAVE -> {
         members.put(command.name(), before.until(now, before.calmAt()));
-        duties.replaceAll((name, duty) -> duty.session().equals(command.session()) ? free(duty) : duty);
+        duties.replaceAll(
+            (name, duty) -> duty.session().equals(command.session()) ? free(duty) : duty);
       }
       case CLAIM -> claim(command);
       case RELEASE -> duties.put(command.duty(), free(owned(command)));
@@ -221,11 +289,23 @@
       makeRoom();
     }
     // Who keeps coming and going gets duties ever later; a long life in between is forgiven.
-    boolean soon = before != null && !same && now - before.aliveUntil() < terms.leaseUs() << DOUBLINGS;
+    boolean soon =
+        before != null && !same && now - before.aliveUntil() < terms.leaseUs() << DOUBLINGS;
     int strikes = same ? before.strikes() : soon ? Math.min(DOUBLINGS, before.strikes() + 1) : 0;
-    long calmAt = same ? before.calmAt() : strikes == 0 ? now : now + (terms.leaseUs() << strikes - 1);
-    members.put(command.name(), new Member(command.name(), command.session(), now + terms.leaseUs(), calmAt, strikes,
-        before != null && before.draining(), false, 0, null));
+    long calmAt =
+        same ? before.calmAt() : strikes == 0 ? now : now + (terms.leaseUs() << strikes - 1);
+    members.put(
+        command.name(),
+        new Member(
+            command.name(),
+            command.session(),
+            now + terms.leaseUs(),
+            calmAt,
+            strikes,
+            before != null && before.draining(),
+            false,
+            0,
+            null));
   }
 
   /** Forgets one that is long gone where there are as many as may be. */
@@ -233,9 +313,11 @@
     if (members.size() < terms.mostMembers()) {
       return;
     }
-    Member gone = members.values().stream().filter(member -> member.aliveUntil() <= now && !member.retired())
-        .min(Comparator.comparingLong(Member::aliveUntil))
-        .orElseThrow(() -> new Fault.MembersFull(terms.mostMembers()));
+    Member gone =
+        members.values().stream()
+            .filter(member -> member.aliveUntil() <= now && !member.retired())
+            .min(Comparator.comparingLong(Member::aliveUntil))
+            .orElseThrow(() -> new Fault.MembersFull(terms.mostMembers()));
     members.remove(gone.name());
   }
 
@@ -250,7 +332,8 @@
       throw new Fault.DutyElsewhere(duty.name(), duty.meant(), command.name());
     }
     long token = over(duty) ? nextToken(duty) : duty.token();
-    duties.put(duty.name(), duty.held(token, command.name(), command.session(), now + terms.leaseUs()));
+    duties.put(
+        duty.name(), duty.held(token, command.name(), command.session(), now + terms.leaseUs()));
   }
 
   private long publish(Command command) throws Fault {
@@ -290,18 +373,28 @@
         }
         duties.put(duty.name(), duty.placed(duty.meant(), command.name()));
       }
-      case DRAIN, ADMIT -> members.put(command.name(),
-          member(command.name()).flagged(command.kind() == Command.Kind.DRAIN, false));
+      case DRAIN, ADMIT ->
+          members.put(
+              command.name(),
+              member(command.name()).flagged(command.kind() == Command.Kind.DRAIN, false));
       case RETIRE -> members.put(command.name(), member(command.name()).flagged(false, true));
       case PLAN -> {
         terms = command.plan().terms();
-        duties.values().removeIf(duty -> {
-          boolean out = !command.plan().duties().contains(duty.name());
-          tokenFloor = out ? Math.max(tokenFloor, duty.token()) : tokenFloor;
-          return out;
-        });
-        command.plan().duties().forEach(name -> duties.computeIfAbsent(name,
-            absent -> new Duty(name, tokenFloor, "", "", now, "", "", 0, 0, "")));
+        duties
+            .values()
+            .removeIf(
+                duty -> {
+                  boolean out = !command.plan().duties().contains(duty.name());
+                  tokenFloor = out ? Math.max(tokenFloor, duty.token()) : tokenFloor;
+                  return out;
+                });
+        command
+            .plan()
+            .duties()
+            .forEach(
+                name ->
+                    duties.computeIfAbsent(
+                        name, absent -> new Duty(name, tokenFloor, "", "", now, "", "", 0, 0, "")));
       }
       default -> throw new IllegalStateException("not an operator's: " + command.kind());
     }
@@ -336,9 +429,12 @@
   // ---- where duties are meant to be
 
   private void assign() {
-    List<Member> alive = members.values().stream().filter(member -> member.aliveUntil() > now && !member.draining()
-        && !member.retired()).toList();
-    List<String> calm = alive.stream().filter(member -> member.calmAt() <= now).map(Member::name).toList();
+    List<Member> alive =
+        members.values().stream()
+            .filter(member -> member.aliveUntil() > now && !member.draining() && !member.retired())
+            .toList();
+    List<String> calm =
+        alive.stream().filter(member -> member.calmAt() <= now).map(Member::name).toList();
     // One that is held off is better than nobody.
     List<String> may = calm.isEmpty() ? alive.stream().map(Member::name).toList() : calm;
     Map<String, String> held = new HashMap<>();
@@ -352,13 +448,22 @@
   }
 
   private List<Grant> grants(String session) {
-    return duties.values().stream().filter(duty -> duty.session().equals(session) && !over(duty))
-        .map(duty -> new Grant(duty.name(), duty.token())).toList();
+    return duties.values().stream()
+        .filter(duty -> duty.session().equals(session) && !over(duty))
+        .map(duty -> new Grant(duty.name(), duty.token()))
+        .toList();
   }
 
   /** Duties that are meant for the member and that it has, or that it could claim at once. */
   private List<String> wanted(Command command) {
-    return command.ofMember() ? duties.values().stream().filter(duty -> duty.meant().equals(command.name())
-        && (over(duty) || duty.session().equals(command.session()))).map(Duty::name).toList() : List.of();
+    return command.ofMember()
+        ? duties.values().stream()
+            .filter(
+                duty ->
+                    duty.meant().equals(command.name())
+                        && (over(duty) || duty.session().equals(command.session())))
+            .map(Duty::name)
+            .toList()
+        : List.of();
   }
 }
--- a/gatherer/src/main/java/tidebank/lease/Terms.java
+++ b/gatherer/src/main/java/tidebank/lease/Terms.java
@@ -12,8 +12,9 @@
   private static final int RENEWALS = 3;
 
   /**
-   * How long an owner counts it by its own clock. The granter's clock may run fast and the owner's slow, each by the drift:
-   * an owner's time of x lasts up to x / (1 - drift), a lease at least lease / (1 + drift).
+   * How long an owner counts it by its own clock. The granter's clock may run fast and the owner's
+   * slow, each by the drift: an owner's time of x lasts up to x / (1 - drift), a lease at least
+   * lease / (1 + drift).
    */
   public long ownerUs() {
     return (long) (leaseUs * (1 - drift) / (1 + drift));
--- a/gatherer/src/main/java/tidebank/model/Action.java
+++ b/gatherer/src/main/java/tidebank/model/Action.java
@@ -17,14 +17,21 @@
   /** Give a scan up: no promise about its effect. */
   record Abandon(String scan) implements Action {}
 
+  /** Wake this instance after {@code waitUs} microseconds with {@code token}. */
   record SetTimer(long waitUs, long token) implements Action {}
 
+  /** Ask a shard server for its load report. */
   record Probe(String server) implements Action {}
 
-  /** Use this instance's present connections to a shard server no more; each closes once nothing is out on it. */
+  /**
+   * Use this instance's present connections to a shard server no more; each closes once nothing is
+   * out on it.
+   */
   record Close(String server) implements Action {}
 
+  /** Start or stop watching discovery. */
   record Follow(boolean on) implements Action {}
 
+  /** A line for the log. */
   record Note(String text) implements Action {}
 }
--- a/gatherer/src/main/java/tidebank/model/Agenda.java
+++ b/gatherer/src/main/java/tidebank/model/Agenda.java
@@ -5,12 +5,16 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** The scans that a turn has to look at: those that something happened to, and those whose time has come. */
+/**
+ * The scans that a turn has to look at: those that something happened to, and those whose time has
+ * come.
+ */
 public final class Agenda {
   private record Entry(long at, Scan scan) {}
 
-  private final PriorityQueue<Entry> queue = new PriorityQueue<>(
-      Comparator.comparingLong(Entry::at).thenComparingLong(entry -> entry.scan().number));
+  private final PriorityQueue<Entry> queue =
+      new PriorityQueue<>(
+          Comparator.comparingLong(Entry::at).thenComparingLong(entry -> entry.scan().number));
   private SortedMap<Long, Scan> changed = new TreeMap<>();
 
   public void changed(Scan scan) {
--- a/gatherer/src/main/java/tidebank/model/Chance.java
+++ b/gatherer/src/main/java/tidebank/model/Chance.java
@@ -19,9 +19,10 @@
   }
 
   /**
-   * A number from 0 to under 1 that the text decides. A CRC is linear: the draws of one counter differ from those of the
-   * next by the same bits under every seed, so that two waits in a row sum to nearly the same time in a whole fleet.
-   * Multiplying and folding breaks that (the last step of MurmurHash3, in the public domain).
+   * A number from 0 to under 1 that the text decides. A CRC is linear: the draws of one counter
+   * differ from those of the next by the same bits under every seed, so that two waits in a row sum
+   * to nearly the same time in a whole fleet. Multiplying and folding breaks that (the last step of
+   * MurmurHash3, in the public domain).
    */
   public static double folded(String text) {
     int bits = (int) crc(text);
--- a/gatherer/src/main/java/tidebank/model/Dispatch.java
+++ b/gatherer/src/main/java/tidebank/model/Dispatch.java
@@ -10,12 +10,16 @@
   public long dueAt;
   public long stopAt;
   public boolean overdue;
+
   /** Wanted and not yet ended; what is wanted but not yet sent counts as out. */
   public boolean out = true;
+
   public boolean wanted = true;
   public boolean sent;
+
   /** Sent on a connection without recent use, or on a new one in place of such a one. */
   public boolean idle;
+
   public boolean anew;
   public boolean cancelled;
   public Outcome outcome;
--- a/gatherer/src/main/java/tidebank/model/Event.java
+++ b/gatherer/src/main/java/tidebank/model/Event.java
@@ -5,15 +5,20 @@
 
 /** What an instance is told. */
 public sealed interface Event {
+  /** How a list of shard servers relates to the one known before. */
   enum ListKind {
     CHANGES,
     FULL,
     REMEMBERED,
     LOST,
-    /** Discovery is elsewhere now: what watched the old place ends, and nothing is known to be missing yet. */
+    /**
+     * Discovery is elsewhere now: what watched the old place ends, and nothing is known to be
+     * missing yet.
+     */
     MOVED
   }
 
+  /** The state of a shard server according to discovery. */
   enum ServerStatus {
     IN_SERVICE,
     DRAINING,
@@ -27,15 +32,28 @@
   record ListSeen(ListKind kind, List<Listed> entries) implements Event {}
 
   /** A scan, here since {@code askedAt}, to be given one final answer before {@code limitAt}. */
-  record ScanTaken(String id, long number, String type, String account, long askedAt, long limitAt, boolean resent,
-      String key) implements Event {}
+  record ScanTaken(
+      String id,
+      long number,
+      String type,
+      String account,
+      long askedAt,
+      long limitAt,
+      boolean resent,
+      String key)
+      implements Event {}
 
   /** A part of the scan with this number. */
   record PartTaken(String id, long number, int shard, double weight, String key) implements Event {}
 
   /** A dispatch's one end. {@code closed}: no dispatch of this part can matter any more. */
   record DispatchEnded(
-      String part, int dispatch, Outcome outcome, long tookUs, boolean closed, Map<String, Double> report)
+      String part,
+      int dispatch,
+      Outcome outcome,
+      long tookUs,
+      boolean closed,
+      Map<String, Double> report)
       implements Event {}
 
   /** A scan whose client has left. */
@@ -44,7 +62,10 @@
   /** The instance ends: every scan, also one still to come, needs its final answer before this. */
   record Ending(long at) implements Event {}
 
+  /** The timer with this token has fired. */
   record TimerDue(long token) implements Event {}
 
-  record Probed(String server, Outcome outcome, long tookUs, Map<String, Double> report) implements Event {}
+  /** The end of a probe. */
+  record Probed(String server, Outcome outcome, long tookUs, Map<String, Double> report)
+      implements Event {}
 }
--- a/gatherer/src/main/java/tidebank/model/Fleet.java
+++ b/gatherer/src/main/java/tidebank/model/Fleet.java
@@ -11,7 +11,10 @@
 import tidebank.model.Event.Listed;
 import tidebank.model.Event.ServerStatus;
 
-/** The shard servers as the list last told of them. Servers that left are forgotten once nothing is out there. */
+/**
+ * The shard servers as the list last told of them. Servers that left are forgotten once nothing is
+ * out there.
+ */
 public final class Fleet {
   private final Settings.Layout layout;
   private final Map<String, ShardServer> servers = new HashMap<>();
--- a/gatherer/src/main/java/tidebank/model/Part.java
+++ b/gatherer/src/main/java/tidebank/model/Part.java
@@ -3,9 +3,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** State of one part; it lives as long as its scan, or until the last of its dispatches has ended. */
+/**
+ * State of one part; it lives as long as its scan, or until the last of its dispatches has ended.
+ */
 public final class Part {
-  /** HELD: to be sent; UNSENT: left out on purpose; IN: its answer came; LOST: nothing more can be done. */
+  /**
+   * HELD: to be sent; UNSENT: left out on purpose; IN: its answer came; LOST: nothing more can be
+   * done.
+   */
   public enum Stage {
     HELD,
     SENT,
@@ -44,7 +49,9 @@
 
   /** Whether no server was asked yet: of those tried none could be reached. */
   public boolean neverCame() {
-    return dispatches.stream().allMatch(d -> !d.out && (d.outcome == Outcome.UNREACHABLE || d.outcome == Outcome.NEVER_SENT));
+    return dispatches.stream()
+        .allMatch(
+            d -> !d.out && (d.outcome == Outcome.UNREACHABLE || d.outcome == Outcome.NEVER_SENT));
   }
 
   public boolean mayHaveRun() {
--- a/gatherer/src/main/java/tidebank/model/Scan.java
+++ b/gatherer/src/main/java/tidebank/model/Scan.java
@@ -23,14 +23,19 @@
   public long targetAt;
   public int step;
   public boolean selected;
+
   /** When it is to be looked at again at the latest. */
   public long wakeAt = Long.MAX_VALUE;
+
   /** How many servers' connections dropped while its parts were out, and whose the last was. */
   public int broken;
+
   public ShardServer brokeOn;
   public boolean firstWhole;
+
   /** Parts of this step that are still waited for. */
   public int left = Integer.MAX_VALUE / 2;
+
   public Verdict verdict = Verdict.OPEN;
 
   /** It has no more time than until then, and its target time none beyond that. */
--- a/gatherer/src/main/java/tidebank/model/Settings.java
+++ b/gatherer/src/main/java/tidebank/model/Settings.java
@@ -4,8 +4,8 @@
 import java.util.OptionalLong;
 
 /**
- * The settings an instance is started with. Times are whole microseconds. {@code rank} is its number among the instances,
- * from 0, or below 0 where it is not told.
+ * The settings an instance is started with. Times are whole microseconds. {@code rank} is its
+ * number among the instances, from 0, or below 0 where it is not told.
  */
 public record Settings(
     int instances,
@@ -27,7 +27,10 @@
     return tableTypes.values().stream().mapToLong(TableType::targetUs).filter(t -> t > 0).min();
   }
 
-  /** Shard s is held by the shard servers of the positions s to s + width - 1, taken around the ring. */
+  /**
+   * Shard s is held by the shard servers of the positions s to s + width - 1, taken around the
+   * ring.
+   */
   public record Layout(int shards, int positions, int width, int bundleMax, long callUs) {}
 
   /** What the deployment permits. */
@@ -41,7 +44,9 @@
       int mostHeld,
       boolean listOnRequest) {}
 
-  /** Figures of the rules. The three of the budget are present together or {@code ratioSpanUs} is 0. */
+  /**
+   * Figures of the rules. The three of the budget are present together or {@code ratioSpanUs} is 0.
+   */
   public record Rules(
       long answerSlackUs,
       long askEveryUs,
--- a/gatherer/src/main/java/tidebank/model/Shard.java
+++ b/gatherer/src/main/java/tidebank/model/Shard.java
@@ -4,6 +4,7 @@
 public final class Shard {
   /** Cap in parts for each replica. */
   public double capPerReplica;
+
   public long troubledAt = Long.MIN_VALUE / 2;
 
   public Shard(double capPerReplica) {
--- a/gatherer/src/main/java/tidebank/model/TableType.java
+++ b/gatherer/src/main/java/tidebank/model/TableType.java
@@ -1,8 +1,9 @@
 package tidebank.model;
 
 /**
- * One row of the table of table types. Shares are of weight; {@code need} makes a whole answer, {@code floor} is the
- * least that any answer needs, and {@code secondStep} counts the parts that a first answer brings on.
+ * One row of the table of table types. Shares are of weight; {@code need} makes a whole answer,
+ * {@code floor} is the least that any answer needs, and {@code secondStep} counts the parts that a
+ * first answer brings on.
  */
 public record TableType(
     String name,
--- a/gatherer/src/main/java/tidebank/node/Clock.java
+++ b/gatherer/src/main/java/tidebank/node/Clock.java
@@ -1,6 +1,9 @@
 package tidebank.node;
 
-/** Whole microseconds that never go back. They start as Unix time, so that Unix times need no mapping of their own. */
+/**
+ * Whole microseconds that never go back. They start as Unix time, so that Unix times need no
+ * mapping of their own.
+ */
 public final class Clock {
   private final long startNanos = System.nanoTime();
   private final long startUnixUs = System.currentTimeMillis() * 1000;
@@ -9,7 +12,10 @@
     return startUnixUs + (System.nanoTime() - startNanos) / 1000;
   }
 
-  /** The moment of a Unix time in milliseconds; the same for the same time, whatever the system's clock does. */
+  /**
+   * The moment of a Unix time in milliseconds; the same for the same time, whatever the system's
+   * clock does.
+   */
   public static long ofUnixMillis(long millis) {
     return millis * 1000;
   }
--- a/gatherer/src/main/java/tidebank/node/Gatherer.java
+++ b/gatherer/src/main/java/tidebank/node/Gatherer.java
@@ -33,10 +33,14 @@
 import tidebank.model.Event.ListKind;
 import tidebank.shard.ShardSide;
 
-/** A gatherer on sockets, to be embedded: {@link #start} it, ask whether it is ready, {@link #stop} it. */
+/**
+ * A gatherer on sockets, to be embedded: {@link #start} it, ask whether it is ready, {@link #stop}
+ * it.
+ */
 public final class Gatherer {
   private static final Logger LOG = LoggerFactory.getLogger(Gatherer.class);
   private static final int PAGE = 8192;
+
   /** Chunks of 512 KiB: one arena of few chunks serves a gatherer. */
   private static final int CHUNK_ORDER = 6;
 
@@ -70,11 +74,16 @@
     timers = new Timers(loop, clock, counters);
     turn = new Turn(config.settings(), config.seed(), clock, timers, loop, counters);
     allocator = new PooledByteBufAllocator(true, 0, 1, PAGE, CHUNK_ORDER);
-    Bootstrap out = new Bootstrap().group(group).channel(NioSocketChannel.class)
-        .option(ChannelOption.ALLOCATOR, allocator)
-        .option(ChannelOption.TCP_NODELAY, true)
-        .option(ChannelOption.WRITE_BUFFER_WATER_MARK, waterMark())
-        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) (config.transport().connectTimeoutUs() / 1000));
+    Bootstrap out =
+        new Bootstrap()
+            .group(group)
+            .channel(NioSocketChannel.class)
+            .option(ChannelOption.ALLOCATOR, allocator)
+            .option(ChannelOption.TCP_NODELAY, true)
+            .option(ChannelOption.WRITE_BUFFER_WATER_MARK, waterMark())
+            .option(
+                ChannelOption.CONNECT_TIMEOUT_MILLIS,
+                (int) (config.transport().connectTimeoutUs() / 1000));
     shards = new ShardSide(config, out, turn, clock, timers, counters);
     discovery = new DiscoverySide(config, out, turn, clock, timers, counters);
     turn.connect(shards, discovery);
@@ -83,8 +92,14 @@
       turn.log(recorder);
     }
     Readiness readiness = new Readiness(clock.now());
-    clients = new ClientSide(config, turn, clock, timers, counters,
-        () -> readiness.ready(clock.now(), turn.knowsServers(), turn.listed()));
+    clients =
+        new ClientSide(
+            config,
+            turn,
+            clock,
+            timers,
+            counters,
+            () -> readiness.ready(clock.now(), turn.knowsServers(), turn.listed()));
   }
 
   /** What can't be recorded is served all the same. */
@@ -123,28 +138,46 @@
 
   private void begin() throws IOException {
     ListReader.Members known = known();
-    ServerBootstrap in = new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
-        .option(ChannelOption.SO_REUSEADDR, true)
-        .option(ChannelOption.SO_BACKLOG, config.budgets().clients())
-        .childOption(ChannelOption.ALLOCATOR, allocator)
-        .childOption(ChannelOption.TCP_NODELAY, true)
-        // Read on until nothing is left: the end of a client that has left is met in the pass that reads its request.
-        .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
-        .childOption(ChannelOption.RECVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator(config.budgets().readLeast(),
-            config.budgets().readFirst(), config.budgets().readMost()).respectMaybeMoreData(false))
-        .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, waterMark());
-    loop.submit(() -> {
-      turn.listSeen(ListKind.REMEMBERED, known.members());
-      discovery.begin(known.members().isEmpty() ? -1 : known.version());
-    }).syncUninterruptibly();
+    ServerBootstrap in =
+        new ServerBootstrap()
+            .group(group)
+            .channel(NioServerSocketChannel.class)
+            .option(ChannelOption.SO_REUSEADDR, true)
+            .option(ChannelOption.SO_BACKLOG, config.budgets().clients())
+            .childOption(ChannelOption.ALLOCATOR, allocator)
+            .childOption(ChannelOption.TCP_NODELAY, true)
+            // Read on until nothing is left: the end of a client that has left is met in the pass
+            // that reads its request.
+            .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
+            .childOption(
+                ChannelOption.RECVBUF_ALLOCATOR,
+                new AdaptiveRecvByteBufAllocator(
+                        config.budgets().readLeast(),
+                        config.budgets().readFirst(),
+                        config.budgets().readMost())
+                    .respectMaybeMoreData(false))
+            .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, waterMark());
+    loop.submit(
+            () -> {
+              turn.listSeen(ListKind.REMEMBERED, known.members());
+              discovery.begin(known.members().isEmpty() ? -1 : known.version());
+            })
+        .syncUninterruptibly();
     ChannelFuture binding = clients.listen(in).awaitUninterruptibly();
     if (!binding.isSuccess()) {
-      throw new IOException("cannot listen on " + config.listen() + ": " + binding.cause().getMessage());
+      throw new IOException(
+          "cannot listen on " + config.listen() + ": " + binding.cause().getMessage());
     }
     address = (InetSocketAddress) binding.channel().localAddress();
     loop.execute(() -> timers.set(report, clock.now() + reportUs));
-    LOG.info("gatherer " + config.name() + " listens on " + address + ", knows " + known.members().size()
-        + " shard servers");
+    LOG.info(
+        "gatherer "
+            + config.name()
+            + " listens on "
+            + address
+            + ", knows "
+            + known.members().size()
+            + " shard servers");
   }
 
   private WriteBufferWaterMark waterMark() {
@@ -173,8 +206,8 @@
   }
 
   /**
-   * Begins to stop: not ready, but serving whoever still comes while there is time enough for it, then no more, and
-   * all that was taken answered. Completes when that is done.
+   * Begins to stop: not ready, but serving whoever still comes while there is time enough for it,
+   * then no more, and all that was taken answered. Completes when that is done.
    */
   public CompletableFuture<Void> stop() {
     if (loop.isShuttingDown()) {
@@ -183,32 +216,35 @@
     if (agent != null) {
       agent.leave();
     }
-    loop.execute(() -> {
-      if (!stopping) {
-        stopping = true;
-        LOG.info("stopping");
-        clients.drain();
-        ShutdownPlan plan = new ShutdownPlan(config.settings(), clock.now(), timers.latenessUs());
-        endBy = plan.endBy;
-        lingerUs = plan.lingerUs;
-        turn.ending(endBy);
-        timers.set(Timers.timer(this::noMoreRequests), plan.closeAt);
-      }
-    });
+    loop.execute(
+        () -> {
+          if (!stopping) {
+            stopping = true;
+            LOG.info("stopping");
+            clients.drain();
+            ShutdownPlan plan =
+                new ShutdownPlan(config.settings(), clock.now(), timers.latenessUs());
+            endBy = plan.endBy;
+            lingerUs = plan.lingerUs;
+            turn.ending(endBy);
+            timers.set(Timers.timer(this::noMoreRequests), plan.closeAt);
+          }
+        });
     return stopped;
   }
 
   /**
-   * Takes over what may change while it runs, which is where discovery is; all else of a configuration needs a
-   * restart.
+   * Takes over what may change while it runs, which is where discovery is; all else of a
+   * configuration needs a restart.
    */
   public void reload(NodeConfig fresh) {
-    loop.execute(() -> {
-      counters.add("config.reloaded");
-      if (!closed) {
-        discovery.moved(fresh.discovery());
-      }
-    });
+    loop.execute(
+        () -> {
+          counters.add("config.reloaded");
+          if (!closed) {
+            discovery.moved(fresh.discovery());
+          }
+        });
   }
 
   /** A configuration that was to be taken over has a fault: the old one stands. */
@@ -222,25 +258,33 @@
     turn.whenIdle(this::waitForClients);
   }
 
-  /** Answers are on their way; their connections close once they are written and read, and at the end in any case. */
+  /**
+   * Answers are on their way; their connections close once they are written and read, and at the
+   * end in any case.
+   */
   private void waitForClients() {
     long now = clock.now();
     clients.close(now >= endBy ? Long.MAX_VALUE : now - lingerUs);
     if (clients.open() > 0) {
-      timers.set(Timers.timer(() -> turn.whenIdle(this::waitForClients)), clock.now() + config.settings().tickUs());
+      timers.set(
+          Timers.timer(() -> turn.whenIdle(this::waitForClients)),
+          clock.now() + config.settings().tickUs());
       return;
     }
     closed = true;
     shards.close();
     discovery.close();
     LOG.info("stopped: " + counters);
-    group.shutdownGracefully(0, 1, TimeUnit.SECONDS).addListener(done -> {
-      if (recorder != null) {
-        // The process ends by the time it promised, whatever the disk does.
-        recorder.close((endBy - clock.now()) / 1000);
-      }
-      stopped.complete(null);
-    });
+    group
+        .shutdownGracefully(0, 1, TimeUnit.SECONDS)
+        .addListener(
+            done -> {
+              if (recorder != null) {
+                // The process ends by the time it promised, whatever the disk does.
+                recorder.close((endBy - clock.now()) / 1000);
+              }
+              stopped.complete(null);
+            });
   }
 
   private void report() {
--- a/gatherer/src/main/java/tidebank/node/HeldScan.java
+++ b/gatherer/src/main/java/tidebank/node/HeldScan.java
@@ -6,11 +6,15 @@
 import java.util.Map;
 import tidebank.node.Reply.Value;
 
-/** What the turn keeps for one scan, beside the module's state: the text, the values, who waits for the answer. */
+/**
+ * What the turn keeps for one scan, beside the module's state: the text, the values, who waits for
+ * the answer.
+ */
 final class HeldScan {
   final ScanRequest request;
   final long number;
   final Map<String, HeldPart> parts = new LinkedHashMap<>();
+
   /** Null once the scan has had its final answer or its client has left. */
   Reply reply;
 
@@ -26,8 +30,10 @@
 
   /** The values that are in, in the order in which the client listed the parts. */
   List<Value> values() {
-    return parts.values().stream().filter(part -> part.value != null)
-        .map(part -> new Value(part.range.shard(), part.value)).toList();
+    return parts.values().stream()
+        .filter(part -> part.value != null)
+        .map(part -> new Value(part.range.shard(), part.value))
+        .toList();
   }
 
   /** One of its parts. */
--- a/gatherer/src/main/java/tidebank/node/ListPort.java
+++ b/gatherer/src/main/java/tidebank/node/ListPort.java
@@ -2,6 +2,9 @@
 
 /** What the turn asks of the side that speaks to discovery. */
 public interface ListPort {
-  /** Begins a watch anew, or ends it. Exactly one list event answers a beginning; changes follow until it is lost. */
+  /**
+   * Begins a watch anew, or ends it. Exactly one list event answers a beginning; changes follow
+   * until it is lost.
+   */
   void follow(boolean on);
 }
--- a/gatherer/src/main/java/tidebank/node/Order.java
+++ b/gatherer/src/main/java/tidebank/node/Order.java
@@ -1,6 +1,9 @@
 package tidebank.node;
 
-/** One dispatch, from the module's word to its one end. The shard side carries it out, the turn keeps the books. */
+/**
+ * One dispatch, from the module's word to its one end. The shard side carries it out, the turn
+ * keeps the books.
+ */
 public final class Order {
   public final String part;
   public final int shard;
--- a/gatherer/src/main/java/tidebank/node/ScanRequest.java
+++ b/gatherer/src/main/java/tidebank/node/ScanRequest.java
@@ -2,9 +2,20 @@
 
 import java.util.List;
 
-/** A scan as a front took it, whose head came at {@code askedAt}: checked, with its key or "" and the text that every part carries. */
+/**
+ * A scan as a front took it, whose head came at {@code askedAt}: checked, with its key or "" and
+ * the text that every part carries.
+ */
 public record ScanRequest(
-    String id, String type, String account, long askedAt, long limitAt, boolean resent, String key, byte[] text, List<Range> ranges) {
+    String id,
+    String type,
+    String account,
+    long askedAt,
+    long limitAt,
+    boolean resent,
+    String key,
+    byte[] text,
+    List<Range> ranges) {
   /** One part: its shard, its share of the whole answer and its key, or "". */
   public record Range(int shard, double weight, String key) {}
 }
--- a/gatherer/src/main/java/tidebank/node/Timers.java
+++ b/gatherer/src/main/java/tidebank/node/Timers.java
@@ -12,6 +12,7 @@
 /** All that waits for a time, behind one wake-up of the event loop for the earliest. */
 public final class Timers {
   private static final Logger LOG = LoggerFactory.getLogger(Timers.class);
+
   /** Something that is due at a time. It is set at most once at a time. */
   public abstract static class Timer {
     private long at;
@@ -63,8 +64,8 @@
   }
 
   /**
-   * For how long something that was due has waited, or has just had to: so long this process stood still, or was too
-   * busy to notice what came.
+   * For how long something that was due has waited, or has just had to: so long this process stood
+   * still, or was too busy to notice what came.
    */
   public long latenessUs() {
     long now = clock.now();
--- a/gatherer/src/main/java/tidebank/node/Turn.java
+++ b/gatherer/src/main/java/tidebank/node/Turn.java
@@ -13,17 +13,17 @@
 import tidebank.base.Counters;
 import tidebank.capture.TurnLog;
 import tidebank.model.Action;
+import tidebank.model.Event;
 import tidebank.model.Event.ListKind;
 import tidebank.model.Event.ServerStatus;
-import tidebank.model.Event;
 import tidebank.model.Outcome;
 import tidebank.model.Settings;
 import tidebank.node.HeldScan.HeldPart;
 import tidebank.node.ShardPort.Member;
 
 /**
- * Gathers what one pass of the event loop brings, calls the module once and carries out what it wants, in order.
- * It decides nothing. All of it runs on the event loop.
+ * Gathers what one pass of the event loop brings, calls the module once and carries out what it
+ * wants, in order. It decides nothing. All of it runs on the event loop.
  */
 public final class Turn {
   private static final Logger LOG = LoggerFactory.getLogger(Turn.class);
@@ -48,7 +48,8 @@
   private long numbers;
   private int held;
 
-  public Turn(Settings settings, long seed, Clock clock, Timers timers, EventLoop loop, Counters counters) {
+  public Turn(
+      Settings settings, long seed, Clock clock, Timers timers, EventLoop loop, Counters counters) {
     this.settings = settings;
     this.seed = seed;
     this.clock = clock;
@@ -82,11 +83,20 @@
     held += more;
     scans.put(request.id(), scan);
     parts.putAll(scan.parts);
-    tell(new Event.ScanTaken(request.id(), scan.number, request.type(), request.account(), request.askedAt(),
-        request.limitAt(),
-        request.resent(), request.key()));
+    tell(
+        new Event.ScanTaken(
+            request.id(),
+            scan.number,
+            request.type(),
+            request.account(),
+            request.askedAt(),
+            request.limitAt(),
+            request.resent(),
+            request.key()));
     for (HeldPart part : scan.parts.values()) {
-      tell(new Event.PartTaken(part.id, scan.number, part.range.shard(), part.range.weight(), part.range.key()));
+      tell(
+          new Event.PartTaken(
+              part.id, scan.number, part.range.shard(), part.range.weight(), part.range.key()));
     }
     return true;
   }
@@ -94,7 +104,8 @@
   /** Whether a scan of this id is held, or a part of it is still out. */
   public boolean holds(ScanRequest request) {
     return scans.containsKey(request.id())
-        || request.ranges().stream().anyMatch(range -> parts.containsKey(HeldPart.id(request, range)));
+        || request.ranges().stream()
+            .anyMatch(range -> parts.containsKey(HeldPart.id(request, range)));
   }
 
   /** The client of a scan has left. */
@@ -108,7 +119,8 @@
   }
 
   /** A dispatch has come to its one end; {@code value} is null unless it completed. */
-  public void dispatchEnded(Order order, Outcome outcome, byte[] value, Map<String, Double> report) {
+  public void dispatchEnded(
+      Order order, Outcome outcome, byte[] value, Map<String, Double> report) {
     if (!counters.must(!order.ended, "a dispatch ends once")) {
       return;
     }
@@ -119,8 +131,9 @@
     }
     counters.add("dispatches." + outcome.name().toLowerCase(Locale.ROOT));
     boolean closed = part.scan.reply == null || part.value != null;
-    tell(new Event.DispatchEnded(
-        part.id, order.number, outcome, clock.now() - order.askedAt, closed, report));
+    tell(
+        new Event.DispatchEnded(
+            part.id, order.number, outcome, clock.now() - order.askedAt, closed, report));
     forget(part);
   }
 
@@ -200,7 +213,9 @@
     checkIdle();
   }
 
-  /** The module may be half way through a change: it starts again from the list, as after a restart. */
+  /**
+   * The module may be half way through a change: it starts again from the list, as after a restart.
+   */
   private void startOver() {
     for (HeldScan scan : List.copyOf(scans.values())) {
       Reply reply = scan.reply;
@@ -209,10 +224,13 @@
       reply.abandoned();
     }
     shards.flush();
-    events.removeIf(event -> !(event instanceof Event.ScanTaken || event instanceof Event.PartTaken));
+    events.removeIf(
+        event -> !(event instanceof Event.ScanTaken || event instanceof Event.PartTaken));
     brain = new Brain(settings, ++seed);
     log.started(settings, seed);
-    events.add(0, new Event.ListSeen(ListKind.REMEMBERED, list.values().stream().map(Member::line).toList()));
+    events.add(
+        0,
+        new Event.ListSeen(ListKind.REMEMBERED, list.values().stream().map(Member::line).toList()));
     tell(new Event.TimerDue(0));
   }
 
@@ -225,14 +243,21 @@
         cancel(part.orders.get(cancel.dispatch()));
       }
     } else if (action instanceof Action.Answer answer) {
-      conclude(answer.scan(), answer.whole() ? "scans.whole" : "scans.partial",
+      conclude(
+          answer.scan(),
+          answer.whole() ? "scans.whole" : "scans.partial",
           (reply, scan) -> reply.answered(answer.whole(), scan.values()));
     } else if (action instanceof Action.Throttle throttle) {
-      conclude(throttle.scan(), "scans.throttled", (reply, scan) -> reply.throttled(throttle.holdOffUs()));
+      conclude(
+          throttle.scan(),
+          "scans.throttled",
+          (reply, scan) -> reply.throttled(throttle.holdOffUs()));
     } else if (action instanceof Action.Abandon abandon) {
       conclude(abandon.scan(), "scans.abandoned", (reply, scan) -> reply.abandoned());
     } else if (action instanceof Action.SetTimer timer) {
-      timers.set(Timers.timer(() -> tell(new Event.TimerDue(timer.token()))), clock.now() + timer.waitUs());
+      timers.set(
+          Timers.timer(() -> tell(new Event.TimerDue(timer.token()))),
+          clock.now() + timer.waitUs());
     } else if (action instanceof Action.Follow follow) {
       discovery.follow(follow.on());
     } else if (action instanceof Action.Close close) {
@@ -256,11 +281,18 @@
 
   private void send(Action.Send send) {
     HeldPart part = parts.get(send.part());
-    if (!counters.must(part != null && part.scan.reply != null, "only parts of an open scan are sent")) {
+    if (!counters.must(
+        part != null && part.scan.reply != null, "only parts of an open scan are sent")) {
       return;
     }
-    Order order = new Order(part, part.orders.size(), send.server(), part.scan.request.text(), send.stopAt(),
-        clock.now());
+    Order order =
+        new Order(
+            part,
+            part.orders.size(),
+            send.server(),
+            part.scan.request.text(),
+            send.stopAt(),
+            clock.now());
     part.orders.add(order);
     try {
       order.ticket = shards.send(order);
--- a/gatherer/src/main/java/tidebank/shard/Connection.java
+++ b/gatherer/src/main/java/tidebank/shard/Connection.java
@@ -19,8 +19,9 @@
 import tidebank.node.Timers;
 
 /**
- * One connection to a shard server. At most one frame with parts is in Netty's hands before it is wholly written:
- * the others wait here, where they can still be dropped and are known never to have run.
+ * One connection to a shard server. At most one frame with parts is in Netty's hands before it is
+ * wholly written: the others wait here, where they can still be dropped and are known never to have
+ * run.
  */
 final class Connection extends SimpleChannelInboundHandler<ByteBuf> {
   private record Probe(byte letter, long askedAt) {}
@@ -34,12 +35,19 @@
   private final ChannelFutureListener written = this::written;
   private final Timers.Timer idle = Timers.timer(this::unused);
   private final Timers.Timer probeLate = Timers.timer(this::probeLate);
-  private final Timers.Timer neverWhole = Timers.timer(() -> spoilt("a frame that never came whole"));
+  private final Timers.Timer neverWhole =
+      Timers.timer(() -> spoilt("a frame that never came whole"));
   final FrameReader reader;
-  /** Parts given up here that may still be answered, and until when that is no surprise; the oldest first. */
+
+  /**
+   * Parts given up here that may still be answered, and until when that is no surprise; the oldest
+   * first.
+   */
   private final Map<String, Long> givenUp = new LinkedHashMap<>();
+
   /** The latest answer, until what was read with it shows that its frame was as long as it said. */
   private Frames.Answer held;
+
   private Channel channel;
   private Call writing;
   private boolean up;
@@ -60,17 +68,23 @@
     }
     ChannelFuture connecting = side.bootstrap(this).connect(server.address);
     channel = connecting.channel();
-    connecting.addListener((ChannelFutureListener) done -> {
-      if (!done.isSuccess()) {
-        side.counters.add("shard.connect-failed");
-        ended();
-      }
-    });
+    connecting.addListener(
+        (ChannelFutureListener)
+            done -> {
+              if (!done.isSuccess()) {
+                side.counters.add("shard.connect-failed");
+                ended();
+              }
+            });
   }
 
-  /** Whether a call can be given to it: it is not closing, has a free place, and was used of late. */
+  /**
+   * Whether a call can be given to it: it is not closing, has a free place, and was used of late.
+   */
   boolean hasRoom() {
-    return !closed && !retired && calls.size() < side.transport.maxStreams()
+    return !closed
+        && !retired
+        && calls.size() < side.transport.maxStreams()
         && (!up || !calls.isEmpty() || side.clock.now() < unusableFrom());
   }
 
@@ -86,7 +100,10 @@
     }
   }
 
-  /** What is written from the keep-alive on is lost, so the last use is as long before as a connection may take. */
+  /**
+   * What is written from the keep-alive on is lost, so the last use is as long before as a
+   * connection may take.
+   */
   private long unusableFrom() {
     return lastUsed + Math.max(0, side.transport.keepaliveUs() - side.transport.connectTimeoutUs());
   }
@@ -170,7 +187,8 @@
     givenUp.put(flight.order.part, now + side.slowestUs);
     if (side.mayGiveUp && channel.isActive()) {
       lastUsed = side.clock.now();
-      channel.writeAndFlush(Frames.giveUp(channel.alloc(), flight.order.part), channel.voidPromise());
+      channel.writeAndFlush(
+          Frames.giveUp(channel.alloc(), flight.order.part), channel.voidPromise());
     }
   }
 
@@ -204,8 +222,10 @@
     up = true;
     side.counters.add("shard.connections");
     lastUsed = side.clock.now();
-    probes.forEach(probe ->
-        channel.writeAndFlush(Frames.probe(channel.alloc(), probe.letter()), channel.voidPromise()));
+    probes.forEach(
+        probe ->
+            channel.writeAndFlush(
+                Frames.probe(channel.alloc(), probe.letter()), channel.voidPromise()));
     write();
     if (isIdle()) {
       side.timers.set(idle, unusableFrom());
@@ -226,14 +246,15 @@
     switch (letter) {
       case Frames.ANSWER -> hold(Frames.answer(frame));
       case Frames.PROBE, Frames.PROBE_LOAD -> probed(letter, Frames.text(frame));
-      case Frames.UNUSABLE -> throw new Malformed("a frame of ours could not be used: " + Frames.text(frame));
+      case Frames.UNUSABLE ->
+          throw new Malformed("a frame of ours could not be used: " + Frames.text(frame));
       default -> throw new Malformed("an unknown letter " + letter);
     }
   }
 
   /**
-   * While other answers are to come, one counts once the next frame, or the end of what could be read, shows that it
-   * ends where its frame says. What follows the last one can't be its fault.
+   * While other answers are to come, one counts once the next frame, or the end of what could be
+   * read, shows that it ends where its frame says. What follows the last one can't be its fault.
    */
   private void hold(Frames.Answer answer) throws Malformed {
     if (!out.containsKey(answer.id())) {
@@ -280,7 +301,10 @@
     }
     side.timers.clear(probeLate);
     boolean good = !text.equals("bad");
-    side.turn.probed(server.id, good ? Outcome.COMPLETED : Outcome.ERROR, side.clock.now() - probe.askedAt(),
+    side.turn.probed(
+        server.id,
+        good ? Outcome.COMPLETED : Outcome.ERROR,
+        side.clock.now() - probe.askedAt(),
         good && letter == Frames.PROBE_LOAD ? Frames.report(text) : Map.of());
     if (!probes.isEmpty()) {
       awaitProbe();
@@ -299,7 +323,10 @@
     close();
   }
 
-  /** What came can't be read, nor what comes after it: whatever is out here has failed and may have run. */
+  /**
+   * What came can't be read, nor what comes after it: whatever is out here has failed and may have
+   * run.
+   */
   private void spoilt(String why) {
     if (!closed) {
       side.counters.fault("shard.spoilt", "server " + server.id + ": " + why);
@@ -337,12 +364,16 @@
     server.removed(this);
     for (Call call : new ArrayList<>(calls)) {
       for (Flight flight : List.copyOf(call.flights)) {
-        server.end(flight, flight.stage == Flight.Stage.OUT ? Outcome.BROKEN : Outcome.UNREACHABLE, null);
+        server.end(
+            flight, flight.stage == Flight.Stage.OUT ? Outcome.BROKEN : Outcome.UNREACHABLE, null);
       }
     }
     for (Probe probe : probes) {
-      side.turn.probed(server.id, up ? Outcome.BROKEN : Outcome.UNREACHABLE,
-          side.clock.now() - probe.askedAt(), Map.of());
+      side.turn.probed(
+          server.id,
+          up ? Outcome.BROKEN : Outcome.UNREACHABLE,
+          side.clock.now() - probe.askedAt(),
+          Map.of());
     }
     probes.clear();
   }
--- a/gatherer/src/main/java/tidebank/shard/Flight.java
+++ b/gatherer/src/main/java/tidebank/shard/Flight.java
@@ -1,8 +1,8 @@
 package tidebank.shard;
 
 import tidebank.model.Outcome;
-import tidebank.node.Timers;
 import tidebank.node.Order;
+import tidebank.node.Timers;
 
 /** One dispatch on its way: waiting for a connection, being written, or out. */
 final class Flight extends Timers.Timer implements Order.Ticket {
--- a/gatherer/src/main/java/tidebank/shard/Frames.java
+++ b/gatherer/src/main/java/tidebank/shard/Frames.java
@@ -20,10 +20,14 @@
   static final byte PROBE_LOAD = 'p';
   static final byte ANSWER = 'q';
   static final byte UNUSABLE = 'r';
+
   /** Above the text of 64 KiB of any one part: its line. */
   static final int LINE_MOST = 1024;
 
-  /** An answer to a part. The value, null unless it completed, outlives the buffer that it was read into. */
+  /**
+   * An answer to a part. The value, null unless it completed, outlives the buffer that it was read
+   * into.
+   */
   record Answer(String id, Outcome outcome, Map<String, Double> report, byte[] value) {}
 
   private Frames() {}
@@ -34,8 +38,16 @@
     frame.writeByte(CALL);
     for (Flight flight : flights) {
       long waitMs = Math.max(1, (flight.order.stopAt - now) / 1000);
-      ByteBufUtil.writeAscii(frame, flight.order.part + ' ' + flight.order.shard + " d=" + waitMs + ' '
-          + flight.order.text.length + '\n');
+      ByteBufUtil.writeAscii(
+          frame,
+          flight.order.part
+              + ' '
+              + flight.order.shard
+              + " d="
+              + waitMs
+              + ' '
+              + flight.order.text.length
+              + '\n');
       frame.writeBytes(flight.order.text);
     }
     return frame;
@@ -64,16 +76,20 @@
     if (words.length != 4 || words[0].isEmpty()) {
       throw new Malformed("an answer's line '" + line + "'");
     }
-    Outcome outcome = switch (words[1]) {
-      case "good" -> Outcome.COMPLETED;
-      case "bad" -> Outcome.ERROR;
-      case "later" -> Outcome.FULL;
-      default -> throw new Malformed("an answer's end '" + words[1] + "'");
-    };
+    Outcome outcome =
+        switch (words[1]) {
+          case "good" -> Outcome.COMPLETED;
+          case "bad" -> Outcome.ERROR;
+          case "later" -> Outcome.FULL;
+          default -> throw new Malformed("an answer's end '" + words[1] + "'");
+        };
     if (outcome == Outcome.COMPLETED && !ByteBufUtil.isText(frame, UTF_8)) {
       throw new Malformed("a value that is no text");
     }
-    return new Answer(words[0], outcome, report(words[3]),
+    return new Answer(
+        words[0],
+        outcome,
+        report(words[3]),
         outcome == Outcome.COMPLETED ? ByteBufUtil.getBytes(frame) : null);
   }
 
--- a/gatherer/src/main/java/tidebank/shard/Server.java
+++ b/gatherer/src/main/java/tidebank/shard/Server.java
@@ -5,17 +5,21 @@
 import java.util.List;
 import java.util.Map;
 import tidebank.model.Outcome;
-import tidebank.node.Timers;
 import tidebank.node.Order;
+import tidebank.node.Timers;
 
-/** What is kept for one shard server: its address, its connections, this turn's calls and its drain. */
+/**
+ * What is kept for one shard server: its address, its connections, this turn's calls and its drain.
+ */
 final class Server extends Timers.Timer {
   final String id;
   final ShardSide side;
   final List<Connection> connections = new ArrayList<>();
   InetSocketAddress address;
+
   /** The moment from which nothing may begin to be sent. */
   long closedFrom = Long.MAX_VALUE;
+
   boolean gone;
   private Call gathering;
 
--- a/gatherer/src/main/java/tidebank/shard/ShardSide.java
+++ b/gatherer/src/main/java/tidebank/shard/ShardSide.java
@@ -14,10 +14,10 @@
 import tidebank.config.NodeConfig;
 import tidebank.model.Event.ServerStatus;
 import tidebank.model.Outcome;
-import tidebank.node.Timers;
 import tidebank.node.Clock;
 import tidebank.node.Order;
 import tidebank.node.ShardPort;
+import tidebank.node.Timers;
 import tidebank.node.Turn;
 
 /** Carries out dispatches on connections to shard servers and tells their ends. */
@@ -29,14 +29,22 @@
   final NodeConfig.Transport transport;
   final boolean mayGiveUp;
   final long slowestUs;
+
   /** Connections that are open or coming up. */
   int opened;
+
   private final NodeConfig config;
   private final Bootstrap template;
   private final Map<String, Server> servers = new HashMap<>();
   private final List<Call> pending = new ArrayList<>();
 
-  public ShardSide(NodeConfig config, Bootstrap template, Turn turn, Clock clock, Timers timers, Counters counters) {
+  public ShardSide(
+      NodeConfig config,
+      Bootstrap template,
+      Turn turn,
+      Clock clock,
+      Timers timers,
+      Counters counters) {
     this.config = config;
     this.transport = config.transport();
     this.mayGiveUp = config.settings().limits().cancel();
@@ -49,13 +57,20 @@
   }
 
   Bootstrap bootstrap(Connection connection) {
-    return template.clone().handler(new ChannelInitializer<Channel>() {
-      @Override
-      protected void initChannel(Channel channel) {
-        channel.pipeline().addLast(
-            connection.reader, new LengthFieldPrepender(FrameReader.LENGTH_BYTES), connection);
-      }
-    });
+    return template
+        .clone()
+        .handler(
+            new ChannelInitializer<Channel>() {
+              @Override
+              protected void initChannel(Channel channel) {
+                channel
+                    .pipeline()
+                    .addLast(
+                        connection.reader,
+                        new LengthFieldPrepender(FrameReader.LENGTH_BYTES),
+                        connection);
+              }
+            });
   }
 
   int bundleMost() {
@@ -67,7 +82,8 @@
   }
 
   boolean mayOpen(Server server) {
-    return opened < config.budgets().servers() && server.connections.size() < config.budgets().serverMost();
+    return opened < config.budgets().servers()
+        && server.connections.size() < config.budgets().serverMost();
   }
 
   @Override
@@ -100,7 +116,8 @@
 
   private void leaves(Server server, long now, boolean gone) {
     server.closeFrom(Math.min(server.closedFrom, now + config.settings().rules().drainGraceUs()));
-    // The grace counts from when discovery wrote this, and we may have stood still since: what waits need not wait for it.
+    // The grace counts from when discovery wrote this, and we may have stood still since: what
+    // waits need not wait for it.
     List.copyOf(server.connections).forEach(Connection::dropWaiting);
     server.gone = gone;
     forgetIfGone(server);
@@ -114,7 +131,9 @@
 
   @Override
   public Order.Ticket send(Order order) {
-    return servers.computeIfAbsent(order.server, absent -> new Server(order.server, this)).gather(order);
+    return servers
+        .computeIfAbsent(order.server, absent -> new Server(order.server, this))
+        .gather(order);
   }
 
   @Override
@@ -147,8 +166,11 @@
     }
   }
 
-  /** Closes all connections. A server that is gone leaves the map with its last one, hence the copy. */
+  /**
+   * Closes all connections. A server that is gone leaves the map with its last one, hence the copy.
+   */
   public void close() {
-    List.copyOf(servers.values()).forEach(server -> List.copyOf(server.connections).forEach(Connection::close));
+    List.copyOf(servers.values())
+        .forEach(server -> List.copyOf(server.connections).forEach(Connection::close));
   }
 }
--- a/gatherer/src/main/java/tidebank/sim/EventCodec.java
+++ b/gatherer/src/main/java/tidebank/sim/EventCodec.java
@@ -15,25 +15,30 @@
 final class EventCodec {
   private EventCodec() {}
 
-  /** The event, of a message that comes at {@code now}, or null where the wire's event means nothing to the module. */
+  /**
+   * The event, of a message that comes at {@code now}, or null where the wire's event means nothing
+   * to the module.
+   */
   static Event read(JsonNode message, long now, List<List<Listed>> sheets) throws Malformed {
     return switch (Json.text(message, "kind")) {
       case "Announce" -> announce(message, sheets);
       case "Knock" -> knock(message, now);
-      case "Returned" -> new Event.DispatchEnded(
-          Json.text(message, "handle"),
-          (int) Json.whole(message, "try"),
-          outcome(Json.text(message, "disposition")),
-          Json.micros(message, "costTimeMs", 0),
-          Json.flag(message, "ended"),
-          Json.numbers(message.get("metrics")));
+      case "Returned" ->
+          new Event.DispatchEnded(
+              Json.text(message, "handle"),
+              (int) Json.whole(message, "try"),
+              outcome(Json.text(message, "disposition")),
+              Json.micros(message, "costTimeMs", 0),
+              Json.flag(message, "ended"),
+              Json.numbers(message.get("metrics")));
       case "Lapsed" -> new Event.ScanLapsed(Json.text(message, "handle"));
       case "DeadlineHit" -> new Event.TimerDue(Json.whole(message, "label"));
-      case "HealthResult" -> new Event.Probed(
-          Json.text(message, "server"),
-          outcome(Json.text(message, "disposition")),
-          Json.micros(message, "costTimeMs", 0),
-          Json.numbers(message.get("metrics")));
+      case "HealthResult" ->
+          new Event.Probed(
+              Json.text(message, "server"),
+              outcome(Json.text(message, "disposition")),
+              Json.micros(message, "costTimeMs", 0),
+              Json.numbers(message.get("metrics")));
       default -> null;
     };
   }
@@ -41,24 +46,26 @@
   static List<Listed> sheet(JsonNode message) throws Malformed {
     List<Listed> entries = new ArrayList<>();
     for (JsonNode entry : Json.need(message, "items")) {
-      entries.add(new Listed(
-          Json.text(entry, "server"),
-          (int) Json.whole(entry, "slotNo"),
-          status(Json.text(entry, "status")),
-          Json.micros(entry, "lastStartMs", 0),
-          Json.number(entry, "rating", 1)));
+      entries.add(
+          new Listed(
+              Json.text(entry, "server"),
+              (int) Json.whole(entry, "slotNo"),
+              status(Json.text(entry, "status")),
+              Json.micros(entry, "lastStartMs", 0),
+              Json.number(entry, "rating", 1)));
     }
     return entries;
   }
 
   private static Event announce(JsonNode message, List<List<Listed>> sheets) throws Malformed {
-    ListKind kind = switch (Json.text(message, "mode")) {
-      case "incr" -> ListKind.CHANGES;
-      case "total" -> ListKind.FULL;
-      case "warm_copy" -> ListKind.REMEMBERED;
-      case "lost" -> ListKind.LOST;
-      default -> throw new Malformed("unknown list mode '" + Json.text(message, "mode") + "'");
-    };
+    ListKind kind =
+        switch (Json.text(message, "mode")) {
+          case "incr" -> ListKind.CHANGES;
+          case "total" -> ListKind.FULL;
+          case "warm_copy" -> ListKind.REMEMBERED;
+          case "lost" -> ListKind.LOST;
+          default -> throw new Malformed("unknown list mode '" + Json.text(message, "mode") + "'");
+        };
     if (kind == ListKind.LOST) {
       return new Event.ListSeen(kind, List.of());
     }
--- a/gatherer/src/main/java/tidebank/sim/WireHost.java
+++ b/gatherer/src/main/java/tidebank/sim/WireHost.java
@@ -84,7 +84,8 @@
     long instance = Json.whole(message, "who");
     if (kind.equals("Attach")) {
       JsonNode salt = Json.need(message, "salt");
-      instances.put(instance, new Brain(SettingsReader.read(Json.need(message, "config")), salt.longValue()));
+      instances.put(
+          instance, new Brain(SettingsReader.read(Json.need(message, "config")), salt.longValue()));
       told.put(instance, new ArrayList<>());
     } else if (kind.equals("Retire")) {
       instances.remove(instance);
@@ -92,7 +93,8 @@
     } else {
       Event event = EventCodec.read(message, now, sheets);
       if (!instances.containsKey(instance)) {
-        throw new Malformed("'" + kind + "' for instance " + instance + ", which was never attached");
+        throw new Malformed(
+            "'" + kind + "' for instance " + instance + ", which was never attached");
       }
       List<Event> events = told.computeIfAbsent(instance, absent -> new ArrayList<>());
       if (event != null) {
@@ -101,13 +103,15 @@
     }
   }
 
-  private void decide(long instance, long now, List<Event> events, JsonGenerator reply) throws IOException {
+  private void decide(long instance, long now, List<Event> events, JsonGenerator reply)
+      throws IOException {
     List<Action> actions;
     try {
       actions = instances.get(instance).on(now, events);
     } catch (RuntimeException fault) {
       StackTraceElement[] trace = fault.getStackTrace();
-      ActionCodec.writeBailOut(reply, instance, fault + (trace.length > 0 ? " at " + trace[0] : ""));
+      ActionCodec.writeBailOut(
+          reply, instance, fault + (trace.length > 0 ? " at " + trace[0] : ""));
       return;
     }
     for (Action action : actions) {
--- a/gatherer/src/main/java/tidebank/sim/package-info.java
+++ b/gatherer/src/main/java/tidebank/sim/package-info.java
@@ -1,2 +1,5 @@
-/** The simulator's wire: framing, codecs and the host that spreads a batch over the instances. No decisions. */
+/**
+ * The simulator's wire: framing, codecs and the host that spreads a batch over the instances. No
+ * decisions.
+ */
 package tidebank.sim;
--- a/gatherer/src/test/java/tidebank/BrainTest.java
+++ b/gatherer/src/test/java/tidebank/BrainTest.java
@@ -38,7 +38,8 @@
   @Test
   void whileNothingIsWrongAllPartsGoAndTheAnswerIsWhole() {
     host.start();
-    assertThat(sent(host.scan("q", "part", 0.4, 0.3, 0.2, 0.1))).containsExactly("q0", "q1", "q2", "q3");
+    assertThat(sent(host.scan("q", "part", 0.4, 0.3, 0.2, 0.1)))
+        .containsExactly("q0", "q1", "q2", "q3");
     host.end(Outcome.COMPLETED, "q0", "q1", "q2", "q3");
     assertThat(host.verdicts()).containsExactly(new Action.Answer("q", true));
   }
@@ -62,13 +63,17 @@
     host.layout = new Settings.Layout(1, 3, 3, 1, 0);
     host.start();
     for (int i = 0; i < 5; i++) {
-      host.tell(new Event.ScanTaken("q" + i, 100 + i, "whole", "", host.nowMs * MS, (host.nowMs + 3000) * MS, false, ""),
+      host.tell(
+          new Event.ScanTaken(
+              "q" + i, 100 + i, "whole", "", host.nowMs * MS, (host.nowMs + 3000) * MS, false, ""),
           new Event.PartTaken("p" + i, 100 + i, 0, 1, "same key"));
     }
     assertThat(servers(host.all)).hasSize(5).containsOnly(servers(host.all).get(0));
-    List<Action> next = host.tell(
-        new Event.ScanTaken("z", 200, "whole", "", host.nowMs * MS, (host.nowMs + 3000) * MS, false, ""),
-        new Event.PartTaken("pz", 200, 0, 1, "same key"));
+    List<Action> next =
+        host.tell(
+            new Event.ScanTaken(
+                "z", 200, "whole", "", host.nowMs * MS, (host.nowMs + 3000) * MS, false, ""),
+            new Event.PartTaken("pz", 200, 0, 1, "same key"));
     assertThat(servers(next)).doesNotContain(servers(host.all).get(0));
   }
 
@@ -78,10 +83,13 @@
   void aScanThatWaitedForTheProcessorIsAnsweredByItsTargetTimeAsItsClientCountsIt() {
     host.start();
     host.tell(
-        new Event.ScanTaken("q", 90, "part", "", (host.nowMs - 40) * MS, (host.nowMs + 2960) * MS, false, ""),
-        new Event.PartTaken("q0", 90, 0, 0.6, ""), new Event.PartTaken("q1", 90, 1, 0.4, ""));
+        new Event.ScanTaken(
+            "q", 90, "part", "", (host.nowMs - 40) * MS, (host.nowMs + 2960) * MS, false, ""),
+        new Event.PartTaken("q0", 90, 0, 0.6, ""),
+        new Event.PartTaken("q1", 90, 1, 0.4, ""));
     host.end(Outcome.COMPLETED, "q0");
-    // Of 1000 ms 40 are gone, and the answer may wait as long again: it is given within the 920 between.
+    // Of 1000 ms 40 are gone, and the answer may wait as long again: it is given within the 920
+    // between.
     host.pass(890);
     assertThat(host.verdicts()).isEmpty();
     host.pass(30);
@@ -144,8 +152,11 @@
   void aScanThatLapsedInTheSameBatchGetsNeitherAnswerNorDispatch() {
     host.start();
     host.scan("q", "whole", 0.5, 0.5);
-    assertThat(host.tell(new Event.DispatchEnded("q0", 0, Outcome.ERROR, MS, true, Map.of()),
-        new Event.ScanLapsed("q"))).noneMatch(a -> a instanceof Action.Send || a instanceof Action.Abandon);
+    assertThat(
+            host.tell(
+                new Event.DispatchEnded("q0", 0, Outcome.ERROR, MS, true, Map.of()),
+                new Event.ScanLapsed("q")))
+        .noneMatch(a -> a instanceof Action.Send || a instanceof Action.Abandon);
     assertThat(host.verdicts()).isEmpty();
   }
 
@@ -154,7 +165,9 @@
     host.start();
     host.scan("none", "whole");
     host.scanWithin(2, "late", "whole", 0.5, 0.5);
-    host.tell(new Event.ScanTaken("odd", 50, "unheard of", "", host.nowMs * MS, (host.nowMs + 900) * MS, false, ""),
+    host.tell(
+        new Event.ScanTaken(
+            "odd", 50, "unheard of", "", host.nowMs * MS, (host.nowMs + 900) * MS, false, ""),
         new Event.PartTaken("odd0", 50, 99, 1, ""));
     assertThat(host.verdicts()).hasSize(2).contains(new Action.Throttle("none", 500 * MS));
     host.pass(900);
@@ -198,8 +211,10 @@
 
   @Test
   void aKeyedPartIsNotSentAgainPastItsWindow() {
-    host.types.computeIfPresent("keyed", (name, t) -> new TableType(
-        name, t.repeat(), 300 * MS, t.targetUs(), t.timeoutUs(), 0.3, 1, 1, 0));
+    host.types.computeIfPresent(
+        "keyed",
+        (name, t) ->
+            new TableType(name, t.repeat(), 300 * MS, t.targetUs(), t.timeoutUs(), 0.3, 1, 1, 0));
     host.start();
     host.scan("q", "keyed", 1);
     host.pass(300);
@@ -240,9 +255,13 @@
   @Test
   void nothingGoesToADrainingServer() {
     host.start();
-    host.list(ListKind.CHANGES, line("s0", 0, ServerStatus.DRAINING, 0), line("s1", 1, ServerStatus.GONE, 0));
+    host.list(
+        ListKind.CHANGES,
+        line("s0", 0, ServerStatus.DRAINING, 0),
+        line("s1", 1, ServerStatus.GONE, 0));
     for (int i = 0; i < 8; i++) {
-      assertThat(servers(host.scan("q" + i, "whole", 0.25, 0.25, 0.25, 0.25))).doesNotContain("s0", "s1");
+      assertThat(servers(host.scan("q" + i, "whole", 0.25, 0.25, 0.25, 0.25)))
+          .doesNotContain("s0", "s1");
     }
   }
 
@@ -292,14 +311,17 @@
     for (int i = 0; i < 40; i++) {
       host.scan("q" + i, "whole", 1);
     }
-    // 0.2 of one core, twice over for a second, two gatherers: 0.2 s of work, two parts of a tenth of the target time.
+    // 0.2 of one core, twice over for a second, two gatherers: 0.2 s of work, two parts of a tenth
+    // of the target time.
     assertThat(servers(host.all)).filteredOn("s0"::equals).hasSizeBetween(1, 2);
     host.pass(15_000);
     int before = servers(host.all).size();
     for (int i = 0; i < 40; i++) {
       host.scan("w" + i, "whole", 1);
     }
-    assertThat(servers(host.all).subList(before, servers(host.all).size())).filteredOn("s0"::equals).hasSizeGreaterThan(5);
+    assertThat(servers(host.all).subList(before, servers(host.all).size()))
+        .filteredOn("s0"::equals)
+        .hasSizeGreaterThan(5);
   }
 
   // ---- rule 5: honest answers
@@ -322,7 +344,8 @@
     assertThat(host.verdicts()).containsExactly(new Action.Answer("q", false));
     assertThat(sent(host.secondStep("q", 1, 0, 1))).containsExactly("qx0", "qx1");
     host.end(Outcome.COMPLETED, "qx0", "qx1");
-    assertThat(host.verdicts()).containsExactly(new Action.Answer("q", false), new Action.Answer("q", false));
+    assertThat(host.verdicts())
+        .containsExactly(new Action.Answer("q", false), new Action.Answer("q", false));
   }
 
   // ---- rule 6: the budget of further dispatches
@@ -367,9 +390,11 @@
     host.pass(10);
     host.end(Outcome.FULL, "q0", "q1", "q2", "q3");
     host.pass(1100);
-    List<Action> reply = host.tell(
-        new Event.ScanTaken("again", 90, "whole", "", host.nowMs * MS, (host.nowMs + 2900) * MS, true, "q"),
-        new Event.PartTaken("again0", 90, 0, 1, ""));
+    List<Action> reply =
+        host.tell(
+            new Event.ScanTaken(
+                "again", 90, "whole", "", host.nowMs * MS, (host.nowMs + 2900) * MS, true, "q"),
+            new Event.PartTaken("again0", 90, 0, 1, ""));
     assertThat(reply).contains(new Action.Throttle("again", 500 * MS));
   }
 
@@ -437,7 +462,9 @@
       FakeHost one = new FakeHost();
       one.instances = instances;
       one.start();
-      assertThat(sent(one.scan("q", "part", 0.52, 0.2, 0.18, 0.1))).hasSize(instances == 2 ? 4 : 2).startsWith("q0", "q1");
+      assertThat(sent(one.scan("q", "part", 0.52, 0.2, 0.18, 0.1)))
+          .hasSize(instances == 2 ? 4 : 2)
+          .startsWith("q0", "q1");
     }
   }
 
@@ -475,9 +502,10 @@
       one.instances = fleet;
       one.seed = seeds.nextLong();
       one.start();
-      servers(one.scan("scan-" + i, "whole", weights)).forEach(
-          server -> firsts.merge(server, 1, Integer::sum));
-      // All lose discovery at one moment, five times in a row, and ask again when their waits have passed.
+      servers(one.scan("scan-" + i, "whole", weights))
+          .forEach(server -> firsts.merge(server, 1, Integer::sum));
+      // All lose discovery at one moment, five times in a row, and ask again when their waits have
+      // passed.
       long lostAt = one.nowMs;
       for (int loss = 0; loss < 5; loss++) {
         one.list(ListKind.LOST);
@@ -596,8 +624,12 @@
     host.pass(900);
     host.all.clear();
     host.scan("q", "once", 0.25, 0.25, 0.25, 0.25);
-    Action.Close close = host.all.stream().filter(Action.Close.class::isInstance).map(Action.Close.class::cast)
-        .findFirst().orElseThrow();
+    Action.Close close =
+        host.all.stream()
+            .filter(Action.Close.class::isInstance)
+            .map(Action.Close.class::cast)
+            .findFirst()
+            .orElseThrow();
     Action next = host.all.get(host.all.indexOf(close) + 1);
     assertThat(((Action.Send) next).server()).isEqualTo(close.server());
   }
@@ -628,8 +660,12 @@
   void aServerThatLeftTheListIsForgottenAndAnotherTakesItsPlace() {
     host.start();
     for (int i = 0; i < 50; i++) {
-      host.list(ListKind.CHANGES, line("s0", 0, ServerStatus.GONE, 0), line("s1", 1, ServerStatus.GONE, 0),
-          line("n" + i, 0, ServerStatus.IN_SERVICE, 0), line("n" + (i - 1), 0, ServerStatus.GONE, 0));
+      host.list(
+          ListKind.CHANGES,
+          line("s0", 0, ServerStatus.GONE, 0),
+          line("s1", 1, ServerStatus.GONE, 0),
+          line("n" + i, 0, ServerStatus.IN_SERVICE, 0),
+          line("n" + (i - 1), 0, ServerStatus.GONE, 0));
     }
     assertThat(servers(host.scan("q", "whole", 1))).containsExactly("n49");
   }
--- a/gatherer/src/test/java/tidebank/CaptureTest.java
+++ b/gatherer/src/test/java/tidebank/CaptureTest.java
@@ -30,19 +30,32 @@
 
   private static List<Event> everyEvent(int round) {
     return List.of(
-        new Event.ListSeen(ListKind.FULL, List.of(new Listed("s" + round, 3, ServerStatus.DRAINING, 17, 1.5))),
+        new Event.ListSeen(
+            ListKind.FULL, List.of(new Listed("s" + round, 3, ServerStatus.DRAINING, 17, 1.5))),
         new Event.ListSeen(ListKind.LOST, List.of()),
-        new Event.ScanTaken("a" + round, round, "whole", "caf\u00e9", 4_000_000L, 5_000_000L + round, true, null),
+        new Event.ScanTaken(
+            "a" + round, round, "whole", "caf\u00e9", 4_000_000L, 5_000_000L + round, true, null),
         new Event.PartTaken("a" + round + ".0", round, 0, 0.25, ""),
-        new Event.DispatchEnded("a" + round + ".0", 1, Outcome.SPOILT, 1234, true, Map.of("util", 0.5)),
-        new Event.ScanLapsed("a" + round), new Event.Ending(9_000_000), new Event.TimerDue(Long.MAX_VALUE),
+        new Event.DispatchEnded(
+            "a" + round + ".0", 1, Outcome.SPOILT, 1234, true, Map.of("util", 0.5)),
+        new Event.ScanLapsed("a" + round),
+        new Event.Ending(9_000_000),
+        new Event.TimerDue(Long.MAX_VALUE),
         new Event.Probed("s1", Outcome.TIMED_OUT, 7, Map.of()));
   }
 
   private static List<Action> everyAction(int round) {
-    return List.of(new Action.Send("a.0", "s" + round, 3_000_000), new Action.Cancel("a.0", 2), new Action.Answer("a", true),
-        new Action.Throttle("a", 500), new Action.Abandon("a"), new Action.SetTimer(5000, -3), new Action.Probe("s1"),
-        new Action.Close("s2"), new Action.Follow(true), new Action.Note("noted"));
+    return List.of(
+        new Action.Send("a.0", "s" + round, 3_000_000),
+        new Action.Cancel("a.0", 2),
+        new Action.Answer("a", true),
+        new Action.Throttle("a", 500),
+        new Action.Abandon("a"),
+        new Action.SetTimer(5000, -3),
+        new Action.Probe("s1"),
+        new Action.Close("s2"),
+        new Action.Follow(true),
+        new Action.Note("noted"));
   }
 
   private Recorder.Plan plan(int ring, long segment, long budget) {
@@ -79,7 +92,8 @@
       assertThat(turn.events()).isEqualTo(everyEvent(i));
       assertThat(turn.actions()).isEqualTo(everyAction(i));
     }
-    assertThat(((Entry.Turn) entries.get(1)).digest()).isNotEqualTo(((Entry.Turn) entries.get(2)).digest());
+    assertThat(((Entry.Turn) entries.get(1)).digest())
+        .isNotEqualTo(((Entry.Turn) entries.get(2)).digest());
   }
 
   @Test
@@ -117,14 +131,17 @@
   void aFullRingIsAGapThatIsSaidAndNothingWaits() throws IOException {
     // The writer stands still on its first entry: its clock waits for the test.
     java.util.concurrent.CountDownLatch go = new java.util.concurrent.CountDownLatch(1);
-    Recorder recorder = new Recorder(plan(16, 1 << 20, 10 << 20), () -> {
-      try {
-        go.await();
-      } catch (InterruptedException fault) {
-        Thread.currentThread().interrupt();
-      }
-      return clock.get();
-    });
+    Recorder recorder =
+        new Recorder(
+            plan(16, 1 << 20, 10 << 20),
+            () -> {
+              try {
+                go.await();
+              } catch (InterruptedException fault) {
+                Thread.currentThread().interrupt();
+              }
+              return clock.get();
+            });
     for (int i = 0; i < 100; i++) {
       recorder.turn(clock.addAndGet(1000), everyEvent(i), everyAction(i));
     }
@@ -144,14 +161,17 @@
   @Test
   void whatFoundNoRoomAtTheVeryEndIsSaidToo() throws IOException {
     java.util.concurrent.CountDownLatch go = new java.util.concurrent.CountDownLatch(1);
-    Recorder recorder = new Recorder(plan(16, 1 << 20, 10 << 20), () -> {
-      try {
-        go.await();
-      } catch (InterruptedException fault) {
-        Thread.currentThread().interrupt();
-      }
-      return clock.get();
-    });
+    Recorder recorder =
+        new Recorder(
+            plan(16, 1 << 20, 10 << 20),
+            () -> {
+              try {
+                go.await();
+              } catch (InterruptedException fault) {
+                Thread.currentThread().interrupt();
+              }
+              return clock.get();
+            });
     for (int i = 0; i < 40; i++) {
       recorder.turn(clock.addAndGet(1000), everyEvent(i), everyAction(i));
     }
@@ -165,7 +185,9 @@
   }
 
   private long missing() throws IOException {
-    return read().stream().mapToLong(entry -> entry instanceof Entry.Gap gap ? gap.turns() : 0).sum();
+    return read().stream()
+        .mapToLong(entry -> entry instanceof Entry.Gap gap ? gap.turns() : 0)
+        .sum();
   }
 
   @Test
@@ -197,6 +219,7 @@
     }
     assertThat(bytes).isLessThan(12_000 + 4_000);
     assertThat(left).hasSizeGreaterThan(1);
-    assertThat(left.get(left.size() - 1).getFileName().toString()).isEqualTo("capture-00000039.tbc");
+    assertThat(left.get(left.size() - 1).getFileName().toString())
+        .isEqualTo("capture-00000039.tbc");
   }
 }
--- a/gatherer/src/test/java/tidebank/ColdServerTest.java
+++ b/gatherer/src/test/java/tidebank/ColdServerTest.java
@@ -16,14 +16,16 @@
 import tidebank.model.Outcome;
 
 /**
- * Rule 4 for a whole fleet: what all gatherers together send to a cold server, over every window of the length that the
- * settings name. Modules of different seeds against one cold and one warm server, at a demand of their own each.
+ * Rule 4 for a whole fleet: what all gatherers together send to a cold server, over every window of
+ * the length that the settings name. Modules of different seeds against one cold and one warm
+ * server, at a demand of their own each.
  */
 class ColdServerTest {
   private static final int COLD_MS = 10_000;
   private static final int WINDOW_MS = 1000;
   private static final double COLD_FROM = 0.2;
   private static final double MULTIPLE = 2;
+
   /** What a part takes; a server of size 1 works on one at a time. */
   private static final int WORK_MS = 100;
 
@@ -43,13 +45,15 @@
     one.seed = seed;
     one.tookMs = WORK_MS;
     one.layout = new tidebank.model.Settings.Layout(1, 2, 2, 1, 0);
-    one.limits = new tidebank.model.Settings.Limits(2, false, true, false, true, 500 * MS, 10_000, false);
+    one.limits =
+        new tidebank.model.Settings.Limits(2, false, true, false, true, 500 * MS, 10_000, false);
     one.start();
     return one;
   }
 
   /** The ages of the cold server, in ms, at which it was sent to. */
-  private List<Long> play(int instances, double perSecond, int toldLateMs, double restarts, long seed) {
+  private List<Long> play(
+      int instances, double perSecond, int toldLateMs, double restarts, long seed) {
     Random random = new Random(seed);
     long born = 50_000;
     FakeHost[] fleet = new FakeHost[instances];
@@ -100,9 +104,20 @@
     return 1 + Math.round(-Math.log(1 - random.nextDouble()) * 1000 / perSecond);
   }
 
-  @ParameterizedTest(name = "{0} gatherers, {1} scans a second each, told up to {2} ms late, {3} restarted")
-  @CsvSource({"1, 60, 0, 0", "3, 40, 0, 0", "20, 6, 0, 0", "20, 20, 0, 0.7", "30, 2, 0, 0", "30, 12, 0, 0", "30, 12, 1500, 0.7", "100, 1, 0, 0",
-      "100, 4, 0, 0.7", "100, 4, 3000, 0"})
+  @ParameterizedTest(
+      name = "{0} gatherers, {1} scans a second each, told up to {2} ms late, {3} restarted")
+  @CsvSource({
+    "1, 60, 0, 0",
+    "3, 40, 0, 0",
+    "20, 6, 0, 0",
+    "20, 20, 0, 0.7",
+    "30, 2, 0, 0",
+    "30, 12, 0, 0",
+    "30, 12, 1500, 0.7",
+    "100, 1, 0, 0",
+    "100, 4, 0, 0.7",
+    "100, 4, 3000, 0"
+  })
   void aFleetSendsAColdServerNoMoreThanItsBudgetAndALittleChanceAndStillWarmsIt(
       int instances, double perSecond, int toldLateMs, double restarts) {
     double all = 0;
@@ -115,7 +130,9 @@
           window++;
         }
         double n = allowed(sent.get(i));
-        assertThat((double) window).as("seed %d, at %d ms", seed, sent.get(i)).isLessThanOrEqualTo(n + 2 * Math.sqrt(n) + 2);
+        assertThat((double) window)
+            .as("seed %d, at %d ms", seed, sent.get(i))
+            .isLessThanOrEqualTo(n + 2 * Math.sqrt(n) + 2);
       }
     }
     // The budget of the whole ramp: the mean of its ends for as many windows as it lasts.
--- a/gatherer/src/test/java/tidebank/CrossingsTest.java
+++ b/gatherer/src/test/java/tidebank/CrossingsTest.java
@@ -3,7 +3,6 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static tidebank.FakeSite.FakeClient.scan;
 
-import java.io.File;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -25,7 +24,10 @@
 import tidebank.FakeSite.FakeShardServer.Frame;
 import tidebank.node.Gatherer;
 
-/** Two things that happen at one moment, forced over loopback from both sides. docs/notes/crossings.md has the table. */
+/**
+ * Two things that happen at one moment, forced over loopback from both sides.
+ * docs/notes/crossings.md has the table.
+ */
 @Timeout(30)
 class CrossingsTest {
   private final FakeSite site = new FakeSite();
@@ -47,28 +49,44 @@
     return one;
   }
 
-  /** Has the event loop stand still until what it returns is counted down; it does so when this returns. */
+  /**
+   * Has the event loop stand still until what it returns is counted down; it does so when this
+   * returns.
+   */
   private CountDownLatch standStill() throws Exception {
     java.lang.reflect.Field loop = Gatherer.class.getDeclaredField("loop");
     loop.setAccessible(true);
     CountDownLatch stands = new CountDownLatch(1);
     CountDownLatch go = new CountDownLatch(1);
-    ((Executor) loop.get(site.gatherer())).execute(() -> {
-      stands.countDown();
-      try {
-        go.await();
-      } catch (InterruptedException fault) {
-        Thread.currentThread().interrupt();
-      }
-    });
+    ((Executor) loop.get(site.gatherer()))
+        .execute(
+            () -> {
+              stands.countDown();
+              try {
+                go.await();
+              } catch (InterruptedException fault) {
+                Thread.currentThread().interrupt();
+              }
+            });
     stands.await();
     return go;
   }
 
   private FakeClient program() throws Exception {
-    site.program(Map.of("NODE_CONFIG", site.configFile().toString(), "NODE_NAME", "n7", "NODE_LISTEN", "127.0.0.1:0"), "serve");
-    return new FakeClient(new InetSocketAddress("127.0.0.1", Integer.parseInt(
-        log("gatherer n7 listens on").replaceAll(".*127.0.0.1:(\\d+).*", "$1"))));
+    site.program(
+        Map.of(
+            "NODE_CONFIG",
+            site.configFile().toString(),
+            "NODE_NAME",
+            "n7",
+            "NODE_LISTEN",
+            "127.0.0.1:0"),
+        "serve");
+    return new FakeClient(
+        new InetSocketAddress(
+            "127.0.0.1",
+            Integer.parseInt(
+                log("gatherer n7 listens on").replaceAll(".*127.0.0.1:(\\d+).*", "$1"))));
   }
 
   private String log(String part) throws IOException {
@@ -93,7 +111,9 @@
 
   /** How a client ends its connection. */
   enum End {
-    FIN, RESET, HALF;
+    FIN,
+    RESET,
+    HALF;
 
     void end(FakeClient client) throws IOException {
       if (this == HALF) {
@@ -179,7 +199,8 @@
   @Test
   void whatCameInTimeIsTakenAlthoughTheLoopStoodStillPastTheTimeForIt() throws Exception {
     site.start();
-    try (FakeClient asks = site.client(); FakeClient first = site.client()) {
+    try (FakeClient asks = site.client();
+        FakeClient first = site.client()) {
       // By this answer both are accepted, and the time for their first requests runs.
       assertThat(asks.ready()).isEqualTo(200);
       CountDownLatch go = standStill();
@@ -207,13 +228,15 @@
       CountDownLatch go = standStill();
       // More than is read in one pass, and it goes on while the answer is under way.
       client.send("x".repeat(300_000));
-      Thread more = new Thread(() -> {
-        try {
-          client.send("x".repeat(3_000_000));
-        } catch (IOException ended) {
-          // The gatherer's time for it is up, or it has read enough.
-        }
-      });
+      Thread more =
+          new Thread(
+              () -> {
+                try {
+                  client.send("x".repeat(3_000_000));
+                } catch (IOException ended) {
+                  // The gatherer's time for it is up, or it has read enough.
+                }
+              });
       more.start();
       frame.answer("good", "y".repeat(60_000));
       go.countDown();
@@ -236,11 +259,13 @@
       client.ask(scan("whole", "a", 2000, 1).replace("Host: x", "Host: x\r\nConnection: close"));
       assertThat(client.ended()).isTrue();
       long start = System.nanoTime();
-      org.assertj.core.api.Assertions.assertThatThrownBy(() -> {
-        while (System.nanoTime() - start < 6_000_000_000L) {
-          client.send("x");
-        }
-      }).isInstanceOf(IOException.class);
+      org.assertj.core.api.Assertions.assertThatThrownBy(
+              () -> {
+                while (System.nanoTime() - start < 6_000_000_000L) {
+                  client.send("x");
+                }
+              })
+          .isInstanceOf(IOException.class);
     }
   }
 
@@ -251,7 +276,8 @@
     Path pipe = Files.createTempDirectory("pipe").resolve("config");
     assertThat(new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor()).isZero();
     site.program(Map.of("NODE_CONFIG", pipe.toString()), "serve");
-    // Opening a pipe for writing waits for its reader, so the program is about to read its configuration now.
+    // Opening a pipe for writing waits for its reader, so the program is about to read its
+    // configuration now.
     try (java.io.OutputStream writer = Files.newOutputStream(pipe)) {
       signal("HUP");
       signal("TERM");
@@ -280,9 +306,11 @@
 
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void aRequestWhoseHeadIsInAtSigtermIsAnsweredIfItsBodyComesAndNeverHoldsTheEndUp(boolean comes) throws Exception {
+  void aRequestWhoseHeadIsInAtSigtermIsAnsweredIfItsBodyComesAndNeverHoldsTheEndUp(boolean comes)
+      throws Exception {
     String request = scan("once", "half", 2900, 1);
-    try (FakeClient half = program(); FakeClient rests = half.again()) {
+    try (FakeClient half = program();
+        FakeClient rests = half.again()) {
       assertThat(rests.ready()).isEqualTo(200);
       long start = System.nanoTime();
       half.send(request.substring(0, request.length() - 5));
@@ -306,7 +334,8 @@
   void aClientThatKeepsItsSideOpenPastItsLastAnswerIsWaitedForShortlyOnly() throws Exception {
     silence();
     FakeShardServer server = only();
-    try (FakeClient stays = program(); FakeClient waits = stays.again()) {
+    try (FakeClient stays = program();
+        FakeClient waits = stays.again()) {
       stays.send(scan("once", "a", 2900, 1));
       Frame first = server.next();
       waits.send(scan("once", "b", 2900, 1));
@@ -317,7 +346,8 @@
       assertThat(stays.read().status()).isEqualTo(200);
       second.answer("good", "y");
       assertThat(waits.read().status()).isEqualTo(200);
-      // Both are still open on our side; the program ends well before the time that it was promised.
+      // Both are still open on our side; the program ends well before the time that it was
+      // promised.
       long answered = System.nanoTime();
       endsWith0();
       assertThat((System.nanoTime() - answered) / 1_000_000).isLessThan(2000);
@@ -381,20 +411,22 @@
       for (int i = 0; i < 8; i++) {
         FakeClient one = first.again();
         String name = "c" + i;
-        Thread asks = new Thread(() -> {
-          String id = "";
-          try (one) {
-            for (int n = 0; ; n++) {
-              id = name + "x" + n;
-              if (one.ask(scan("once", id, 2900, 0.5, 0.5)).status() != 200) {
-                unanswered.add("refused " + id);
-              }
-              asked.countDown();
-            }
-          } catch (IOException ended) {
-            unanswered.add(id);
-          }
-        });
+        Thread asks =
+            new Thread(
+                () -> {
+                  String id = "";
+                  try (one) {
+                    for (int n = 0; ; n++) {
+                      id = name + "x" + n;
+                      if (one.ask(scan("once", id, 2900, 0.5, 0.5)).status() != 200) {
+                        unanswered.add("refused " + id);
+                      }
+                      asked.countDown();
+                    }
+                  } catch (IOException ended) {
+                    unanswered.add(id);
+                  }
+                });
         clients.add(asks);
         asks.start();
       }
@@ -405,10 +437,12 @@
       }
       endsWith0();
     }
-    // One a client: the request that crossed the end of its connection, which its client may send again elsewhere.
+    // One a client: the request that crossed the end of its connection, which its client may send
+    // again elsewhere.
     assertThat(unanswered).hasSize(8).noneMatch(id -> id.startsWith("refused"));
     for (FakeShardServer server : site.servers) {
-      assertThat(server.frames).noneMatch(frame -> unanswered.contains(frame.part().split("[.]")[0]));
+      assertThat(server.frames)
+          .noneMatch(frame -> unanswered.contains(frame.part().split("[.]")[0]));
     }
   }
 
@@ -430,10 +464,13 @@
       site.servers.forEach(server -> server.answers = true);
       int before = site.servers.stream().mapToInt(server -> server.accepted.get()).sum();
       for (int i = 0; i < 8; i++) {
-        assertThat(client.ask(scan("whole", "b" + i, 2900, 1)).body()).contains("value of b" + i + ".0");
+        assertThat(client.ask(scan("whole", "b" + i, 2900, 1)).body())
+            .contains("value of b" + i + ".0");
       }
-      // Each replica of shard 0 has one connection, or a new one in place of that which had been silent.
-      assertThat(site.servers.stream().mapToInt(server -> server.accepted.get()).sum() - before).isLessThanOrEqualTo(1);
+      // Each replica of shard 0 has one connection, or a new one in place of that which had been
+      // silent.
+      assertThat(site.servers.stream().mapToInt(server -> server.accepted.get()).sum() - before)
+          .isLessThanOrEqualTo(1);
     }
   }
 
@@ -451,7 +488,8 @@
 
   @Test
   void aDialThatComesUpWhenItsScanIsOverCarriesNothingOfIt() throws Exception {
-    try (java.net.ServerSocket full = new java.net.ServerSocket(0, 1, java.net.InetAddress.getByName("127.0.0.1"));
+    try (java.net.ServerSocket full =
+            new java.net.ServerSocket(0, 1, java.net.InetAddress.getByName("127.0.0.1"));
         java.net.Socket one = new java.net.Socket("127.0.0.1", full.getLocalPort());
         java.net.Socket two = new java.net.Socket("127.0.0.1", full.getLocalPort())) {
       FakeShardServer server = only();
@@ -459,8 +497,10 @@
       server.listener = full;
       site.limits.put("connectTimeoutMs", 5000);
       site.start();
-      try (FakeClient client = site.client(); FakeClient other = site.client()) {
-        // Abandoned, as for the module a part that waits for its dial is out; throttled if that is known never to have run by then.
+      try (FakeClient client = site.client();
+          FakeClient other = site.client()) {
+        // Abandoned, as for the module a part that waits for its dial is out; throttled if that is
+        // known never to have run by then.
         assertThat(client.ask(scan("once", "over", 300, 1)).status()).isIn(500, 503);
         other.send(scan("once", "here", 2900, 1));
         assertThat(client.ready()).isEqualTo(200);
@@ -479,7 +519,8 @@
   // ---- descriptors
 
   @Test
-  void idleClientsUpToTheLimitWhileDiscoveryIsDownLeaveRoomForItForServersAndForWhoAsks() throws Exception {
+  void idleClientsUpToTheLimitWhileDiscoveryIsDownLeaveRoomForItForServersAndForWhoAsks()
+      throws Exception {
     site.sockets = 128;
     site.limited = true;
     site.discovery.instead = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
@@ -495,7 +536,9 @@
         }
         if (i % 20 == 0) {
           try (FakeClient asks = first.again()) {
-            assertThat(asks.ask(scan("whole", "a" + i, 2900, 0.25, 0.25, 0.25, 0.25)).status()).as("after %d", i).isEqualTo(200);
+            assertThat(asks.ask(scan("whole", "a" + i, 2900, 0.25, 0.25, 0.25, 0.25)).status())
+                .as("after %d", i)
+                .isEqualTo(200);
           }
         }
       }
@@ -506,7 +549,11 @@
       site.discovery.call("after=42");
       signal("TERM");
       endsWith0();
-      assertThat(site.errors.lines().filter(line -> line.contains("Too many open files") || line.contains("ERROR"))).isEmpty();
+      assertThat(
+              site.errors
+                  .lines()
+                  .filter(line -> line.contains("Too many open files") || line.contains("ERROR")))
+          .isEmpty();
     } finally {
       for (FakeClient one : idle) {
         one.close();
@@ -545,7 +592,12 @@
   @Test
   void anAnswerWithoutALengthIsWholeByItsEndAndNeverByAReset() throws Exception {
     site.askEveryMs = 6000;
-    String only1 = "HTTP/1.1 200 OK\r\n\r\n" + site.discovery.list(true).replace("\"seq\":41", "\"seq\":77").replace("Ready", "Terminating");
+    String only1 =
+        "HTTP/1.1 200 OK\r\n\r\n"
+            + site.discovery
+                .list(true)
+                .replace("\"seq\":41", "\"seq\":77")
+                .replace("Ready", "Terminating");
     site.discovery.instead = only1;
     site.discovery.resets = true;
     site.start();
@@ -568,8 +620,13 @@
 
   @Test
   void anIndentedListIsAList() throws Exception {
-    site.discovery.instead = FakeSite.FakeDiscovery.http(
-        site.discovery.list(true).replace("\"seq\":41", "\"seq\":77").replace(",", ",\r\n\t  ").replace("{", "{ \n"));
+    site.discovery.instead =
+        FakeSite.FakeDiscovery.http(
+            site.discovery
+                .list(true)
+                .replace("\"seq\":41", "\"seq\":77")
+                .replace(",", ",\r\n\t  ")
+                .replace("{", "{ \n"));
     site.start();
     site.discovery.call("after=41");
     site.discovery.instead = null;
--- a/gatherer/src/test/java/tidebank/FakeHost.java
+++ b/gatherer/src/test/java/tidebank/FakeHost.java
@@ -1,37 +1,9 @@
 package tidebank;
 
-import java.io.BufferedInputStream;
-import java.io.BufferedReader;
-import java.io.DataInputStream;
-import java.io.EOFException;
-import java.io.File;
-import java.io.IOException;
-import java.io.InputStream;
-import java.io.InputStreamReader;
-import java.io.UncheckedIOException;
-import java.net.InetAddress;
-import java.net.InetSocketAddress;
-import java.net.ServerSocket;
-import java.net.Socket;
-import java.net.SocketException;
-import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
-import java.nio.file.Files;
-import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
-import java.util.TreeMap;
-import java.util.concurrent.BlockingQueue;
-import java.util.concurrent.ConcurrentHashMap;
-import java.util.concurrent.LinkedBlockingQueue;
-import java.util.concurrent.TimeUnit;
-import java.util.concurrent.atomic.AtomicInteger;
-import java.util.stream.Collectors;
-import org.assertj.core.api.Assertions;
-import tidebank.config.NodeConfig;
 import tidebank.model.Action;
 import tidebank.model.Event;
 import tidebank.model.Event.ListKind;
@@ -41,7 +13,6 @@
 import tidebank.model.Repeat;
 import tidebank.model.Settings;
 import tidebank.model.TableType;
-import tidebank.node.Gatherer;
 
 /** One instance, a clock in milliseconds, timers that fire, and what the module asked for. */
 final class FakeHost {
@@ -57,8 +28,10 @@
   long nowMs = 1000;
   int instances = 2;
   int rank = -1;
+
   /** Whether it was told of a server that has just started. */
   boolean toldOfStart;
+
   long seed = 7;
   long tookMs = 100;
   private Brain brain;
@@ -78,8 +51,8 @@
 
   /** Every type: target time 1 s, query timeout 3 s, repeats dropped for 2 s. */
   void type(String name, Repeat repeat, double floor, double late, int second) {
-    types.put(name, new TableType(
-        name, repeat, 2000 * MS, 1000 * MS, 3000 * MS, late, floor, 1, second));
+    types.put(
+        name, new TableType(name, repeat, 2000 * MS, 1000 * MS, 3000 * MS, late, floor, 1, second));
   }
 
   Settings settings() {
@@ -113,7 +86,9 @@
 
   List<Action> scanWithin(long leftMs, String id, String type, double... weights) {
     long number = ++numbers;
-    told.add(new Event.ScanTaken(id, number, type, "anyone", nowMs * MS, (nowMs + leftMs) * MS, false, id));
+    told.add(
+        new Event.ScanTaken(
+            id, number, type, "anyone", nowMs * MS, (nowMs + leftMs) * MS, false, id));
     for (int shard = 0; shard < weights.length; shard++) {
       told.add(new Event.PartTaken(id + shard, number, shard, weights[shard], ""));
     }
@@ -130,7 +105,9 @@
   /** Ends the latest dispatch of each of these parts. */
   List<Action> end(Outcome outcome, String... parts) {
     for (String part : parts) {
-      told.add(new Event.DispatchEnded(part, tries.get(part) - 1, outcome, tookMs * MS, false, Map.of()));
+      told.add(
+          new Event.DispatchEnded(
+              part, tries.get(part) - 1, outcome, tookMs * MS, false, Map.of()));
     }
     return tell();
   }
@@ -169,431 +146,27 @@
   }
 
   static List<String> sent(List<Action> actions) {
-    return actions.stream().filter(Action.Send.class::isInstance).map(a -> ((Action.Send) a).part()).toList();
+    return actions.stream()
+        .filter(Action.Send.class::isInstance)
+        .map(a -> ((Action.Send) a).part())
+        .toList();
   }
 
   static List<String> servers(List<Action> actions) {
-    return actions.stream().filter(Action.Send.class::isInstance).map(a -> ((Action.Send) a).server()).toList();
+    return actions.stream()
+        .filter(Action.Send.class::isInstance)
+        .map(a -> ((Action.Send) a).server())
+        .toList();
   }
 
   /** All final answers and steps so far, in order. */
   List<Action> verdicts() {
-    return all.stream().filter(a -> a instanceof Action.Answer || a instanceof Action.Throttle
-        || a instanceof Action.Abandon).toList();
-  }
-}
-
-/** Small stand-ins on loopback ports of the system's choice: discovery, shard servers, a client; and a gatherer's file. */
-final class FakeSite implements AutoCloseable {
-  static final int WAIT_MS = 8000;
-
-  final List<FakeShardServer> servers = new ArrayList<>();
-  final FakeDiscovery discovery = new FakeDiscovery(this);
-  final Map<String, Object> limits = new LinkedHashMap<>(Map.of("maxAttempts", 3, "secondCopies", true, "cancel", true,
-      "connectTimeoutMs", 200, "keepaliveMs", 20000, "maxStreams", 100, "mostHeld", 200));
-  final Map<String, Object> file = new LinkedHashMap<>(Map.of("name", "n0", "listen", "127.0.0.1:0",
-      "seed", "8c1f30d27a5be964"));
-  int sockets = 1024;
-  /** Whether the program is started under a limit of descriptors that binds. */
-  boolean limited;
-  int bundleMost = 1;
-  int askEveryMs = 12_000;
-  int targetMs = 1000;
-  boolean known = true;
-  String mode = "ask";
-  private Gatherer gatherer;
-  Process process;
-  Path path;
-  BufferedReader errors;
-
-  /** Shards 0 to 3 at four positions, each held by two servers: s0 at position 0, s1 at 1 and so on. */
-  FakeSite() {
-    for (int block = 0; block < 4; block++) {
-      servers.add(new FakeShardServer("s" + block, block));
-    }
-  }
-
-  private String type(String name, String repeat, double late) {
-    return "{'name':'" + name + "','semantics':'" + repeat + "','onTimeMs':" + targetMs + ",'deadlineMs':"
-        + 3 * targetMs + ",'windowMs':2000,"
-        + "'lateWorth':" + late + ",'worth':1}";
-  }
-
-  String config() {
-    file.put("discovery", discovery.address());
-    String settings = "{'instances':2,'tickMs':5,'discovery':'" + mode + "','services':[" + type("whole", "read_like", 0.1) + ","
-        + type("part", "read_like", 0) + "," + type("once", "non_idempotent", 0.3) + "],'specifics':{'slices':4,"
-        + "'positions':4,'width':2,'bundleMax':" + bundleMost + ",'floorByClass':[1,0.5,1],'classNeed':[1,1,1]},"
-        + "'limits':" + json(limits) + ",'guarantees':{'answerSlackMs':20,'askEveryMs':" + askEveryMs
-        + ",'stopSendingWithinMs':500,'coldFrom':0.3,'coldMs':0,'fallMultiple':2,'tipAfterMs':1000},"
-        + "'report':{'how':'on_probe'}}";
-    String top = json(file);
-    return (top.substring(0, top.length() - 1) + ",'limits':{'sockets':" + sockets + "}"
-        + (known ? ",'known':" + discovery.list(true) : "") + ",'settings':" + settings + "}").replace('\'', '"');
-  }
-
-  private static String json(Map<String, Object> values) {
-    return values.entrySet().stream()
-        .map(e -> "'" + e.getKey() + "':" + (e.getValue() instanceof String s ? "'" + s + "'" : e.getValue()))
-        .collect(Collectors.joining(",", "{", "}"));
-  }
-
-  Path configFile() throws IOException {
-    path = Files.createTempFile("gatherer", ".json");
-    path.toFile().deleteOnExit();
-    return Files.writeString(path, config());
-  }
-
-  /** Starts a gatherer in this process, from the environment and the file as the program does. */
-  FakeSite start() throws IOException {
-    gatherer = Gatherer.start(
-        NodeConfig.read(Map.of("NODE_CONFIG", configFile().toString())));
-    return this;
-  }
-
-  /** Starts the program itself, as {@code run} does; its standard error is the result's. */
-  Process program(Map<String, String> env, String... args) throws IOException {
-    List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java")
-        .toString(), "-ea", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-cp",
-        System.getProperty("java.class.path"), "tidebank.Main"));
-    command.addAll(List.of(args));
-    if (limited) {
-      // As many as it is told of, and those of the test's class path, which is a single jar in service.
-      int jars = System.getProperty("java.class.path").split(File.pathSeparator).length;
-      command.addAll(0, List.of("/bin/sh", "-c", "ulimit -n " + (sockets + jars) + "; exec \"$@\"", "sh"));
-    }
-    // A JVM leaves a signal alone that it inherits as ignored, as under nohup, and so would never hear of SIGHUP.
-    command.addAll(0, List.of("env", "--default-signal=HUP"));
-    ProcessBuilder builder = new ProcessBuilder(command);
-    builder.environment().putAll(env);
-    process = builder.start();
-    errors = process.errorReader();
-    return process;
-  }
-
-  Gatherer gatherer() {
-    return gatherer;
-  }
-
-  FakeClient client() throws IOException {
-    return new FakeClient(gatherer.address());
-  }
-
-  @Override
-  public void close() throws Exception {
-    if (process != null) {
-      process.destroyForcibly().waitFor();
-    }
-    if (gatherer != null) {
-      gatherer.stop().get(WAIT_MS, TimeUnit.MILLISECONDS);
-    }
-    discovery.close();
-    for (FakeShardServer server : servers) {
-      server.close();
-    }
-  }
-
-  /** Accepts connections and serves each on a thread of its own. */
-  abstract static class FakeServer implements AutoCloseable {
-    interface Served {
-      void serve(Socket socket) throws IOException, InterruptedException;
-    }
-
-    final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
-    final AtomicInteger accepted = new AtomicInteger();
-    ServerSocket listener;
-
-    void open(Served served) {
-      try {
-        listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-      } catch (IOException fault) {
-        throw new UncheckedIOException(fault);
-      }
-      ServerSocket mine = listener;
-      background(() -> {
-        while (true) {
-          Socket socket = mine.accept();
-          accepted.incrementAndGet();
-          sockets.add(socket);
-          background(() -> {
-            try (socket) {
-              served.serve(socket);
-            } finally {
-              sockets.remove(socket);
-            }
-          });
-        }
-      });
-    }
-
-    private interface Task {
-      void run() throws Exception;
-    }
-
-    private static void background(Task task) {
-      Thread thread = new Thread(() -> {
-        try {
-          task.run();
-        } catch (Exception ended) {
-          // The other side or the test closed the socket.
-        }
-      });
-      thread.setDaemon(true);
-      thread.start();
-    }
-
-    String address() {
-      return "127.0.0.1:" + listener.getLocalPort();
-    }
-
-    void cut() throws IOException {
-      for (Socket socket : sockets) {
-        try {
-          socket.setSoLinger(true, 0);
-        } catch (SocketException closed) {
-          // The gatherer was first.
-        }
-        socket.close();
-      }
-    }
-
-    @Override
-    public void close() throws IOException {
-      listener.close();
-      cut();
-    }
-  }
-
-  /** Reads frames. A part is answered at once, or handed to the test. */
-  static final class FakeShardServer extends FakeServer {
-    /** A frame as it came, and the connection to answer on. */
-    record Frame(char letter, String rest, Socket socket) {
-      String part() {
-        return rest.split(" ")[0];
-      }
-
-      void answer(String end, String value) throws IOException {
-        raw(frame('q', part() + " " + end + " 7 util=0.61\n" + value));
-      }
-
-      void raw(byte[] bytes) throws IOException {
-        socket.getOutputStream().write(bytes);
-      }
-    }
-
-    final String id;
-    final int block;
-    final BlockingQueue<Frame> frames = new LinkedBlockingQueue<>();
-    volatile boolean answers = true;
-    volatile String health = "Ready";
-
-    FakeShardServer(String id, int block) {
-      this.id = id;
-      this.block = block;
-      reopen();
-    }
-
-    void reopen() {
-      open(socket -> {
-        DataInputStream in = new DataInputStream(socket.getInputStream());
-        while (true) {
-          byte[] bytes = in.readNBytes(in.readInt());
-          Frame frame = new Frame((char) bytes[0],
-              new String(bytes, 1, bytes.length - 1, StandardCharsets.UTF_8), socket);
-          // How it is answered is settled before the test hears of it.
-          boolean settled = answers;
-          frames.add(frame);
-          if (settled && frame.letter == 'm') {
-            frame.answer("good", "value of " + frame.part());
-          }
-        }
-      });
-    }
-
-    Frame next() throws InterruptedException {
-      Frame frame = frames.poll(WAIT_MS, TimeUnit.MILLISECONDS);
-      Assertions.assertThat(frame).as("a frame at " + id).isNotNull();
-      return frame;
-    }
-
-    static byte[] frame(char letter, String rest) {
-      return frame(letter, rest.getBytes(StandardCharsets.UTF_8));
-    }
-
-    static byte[] frame(char letter, byte[] bytes) {
-      return ByteBuffer.allocate(5 + bytes.length).putInt(1 + bytes.length).put((byte) letter).put(bytes).array();
-    }
-  }
-
-  /** Tells the list, whole or by changes, or fails as it is told to. */
-  static final class FakeDiscovery extends FakeServer {
-    private final FakeSite site;
-    final BlockingQueue<String> calls = new LinkedBlockingQueue<>();
-    /** What to answer in place of the list: raw HTTP, "" to say nothing. */
-    volatile String instead;
-    /** How the connection ends behind what is answered instead: by a reset, or by an end that is whole; null: not. */
-    volatile Boolean resets;
-    int version = 41;
-    private String changed = "";
-    /** One permit lets one connection end. */
-    final java.util.concurrent.Semaphore awaitRead = new java.util.concurrent.Semaphore(0);
-
-    FakeDiscovery(FakeSite site) {
-      this.site = site;
-      open(this::serve);
-    }
-
-    private void serve(Socket socket) throws IOException, InterruptedException {
-      BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream()));
-      for (String line = in.readLine(); line != null; line = in.readLine()) {
-        if (line.startsWith("GET ")) {
-          String path = line.split(" ")[1];
-          // How it is answered is settled before the test hears of it.
-          String settled = instead;
-          Boolean reset = resets;
-          calls.add(path);
-          String reply = settled != null ? settled : http(path.contains("after=") ? changes(path) : list(true));
-          socket.getOutputStream().write(reply.getBytes(StandardCharsets.UTF_8));
-          if (settled != null && reset != null) {
-            awaitRead.acquire();
-            if (reset) {
-              socket.setSoLinger(true, 0);
-            }
-            return;
-          }
-        }
-      }
-    }
-
-    static String http(String body) {
-      return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
-    }
-
-    private synchronized String changes(String path) throws InterruptedException {
-      int after = Integer.parseInt(path.replaceAll(".*after=(\\d+).*", "$1"));
-      long until = System.nanoTime() + Long.parseLong(path.replaceAll(".*wait_ms=(\\d+).*", "$1")) * 1_000_000;
-      while (version <= after && System.nanoTime() < until) {
-        wait(Math.max(1, (until - System.nanoTime()) / 1_000_000));
-      }
-      return "{\"seq\":" + version + ",\"whole\":false,\"hosts\":[" + (version > after ? changed : "") + "]}";
-    }
-
-    /** Tells a change of this server. */
-    synchronized void change(FakeShardServer server, String health) {
-      server.health = health;
-      changed = line(server);
-      version++;
-      notifyAll();
-    }
-
-    String list(boolean whole) {
-      return "{\"seq\":" + version + ",\"whole\":" + whole + ",\"hosts\":["
-          + String.join(",", site.servers.stream().map(FakeDiscovery::line).toList()) + "]}";
-    }
-
-    static String line(FakeShardServer server) {
-      return ("{'host':'" + server.id + "','dial':'" + server.address() + "','site':'a','class':'m','block':" + server.block
-          + ",'health':'" + server.health + "','share':1.0,'born_ms':0}").replace('\'', '"');
-    }
-
-    /** Waits for a call of this kind. */
-    String call(String part) throws InterruptedException {
-      while (true) {
-        String call = calls.poll(WAIT_MS, TimeUnit.MILLISECONDS);
-        Assertions.assertThat(call).as("a call of discovery with " + part).isNotNull();
-        if (call.contains(part)) {
-          return call;
-        }
-      }
-    }
-  }
-
-  /** A client that writes what it is told to, byte for byte. */
-  static final class FakeClient implements AutoCloseable {
-    record Response(int status, Map<String, String> headers, String body) {}
-
-    final Socket socket;
-    private final InputStream in;
-
-    FakeClient(InetSocketAddress address) throws IOException {
-      this(address, 0);
-    }
-
-    /** One that takes in no more than about so many bytes before it reads; 0: as many as the system likes. */
-    FakeClient(InetSocketAddress address, int receives) throws IOException {
-      socket = new Socket();
-      if (receives > 0) {
-        socket.setReceiveBufferSize(receives);
-      }
-      socket.connect(address);
-      socket.setSoTimeout(WAIT_MS);
-      socket.setTcpNoDelay(true);
-      in = new BufferedInputStream(socket.getInputStream());
-    }
-
-    /** The request of a scan with these weights, one part a shard. */
-    static String scan(String type, String id, int timeLeftMs, double... weights) {
-      StringBuilder ranges = new StringBuilder();
-      for (int shard = 0; shard < weights.length; shard++) {
-        ranges.append(shard > 0 ? "," : "").append("{\"range\":").append(shard).append(",\"portion\":")
-            .append(weights[shard]).append("}");
-      }
-      return post("/" + type, id, timeLeftMs + "m", "{\"ranges\":[" + ranges + "],\"predicate\":\"c41e77d0\"}");
-    }
-
-    static String post(String path, String id, String timeLeft, String body) {
-      return "POST " + path + " HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: " + id + "\r\nX-Account: a\r\nX-Time-Left: "
-          + timeLeft + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
-    }
-
-    /** Another client of the same gatherer. */
-    FakeClient again() throws IOException {
-      return new FakeClient((InetSocketAddress) socket.getRemoteSocketAddress());
-    }
-
-    FakeClient send(String raw) throws IOException {
-      socket.getOutputStream().write(raw.getBytes(StandardCharsets.UTF_8));
-      return this;
-    }
-
-    Response ask(String raw) throws IOException {
-      return send(raw).read();
-    }
-
-    int ready() throws IOException {
-      return ask("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").status;
-    }
-
-    Response read() throws IOException {
-      String status = line();
-      Map<String, String> headers = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
-      for (String line = line(); !line.isEmpty(); line = line()) {
-        headers.put(line.split(": ")[0], line.split(": ")[1]);
-      }
-      byte[] body = in.readNBytes(Integer.parseInt(headers.get("Content-Length")));
-      return new Response(Integer.parseInt(status.split(" ")[1]), headers,
-          new String(body, StandardCharsets.UTF_8));
-    }
-
-    private String line() throws IOException {
-      StringBuilder line = new StringBuilder();
-      for (int next = in.read(); next != '\n'; next = in.read()) {
-        if (next < 0) {
-          throw new EOFException("the gatherer ended the connection");
-        }
-        line.append(next == '\r' ? "" : (char) next);
-      }
-      return line.toString();
-    }
-
-    /** Whether the gatherer has ended the connection. */
-    boolean ended() throws IOException {
-      return in.read() < 0;
-    }
-
-    @Override
-    public void close() throws IOException {
-      socket.close();
-    }
+    return all.stream()
+        .filter(
+            a ->
+                a instanceof Action.Answer
+                    || a instanceof Action.Throttle
+                    || a instanceof Action.Abandon)
+        .toList();
   }
 }
--- a/gatherer/src/test/java/tidebank/GathererTest.java
+++ b/gatherer/src/test/java/tidebank/GathererTest.java
@@ -23,11 +23,11 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
+import org.slf4j.event.Level;
 import tidebank.FakeSite.FakeClient;
 import tidebank.FakeSite.FakeClient.Response;
 import tidebank.FakeSite.FakeShardServer;
 import tidebank.FakeSite.FakeShardServer.Frame;
-import org.slf4j.event.Level;
 import tidebank.base.Log;
 
 /** A gatherer on sockets, between a client, shard servers and discovery that are stand-ins. */
@@ -41,27 +41,29 @@
   static void watchForLeaks() {
     Log.style(new Log.Style(Level.WARN, Log.Form.TEXT, 50));
     ResourceLeakDetector.setLevel(ResourceLeakDetector.Level.PARANOID);
-    ResourceLeakDetectorFactory.setResourceLeakDetectorFactory(new ResourceLeakDetectorFactory() {
-      @Override
-      public <T> ResourceLeakDetector<T> newResourceLeakDetector(Class<T> resource, int interval, long most) {
-        return new ResourceLeakDetector<>(resource, interval) {
-          @Override
-          protected boolean needReport() {
-            return true;
-          }
-
-          @Override
-          protected void reportTracedLeak(String type, String records) {
-            LEAKS.add(type + records);
-          }
-
+    ResourceLeakDetectorFactory.setResourceLeakDetectorFactory(
+        new ResourceLeakDetectorFactory() {
           @Override
-          protected void reportUntracedLeak(String type) {
-            LEAKS.add(type);
+          public <T> ResourceLeakDetector<T> newResourceLeakDetector(
+              Class<T> resource, int interval, long most) {
+            return new ResourceLeakDetector<>(resource, interval) {
+              @Override
+              protected boolean needReport() {
+                return true;
+              }
+
+              @Override
+              protected void reportTracedLeak(String type, String records) {
+                LEAKS.add(type + records);
+              }
+
+              @Override
+              protected void reportUntracedLeak(String type) {
+                LEAKS.add(type);
+              }
+            };
           }
-        };
-      }
-    });
+        });
   }
 
   @AfterAll
@@ -118,9 +120,12 @@
     try (FakeClient client = site.client()) {
       Response first = client.ask(scan("whole", "a1", 2000, 0.5, 0.3, 0.1, 0.1));
       assertThat(first.status()).isEqualTo(200);
-      assertThat(first.body()).isEqualTo("{\"total\":true,\"answers\":["
-          + "{\"range\":0,\"blob\":\"value of a1.0\"},{\"range\":1,\"blob\":\"value of a1.1\"},"
-          + "{\"range\":2,\"blob\":\"value of a1.2\"},{\"range\":3,\"blob\":\"value of a1.3\"}]}");
+      assertThat(first.body())
+          .isEqualTo(
+              "{\"total\":true,\"answers\":[{\"range\":0,\"blob\":\"value of"
+                  + " a1.0\"},{\"range\":1,\"blob\":\"value of"
+                  + " a1.1\"},{\"range\":2,\"blob\":\"value of"
+                  + " a1.2\"},{\"range\":3,\"blob\":\"value of a1.3\"}]}");
       for (FakeShardServer server : site.servers) {
         for (Frame frame : server.frames) {
           assertThat(frame.rest()).matches("a1\\.([0-3]) \\1 d=(1\\d\\d\\d|2000) 8\nc41e77d0");
@@ -139,7 +144,8 @@
     try (FakeClient client = site.client()) {
       client.send(scan("whole", "a", 2000, 1));
       anyFrame().answer("good", "quote \" back \\ line \n \u00e9 \u20ac");
-      assertThat(client.read().body()).contains("\"blob\":\"quote \\\" back \\\\ line \\n \u00e9 \u20ac\"");
+      assertThat(client.read().body())
+          .contains("\"blob\":\"quote \\\" back \\\\ line \\n \u00e9 \u20ac\"");
     }
   }
 
@@ -165,8 +171,16 @@
     site.start();
     try (FakeClient client = site.client()) {
       assertThat(client.ask(scan("once", "a", 5, 1)).status()).isEqualTo(503);
-      assertThat(client.ask(post("/once", "b", "900u", "{\"ranges\":[{\"range\":0,\"portion\":1}],\"predicate\":\"\"}"))
-          .status()).isEqualTo(503);
+      assertThat(
+              client
+                  .ask(
+                      post(
+                          "/once",
+                          "b",
+                          "900u",
+                          "{\"ranges\":[{\"range\":0,\"portion\":1}],\"predicate\":\"\"}"))
+                  .status())
+          .isEqualTo(503);
       assertThat(framesSoFar()).isEmpty();
     }
   }
@@ -199,7 +213,8 @@
     site.limits.put("mostHeld", 5);
     silence();
     site.start();
-    try (FakeClient one = site.client(); FakeClient two = site.client()) {
+    try (FakeClient one = site.client();
+        FakeClient two = site.client()) {
       one.send(scan("whole", "a", 2000, 0.5, 0.5));
       anyFrame();
       assertThat(two.ask(scan("whole", "b", 2000, 0.5, 0.5)).body()).contains("as much is held");
@@ -236,10 +251,18 @@
       }
       assertThat(client.read().body()).contains("value of a.0");
       String body = "{\"ranges\":[{\"range\":0,\"portion\":1}],\"predicate\":\"p\"}";
-      String head = post("/whole", "b", "2000000u", "").replace("Content-Length: 0", "Transfer-Encoding: chunked");
-      assertThat(client.ask(post("/whole", "c", "2000m", body + " ".repeat(65_536 - body.length()))).status())
+      String head =
+          post("/whole", "b", "2000000u", "")
+              .replace("Content-Length: 0", "Transfer-Encoding: chunked");
+      assertThat(
+              client
+                  .ask(post("/whole", "c", "2000m", body + " ".repeat(65_536 - body.length())))
+                  .status())
           .isEqualTo(200);
-      assertThat(client.ask(head + Integer.toHexString(body.length()) + "\r\n" + body + "\r\n0\r\n\r\n").body())
+      assertThat(
+              client
+                  .ask(head + Integer.toHexString(body.length()) + "\r\n" + body + "\r\n0\r\n\r\n")
+                  .body())
           .contains("value of b.0");
     }
   }
@@ -249,8 +272,10 @@
     silence();
     site.start();
     try (FakeClient client = site.client()) {
-      client.send(scan("whole", "a", 2000, 1) + scan("whole", "b", 2000, 0.5, 0.5).replace("\"range\":0", "\"range\":2")
-          + "GET /health/live HTTP/1.1\r\nConnection: close\r\n\r\n");
+      client.send(
+          scan("whole", "a", 2000, 1)
+              + scan("whole", "b", 2000, 0.5, 0.5).replace("\"range\":0", "\"range\":2")
+              + "GET /health/live HTTP/1.1\r\nConnection: close\r\n\r\n");
       Frame held = null;
       for (int parts = 0; parts < 3; parts++) {
         Frame frame = anyFrame();
@@ -273,35 +298,40 @@
     site.start();
     String one = "{\"ranges\":[{\"range\":0,\"portion\":1}],\"predicate\":\"p\"}";
     String[][] cases = {
-        {"404", post("/unheard-of", "a", "10m", one)},
-        {"404", "GET /health/other HTTP/1.1\r\n\r\n"},
-        {"405", "GET /whole HTTP/1.1\r\n\r\n"},
-        {"400", post("/whole", "", "10m", one)},
-        {"400", post("/whole", "a b", "10m", one)},
-        {"400", post("/whole", "a", "", one)},
-        {"400", post("/whole", "a", "0m", one)},
-        {"400", post("/whole", "a", "-5m", one)},
-        {"400", post("/whole", "a", "10s", one)},
-        {"400", post("/whole", "a", "10m", "no JSON")},
-        {"400", post("/whole", "a", "10m", "")},
-        {"400", post("/whole", "a", "10m", "{\"ranges\":[],\"predicate\":\"p\"}")},
-        {"400", post("/whole", "a", "10m", "{\"ranges\":[{\"range\":0,\"portion\":1}]}")},
-        {"400", post("/whole", "a", "10m", one.replace("\"range\":0", "\"range\":4"))},
-        {"400", post("/whole", "a", "10m", one.replace("\"range\":0", "\"range\":-1"))},
-        {"400", post("/whole", "a", "10m", one.replace("\"portion\":1", "\"portion\":-0.5"))},
-        {"400", post("/whole", "a", "10m", one.replace("\"portion\":1", "\"portion\":1e300"))},
-        {"400", post("/whole", "a", "10m", one.replace("]", ",{\"range\":0,\"portion\":0}]"))},
-        {"400", post("/whole", "a", "10m", one.replace("\"portion\":1", "\"portion\":0.9"))},
-        {"400", post("/whole", "a", "10m", one.replace("\"portion\":1", "\"portion\":1.1"))},
-        {"400", post("/whole", "a", "10m", one.replace("\"portion\":1", "\"portion\":0.5,\"portion\":1"))},
-        {"400", post("/whole", "a", "10m", one + "x")},
-        {"413", post("/whole", "a", "10m", "x".repeat(66_000))},
-        {"400", "POST /whole HTTP/1.1\r\nno header\u0000at all\r\n\r\n"},
-        {"400", "GET /health/live HTTP/1.1\r\nBig: " + "x".repeat(20_000) + "\r\n\r\n"},
-        {"400", "nonsense\r\n\r\n"}};
+      {"404", post("/unheard-of", "a", "10m", one)},
+      {"404", "GET /health/other HTTP/1.1\r\n\r\n"},
+      {"405", "GET /whole HTTP/1.1\r\n\r\n"},
+      {"400", post("/whole", "", "10m", one)},
+      {"400", post("/whole", "a b", "10m", one)},
+      {"400", post("/whole", "a", "", one)},
+      {"400", post("/whole", "a", "0m", one)},
+      {"400", post("/whole", "a", "-5m", one)},
+      {"400", post("/whole", "a", "10s", one)},
+      {"400", post("/whole", "a", "10m", "no JSON")},
+      {"400", post("/whole", "a", "10m", "")},
+      {"400", post("/whole", "a", "10m", "{\"ranges\":[],\"predicate\":\"p\"}")},
+      {"400", post("/whole", "a", "10m", "{\"ranges\":[{\"range\":0,\"portion\":1}]}")},
+      {"400", post("/whole", "a", "10m", one.replace("\"range\":0", "\"range\":4"))},
+      {"400", post("/whole", "a", "10m", one.replace("\"range\":0", "\"range\":-1"))},
+      {"400", post("/whole", "a", "10m", one.replace("\"portion\":1", "\"portion\":-0.5"))},
+      {"400", post("/whole", "a", "10m", one.replace("\"portion\":1", "\"portion\":1e300"))},
+      {"400", post("/whole", "a", "10m", one.replace("]", ",{\"range\":0,\"portion\":0}]"))},
+      {"400", post("/whole", "a", "10m", one.replace("\"portion\":1", "\"portion\":0.9"))},
+      {"400", post("/whole", "a", "10m", one.replace("\"portion\":1", "\"portion\":1.1"))},
+      {
+        "400",
+        post("/whole", "a", "10m", one.replace("\"portion\":1", "\"portion\":0.5,\"portion\":1"))
+      },
+      {"400", post("/whole", "a", "10m", one + "x")},
+      {"413", post("/whole", "a", "10m", "x".repeat(66_000))},
+      {"400", "POST /whole HTTP/1.1\r\nno header\u0000at all\r\n\r\n"},
+      {"400", "GET /health/live HTTP/1.1\r\nBig: " + "x".repeat(20_000) + "\r\n\r\n"},
+      {"400", "nonsense\r\n\r\n"}
+    };
     for (String[] odd : cases) {
       try (FakeClient client = site.client()) {
-        assertThat(client.ask(odd[1]).status()).as(odd[1].substring(0, Math.min(300, odd[1].length())))
+        assertThat(client.ask(odd[1]).status())
+            .as(odd[1].substring(0, Math.min(300, odd[1].length())))
             .isEqualTo(Integer.parseInt(odd[0]));
       }
     }
@@ -315,7 +345,8 @@
   void anIdThatIsInUseIsRefused() throws Exception {
     silence();
     site.start();
-    try (FakeClient one = site.client(); FakeClient two = site.client()) {
+    try (FakeClient one = site.client();
+        FakeClient two = site.client()) {
       one.send(scan("whole", "a", 2000, 1));
       Frame frame = anyFrame();
       assertThat(two.ask(scan("whole", "a", 2000, 1)).status()).isEqualTo(400);
@@ -325,13 +356,15 @@
   }
 
   @Test
-  void connectionsBeyondTheBudgetAreRefusedPlainlyAndSilentOnesThenRestedOnesMakeRoom() throws Exception {
+  void connectionsBeyondTheBudgetAreRefusedPlainlyAndSilentOnesThenRestedOnesMakeRoom()
+      throws Exception {
     site.sockets = 128;
     site.targetMs = 10_000;
     silence();
     site.start();
     List<FakeClient> busy = new ArrayList<>();
-    try (FakeClient rests = site.client(); FakeClient silent = site.client()) {
+    try (FakeClient rests = site.client();
+        FakeClient silent = site.client()) {
       for (int i = 0; i < 64; i++) {
         FakeClient client = site.client();
         busy.add(client);
@@ -366,7 +399,8 @@
   }
 
   @Test
-  void ofManyThatAskOnceAndStayTheOneThatRestsLongestIsClosedButNoneWithin2Seconds() throws Exception {
+  void ofManyThatAskOnceAndStayTheOneThatRestsLongestIsClosedButNoneWithin2Seconds()
+      throws Exception {
     site.sockets = 128;
     site.start();
     List<FakeClient> stay = new ArrayList<>();
@@ -393,9 +427,16 @@
   void whatNeverComesWholeIsEndedWithin3SecondsOfConnecting() throws Exception {
     site.start();
     String whole = scan("whole", "a", 2000, 1);
-    String[] halves = {"", "P", "POST /whole HTTP/1.1\r\nX-Corr", whole.substring(0, whole.length() - 1),
-        whole.replaceAll("Content-Length: .*", "Content-Length: 60000"),
-        whole.replaceAll("Content-Length: .*", "Transfer-Encoding: chunked").replaceAll("\\{.*", "5\r\n{\"ran")};
+    String[] halves = {
+      "",
+      "P",
+      "POST /whole HTTP/1.1\r\nX-Corr",
+      whole.substring(0, whole.length() - 1),
+      whole.replaceAll("Content-Length: .*", "Content-Length: 60000"),
+      whole
+          .replaceAll("Content-Length: .*", "Transfer-Encoding: chunked")
+          .replaceAll("\\{.*", "5\r\n{\"ran")
+    };
     long start = System.nanoTime();
     List<FakeClient> clients = new ArrayList<>();
     for (String half : halves) {
@@ -413,11 +454,19 @@
   void aRequestOfTwoLengthsIsRefusedAndNothingBehindItIsRead() throws Exception {
     site.start();
     String hidden = scan("whole", "hidden", 2000, 1);
-    String[] heads = {"Transfer-Encoding: chunked", "Transfer-Encoding: gzip", "transfer-encoding:chunked, identity",
-        "Content-Length: 7", "Content-Length: -1", "Content-Length: 1e3"};
+    String[] heads = {
+      "Transfer-Encoding: chunked",
+      "Transfer-Encoding: gzip",
+      "transfer-encoding:chunked, identity",
+      "Content-Length: 7",
+      "Content-Length: -1",
+      "Content-Length: 1e3"
+    };
     for (String head : heads) {
       try (FakeClient client = site.client()) {
-        String odd = post("/whole", "a", "2000m", "0\r\n\r\n" + hidden).replace("\r\nX-Account: a", "\r\n" + head);
+        String odd =
+            post("/whole", "a", "2000m", "0\r\n\r\n" + hidden)
+                .replace("\r\nX-Account: a", "\r\n" + head);
         assertThat(client.ask(odd).status()).as(head).isEqualTo(400);
         assertThat(client.ended()).isTrue();
       }
@@ -432,15 +481,21 @@
     site.limits.putAll(java.util.Map.of("mostHeld", 10_000, "connectTimeoutMs", 2000));
     site.start();
     try (FakeClient client = site.client()) {
-      assertThatThrownBy(() -> {
-        for (int i = 0; ; i++) {
-          client.send(scan("whole", "a" + i, 2900, 1));
-          Frame frame = site.servers.get(1).frames.poll(100, java.util.concurrent.TimeUnit.MILLISECONDS);
-          if (frame != null && frame.letter() == 'm') {
-            frame.answer("good", "x".repeat(60_000));
-          }
-        }
-      }).isInstanceOf(SocketException.class);
+      assertThatThrownBy(
+              () -> {
+                for (int i = 0; ; i++) {
+                  client.send(scan("whole", "a" + i, 2900, 1));
+                  Frame frame =
+                      site.servers
+                          .get(1)
+                          .frames
+                          .poll(100, java.util.concurrent.TimeUnit.MILLISECONDS);
+                  if (frame != null && frame.letter() == 'm') {
+                    frame.answer("good", "x".repeat(60_000));
+                  }
+                }
+              })
+          .isInstanceOf(SocketException.class);
     }
   }
 
@@ -460,7 +515,8 @@
       }
       assertThat(refused).isPositive();
       assertThat(client.ended()).isTrue();
-      assertThat(framesSoFar().stream().map(Frame::part).distinct().count()).isLessThanOrEqualTo(16);
+      assertThat(framesSoFar().stream().map(Frame::part).distinct().count())
+          .isLessThanOrEqualTo(16);
     }
   }
 
@@ -513,7 +569,10 @@
     }
   }
 
-  /** Sends a scan of this type whose one part is met by this; the part's further frames are answered. */
+  /**
+   * Sends a scan of this type whose one part is met by this; the part's further frames are
+   * answered.
+   */
   private interface Met {
     void by(FakeShardServer server, Frame frame) throws Exception;
   }
@@ -524,8 +583,11 @@
     try (FakeClient client = site.client()) {
       client.send(scan(type, "a", 2500, 1));
       Frame frame = anyFrame();
-      FakeShardServer first = site.servers.stream()
-          .filter(server -> server.sockets.contains(frame.socket())).findFirst().orElseThrow();
+      FakeShardServer first =
+          site.servers.stream()
+              .filter(server -> server.sockets.contains(frame.socket()))
+              .findFirst()
+              .orElseThrow();
       site.servers.forEach(server -> server.answers = true);
       met.by(first, frame);
       return client.read();
@@ -545,20 +607,31 @@
 
   @Test
   void aNonReplayablePartThatWasTurnedAwayGoesOn() throws Exception {
-    assertThat(met("once", (server, frame) -> frame.answer("later", "")).body()).contains("value of a.0");
+    assertThat(met("once", (server, frame) -> frame.answer("later", "")).body())
+        .contains("value of a.0");
   }
 
   @Test
   void anErrorOfAReplayablePartGoesOn() throws Exception {
-    assertThat(met("whole", (server, frame) -> frame.answer("bad", "")).body()).contains("value of a.0");
+    assertThat(met("whole", (server, frame) -> frame.answer("bad", "")).body())
+        .contains("value of a.0");
   }
 
   @Test
   void framesThatCannotBeReadEndTheirConnection() throws Exception {
     silence();
     site.start();
-    byte[][] odd = {{0, 0, 0, 0}, {-1, -1, -1, -1}, {127, 0, 0, 0, 'q'}, frame('x', "y"), frame('q', "no line"),
-        frame('q', "a.0 fine 1 -\n"), frame('q', "two words\n"), frame('r', "what was that"), frame('o', "good")};
+    byte[][] odd = {
+      {0, 0, 0, 0},
+      {-1, -1, -1, -1},
+      {127, 0, 0, 0, 'q'},
+      frame('x', "y"),
+      frame('q', "no line"),
+      frame('q', "a.0 fine 1 -\n"),
+      frame('q', "two words\n"),
+      frame('r', "what was that"),
+      frame('o', "good")
+    };
     for (int i = 0; i < odd.length; i++) {
       try (FakeClient client = site.client()) {
         client.send(scan("once", "a" + i, 2000, 1));
@@ -573,15 +646,23 @@
     silence();
     FakeShardServer one = only();
     site.start();
-    // Each stands where the answer to one of two parts should: the frame's letter and length, then its text.
-    String[] odd = {"zz.9 good 1 -\nx", "%s fine 1 -\nx", "%s  1 -\nx", "%s good 1\nx", "%s good 1 -\n\u00ff\u00fe"};
+    // Each stands where the answer to one of two parts should: the frame's letter and length, then
+    // its text.
+    String[] odd = {
+      "zz.9 good 1 -\nx",
+      "%s fine 1 -\nx",
+      "%s  1 -\nx",
+      "%s good 1\nx",
+      "%s good 1 -\n\u00ff\u00fe"
+    };
     for (int i = 0; i < odd.length + 3; i++) {
       try (FakeClient client = site.client()) {
         client.send(scan("once", "a" + i, 2000, 0.5, 0.5));
         Frame frame = one.next();
         one.next();
-        byte[] text = (i < odd.length ? odd[i].formatted(frame.part()) : frame.part() + " good 1 -\nvalue")
-            .getBytes(java.nio.charset.StandardCharsets.ISO_8859_1);
+        byte[] text =
+            (i < odd.length ? odd[i].formatted(frame.part()) : frame.part() + " good 1 -\nvalue")
+                .getBytes(java.nio.charset.StandardCharsets.ISO_8859_1);
         byte[] whole = frame('q', text);
         // The last three: a length that is too short, one that is too long, one of 3 GB.
         whole[3] += i == odd.length ? -3 : i == odd.length + 1 ? 9 : 0;
@@ -667,7 +748,8 @@
           third.ready();
           third.ready();
         }
-        // Room for the connection that waits: its first frames are of the scan that is still wanted.
+        // Room for the connection that waits: its first frames are of the scan that is still
+        // wanted.
         full.accept().close();
         full.accept().close();
         try (Socket up = full.accept()) {
@@ -717,7 +799,8 @@
       site.limits.put("mostHeld", 1000);
       site.start();
       List<FakeClient> clients = new ArrayList<>();
-      String large = "{\"ranges\":[{\"range\":0,\"portion\":1}],\"predicate\":\"" + "x".repeat(60_000) + "\"}";
+      String large =
+          "{\"ranges\":[{\"range\":0,\"portion\":1}],\"predicate\":\"" + "x".repeat(60_000) + "\"}";
       for (int i = 0; i < 100; i++) {
         clients.add(site.client().send(post("/once", "a" + i, "1000m", large)));
       }
@@ -727,7 +810,8 @@
           client.close();
         }
         socket.setSoTimeout(FakeSite.WAIT_MS);
-        // What was written whole can be read now; then the connection ends inside the frame that was stuck.
+        // What was written whole can be read now; then the connection ends inside the frame that
+        // was stuck.
         java.io.DataInputStream in = new java.io.DataInputStream(socket.getInputStream());
         int parts = 0;
         try {
@@ -762,7 +846,8 @@
     silence();
     FakeShardServer one = only();
     site.start();
-    try (FakeClient client = site.client(); FakeClient other = site.client()) {
+    try (FakeClient client = site.client();
+        FakeClient other = site.client()) {
       client.send(scan("whole", "a", 2000, 1));
       Frame unheard = one.next();
       // Only what comes on another connection is answered from now on.
@@ -805,7 +890,8 @@
     site.discovery.call("after=43");
     try (FakeClient client = site.client()) {
       for (int i = 0; i < 8; i++) {
-        assertThat(client.ask(scan("whole", "a" + i, 2000, 0.5, 0.25, 0.125, 0.125)).status()).isEqualTo(200);
+        assertThat(client.ask(scan("whole", "a" + i, 2000, 0.5, 0.25, 0.125, 0.125)).status())
+            .isEqualTo(200);
       }
     }
     assertThat(site.servers.get(0).frames).isEmpty();
@@ -867,13 +953,17 @@
 
   @Test
   void aCallOfDiscoveryThatFailsLeavesTheListAndIsMadeAgain() throws Exception {
-    String[] failures = {"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "no HTTP at all\r\n\r\n",
-        FakeSite.FakeDiscovery.http("no JSON"), FakeSite.FakeDiscovery.http("{\"seq\":1,\"whole\":true}"),
-        FakeSite.FakeDiscovery.http(site.discovery.list(true).replace("Ready", "Fine")),
-        FakeSite.FakeDiscovery.http(site.discovery.list(true).replace("s1", "s0")),
-        FakeSite.FakeDiscovery.http(site.discovery.list(true).replace("127.0.0.1", "nowhere")),
-        FakeSite.FakeDiscovery.http(site.discovery.list(false)),
-        FakeSite.FakeDiscovery.http(half(site.discovery.list(true)))};
+    String[] failures = {
+      "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
+      "no HTTP at all\r\n\r\n",
+      FakeSite.FakeDiscovery.http("no JSON"),
+      FakeSite.FakeDiscovery.http("{\"seq\":1,\"whole\":true}"),
+      FakeSite.FakeDiscovery.http(site.discovery.list(true).replace("Ready", "Fine")),
+      FakeSite.FakeDiscovery.http(site.discovery.list(true).replace("s1", "s0")),
+      FakeSite.FakeDiscovery.http(site.discovery.list(true).replace("127.0.0.1", "nowhere")),
+      FakeSite.FakeDiscovery.http(site.discovery.list(false)),
+      FakeSite.FakeDiscovery.http(half(site.discovery.list(true)))
+    };
     site.discovery.instead = failures[0];
     site.askEveryMs = 2000;
     site.start();
@@ -883,7 +973,8 @@
         site.discovery.calls.clear();
         site.discovery.call("/registry/instances");
         site.discovery.call("/registry/instances");
-        assertThat(client.ask(scan("whole", "a" + failure.hashCode(), 2000, 1)).status()).isEqualTo(200);
+        assertThat(client.ask(scan("whole", "a" + failure.hashCode(), 2000, 1)).status())
+            .isEqualTo(200);
       }
       site.discovery.instead = null;
       site.discovery.call("after=41");
@@ -914,7 +1005,8 @@
 
   @Test
   void anEmptyListIsBelievedSaidByReadyAndOverWithTheNextChange() throws Exception {
-    site.discovery.instead = FakeSite.FakeDiscovery.http("{\"seq\":43,\"whole\":true,\"hosts\":[]}");
+    site.discovery.instead =
+        FakeSite.FakeDiscovery.http("{\"seq\":43,\"whole\":true,\"hosts\":[]}");
     site.start();
     try (FakeClient client = site.client()) {
       site.discovery.call("after=41");
@@ -936,7 +1028,8 @@
   void aServerReplacedUnderTheSameAddressIsAnotherAndServes() throws Exception {
     FakeShardServer old = only();
     site.start();
-    try (FakeClient client = site.client(); FakeShardServer fresh = new FakeShardServer("s9", old.block)) {
+    try (FakeClient client = site.client();
+        FakeShardServer fresh = new FakeShardServer("s9", old.block)) {
       assertThat(client.ask(scan("whole", "a", 2000, 1)).status()).isEqualTo(200);
       fresh.listener.close();
       fresh.listener = old.listener;
@@ -970,7 +1063,8 @@
   void aVersionThatGoesBackStartsTheListAnew() throws Exception {
     site.start();
     site.discovery.call("after=41");
-    site.discovery.instead = FakeSite.FakeDiscovery.http(site.discovery.list(false).replace("\"seq\":41", "\"seq\":7"));
+    site.discovery.instead =
+        FakeSite.FakeDiscovery.http(site.discovery.list(false).replace("\"seq\":41", "\"seq\":7"));
     site.discovery.change(site.servers.get(3), "Ready");
     site.discovery.call("after=42");
     site.discovery.instead = null;
@@ -980,8 +1074,18 @@
   // ---- the program
 
   private FakeClient program() throws Exception {
-    Process program = site.program(java.util.Map.of("NODE_CONFIG", site.configFile().toString(), "NODE_NAME", "n7",
-        "NODE_LISTEN", "127.0.0.1:0", "NODE_DISCOVERY", site.discovery.address()), "serve");
+    Process program =
+        site.program(
+            java.util.Map.of(
+                "NODE_CONFIG",
+                site.configFile().toString(),
+                "NODE_NAME",
+                "n7",
+                "NODE_LISTEN",
+                "127.0.0.1:0",
+                "NODE_DISCOVERY",
+                site.discovery.address()),
+            "serve");
     for (String line = site.errors.readLine(); ; line = site.errors.readLine()) {
       if (line.contains("gatherer n7 listens on")) {
         String port = line.replaceAll(".*127.0.0.1:(\\d+).*", "$1");
@@ -992,9 +1096,12 @@
   }
 
   @Test
-  void onSigtermStragglersAreServedWhatWasTakenIsAnsweredAndTheProgramExitsWith0() throws Exception {
+  void onSigtermStragglersAreServedWhatWasTakenIsAnsweredAndTheProgramExitsWith0()
+      throws Exception {
     silence();
-    try (FakeClient held = program(); FakeClient kept = held.again(); FakeClient idle = held.again()) {
+    try (FakeClient held = program();
+        FakeClient kept = held.again();
+        FakeClient idle = held.again()) {
       assertThat(kept.ready()).isEqualTo(200);
       assertThat(idle.ready()).isEqualTo(200);
       held.send(scan("once", "held", 2900, 1));
@@ -1004,11 +1111,13 @@
         assertThat(site.process.isAlive()).isTrue();
       }
       site.servers.forEach(server -> server.answers = true);
-      try (FakeClient straggler = held.again(); FakeClient asks = held.again()) {
+      try (FakeClient straggler = held.again();
+          FakeClient asks = held.again()) {
         assertThat(asks.ready()).isEqualTo(503);
         assertThat(straggler.ask(scan("whole", "late", 2000, 1)).status()).isEqualTo(200);
       }
-      // Clients that are here are served on, without a word of an end, until the time left gets short.
+      // Clients that are here are served on, without a word of an end, until the time left gets
+      // short.
       Response last = kept.ask(scan("whole", "kept", 2000, 1));
       assertThat(last.status()).isEqualTo(200);
       assertThat(last.headers()).doesNotContainKey("connection");
@@ -1036,7 +1145,8 @@
   void whatWouldOutlastTheStopIsAnsweredBeforeIt() throws Exception {
     silence();
     site.targetMs = 2000;
-    try (FakeClient held = program(); FakeClient late = held.again()) {
+    try (FakeClient held = program();
+        FakeClient late = held.again()) {
       held.send(scan("once", "held", 6000, 1));
       anyFrame();
       long start = System.nanoTime();
@@ -1077,8 +1187,10 @@
   }
 
   @Test
-  void onSighupDiscoveryIsFollowedToItsNewAddressAtOnceAndAFaultyFileChangesNothing() throws Exception {
-    try (FakeClient client = program(); FakeSite other = new FakeSite()) {
+  void onSighupDiscoveryIsFollowedToItsNewAddressAtOnceAndAFaultyFileChangesNothing()
+      throws Exception {
+    try (FakeClient client = program();
+        FakeSite other = new FakeSite()) {
       site.discovery.call("after=41");
       String sound = site.config();
       hup(sound.substring(0, sound.length() / 2));
@@ -1086,10 +1198,13 @@
         assertThat(site.process.isAlive()).isTrue();
       }
       hup(sound.replace(site.discovery.address(), "nowhere"));
-      while (!site.errors.readLine().contains("stays as it was: NODE_DISCOVERY or discovery: found nowhere")) {
+      while (!site.errors
+          .readLine()
+          .contains("stays as it was: NODE_DISCOVERY or discovery: found nowhere")) {
         assertThat(site.process.isAlive()).isTrue();
       }
-      // The new place counts its versions anew, and knows of other servers; the old one still watches.
+      // The new place counts its versions anew, and knows of other servers; the old one still
+      // watches.
       hup(sound.replace(site.discovery.address(), other.discovery.address()));
       other.discovery.version = 3;
       other.discovery.call("after=3");
@@ -1108,25 +1223,33 @@
   @Test
   void wrongArgumentsAndAWrongConfigurationStopTheStartWithOneLine() throws Exception {
     assertThat(site.program(java.util.Map.of()).waitFor()).isEqualTo(2);
-    assertThat(site.errors.readLine()).isEqualTo("usage: java -jar tidebank.jar serve [--config FILE] | wirehost");
-    assertThat(site.program(java.util.Map.of("NODE_CONFIG", "/nowhere"), "serve").waitFor()).isEqualTo(2);
+    assertThat(site.errors.readLine())
+        .isEqualTo("usage: java -jar tidebank.jar serve [--config FILE] | wirehost");
+    assertThat(site.program(java.util.Map.of("NODE_CONFIG", "/nowhere"), "serve").waitFor())
+        .isEqualTo(2);
     assertThat(site.errors.lines())
         .containsExactly("tidebank: NODE_CONFIG: found /nowhere, wanted a file that can be read");
     try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
       site.file.put("listen", "127.0.0.1:" + taken.getLocalPort());
-      assertThat(site.program(java.util.Map.of("NODE_CONFIG", site.configFile().toString()), "serve").waitFor())
+      assertThat(
+              site.program(java.util.Map.of("NODE_CONFIG", site.configFile().toString()), "serve")
+                  .waitFor())
           .isEqualTo(1);
       assertThat(site.errors.readLine()).contains("cannot listen on").contains("in use");
     }
   }
 
-  /** Found by a replay: the gatherer heard SIGTERM and never ended, as a gone server's last connection closed under its loop. */
+  /**
+   * Found by a replay: the gatherer heard SIGTERM and never ended, as a gone server's last
+   * connection closed under its loop.
+   */
   @Test
   void itEndsAlsoWhenServersThatAreGoneStillHaveConnections() throws Exception {
     site.start();
     try (FakeClient client = site.client()) {
       for (int i = 0; i < 8; i++) {
-        assertThat(client.ask(scan("whole", "g" + i, 2000, 0.25, 0.25, 0.25, 0.25)).status()).isEqualTo(200);
+        assertThat(client.ask(scan("whole", "g" + i, 2000, 0.25, 0.25, 0.25, 0.25)).status())
+            .isEqualTo(200);
       }
       site.discovery.call("after=41");
       for (int i = 0; i < 3; i++) {
--- a/gatherer/src/test/java/tidebank/ListCallsTest.java
+++ b/gatherer/src/test/java/tidebank/ListCallsTest.java
@@ -12,16 +12,31 @@
 import tidebank.model.ListCalls;
 import tidebank.model.Settings;
 
-/** The calls to discovery on virtual time, over histories from a seed: what may become of a call, once and in a row. */
+/**
+ * The calls to discovery on virtual time, over histories from a seed: what may become of a call,
+ * once and in a row.
+ */
 class ListCallsTest {
   private static final int TOLD_MS = 6000;
+
   /** A call that is answered takes so long. */
   private static final int ANSWER_MS = 20;
 
-  /** What discovery does with calls that come; MUTE also for those that wait at the moment, for ever. */
-  private enum State { UP, REFUSES, BUSY, MUTE }
+  /**
+   * What discovery does with calls that come; MUTE also for those that wait at the moment, for
+   * ever.
+   */
+  private enum State {
+    UP,
+    REFUSES,
+    BUSY,
+    MUTE
+  }
 
-  /** The module, and the side that carries out its watch with the times that {@link ListCalls} names. */
+  /**
+   * The module, and the side that carries out its watch with the times that {@link ListCalls}
+   * names.
+   */
   private static final class Gatherer {
     final FakeHost host = new FakeHost();
     final ListCalls times;
@@ -46,10 +61,14 @@
       confirmed = again;
       begunMs = host.nowMs;
       mute = state == State.MUTE;
-      endsMs = host.nowMs + switch (state) {
-        case UP, MUTE -> times.waitUs(confirmed) / MS + (mute ? times.answerUs(confirmed) / MS : ANSWER_MS);
-        case REFUSES, BUSY -> 1;
-      };
+      endsMs =
+          host.nowMs
+              + switch (state) {
+                case UP, MUTE ->
+                    times.waitUs(confirmed) / MS
+                        + (mute ? times.answerUs(confirmed) / MS : ANSWER_MS);
+                case REFUSES, BUSY -> 1;
+              };
     }
 
     void becomes(State next) {
@@ -69,7 +88,10 @@
     void pass(long changedMs) {
       host.pass(1).stream().filter(Action.Follow.class::isInstance).forEach(follow -> call(false));
       boolean waits = begunMs >= 0 && !mute && state == State.UP;
-      if (waits && heardMs < 0 && changedMs <= host.nowMs - ANSWER_MS && begunMs <= host.nowMs - ANSWER_MS) {
+      if (waits
+          && heardMs < 0
+          && changedMs <= host.nowMs - ANSWER_MS
+          && begunMs <= host.nowMs - ANSWER_MS) {
         heardMs = host.nowMs;
         answered(ListKind.CHANGES);
       } else if (begunMs >= 0 && host.nowMs >= endsMs) {
@@ -77,13 +99,16 @@
           answered(ListKind.CHANGES);
         } else {
           begunMs = -1;
-          host.list(ListKind.LOST).stream().filter(Action.Follow.class::isInstance).forEach(follow -> call(false));
+          host.list(ListKind.LOST).stream()
+              .filter(Action.Follow.class::isInstance)
+              .forEach(follow -> call(false));
         }
       }
     }
 
     private void answered(ListKind kind) {
-      host.list(kind, line("s0", 0, heardMs < 0 ? ServerStatus.IN_SERVICE : ServerStatus.DRAINING, 0));
+      host.list(
+          kind, line("s0", 0, heardMs < 0 ? ServerStatus.IN_SERVICE : ServerStatus.DRAINING, 0));
       call(true);
     }
   }
@@ -96,7 +121,8 @@
       Gatherer one = new Gatherer(seed);
       long start = one.host.nowMs;
       long troubledMs = 200 + random.nextInt(25_000);
-      // Near the moment from which all is well, else either it is told before or nothing of the trouble is left.
+      // Near the moment from which all is well, else either it is told before or nothing of the
+      // trouble is left.
       long changedMs = start + troubledMs - 2000 + random.nextInt(4000);
       long nextMs = start + random.nextInt(3000);
       while (one.host.nowMs < start + troubledMs) {
@@ -134,7 +160,8 @@
       assertThat(one.calls - before).isBetween(7, 30);
     }
     java.util.Arrays.sort(at);
-    // The last calls of a hundred in half a minute of failures: no tenth of a second holds a fifth of them.
+    // The last calls of a hundred in half a minute of failures: no tenth of a second holds a fifth
+    // of them.
     for (int i = 0; i + 20 < at.length; i++) {
       assertThat(at[i + 20] - at[i]).isGreaterThan(100);
     }
@@ -164,7 +191,8 @@
       ListCalls calls = new ListCalls(host.settings());
       assertThat(calls.waitUs(true) / (double) instances).isGreaterThanOrEqualTo(100_000);
       assertThat(calls.waitUs(true)).isEqualTo(instances == 100 ? 10_000_000 : 2_500_000);
-      // Longer than discovery itself lets a call wait, so that nothing is written to who has just given up.
+      // Longer than discovery itself lets a call wait, so that nothing is written to who has just
+      // given up.
       assertThat(calls.answerUs(true)).isGreaterThan(2_000_000);
       assertThat(calls.answerUs(false)).isGreaterThanOrEqualTo(4_000_000);
     }
--- a/gatherer/src/test/java/tidebank/NodeConfigTest.java
+++ b/gatherer/src/test/java/tidebank/NodeConfigTest.java
@@ -34,7 +34,8 @@
   @Test
   void variablesGoBeforeTheFileAndUnknownKeysAreIgnored() throws Exception {
     site.file.put("unheard_of", 1);
-    NodeConfig config = read(site.config(), Map.of("NODE_NAME", "n9", "NODE_LISTEN", "127.0.0.2:80"));
+    NodeConfig config =
+        read(site.config(), Map.of("NODE_NAME", "n9", "NODE_LISTEN", "127.0.0.2:80"));
     assertThat(config.name()).isEqualTo("n9");
     assertThat(config.listen().toString()).isEqualTo("/127.0.0.2:80");
     assertThat(config.seed()).isEqualTo(0x8c1f30d27a5be964L);
@@ -46,25 +47,53 @@
   void aFaultNamesTheKeyWhatWasFoundAndWhatIsWanted() {
     String sound = site.config();
     String[][] faults = {
-        {sound, "", "NODE_CONFIG: found .*, wanted a file that holds a JSON object"},
-        {"'name':'n0'", "'name':''", "NODE_NAME or name: found nothing, wanted a text"},
-        {"'listen':'127.0.0.1:0'", "'listen':'here:80'", "NODE_LISTEN or listen: found here:80, wanted an address.*"},
-        {"'listen':'127.0.0.1:0'", "'listen':'1.2.3.4'", "NODE_LISTEN or listen: found 1.2.3.4, wanted an address.*"},
-        {"'seed':'8c1f", "'seed':'xyz", "seed: found \"xyz.*, wanted 16 hex digits"},
-        {"'sockets':1024", "'memory_mb':16", "limits.memory_mb: found 16, wanted a whole number from 80"},
-        {"'sockets':1024", "'sockets':-3", "limits.sockets: found -3, wanted a whole number from 128"},
-        {"'settings':{", "'settings':7,'x':{", "settings: found 7, wanted an object"},
-        {"'services':[", "'services':[],'x':[", "settings.services: found none, wanted a list of table types"},
-        {"'slices':4", "'slices':0", "settings.specifics: found .*, wanted slices.*"},
-        {"'connectTimeoutMs':200", "'connectTimeoutMs':'soon'",
-            "settings: field 'connectTimeoutMs': found \"soon\", wanted a number"},
-        {"'onTimeMs':1000", "'onTimeMs':-1", "settings: field 'onTimeMs': found -1, wanted a number from 0"},
-        {"'name':'whole'", "'name':3", "settings: field 'name': found 3, wanted a text"}};
+      {sound, "", "NODE_CONFIG: found .*, wanted a file that holds a JSON object"},
+      {"'name':'n0'", "'name':''", "NODE_NAME or name: found nothing, wanted a text"},
+      {
+        "'listen':'127.0.0.1:0'",
+        "'listen':'here:80'",
+        "NODE_LISTEN or listen: found here:80, wanted an address.*"
+      },
+      {
+        "'listen':'127.0.0.1:0'",
+        "'listen':'1.2.3.4'",
+        "NODE_LISTEN or listen: found 1.2.3.4, wanted an address.*"
+      },
+      {"'seed':'8c1f", "'seed':'xyz", "seed: found \"xyz.*, wanted 16 hex digits"},
+      {
+        "'sockets':1024",
+        "'memory_mb':16",
+        "limits.memory_mb: found 16, wanted a whole number from 80"
+      },
+      {
+        "'sockets':1024", "'sockets':-3", "limits.sockets: found -3, wanted a whole number from 128"
+      },
+      {"'settings':{", "'settings':7,'x':{", "settings: found 7, wanted an object"},
+      {
+        "'services':[",
+        "'services':[],'x':[",
+        "settings.services: found none, wanted a list of table types"
+      },
+      {"'slices':4", "'slices':0", "settings.specifics: found .*, wanted slices.*"},
+      {
+        "'connectTimeoutMs':200",
+        "'connectTimeoutMs':'soon'",
+        "settings: field 'connectTimeoutMs': found \"soon\", wanted a number"
+      },
+      {
+        "'onTimeMs':1000",
+        "'onTimeMs':-1",
+        "settings: field 'onTimeMs': found -1, wanted a number from 0"
+      },
+      {"'name':'whole'", "'name':3", "settings: field 'name': found 3, wanted a text"}
+    };
     for (String[] fault : faults) {
       String text = sound.replace(fault[0].replace('\'', '"'), fault[1].replace('\'', '"'));
       assertThat(text).isNotEqualTo(sound);
-      assertThatThrownBy(() -> read(text, Map.of())).isInstanceOf(Malformed.class)
-          .message().matches(fault[2]);
+      assertThatThrownBy(() -> read(text, Map.of()))
+          .isInstanceOf(Malformed.class)
+          .message()
+          .matches(fault[2]);
     }
     assertThatThrownBy(() -> NodeConfig.read(Map.of()))
         .hasMessage("NODE_CONFIG: found nothing, wanted the path of a JSON file");
--- a/gatherer/src/test/java/tidebank/OperatorFileTest.java
+++ b/gatherer/src/test/java/tidebank/OperatorFileTest.java
@@ -22,25 +22,39 @@
 
   @Test
   void theShippedFileSaysTheDefaults() throws Exception {
-    assertThat(OperatorFile.read(Path.of("../deploy/gatherer.toml"))).isEqualTo(OperatorFile.DEFAULT);
+    assertThat(OperatorFile.read(Path.of("../deploy/gatherer.toml")))
+        .isEqualTo(OperatorFile.DEFAULT);
     assertThat(read("")).isEqualTo(OperatorFile.DEFAULT);
   }
 
   @Test
   void valuesAreTakenOver() throws Exception {
     assertThat(read("[log]\nlevel = 'debug'\nform = 'json'\n[report]\ncounters_every_s = 5\n"))
-        .isEqualTo(new OperatorFile(new Log.Style(Level.DEBUG, Log.Form.JSON, 50), 5_000_000, null, null));
+        .isEqualTo(
+            new OperatorFile(new Log.Style(Level.DEBUG, Log.Form.JSON, 50), 5_000_000, null, null));
   }
 
   @Test
   void everyFaultIsNamedWithItsLineAndASlipWithTheKeyThatWasMeant() {
-    assertThatThrownBy(() -> read("[log]\nlevel = 'loud'\nlines_a_scond = 5\n\n[report]\ncounters_every_s = 0\n[reprot]\n"))
+    assertThatThrownBy(
+            () ->
+                read(
+                    "[log]\n"
+                        + "level = 'loud'\n"
+                        + "lines_a_scond = 5\n\n"
+                        + "[report]\n"
+                        + "counters_every_s = 0\n"
+                        + "[reprot]\n"))
         .isInstanceOf(Malformed.class)
-        .hasMessageContaining("g.toml:2: log.level: found \"loud\", wanted one of error, warn, info, debug")
-        .hasMessageContaining("g.toml:3: log.lines_a_scond: unknown key; did you mean \"lines_a_second\"?")
-        .hasMessageContaining("g.toml:6: report.counters_every_s: found 0, wanted a whole number from 1")
+        .hasMessageContaining(
+            "g.toml:2: log.level: found \"loud\", wanted one of error, warn, info, debug")
+        .hasMessageContaining(
+            "g.toml:3: log.lines_a_scond: unknown key; did you mean \"lines_a_second\"?")
+        .hasMessageContaining(
+            "g.toml:6: report.counters_every_s: found 0, wanted a whole number from 1")
         .hasMessageContaining("g.toml:7: reprot: unknown key; did you mean \"report\"?");
     assertThatThrownBy(() -> read("[log]\nlevel = \n")).hasMessageContaining("g.toml:2: ");
-    assertThatThrownBy(() -> OperatorFile.read(folder.resolve("none.toml"))).hasMessageContaining("cannot be read");
+    assertThatThrownBy(() -> OperatorFile.read(folder.resolve("none.toml")))
+        .hasMessageContaining("cannot be read");
   }
 }
--- a/gatherer/src/test/java/tidebank/TurnTest.java
+++ b/gatherer/src/test/java/tidebank/TurnTest.java
@@ -23,12 +23,12 @@
 import tidebank.config.NodeConfig;
 import tidebank.discovery.ListReader;
 import tidebank.model.Event.ListKind;
-import tidebank.node.Timers;
 import tidebank.node.Clock;
 import tidebank.node.Order;
 import tidebank.node.Reply;
 import tidebank.node.ScanRequest;
 import tidebank.node.ShardPort;
+import tidebank.node.Timers;
 import tidebank.node.Turn;
 import tidebank.shard.ShardSide;
 
@@ -36,7 +36,8 @@
 @Timeout(20)
 class TurnTest implements Reply {
   private final FakeSite site = new FakeSite();
-  private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+  private final EventLoopGroup group =
+      new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final EventLoop loop = group.next();
   private final Counters counters = new Counters();
   private final Clock clock = new Clock();
@@ -79,10 +80,11 @@
 
   private void list() throws Exception {
     var known = ListReader.read(config.known()).members();
-    onLoop(() -> {
-      turn.listSeen(ListKind.REMEMBERED, known);
-      return null;
-    });
+    onLoop(
+        () -> {
+          turn.listSeen(ListKind.REMEMBERED, known);
+          return null;
+        });
   }
 
   private void counted(String name, long times) throws Exception {
@@ -94,32 +96,43 @@
   @Test
   void aFailureInATurnAbandonsWhatIsHeldAndTheNextScanIsServed() throws Exception {
     boolean[] fails = {true};
-    turn.connect(new ShardPort() {
-      @Override
-      public void listed(List<Member> members, boolean full) {}
-
-      @Override
-      public Order.Ticket send(Order order) {
-        if (fails[0]) {
-          throw new OutOfMemoryError("as the test wants it");
-        }
-        turn.dispatchEnded(order, tidebank.model.Outcome.COMPLETED, new byte[0], Map.of());
-        return null;
-      }
-
-      @Override
-      public void flush() {}
-
-      @Override
-      public void retire(String server) {}
-
-      @Override
-      public void probe(String server) {}
-    }, on -> { });
+    turn.connect(
+        new ShardPort() {
+          @Override
+          public void listed(List<Member> members, boolean full) {}
+
+          @Override
+          public Order.Ticket send(Order order) {
+            if (fails[0]) {
+              throw new OutOfMemoryError("as the test wants it");
+            }
+            turn.dispatchEnded(order, tidebank.model.Outcome.COMPLETED, new byte[0], Map.of());
+            return null;
+          }
+
+          @Override
+          public void flush() {}
+
+          @Override
+          public void retire(String server) {}
+
+          @Override
+          public void probe(String server) {}
+        },
+        on -> {});
     list();
     for (String id : List.of("a", "b")) {
-      ScanRequest request = new ScanRequest(id, "whole", "", clock.now(), clock.now() + 2_000_000, false, "", new byte[0],
-          List.of(new ScanRequest.Range(0, 1, "")));
+      ScanRequest request =
+          new ScanRequest(
+              id,
+              "whole",
+              "",
+              clock.now(),
+              clock.now() + 2_000_000,
+              false,
+              "",
+              new byte[0],
+              List.of(new ScanRequest.Range(0, 1, "")));
       assertThat(onLoop(() -> turn.scanTaken(request, this))).isTrue();
       counted(id.equals("a") ? "turns.failed" : "scans.whole", 1);
       fails[0] = false;
@@ -129,26 +142,38 @@
 
   @Test
   void probesAreAnsweredInTurnAndOneThatIsNotEndsItsConnection() throws Exception {
-    ShardSide shards = new ShardSide(config, new Bootstrap().group(group).channel(NioSocketChannel.class), turn,
-        clock, timers, counters);
-    turn.connect(shards, on -> { });
+    ShardSide shards =
+        new ShardSide(
+            config,
+            new Bootstrap().group(group).channel(NioSocketChannel.class),
+            turn,
+            clock,
+            timers,
+            counters);
+    turn.connect(shards, on -> {});
     list();
     FakeShardServer server = site.servers.get(0);
-    String[][] ends = {{"util=0.5,inflight=3", "probes.completed"}, {"-", "probes.completed"}, {"bad", "probes.error"}};
+    String[][] ends = {
+      {"util=0.5,inflight=3", "probes.completed"},
+      {"-", "probes.completed"},
+      {"bad", "probes.error"}
+    };
     for (int i = 0; i < ends.length; i++) {
-      onLoop(() -> {
-        shards.probe("s0");
-        return null;
-      });
+      onLoop(
+          () -> {
+            shards.probe("s0");
+            return null;
+          });
       Frame frame = server.next();
       assertThat(frame.letter()).isEqualTo('p');
       frame.raw(FakeShardServer.frame('p', ends[i][0]));
       counted(ends[i][1], i == 1 ? 2 : 1);
     }
-    onLoop(() -> {
-      shards.probe("s0");
-      return null;
-    });
+    onLoop(
+        () -> {
+          shards.probe("s0");
+          return null;
+        });
     counted("probes.timed_out", 1);
     assertThat(server.accepted).hasValue(1);
   }
