--- a/gatherer/src/test/java/tidebank/WireHostTest.java
+++ b/gatherer/src/test/java/tidebank/WireHostTest.java
@@ -11,16 +11,21 @@
 import tidebank.sim.WireHost;
 
 class WireHostTest {
-  private static final String SHEET = "{'kind':'Sheet','page':3,'items':[{'lastStartMs':null,'rating':1,'slotNo':0,"
-      + "'status':'in_service','flavor':'x','campus':'y','server':'s0','new':1}]}";
-  private static final String ATTACH = "{'kind':'Attach','who':1,'salt':5,'config':{'discovery':'ask','services':["
-      + "{'name':'t','semantics':'read_like','onTimeMs':1000,'deadlineMs':3000,'worth':1}],"
-      + "'specifics':{'slices':1,'positions':1,'width':1,'floorByClass':[0.5]},'unknown':{}}}";
-  private static final String LIST = "{'kind':'Announce','who':1,'mode':'warm_copy','generation':1,'page':3}";
-  private static final String SCAN = "{'kind':'Knock','who':1,'handle':'aa','account':null,'notAfterMs':4000,'jobNo':1,"
-      + "'resent':false,'lane':'t','subject':null,'slab':-1,'measure':1}";
-  private static final String PART = "{'kind':'Knock','who':1,'handle':'bb','notAfterMs':4000,'jobNo':1,"
-      + "'lane':'t','slab':0,'measure':1.0}";
+  private static final String SHEET =
+      "{'kind':'Sheet','page':3,'items':[{'lastStartMs':null,'rating':1,'slotNo':0,"
+          + "'status':'in_service','flavor':'x','campus':'y','server':'s0','new':1}]}";
+  private static final String ATTACH =
+      "{'kind':'Attach','who':1,'salt':5,'config':{'discovery':'ask','services':["
+          + "{'name':'t','semantics':'read_like','onTimeMs':1000,'deadlineMs':3000,'worth':1}],"
+          + "'specifics':{'slices':1,'positions':1,'width':1,'floorByClass':[0.5]},'unknown':{}}}";
+  private static final String LIST =
+      "{'kind':'Announce','who':1,'mode':'warm_copy','generation':1,'page':3}";
+  private static final String SCAN =
+      "{'kind':'Knock','who':1,'handle':'aa','account':null,'notAfterMs':4000,'jobNo':1,"
+          + "'resent':false,'lane':'t','subject':null,'slab':-1,'measure':1}";
+  private static final String PART =
+      "{'kind':'Knock','who':1,'handle':'bb','notAfterMs':4000,'jobNo':1,"
+          + "'lane':'t','slab':0,'measure':1.0}";
 
   private static String run(String... batches) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -40,10 +45,13 @@
 
   @Test
   void aScanIsSentAnsweredAndTimedInTheWiresWords() throws IOException {
-    String replies = run(
-        batch(1000, ATTACH, SHEET, LIST, SCAN, PART),
-        batch(1100.25, "{'kind':'Returned','who':1,'handle':'bb','try':0,'server':'s0','disposition':'success',"
-            + "'costTimeMs':100.25,'ended':true,'metrics':{'busy':0.5,'odd':null}}"));
+    String replies =
+        run(
+            batch(1000, ATTACH, SHEET, LIST, SCAN, PART),
+            batch(
+                1100.25,
+                "{'kind':'Returned','who':1,'handle':'bb','try':0,'server':'s0','disposition':'success',"
+                    + "'costTimeMs':100.25,'ended':true,'metrics':{'busy':0.5,'odd':null}}"));
     assertThat(replies.lines()).hasSize(2);
     assertThat(replies)
         .contains("{'kind':'Follow','who':1,'complete':true}")
@@ -55,15 +63,21 @@
   @Test
   void aPageSentAgainReplacesTheOneBeforeWithinABatch() throws IOException {
     String other = SHEET.replace("'server':'s0'", "'server':'s9'");
-    assertThat(run(batch(1000, ATTACH, SHEET, LIST, other, LIST, SCAN, PART))).contains("'server':'s9'");
+    assertThat(run(batch(1000, ATTACH, SHEET, LIST, other, LIST, SCAN, PART)))
+        .contains("'server':'s9'");
   }
 
   @Test
   void instancesShareNothingAndARetiredOneIsForgotten() throws IOException {
     String second = ATTACH.replace("'who':1", "'who':2");
-    String replies = run(
-        batch(1000, ATTACH, second, SHEET, LIST),
-        batch(1001, "{'kind':'Retire','who':1}", SCAN.replace("'who':1", "'who':2"), PART.replace("'who':1", "'who':2")));
+    String replies =
+        run(
+            batch(1000, ATTACH, second, SHEET, LIST),
+            batch(
+                1001,
+                "{'kind':'Retire','who':1}",
+                SCAN.replace("'who':1", "'who':2"),
+                PART.replace("'who':1", "'who':2")));
     assertThat(replies).doesNotContain("Assign").contains("{'kind':'Busy','who':2,'handle':'aa'");
   }
 
@@ -74,6 +88,7 @@
     assertThatThrownBy(() -> run("{'simTimeMs':1}")).hasMessageContaining("'msgs' is missing");
     assertThatThrownBy(() -> run(batch(1, "{'kind':'Lapsed','who':4,'handle':'a'}")))
         .hasMessageContaining("never attached");
-    assertThatThrownBy(() -> run(batch(1, ATTACH, LIST))).hasMessageContaining("page 3 was never sent");
+    assertThatThrownBy(() -> run(batch(1, ATTACH, LIST)))
+        .hasMessageContaining("page 3 was never sent");
   }
 }
--- a/gatherer/src/test/java/tidebank/capture/KeepingTest.java
+++ b/gatherer/src/test/java/tidebank/capture/KeepingTest.java
@@ -7,7 +7,10 @@
 import tidebank.capture.Keeping.Bounds;
 import tidebank.capture.Keeping.Segment;
 
-/** How a capture is kept: bounds of what waits and of what stays, and patience with a disk that fails. */
+/**
+ * How a capture is kept: bounds of what waits and of what stays, and patience with a disk that
+ * fails.
+ */
 class KeepingTest {
   private final Keeping keeping = new Keeping(new Bounds(1000, 500, 10_000, 60_000, 50_000));
 
@@ -31,7 +34,8 @@
 
   @Test
   void theOldestGoUntilANewSegmentOfFullSizeFits() {
-    List<Segment> old = List.of(new Segment(1, 9_000), new Segment(2, 20_000), new Segment(3, 20_000));
+    List<Segment> old =
+        List.of(new Segment(1, 9_000), new Segment(2, 20_000), new Segment(3, 20_000));
     assertThat(keeping.tooMany(old)).containsExactly(old.get(0));
     assertThat(keeping.tooMany(old.subList(1, 3))).isEmpty();
   }
--- a/gatherer/src/test/java/tidebank/fleet/RetentionTest.java
+++ b/gatherer/src/test/java/tidebank/fleet/RetentionTest.java
@@ -34,8 +34,13 @@
 
   @Test
   void whatIsTooOldGoesThenTheOldestOverTheBudgetAndNeverWhatIsNeeded() {
-    Item[] items = {item("a", 10, 40, false), item("b", 10, 40, true), item("c", 10, 5, false), item("d", 10, 6, false),
-        item("e", 10, 1, false)};
+    Item[] items = {
+      item("a", 10, 40, false),
+      item("b", 10, 40, true),
+      item("c", 10, 5, false),
+      item("d", 10, 6, false),
+      item("e", 10, 1, false)
+    };
     assertThat(over(30, 100, 10, items)).containsExactly("a");
     assertThat(over(30, 30, 10, items)).containsExactly("a", "d");
     assertThat(over(30, 0, 10, items)).containsExactly("a", "d", "c", "e");
@@ -46,7 +51,8 @@
   @Test
   void eachListFollowsTheOneBeforeAndSaysByWhichToken() {
     Retention first = Retention.NONE.next("", 3, new Stock(0, List.of()), new Bounds(DAY, 0), 10);
-    Retention second = first.next("removal-1-by-3.json", 5, new Stock(0, List.of()), new Bounds(DAY, 0), 10);
+    Retention second =
+        first.next("removal-1-by-3.json", 5, new Stock(0, List.of()), new Bounds(DAY, 0), 10);
     assertThat(second).isEqualTo(new Retention(2, "removal-1-by-3.json", 5, List.of()));
   }
 
@@ -54,7 +60,8 @@
     Path file = folder.resolve(name);
     Files.createDirectories(file.getParent());
     Files.write(file, new byte[10]);
-    return Files.setLastModifiedTime(file, FileTime.from(Instant.now().minus(Duration.ofDays(days))));
+    return Files.setLastModifiedTime(
+        file, FileTime.from(Instant.now().minus(Duration.ofDays(days))));
   }
 
   @Test
@@ -66,8 +73,18 @@
     put("captures/g0/000001.tbc", 90);
     put("captures/g0/000002.tbc", 80);
     put("told/g0.json", 90);
-    List<String> names = Retention.NONE.next("", 1, fleet.stock("report-3-by-1.json", 100, () -> { }), new Bounds(30 * DAY, 1000), 100).names();
-    assertThat(names).containsExactly("captures/g0/000001.tbc", "reports/report-1-by-1.json", "reports/report-2-by-1.json");
+    List<String> names =
+        Retention.NONE
+            .next(
+                "",
+                1,
+                fleet.stock("report-3-by-1.json", 100, () -> {}),
+                new Bounds(30 * DAY, 1000),
+                100)
+            .names();
+    assertThat(names)
+        .containsExactly(
+            "captures/g0/000001.tbc", "reports/report-1-by-1.json", "reports/report-2-by-1.json");
   }
 
   @Test
@@ -78,9 +95,22 @@
     Path outside = Files.createTempFile(folder.getParent(), "outside", ".txt");
     Path link = Files.createSymbolicLink(folder.resolve("captures/link.tbc"), outside);
     try {
-      assertThat(fleet.stock("", 100, () -> { }).oldest()).extracting(Item::name).doesNotContain("captures/link.tbc");
-      Retention list = new Retention(1, "", 1, List.of("captures/g0/000001.tbc", "told/g0.json", "captures/../told/g0.json",
-          "../" + outside.getFileName(), outside.toString(), "captures", "reports"));
+      assertThat(fleet.stock("", 100, () -> {}).oldest())
+          .extracting(Item::name)
+          .doesNotContain("captures/link.tbc");
+      Retention list =
+          new Retention(
+              1,
+              "",
+              1,
+              List.of(
+                  "captures/g0/000001.tbc",
+                  "told/g0.json",
+                  "captures/../told/g0.json",
+                  "../" + outside.getFileName(),
+                  outside.toString(),
+                  "captures",
+                  "reports"));
       assertThat(fleet.remove(list)).isEqualTo(1);
       assertThat(fleet.remove(list)).isZero();
       assertThat(gone).doesNotExist();
@@ -91,7 +121,8 @@
   }
 
   @Test
-  void aLookThroughALargeFolderLetsOtherThingsBeDoneInBetweenAndKeepsOnlyTheOldest() throws Exception {
+  void aLookThroughALargeFolderLetsOtherThingsBeDoneInBetweenAndKeepsOnlyTheOldest()
+      throws Exception {
     FleetFolder fleet = new FleetFolder(folder);
     Path captures = Files.createDirectories(folder.resolve("captures/g0"));
     for (int i = 0; i < 2500; i++) {
@@ -101,7 +132,9 @@
     put("captures/g0/7.tbc", 40);
     put("captures/g0/9.tbc", 50);
     Stock stock = fleet.stock("", 2, between::incrementAndGet);
-    assertThat(stock.oldest()).extracting(Item::name).containsExactlyInAnyOrder("captures/g0/7.tbc", "captures/g0/9.tbc");
+    assertThat(stock.oldest())
+        .extracting(Item::name)
+        .containsExactlyInAnyOrder("captures/g0/7.tbc", "captures/g0/9.tbc");
     assertThat(stock.bytes()).isEqualTo(20);
     assertThat(between).hasValue(2);
   }
--- a/gatherer/src/test/java/tidebank/node/ShutdownPlanTest.java
+++ b/gatherer/src/test/java/tidebank/node/ShutdownPlanTest.java
@@ -12,14 +12,27 @@
 import tidebank.model.Settings;
 import tidebank.model.TableType;
 
-/** The moments of a shutdown against the protocol's: SIGKILL 0.7 s behind the longest query timeout, 3 s at the most. */
+/**
+ * The moments of a shutdown against the protocol's: SIGKILL 0.7 s behind the longest query timeout,
+ * 3 s at the most.
+ */
 class ShutdownPlanTest {
   private static final long MS = 1000;
   private static final long TOLD = 50_000 * MS;
 
   private static Settings settings(long longestMs) {
-    return new Settings(2, 0, 5 * MS, Map.of("a", new TableType("a", Repeat.REPLAYABLE, 0, longestMs * MS / 2, longestMs * MS, 0, 1, 1, 0)),
-        Map.of(), 0, new Settings.Layout(1, 1, 1, 1, 0), new Settings.Limits(1, false, false, false, false, 0, 10, false),
+    return new Settings(
+        2,
+        0,
+        5 * MS,
+        Map.of(
+            "a",
+            new TableType(
+                "a", Repeat.REPLAYABLE, 0, longestMs * MS / 2, longestMs * MS, 0, 1, 1, 0)),
+        Map.of(),
+        0,
+        new Settings.Layout(1, 1, 1, 1, 0),
+        new Settings.Limits(1, false, false, false, false, 0, 10, false),
         new Settings.Rules(0, MS, 0, 0, 0, 1, 0, 0, 0, 0));
   }
 
@@ -38,8 +51,12 @@
     for (long lateMs : List.of(0L, 300L, 1700L, 2900L, 10_000L)) {
       long now = TOLD + lateMs * MS;
       ShutdownPlan plan = new ShutdownPlan(settings(2000), now, lateMs * MS);
-      assertThat(plan.closeAt).isGreaterThanOrEqualTo(now).isLessThanOrEqualTo(Math.max(now, TOLD + 650 * MS));
-      assertThat(plan.endBy).isGreaterThanOrEqualTo(now).isLessThanOrEqualTo(Math.max(now, TOLD + 2550 * MS));
+      assertThat(plan.closeAt)
+          .isGreaterThanOrEqualTo(now)
+          .isLessThanOrEqualTo(Math.max(now, TOLD + 650 * MS));
+      assertThat(plan.endBy)
+          .isGreaterThanOrEqualTo(now)
+          .isLessThanOrEqualTo(Math.max(now, TOLD + 2550 * MS));
     }
   }
 
@@ -52,17 +69,18 @@
     CountDownLatch rung = new CountDownLatch(1);
     long[] late = new long[3];
     long due = clock.now() + 20 * MS;
-    loop.execute(() -> {
-      late[0] = timers.latenessUs();
-      timers.set(Timers.timer(() -> late[2] = timers.latenessUs()), due);
-      timers.set(Timers.timer(rung::countDown), due + 10 * MS);
-      try {
-        go.await();
-      } catch (InterruptedException fault) {
-        Thread.currentThread().interrupt();
-      }
-      late[1] = timers.latenessUs();
-    });
+    loop.execute(
+        () -> {
+          late[0] = timers.latenessUs();
+          timers.set(Timers.timer(() -> late[2] = timers.latenessUs()), due);
+          timers.set(Timers.timer(rung::countDown), due + 10 * MS);
+          try {
+            go.await();
+          } catch (InterruptedException fault) {
+            Thread.currentThread().interrupt();
+          }
+          late[1] = timers.latenessUs();
+        });
     while (clock.now() < due + 100 * MS) {
       Thread.onSpinWait();
     }
--- a/lab/src/main/java/tidebank/lab/account/Account.java
+++ b/lab/src/main/java/tidebank/lab/account/Account.java
@@ -4,19 +4,25 @@
 import java.util.TreeMap;
 
 /**
- * Service as it is accounted for: the benefit answered within the target time over the benefit asked, a client's retries
- * counted with its first try. Four figures of it are weighted: the whole run 40, the worst ten seconds 30, the worst
- * table type 20, the worst account 10. Pure; grows with the length of the run in seconds, not with its scans.
+ * Service as it is accounted for: the benefit answered within the target time over the benefit
+ * asked, a client's retries counted with its first try. Four figures of it are weighted: the whole
+ * run 40, the worst ten seconds 30, the worst table type 20, the worst account 10. Pure; grows with
+ * the length of the run in seconds, not with its scans.
  */
 public final class Account {
   /** Weights in tenths, so that a run without loss scores 1 and not a little less. */
   private static final int WHOLE = 4;
+
   private static final int WORST_WINDOW = 3;
   private static final int WORST_TYPE = 2;
   private static final int WORST_ACCOUNT = 1;
   static final int WINDOW_S = 10;
   private static final long SECOND_US = 1_000_000;
-  /** A window, table type or account counts only with this share of what one of its kind has on average. */
+
+  /**
+   * A window, table type or account counts only with this share of what one of its kind has on
+   * average.
+   */
   private static final double LEAST_SHARE = 0.2;
 
   private static final class Sum {
@@ -55,7 +61,13 @@
 
   /** What an end earns of a benefit. */
   public static double earned(
-      double benefit, long tookUs, long targetUs, long timeoutUs, double lateShare, boolean whole, double share,
+      double benefit,
+      long tookUs,
+      long targetUs,
+      long timeoutUs,
+      double lateShare,
+      boolean whole,
+      double share,
       double partialShare) {
     double inTime = tookUs <= targetUs ? 1 : tookUs <= timeoutUs ? lateShare : 0;
     return benefit * inTime * (whole ? 1 : partialShare * share);
@@ -64,7 +76,9 @@
   public void add(ScanRecord scan) {
     scans++;
     all.add(scan);
-    seconds.computeIfAbsent(Math.floorDiv(scan.intendedUs(), SECOND_US), second -> new Sum()).add(scan);
+    seconds
+        .computeIfAbsent(Math.floorDiv(scan.intendedUs(), SECOND_US), second -> new Sum())
+        .add(scan);
     types.computeIfAbsent(scan.tableType(), type -> new Sum()).add(scan);
     accounts.computeIfAbsent(scan.account(), account -> new Sum()).add(scan);
     ends.merge(scan.end(), 1L, Long::sum);
@@ -111,10 +125,23 @@
     }
     Map.Entry<String, Double> type = worst(types, whole);
     Map.Entry<String, Double> account = worst(accounts, whole);
-    double score = (WHOLE * whole + WORST_WINDOW * worst + WORST_TYPE * type.getValue()
-        + WORST_ACCOUNT * account.getValue()) / 10;
-    return new Figures(score, whole, worst, from, type.getValue(), type.getKey(), account.getValue(), account.getKey(),
-        scans, new TreeMap<>(ends));
+    double score =
+        (WHOLE * whole
+                + WORST_WINDOW * worst
+                + WORST_TYPE * type.getValue()
+                + WORST_ACCOUNT * account.getValue())
+            / 10;
+    return new Figures(
+        score,
+        whole,
+        worst,
+        from,
+        type.getValue(),
+        type.getKey(),
+        account.getValue(),
+        account.getKey(),
+        scans,
+        new TreeMap<>(ends));
   }
 
   private Map.Entry<String, Double> worst(Map<String, Sum> sums, double whole) {
--- a/lab/src/main/java/tidebank/lab/account/RuleAudit.java
+++ b/lab/src/main/java/tidebank/lab/account/RuleAudit.java
@@ -14,13 +14,15 @@
 import tidebank.model.Repeat;
 
 /**
- * Checks the six rules from the outside: by what clients sent and got, what servers got, and what gatherers were told.
- * Pure; all times come in, in microseconds of one clock. Events may come a little out of order (they are gathered from
- * several threads): a scan is judged only when its time and a while are over, and is forgotten then.
+ * Checks the six rules from the outside: by what clients sent and got, what servers got, and what
+ * gatherers were told. Pure; all times come in, in microseconds of one clock. Events may come a
+ * little out of order (they are gathered from several threads): a scan is judged only when its time
+ * and a while are over, and is forgotten then.
  */
 public final class RuleAudit {
   /** How long after a scan's end its last traces may still come in. */
   private static final long WHILE_US = 1_000_000;
+
   private static final int KEPT = 50;
 
   /** What the rules depend on. */
@@ -41,7 +43,10 @@
     FAILED,
     /** The client left before it had asked in full. */
     NONE_AND_CLIENT_LEFT,
-    /** The gatherer ended the connection. Lost if it had begun on the scan; else the end may have crossed the request. */
+    /**
+     * The gatherer ended the connection. Lost if it had begun on the scan; else the end may have
+     * crossed the request.
+     */
     CONNECTION_ENDED,
     NONE
   }
@@ -103,7 +108,13 @@
 
   /** A client's try was written whole to a gatherer. */
   public void scanSent(
-      String id, int gatherer, Repeat repeat, double floor, long atUs, long limitUs, Map<Integer, Double> weights) {
+      String id,
+      int gatherer,
+      Repeat repeat,
+      double floor,
+      long atUs,
+      long limitUs,
+      Map<Integer, Double> weights) {
     scans.put(id, new Held(gatherer, repeat, floor, limitUs, Map.copyOf(weights)));
     if (figures.furtherSpanUs() > 0) {
       Deque<Long> times = taken.computeIfAbsent(gatherer, g -> new ArrayDeque<>());
@@ -133,17 +144,37 @@
     for (Told line : lines == null ? new ArrayDeque<Told>() : lines) {
       last = line.atUs <= atUs ? line : last;
     }
-    if (last != null && !last.mayHaveWork && atUs > last.atUs + figures.drainGraceUs() + figures.sendSlackUs()) {
-      breaks(3, atUs, "gatherer " + gatherer + " sent to server " + server + " " + (atUs - last.atUs) / 1000
-          + " ms after it was told that it drains or is gone");
+    if (last != null
+        && !last.mayHaveWork
+        && atUs > last.atUs + figures.drainGraceUs() + figures.sendSlackUs()) {
+      breaks(
+          3,
+          atUs,
+          "gatherer "
+              + gatherer
+              + " sent to server "
+              + server
+              + " "
+              + (atUs - last.atUs) / 1000
+              + " ms after it was told that it drains or is gone");
     }
     if (before.size() > 1 && figures.furtherSpanUs() > 0) {
       Deque<Long> times = further.computeIfAbsent(gatherer, g -> new ArrayDeque<>());
       times.add(atUs);
-      double allowed = figures.freeFurther() + figures.furtherShare() * within(taken.get(gatherer), atUs);
+      double allowed =
+          figures.freeFurther() + figures.furtherShare() * within(taken.get(gatherer), atUs);
       long made = within(times, atUs);
       if (made > allowed) {
-        breaks(6, atUs, "gatherer " + gatherer + " made " + made + " further dispatches where " + allowed + " are allowed");
+        breaks(
+            6,
+            atUs,
+            "gatherer "
+                + gatherer
+                + " made "
+                + made
+                + " further dispatches where "
+                + allowed
+                + " are allowed");
       }
     }
   }
@@ -155,7 +186,10 @@
     return times == null ? 0 : times.size();
   }
 
-  /** Work came to a server that can do only this share of its work now (1: warm), of so much a second. */
+  /**
+   * Work came to a server that can do only this share of its work now (1: warm), of so much a
+   * second.
+   */
   public void workAt(int server, long atUs, double workUs, double capacityUsPerS, double warmth) {
     if (warmth >= 1) {
       cold.remove(server);
@@ -170,15 +204,26 @@
     double allowed = figures.fallMultiple() * warmth * capacityUsPerS * figures.fallAfterUs() / 1e6;
     if (state.sum > allowed * 1.1 && !state.fell) {
       state.fell = true;
-      breaks(4, atUs, "server " + server + ", at " + Math.round(100 * warmth) + "% of its capacity, was sent "
-          + Math.round(state.sum / 1000) + " ms of work in " + figures.fallAfterUs() / 1000 + " ms");
+      breaks(
+          4,
+          atUs,
+          "server "
+              + server
+              + ", at "
+              + Math.round(100 * warmth)
+              + "% of its capacity, was sent "
+              + Math.round(state.sum / 1000)
+              + " ms of work in "
+              + figures.fallAfterUs() / 1000
+              + " ms");
     }
   }
 
   /** Discovery wrote to a gatherer that a server may have work, or may have no new work. */
   public void told(int gatherer, int server, boolean mayHaveWork, long atUs) {
-    Deque<Told> lines = told.computeIfAbsent(gatherer, g -> new HashMap<>())
-        .computeIfAbsent(server, s -> new ArrayDeque<>());
+    Deque<Told> lines =
+        told.computeIfAbsent(gatherer, g -> new HashMap<>())
+            .computeIfAbsent(server, s -> new ArrayDeque<>());
     if (lines.isEmpty() || lines.peekLast().mayHaveWork != mayHaveWork) {
       lines.add(new Told(atUs, mayHaveWork));
       if (lines.size() > 64) {
@@ -189,7 +234,8 @@
 
   /** A gatherer was killed or ended: what it held is no longer its duty. */
   public void ended(int gatherer) {
-    scans.values().stream().filter(held -> held.gatherer == gatherer && held.answers == 0)
+    scans.values().stream()
+        .filter(held -> held.gatherer == gatherer && held.answers == 0)
         .forEach(held -> held.gathererDied = true);
   }
 
@@ -199,7 +245,8 @@
    * @param in the shards whose right value stands in the answer
    * @param wrong how many values stand in it that no server made for it
    */
-  public void replied(String id, long atUs, Reply reply, Set<Integer> in, int wrong, boolean whole) {
+  public void replied(
+      String id, long atUs, Reply reply, Set<Integer> in, int wrong, boolean whole) {
     Held held = scans.get(id);
     if (held == null) {
       return;
@@ -220,7 +267,10 @@
       breaks(1, atUs, "scan " + id + " got " + held.answers + " final answers");
     }
     if (atUs > held.limitUs + figures.answerSlackUs() + figures.sendSlackUs()) {
-      breaks(1, atUs, "scan " + id + " got its answer " + (atUs - held.limitUs) / 1000 + " ms after its time");
+      breaks(
+          1,
+          atUs,
+          "scan " + id + " got its answer " + (atUs - held.limitUs) / 1000 + " ms after its time");
     }
     if (reply == Reply.ANSWERED) {
       double share = 0;
@@ -228,25 +278,48 @@
         share += held.weights.getOrDefault(shard, 0.0);
       }
       if (wrong > 0) {
-        breaks(5, atUs, "scan " + id + " was answered with " + wrong + " values that no server made for it");
+        breaks(
+            5,
+            atUs,
+            "scan " + id + " was answered with " + wrong + " values that no server made for it");
       }
       if (share < held.floor - 1e-4) {
-        breaks(5, atUs, "scan " + id + " was answered from a share of " + share + ", its least is " + held.floor);
+        breaks(
+            5,
+            atUs,
+            "scan "
+                + id
+                + " was answered from a share of "
+                + share
+                + ", its least is "
+                + held.floor);
       }
       if (whole && in.size() < held.weights.size()) {
-        breaks(5, atUs, "scan " + id + " was marked whole with " + in.size() + " of " + held.weights.size() + " parts");
+        breaks(
+            5,
+            atUs,
+            "scan "
+                + id
+                + " was marked whole with "
+                + in.size()
+                + " of "
+                + held.weights.size()
+                + " parts");
       }
     }
   }
 
-  /** Judges what has had its time; to be called now and then, and with the end of time at the end. */
+  /**
+   * Judges what has had its time; to be called now and then, and with the end of time at the end.
+   */
   public void judge(long nowUs) {
     Iterator<Map.Entry<String, Held>> entries = scans.entrySet().iterator();
     while (entries.hasNext()) {
       Map.Entry<String, Held> entry = entries.next();
       Held held = entry.getValue();
       if (held.limitUs + figures.answerSlackUs() + WHILE_US > nowUs) {
-        // Scans of one table type come in order; a longer one in front only delays the others' judgement.
+        // Scans of one table type come in order; a longer one in front only delays the others'
+        // judgement.
         continue;
       }
       judge(entry.getKey(), held);
@@ -256,11 +329,19 @@
   }
 
   private void judge(String id, Held held) {
-    boolean answered = held.reply == Reply.ANSWERED || held.reply == Reply.THROTTLED || held.reply == Reply.FAILED;
-    boolean taken = held.reply == Reply.NONE || held.reply == Reply.CONNECTION_ENDED && !held.sent.isEmpty();
+    boolean answered =
+        held.reply == Reply.ANSWERED || held.reply == Reply.THROTTLED || held.reply == Reply.FAILED;
+    boolean taken =
+        held.reply == Reply.NONE || held.reply == Reply.CONNECTION_ENDED && !held.sent.isEmpty();
     if (!answered && !held.gathererDied && taken) {
-      breaks(1, held.limitUs, "scan " + id + (held.reply == Reply.NONE ? " never got a final answer"
-          : " lost its connection though parts of it had been sent"));
+      breaks(
+          1,
+          held.limitUs,
+          "scan "
+              + id
+              + (held.reply == Reply.NONE
+                  ? " never got a final answer"
+                  : " lost its connection though parts of it had been sent"));
     }
     for (Map.Entry<Integer, List<Sent>> entry : held.sent.entrySet()) {
       List<Sent> sent = entry.getValue();
@@ -268,8 +349,16 @@
       if (answered) {
         for (Sent one : sent) {
           if (one.atUs > held.answeredUs + figures.sendSlackUs()) {
-            breaks(1, one.atUs, "shard " + entry.getKey() + " of scan " + id + " was sent "
-                + (one.atUs - held.answeredUs) / 1000 + " ms after the final answer");
+            breaks(
+                1,
+                one.atUs,
+                "shard "
+                    + entry.getKey()
+                    + " of scan "
+                    + id
+                    + " was sent "
+                    + (one.atUs - held.answeredUs) / 1000
+                    + " ms after the final answer");
           }
         }
       }
@@ -277,13 +366,22 @@
         boolean ran = false;
         for (Sent one : sent) {
           if (ran) {
-            breaks(2, one.atUs, "shard " + entry.getKey() + " of scan " + id
-                + ", which must not run twice, was sent again after it may have run");
+            breaks(
+                2,
+                one.atUs,
+                "shard "
+                    + entry.getKey()
+                    + " of scan "
+                    + id
+                    + ", which must not run twice, was sent again after it may have run");
           }
           ran |= one.run == Run.RAN;
         }
         if (ran && held.reply == Reply.THROTTLED) {
-          breaks(2, held.answeredUs, "scan " + id + ", which must not run twice, was throttled after a part had run");
+          breaks(
+              2,
+              held.answeredUs,
+              "scan " + id + ", which must not run twice, was throttled after a part had run");
         }
       }
     }
--- a/lab/src/main/java/tidebank/lab/capture/Replayed.java
+++ b/lab/src/main/java/tidebank/lab/capture/Replayed.java
@@ -13,8 +13,9 @@
 import tidebank.model.Action;
 
 /**
- * Drives a fresh module with what a capture tells, and compares what it wants with what it wanted then, turn by turn. What
- * can't be replayed (behind a gap, before the first start that is kept) is counted, never guessed.
+ * Drives a fresh module with what a capture tells, and compares what it wants with what it wanted
+ * then, turn by turn. What can't be replayed (behind a gap, before the first start that is kept) is
+ * counted, never guessed.
  */
 public final class Replayed {
   /**
@@ -42,8 +43,17 @@
    * @param divergence the first, or null
    */
   public record Result(
-      long turns, long same, long skipped, long starts, long failures, long missing, List<String> torn, long firstUs,
-      long lastUs, String digest, Divergence divergence) {
+      long turns,
+      long same,
+      long skipped,
+      long starts,
+      long failures,
+      long missing,
+      List<String> torn,
+      long firstUs,
+      long lastUs,
+      String digest,
+      Divergence divergence) {
     public boolean alike() {
       return divergence == null;
     }
@@ -68,7 +78,10 @@
     return files;
   }
 
-  /** Replays up to the first divergence; the module of today knows nothing but what the capture tells. */
+  /**
+   * Replays up to the first divergence; the module of today knows nothing but what the capture
+   * tells.
+   */
   public static Result replay(Path place, Listener listener) throws IOException {
     long turns = 0;
     long same = 0;
@@ -126,7 +139,17 @@
         brain = null;
       }
     }
-    return new Result(turns, same, skipped, starts, failures, missing, torn, first, last,
-        Long.toHexString(digest.getValue()), divergence);
+    return new Result(
+        turns,
+        same,
+        skipped,
+        starts,
+        failures,
+        missing,
+        torn,
+        first,
+        last,
+        Long.toHexString(digest.getValue()),
+        divergence);
   }
 }
--- a/lab/src/main/java/tidebank/lab/chaos/Drawn.java
+++ b/lab/src/main/java/tidebank/lab/chaos/Drawn.java
@@ -43,10 +43,31 @@
     }
     int troubles = LEAST + drawn.pick(SPREAD);
     for (int i = 0; i < troubles; i++) {
-      drawn.steps.add(new Step(Await.NOTHING, 1, 1 + drawn.pick(3), "owner", Do.SCANS, "", "", "", null, 0, 0, 0, 1));
+      drawn.steps.add(
+          new Step(
+              Await.NOTHING,
+              1,
+              1 + drawn.pick(3),
+              "owner",
+              Do.SCANS,
+              "",
+              "",
+              "",
+              null,
+              0,
+              0,
+              0,
+              1));
       drawn.trouble("x" + (char) ('a' + i));
     }
-    return new Script("seed-" + seed, "Drawn from seed " + seed, drawn.stewards, drawn.members, LEASE_MS, DRIFT, clocks,
+    return new Script(
+        "seed-" + seed,
+        "Drawn from seed " + seed,
+        drawn.stewards,
+        drawn.members,
+        LEASE_MS,
+        DRIFT,
+        clocks,
         drawn.steps);
   }
 
@@ -66,7 +87,10 @@
   private void trouble(String called) {
     String member = one(List.of("owner", "owner", "other"));
     boolean owner = member.equals("owner");
-    Await then = owner && members > 1 ? one(List.of(Await.GRANT, Await.SUCCESSOR, Await.CALLS)) : Await.PUBLICATIONS;
+    Await then =
+        owner && members > 1
+            ? one(List.of(Await.GRANT, Await.SUCCESSOR, Await.CALLS))
+            : Await.PUBLICATIONS;
     Await before = one(List.of(Await.PUBLICATIONS, Await.RENEWALS, Await.OWNED));
     switch (pick(8)) {
       case 0 -> {
@@ -79,17 +103,36 @@
       }
       case 2 -> {
         steps.add(Step.of(before, 1, Do.NOTHING, member, called));
-        steps.add(Step.link(Await.NOTHING, 1, called, "stewards",
-            one(List.of(Link.Fault.SILENT_UP, Link.Fault.SILENT_DOWN, Link.Fault.CUT)), 0));
+        steps.add(
+            Step.link(
+                Await.NOTHING,
+                1,
+                called,
+                "stewards",
+                one(List.of(Link.Fault.SILENT_UP, Link.Fault.SILENT_DOWN, Link.Fault.CUT)),
+                0));
         steps.add(heal(then, called, "stewards"));
       }
       case 3 -> {
-        steps.add(Step.link(before, 1, "members", "stewards", one(List.of(Link.Fault.RESET, Link.Fault.HALF_OPEN)), 0));
+        steps.add(
+            Step.link(
+                before,
+                1,
+                "members",
+                "stewards",
+                one(List.of(Link.Fault.RESET, Link.Fault.HALF_OPEN)),
+                0));
         steps.add(Step.of(Await.PUBLICATIONS, 1, Do.NOTHING, "owner", ""));
       }
       case 4 -> {
-        steps.add(Step.link(before, 1, "members", "stewards",
-            one(List.of(Link.Fault.DELAY, Link.Fault.FLAP, Link.Fault.TRICKLE)), 20 + pick(80)));
+        steps.add(
+            Step.link(
+                before,
+                1,
+                "members",
+                "stewards",
+                one(List.of(Link.Fault.DELAY, Link.Fault.FLAP, Link.Fault.TRICKLE)),
+                20 + pick(80)));
         steps.add(heal(meanwhile(), "members", "stewards"));
       }
       case 5 -> {
@@ -97,13 +140,27 @@
         steps.add(step(stewards > 1 ? Await.LEADER : Await.LEADERLESS, Do.WAKE, called));
       }
       case 6 -> {
-        steps.add(Step.of(before, 1, one(List.of(Do.KILL, Do.TERM)), one(List.of("leader", "follower")), called));
+        steps.add(
+            Step.of(
+                before,
+                1,
+                one(List.of(Do.KILL, Do.TERM)),
+                one(List.of("leader", "follower")),
+                called));
         steps.add(new Step(Await.ENDED, 1, 1, called, Do.START, called, "", "", null, 0, 0, 0, 1));
       }
       default -> {
         steps.add(Step.of(before, 1, Do.NOTHING, "leader", called));
-        steps.add(Step.link(Await.NOTHING, 1, stewards > 1 && pick(2) == 0 ? called : "stewards", "stewards",
-            one(List.of(Link.Fault.CUT, Link.Fault.SILENT_UP, Link.Fault.DELAY, Link.Fault.RESET)), 20 + pick(30)));
+        steps.add(
+            Step.link(
+                Await.NOTHING,
+                1,
+                stewards > 1 && pick(2) == 0 ? called : "stewards",
+                "stewards",
+                one(
+                    List.of(
+                        Link.Fault.CUT, Link.Fault.SILENT_UP, Link.Fault.DELAY, Link.Fault.RESET)),
+                20 + pick(30)));
         steps.add(heal(meanwhile(), "all", "stewards"));
       }
     }
@@ -114,6 +171,7 @@
   }
 
   private Step heal(Await await, String from, String to) {
-    return new Step(await, 1 + pick(6), 1, "members", Do.LINK, from, "", to, Link.Fault.HEAL, 0, 0, 400, 1);
+    return new Step(
+        await, 1 + pick(6), 1, "members", Do.LINK, from, "", to, Link.Fault.HEAL, 0, 0, 400, 1);
   }
 }
--- a/lab/src/main/java/tidebank/lab/chaos/History.java
+++ b/lab/src/main/java/tidebank/lab/chaos/History.java
@@ -10,12 +10,14 @@
 import tidebank.lease.LeaseBook;
 
 /**
- * What went over the links, and what was done to whom, as seen from outside of all processes; in microseconds since the run
- * began. Written to by relays, the observer and the script, each under this object's lock, and read once they have ended.
+ * What went over the links, and what was done to whom, as seen from outside of all processes; in
+ * microseconds since the run began. Written to by relays, the observer and the script, each under
+ * this object's lock, and read once they have ended.
  */
 public final class History {
   /** An answer that came as the answer to another call of its command already. */
-  private static final TreeSet<String> LATE = new TreeSet<>(List.of("TB-1006", "TB-1007", "TB-1008", "TB-1010"));
+  private static final TreeSet<String> LATE =
+      new TreeSet<>(List.of("TB-1006", "TB-1007", "TB-1008", "TB-1010"));
 
   /**
    * A command of one session, however often it was sent.
@@ -24,7 +26,8 @@
    * @param back when the first answer came by, or {@link Long#MAX_VALUE}
    * @param copies how often it was sent
    */
-  public record Asked(String from, Command command, long call, long back, Answer answer, int copies) {}
+  public record Asked(
+      String from, Command command, long call, long back, Answer answer, int copies) {}
 
   /** A state that somebody was told. */
   public record Read(String from, long call, long back, LeaseBook.State state) {}
@@ -57,9 +60,18 @@
       return;
     }
     Asked before = asked.get(row);
-    asked.set(row, new Asked(from, before.command(), before.call(), before.back(), before.answer(), before.copies() + 1));
+    asked.set(
+        row,
+        new Asked(
+            from,
+            before.command(),
+            before.call(),
+            before.back(),
+            before.answer(),
+            before.copies() + 1));
     if (!before.command().equals(command)) {
-      faults.add("one number for two commands of a session: " + before.command() + " and " + command);
+      faults.add(
+          "one number for two commands of a session: " + before.command() + " and " + command);
     }
   }
 
@@ -68,8 +80,10 @@
     int row = rows.get(key(command));
     Asked before = asked.get(row);
     if (before.answer() == null) {
-      asked.set(row, new Asked(before.from(), command, before.call(), now(), answer, before.copies()));
-    } else if (!before.answer().equals(answer) && (answer.fault() == null || !LATE.contains(answer.fault().code()))) {
+      asked.set(
+          row, new Asked(before.from(), command, before.call(), now(), answer, before.copies()));
+    } else if (!before.answer().equals(answer)
+        && (answer.fault() == null || !LATE.contains(answer.fault().code()))) {
       faults.add("two answers to " + command + ": " + before.answer() + " and " + answer);
     }
   }
@@ -81,20 +95,38 @@
 
   /** Renewals that somebody has had answered so far. */
   public synchronized int renewals(String from) {
-    return (int) asked.stream().filter(one -> one.from().equals(from) && one.command().kind() == Command.Kind.RENEW && one.answer() != null
-        && one.answer().fault() == null).count();
+    return (int)
+        asked.stream()
+            .filter(
+                one ->
+                    one.from().equals(from)
+                        && one.command().kind() == Command.Kind.RENEW
+                        && one.answer() != null
+                        && one.answer().fault() == null)
+            .count();
   }
 
   /** Claims of a duty that somebody sent so far, answered or not. */
   public synchronized int claims(String from, String duty) {
-    return (int) asked.stream().filter(one -> one.from().equals(from) && one.command().kind() == Command.Kind.CLAIM
-        && one.command().duty().equals(duty)).count();
+    return (int)
+        asked.stream()
+            .filter(
+                one ->
+                    one.from().equals(from)
+                        && one.command().kind() == Command.Kind.CLAIM
+                        && one.command().duty().equals(duty))
+            .count();
   }
 
   /** What was sent to be published under a duty so far, answered or not. */
   public synchronized int published(String duty) {
-    return (int) asked.stream().filter(one -> one.command().kind() == Command.Kind.PUBLISH && one.command().duty().equals(duty))
-        .count();
+    return (int)
+        asked.stream()
+            .filter(
+                one ->
+                    one.command().kind() == Command.Kind.PUBLISH
+                        && one.command().duty().equals(duty))
+            .count();
   }
 
   public synchronized void read(String from, long call, LeaseBook.State state) {
--- a/lab/src/main/java/tidebank/lab/chaos/LeaseRules.java
+++ b/lab/src/main/java/tidebank/lab/chaos/LeaseRules.java
@@ -14,11 +14,14 @@
 import tidebank.lease.Terms;
 
 /**
- * What must hold for a duty, whatever happened, judged from a history alone: its commands and reads are linearizable, and nobody
- * is granted it before the lease of the one before can be over.
+ * What must hold for a duty, whatever happened, judged from a history alone: its commands and reads
+ * are linearizable, and nobody is granted it before the lease of the one before can be over.
  */
 public final class LeaseRules {
-  /** A duty as far as it does not depend on time. The owner stays named after its lease ended, until another claims. */
+  /**
+   * A duty as far as it does not depend on time. The owner stays named after its lease ended, until
+   * another claims.
+   */
   public record Cell(long token, String session, long revision, String value) {
     static final Cell NEW = new Cell(0, "", 0, "");
 
@@ -39,7 +42,8 @@
     TreeSet<String> duties = new TreeSet<>();
     history.reads().forEach(read -> read.state().duties().forEach(duty -> duties.add(duty.name())));
     for (String duty : duties) {
-      Linear.Outcome outcome = Linear.check(operations(history.asked(), history.reads(), duty), Cell.NEW);
+      Linear.Outcome outcome =
+          Linear.check(operations(history.asked(), history.reads(), duty), Cell.NEW);
       if (!outcome.holds()) {
         broken.add(duty + " is not linearizable: " + outcome.fault());
       }
@@ -52,31 +56,53 @@
   static List<Linear.Operation<Cell>> operations(List<Asked> asked, List<Read> reads, String duty) {
     List<Linear.Operation<Cell>> operations = new ArrayList<>();
     for (Asked one : asked) {
-      UnaryOperator<Cell> step = one.answer() == null ? unheard(one.command(), duty)
-          : answered(one.command(), one.answer(), duty);
+      UnaryOperator<Cell> step =
+          one.answer() == null
+              ? unheard(one.command(), duty)
+              : answered(one.command(), one.answer(), duty);
       if (step != null) {
         operations.add(new Linear.Operation<>(said(one), one.call(), one.back(), step));
       }
     }
     for (Read read : reads) {
-      read.state().duties().stream().filter(cell -> cell.name().equals(duty)).findFirst().ifPresent(told -> {
-        Cell cell = new Cell(told.token(), told.session(), told.revision(), told.value());
-        operations.add(new Linear.Operation<>(read.from() + " read " + cell, read.call(), read.back(),
-            now -> now.equals(cell) ? now : null));
-      });
+      read.state().duties().stream()
+          .filter(cell -> cell.name().equals(duty))
+          .findFirst()
+          .ifPresent(
+              told -> {
+                Cell cell = new Cell(told.token(), told.session(), told.revision(), told.value());
+                operations.add(
+                    new Linear.Operation<>(
+                        read.from() + " read " + cell,
+                        read.call(),
+                        read.back(),
+                        now -> now.equals(cell) ? now : null));
+              });
     }
     return operations;
   }
 
   private static String said(Asked one) {
     Command command = one.command();
-    return command.name() + ' ' + command.kind() + (command.token() == 0 ? "" : " by " + command.token())
-        + (command.kind() == Kind.PUBLISH ? " after " + command.revision() : "") + " at " + one.call() / 1000 + " ms: "
-        + (one.answer() == null ? "no answer" : one.answer().fault() == null ? "done, owns " + one.answer().grants()
-            : one.answer().fault().code());
+    return command.name()
+        + ' '
+        + command.kind()
+        + (command.token() == 0 ? "" : " by " + command.token())
+        + (command.kind() == Kind.PUBLISH ? " after " + command.revision() : "")
+        + " at "
+        + one.call() / 1000
+        + " ms: "
+        + (one.answer() == null
+            ? "no answer"
+            : one.answer().fault() == null
+                ? "done, owns " + one.answer().grants()
+                : one.answer().fault().code());
   }
 
-  /** One that nobody knows the outcome of: where it fits it may have had its effect. Null if it has none on the duty. */
+  /**
+   * One that nobody knows the outcome of: where it fits it may have had its effect. Null if it has
+   * none on the duty.
+   */
   private static UnaryOperator<Cell> unheard(Command command, String duty) {
     boolean about = command.duty().equals(duty);
     if (command.kind() == Kind.LEAVE) {
@@ -86,8 +112,10 @@
     } else if (about && command.kind() == Kind.RELEASE) {
       return now -> now.by(command) ? now.let() : now;
     } else if (about && command.kind() == Kind.PUBLISH) {
-      return now -> now.by(command) && now.revision() == command.revision()
-          ? new Cell(now.token(), now.session(), now.revision() + 1, command.value()) : now;
+      return now ->
+          now.by(command) && now.revision() == command.revision()
+              ? new Cell(now.token(), now.session(), now.revision() + 1, command.value())
+              : now;
     }
     return null;
   }
@@ -95,14 +123,23 @@
   /** One with its answer. Null if the answer says nothing of the duty. */
   private static UnaryOperator<Cell> answered(Command command, Answer answer, String duty) {
     UnaryOperator<Cell> step = effect(command, answer, duty);
-    Answer.Grant grant = answer.grants() == null ? null
-        : answer.grants().stream().filter(one -> one.duty().equals(duty)).findFirst().orElse(null);
+    Answer.Grant grant =
+        answer.grants() == null
+            ? null
+            : answer.grants().stream()
+                .filter(one -> one.duty().equals(duty))
+                .findFirst()
+                .orElse(null);
     if (grant == null) {
       return step;
     }
     return now -> {
       Cell after = step == null ? now : step.apply(now);
-      return after != null && after.token() == grant.token() && after.session().equals(command.session()) ? after : null;
+      return after != null
+              && after.token() == grant.token()
+              && after.session().equals(command.session())
+          ? after
+          : null;
     };
   }
 
@@ -115,36 +152,58 @@
       return null;
     }
     return switch (command.kind()) {
-      case CLAIM -> fault == null ? now -> claimed(now, command, answer, duty)
-          : fault.is(Fault.DutyHeld.class) ? now -> now.session().equals(command.session()) || now.session().isEmpty() ? null : now
-          : null;
-      case RELEASE -> fault == null ? now -> now.by(command) ? now.let() : null : refused(command, fault);
-      case PUBLISH -> fault == null ? now -> now.by(command) && now.revision() == command.revision()
-          && answer.revision() == now.revision() + 1
-              ? new Cell(now.token(), now.session(), now.revision() + 1, command.value()) : null
-          : fault.is(Fault.RevisionMoved.class) ? now -> now.by(command) && now.revision() != command.revision() ? now : null
-          : refused(command, fault);
+      case CLAIM ->
+          fault == null
+              ? now -> claimed(now, command, answer, duty)
+              : fault.is(Fault.DutyHeld.class)
+                  ? now ->
+                      now.session().equals(command.session()) || now.session().isEmpty()
+                          ? null
+                          : now
+                  : null;
+      case RELEASE ->
+          fault == null ? now -> now.by(command) ? now.let() : null : refused(command, fault);
+      case PUBLISH ->
+          fault == null
+              ? now ->
+                  now.by(command)
+                          && now.revision() == command.revision()
+                          && answer.revision() == now.revision() + 1
+                      ? new Cell(now.token(), now.session(), now.revision() + 1, command.value())
+                      : null
+              : fault.is(Fault.RevisionMoved.class)
+                  ? now -> now.by(command) && now.revision() != command.revision() ? now : null
+                  : refused(command, fault);
       default -> null;
     };
   }
 
   private static Cell claimed(Cell now, Command command, Answer answer, String duty) {
-    long token = answer.grants().stream().filter(grant -> grant.duty().equals(duty)).mapToLong(Answer.Grant::token)
-        .findFirst().orElse(-1);
+    long token =
+        answer.grants().stream()
+            .filter(grant -> grant.duty().equals(duty))
+            .mapToLong(Answer.Grant::token)
+            .findFirst()
+            .orElse(-1);
     boolean again = token == now.token() && now.session().equals(command.session());
-    return again ? now : token == now.token() + 1
-        ? new Cell(token, command.session(), now.revision(), now.value()) : null;
+    return again
+        ? now
+        : token == now.token() + 1
+            ? new Cell(token, command.session(), now.revision(), now.value())
+            : null;
   }
 
   private static UnaryOperator<Cell> refused(Command command, Fault.Told fault) {
-    return fault.is(Fault.TokenOld.class) ? now -> now.by(command) ? null : now
+    return fault.is(Fault.TokenOld.class)
+        ? now -> now.by(command) ? null : now
         : fault.is(Fault.LeaseOver.class) ? now -> now.by(command) ? now : null : null;
   }
 
   /**
-   * Grants that came too early. A claim or renewal that was called at c leaves its owner believing until c + lease / (1 + drift) at
-   * the most: it counts lease x (1 - drift) / (1 + drift) from before, by a clock that is 1 - drift slow at the worst. No
-   * successor may have its answer before, unless the owner let go.
+   * Grants that came too early. A claim or renewal that was called at c leaves its owner believing
+   * until c + lease / (1 + drift) at the most: it counts lease x (1 - drift) / (1 + drift) from
+   * before, by a clock that is 1 - drift slow at the worst. No successor may have its answer
+   * before, unless the owner let go.
    */
   static List<String> early(List<Asked> asked, String duty, Terms terms) {
     List<String> early = new ArrayList<>();
@@ -152,13 +211,29 @@
     for (Asked next : asked) {
       long token = next.command().kind() == Kind.CLAIM ? granted(next, duty) : 0;
       for (Asked before : token == 0 ? List.<Asked>of() : asked) {
-        boolean sets = before.command().kind() == Kind.RENEW || before.command().kind() == Kind.CLAIM
-            && before.command().duty().equals(duty);
+        boolean sets =
+            before.command().kind() == Kind.RENEW
+                || before.command().kind() == Kind.CLAIM && before.command().duty().equals(duty);
         long held = sets ? granted(before, duty) : 0;
-        if (held > 0 && held < token && next.back() < before.call() + lasts && !let(asked, before, held, duty, next.back())) {
-          early.add(duty + ": token " + token + " of " + next.command().name() + " was granted at " + next.back() / 1000
-              + " ms, the lease of token " + held + " of " + before.command().name() + " lasts to "
-              + (before.call() + lasts) / 1000 + " ms");
+        if (held > 0
+            && held < token
+            && next.back() < before.call() + lasts
+            && !let(asked, before, held, duty, next.back())) {
+          early.add(
+              duty
+                  + ": token "
+                  + token
+                  + " of "
+                  + next.command().name()
+                  + " was granted at "
+                  + next.back() / 1000
+                  + " ms, the lease of token "
+                  + held
+                  + " of "
+                  + before.command().name()
+                  + " lasts to "
+                  + (before.call() + lasts) / 1000
+                  + " ms");
         }
       }
     }
@@ -166,19 +241,31 @@
   }
 
   private static long granted(Asked one, String duty) {
-    return one.answer() == null || one.answer().fault() != null || one.answer().grants() == null ? 0
-        : one.answer().grants().stream().filter(grant -> grant.duty().equals(duty)).mapToLong(Answer.Grant::token)
-            .findFirst().orElse(0);
+    return one.answer() == null || one.answer().fault() != null || one.answer().grants() == null
+        ? 0
+        : one.answer().grants().stream()
+            .filter(grant -> grant.duty().equals(duty))
+            .mapToLong(Answer.Grant::token)
+            .findFirst()
+            .orElse(0);
   }
 
   private static boolean let(List<Asked> asked, Asked owner, long token, String duty, long until) {
-    return asked.stream().anyMatch(one -> one.command().session().equals(owner.command().session()) && one.call() < until
-        && (one.command().kind() == Kind.LEAVE || one.command().kind() == Kind.RELEASE
-            && one.command().duty().equals(duty) && one.command().token() == token));
+    return asked.stream()
+        .anyMatch(
+            one ->
+                one.command().session().equals(owner.command().session())
+                    && one.call() < until
+                    && (one.command().kind() == Kind.LEAVE
+                        || one.command().kind() == Kind.RELEASE
+                            && one.command().duty().equals(duty)
+                            && one.command().token() == token));
   }
 
   /** A duty in a state, if it is there. */
   static LeaseBook.Duty duty(LeaseBook.State state, String name) {
-    return state == null ? null : state.duties().stream().filter(duty -> duty.name().equals(name)).findFirst().orElse(null);
+    return state == null
+        ? null
+        : state.duties().stream().filter(duty -> duty.name().equals(name)).findFirst().orElse(null);
   }
 }
--- a/lab/src/main/java/tidebank/lab/chaos/Linear.java
+++ b/lab/src/main/java/tidebank/lab/chaos/Linear.java
@@ -11,8 +11,9 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Whether operations that overlapped can have taken effect one after the other, each at some moment between its call and its
- * return. The search of Wing and Gong, which never comes twice to the same operations done with the same state (Lowe).
+ * Whether operations that overlapped can have taken effect one after the other, each at some moment
+ * between its call and its return. The search of Wing and Gong, which never comes twice to the same
+ * operations done with the same state (Lowe).
  */
 public final class Linear {
   /** Operations tried before a history counts as undecided. */
@@ -23,7 +24,8 @@
    *
    * @param what for people
    * @param call when it was asked for
-   * @param back when its answer was there; {@link Long#MAX_VALUE} where none came: it may have taken effect any time, or never
+   * @param back when its answer was there; {@link Long#MAX_VALUE} where none came: it may have
+   *     taken effect any time, or never
    * @param step the state after it, or null where it can't have had this answer in that state
    */
   public record Operation<S>(String what, long call, long back, UnaryOperator<S> step) {
@@ -64,7 +66,9 @@
       int next = -1;
       S after = null;
       long soonest = Long.MAX_VALUE;
-      for (int i = done.nextClearBit(0); i < all.size() && all.get(i).call() <= soonest; i = done.nextClearBit(i + 1)) {
+      for (int i = done.nextClearBit(0);
+          i < all.size() && all.get(i).call() <= soonest;
+          i = done.nextClearBit(i + 1)) {
         Operation<S> one = all.get(i);
         soonest = Math.min(soonest, one.back());
         if (i >= from && next < 0) {
@@ -103,10 +107,18 @@
   /** What none of the operations that were due could follow. */
   private static <S> String stuck(List<Operation<S>> all, BitSet done, long soonest, S state) {
     List<String> due = new ArrayList<>();
-    for (int i = done.nextClearBit(0); i < all.size() && all.get(i).call() <= soonest; i = done.nextClearBit(i + 1)) {
+    for (int i = done.nextClearBit(0);
+        i < all.size() && all.get(i).call() <= soonest;
+        i = done.nextClearBit(i + 1)) {
       due.add(all.get(i).what());
     }
-    return "after " + done.cardinality() + " of " + all.size() + " operations, with " + state + ", none of these fits: "
+    return "after "
+        + done.cardinality()
+        + " of "
+        + all.size()
+        + " operations, with "
+        + state
+        + ", none of these fits: "
         + String.join("; ", due);
   }
 }
--- a/lab/src/main/java/tidebank/lab/chaos/Link.java
+++ b/lab/src/main/java/tidebank/lab/chaos/Link.java
@@ -2,15 +2,23 @@
 
 import tidebank.model.Chance;
 
-/** The state of the way from one process to another: what is done to all its connections. Belongs to the relays' event loop. */
+/**
+ * The state of the way from one process to another: what is done to all its connections. Belongs to
+ * the relays' event loop.
+ */
 final class Link {
   /** What happens in one direction. */
   static final class Way {
     long delayUs;
     long jitterUs;
+
     /** 0 for no bound. */
     long bytesPerS;
-    /** What is sent stays on the way until the silence ends, as with lost packets that are sent again. */
+
+    /**
+     * What is sent stays on the way until the silence ends, as with lost packets that are sent
+     * again.
+     */
     boolean silent;
 
     private void heal() {
@@ -35,7 +43,10 @@
     CUT,
     /** All connections there are break with a reset; new ones are fine. */
     RESET,
-    /** All connections there are end at the called side, and the caller hears nothing of it; new ones are fine. */
+    /**
+     * All connections there are end at the called side, and the caller hears nothing of it; new
+     * ones are fine.
+     */
     HALF_OPEN,
     /** {@code bytes_s} pass in a second, each way. */
     TRICKLE,
@@ -50,6 +61,7 @@
   final Chance chance;
   boolean refusing;
   long flapUs;
+
   /** Counts what was done, so that a flapping that was ended knows it. */
   int turn;
 
--- a/lab/src/main/java/tidebank/lab/chaos/Observer.java
+++ b/lab/src/main/java/tidebank/lab/chaos/Observer.java
@@ -14,8 +14,8 @@
 import tidebank.lease.LeaseBook;
 
 /**
- * Asks the stewards over and over what holds, past all relays, and writes it into the history. What it saw last is for the script
- * to wait for.
+ * Asks the stewards over and over what holds, past all relays, and writes it into the history. What
+ * it saw last is for the script to wait for.
  */
 final class Observer implements AutoCloseable {
   private static final long EVERY_MS = 25;
@@ -36,15 +36,39 @@
 
     /** For people. */
     String said() {
-      return (leader < 0 ? "no steward answers" : "s" + leader + " leads") + ", " + scans + " scans counted" + (state == null ? ""
-          : state.members().stream().map(member -> ", " + member.name() + (member.aliveUntil() > state.now() ? " alive" : " silent"))
-              .reduce("", String::concat) + state.duties().stream().map(duty -> ", " + duty.name() + " by " + duty.token() + " of "
-              + duty.owner() + (duty.until() > state.now() ? "" : " which is over") + " meant for " + duty.meant() + " at revision "
-              + duty.revision()).reduce("", String::concat));
+      return (leader < 0 ? "no steward answers" : "s" + leader + " leads")
+          + ", "
+          + scans
+          + " scans counted"
+          + (state == null
+              ? ""
+              : state.members().stream()
+                      .map(
+                          member ->
+                              ", "
+                                  + member.name()
+                                  + (member.aliveUntil() > state.now() ? " alive" : " silent"))
+                      .reduce("", String::concat)
+                  + state.duties().stream()
+                      .map(
+                          duty ->
+                              ", "
+                                  + duty.name()
+                                  + " by "
+                                  + duty.token()
+                                  + " of "
+                                  + duty.owner()
+                                  + (duty.until() > state.now() ? "" : " which is over")
+                                  + " meant for "
+                                  + duty.meant()
+                                  + " at revision "
+                                  + duty.revision())
+                      .reduce("", String::concat));
     }
   }
 
-  private final HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(ONE).build();
+  private final HttpClient http =
+      HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(ONE).build();
   private final List<String> addresses;
   private final History history;
   private final Reports reports;
@@ -104,9 +128,15 @@
 
   private LeaseBook.State ask(String address) throws InterruptedException {
     try {
-      HttpResponse<byte[]> response = http.send(HttpRequest.newBuilder(URI.create("http://" + address + "/fleet/state"))
-          .timeout(ONE).build(), BodyHandlers.ofByteArray());
-      return response.statusCode() == 200 ? LeaseCodec.read(response.body(), LeaseBook.State.class) : null;
+      HttpResponse<byte[]> response =
+          http.send(
+              HttpRequest.newBuilder(URI.create("http://" + address + "/fleet/state"))
+                  .timeout(ONE)
+                  .build(),
+              BodyHandlers.ofByteArray());
+      return response.statusCode() == 200
+          ? LeaseCodec.read(response.body(), LeaseBook.State.class)
+          : null;
     } catch (IOException noAnswer) {
       return null;
     }
--- a/lab/src/main/java/tidebank/lab/chaos/Play.java
+++ b/lab/src/main/java/tidebank/lab/chaos/Play.java
@@ -24,8 +24,8 @@
 import tidebank.steward.StewardClient;
 
 /**
- * Plays a script on a fleet of its own and judges what was seen. Every step waits for something, for a bounded time; what never came
- * is a fault of the run like any other.
+ * Plays a script on a fleet of its own and judges what was seen. Every step waits for something,
+ * for a bounded time; what never came is a fault of the run like any other.
  */
 public final class Play {
   private static final long PATIENCE_MS = 30_000;
@@ -38,18 +38,35 @@
    * @param broken what did not hold; empty if all did
    * @param took in microseconds
    * @param scans sent, and counted in published reports
-   * @param gaps how long the report was without an owner, by what had happened to the one before, in microseconds
+   * @param gaps how long the report was without an owner, by what had happened to the one before,
+   *     in microseconds
    */
-  public record Verdict(String script, long seed, List<String> broken, long took, int scans, long counted, int commands,
-      int reads, int publications, Map<String, List<Long>> gaps) {
+  public record Verdict(
+      String script,
+      long seed,
+      List<String> broken,
+      long took,
+      int scans,
+      long counted,
+      int commands,
+      int reads,
+      int publications,
+      Map<String, List<Long>> gaps) {
     public boolean held() {
       return broken.isEmpty();
     }
   }
 
   /** What the fleet was like when the last step had been taken. */
-  private record Mark(long revision, long token, int leader, long round, Map<String, Integer> sent,
-      Map<String, Integer> renewals, Map<String, Integer> claims, int lists) {}
+  private record Mark(
+      long revision,
+      long token,
+      int leader,
+      long round,
+      Map<String, Integer> sent,
+      Map<String, Integer> renewals,
+      Map<String, Integer> claims,
+      int lists) {}
 
   private final Script script;
   private final long seed;
@@ -100,10 +117,20 @@
     }
     broken.addAll(reports.faults());
     broken.addAll(stored.faults());
-    broken.addAll(LeaseRules.broken(history, new Terms(script.leaseMs() * 1000, script.drift(), 0, 0)));
-    Verdict verdict = new Verdict(script.name(), seed, List.copyOf(broken), history.now(), sent, reports.scans(),
-        history.asked().size(), history.reads().size(), reports.count(),
-        Gaps.of(history.events(), history.asked(), "report"));
+    broken.addAll(
+        LeaseRules.broken(history, new Terms(script.leaseMs() * 1000, script.drift(), 0, 0)));
+    Verdict verdict =
+        new Verdict(
+            script.name(),
+            seed,
+            List.copyOf(broken),
+            history.now(),
+            sent,
+            reports.scans(),
+            history.asked().size(),
+            history.reads().size(),
+            reports.count(),
+            Gaps.of(history.events(), history.asked(), "report"));
     RunFiles.write(folder, script, history, verdict);
     return verdict;
   }
@@ -117,13 +144,21 @@
     mark();
     until("all members alive and all duties owned", () -> alive() == script.members() && owned());
     until("a first report", () -> report() != null && report().revision() > 0);
-    say("fleet", script.stewards() + " stewards and " + script.members() + " members; " + owner() + " owns the report by token "
-        + report().token());
+    say(
+        "fleet",
+        script.stewards()
+            + " stewards and "
+            + script.members()
+            + " members; "
+            + owner()
+            + " owns the report by token "
+            + report().token());
     mark();
     int number = 0;
     for (Step step : script.steps()) {
       number++;
-      String wait = step.await() == Script.Await.NOTHING ? "nothing" : step.await() + " x" + step.count();
+      String wait =
+          step.await() == Script.Await.NOTHING ? "nothing" : step.await() + " x" + step.count();
       until("step " + number + ", " + step.said() + ", which waits for " + wait, () -> seen(step));
       act(step);
       mark();
@@ -134,11 +169,17 @@
   private void settle() throws IOException {
     rig.mend();
     say("fleet", "all mended");
-    until("all members alive and all duties owned after all was mended", () -> alive() == script.members() && owned());
+    until(
+        "all members alive and all duties owned after all was mended",
+        () -> alive() == script.members() && owned());
     rig.scans(1);
     mark();
     until("two reports after all was mended", () -> report().revision() >= mark.revision() + 2);
-    until("a count of all scans that were told of: " + (rig.sent() - rig.untold()) + " of " + rig.sent(),
+    until(
+        "a count of all scans that were told of: "
+            + (rig.sent() - rig.untold())
+            + " of "
+            + rig.sent(),
         () -> observer.sight().scans() >= rig.sent() - rig.untold());
     until("all files that were kept too long removed", () -> stored.old() == 0);
     say("fleet", observer.sight().scans() + " scans counted of " + rig.sent() + " sent");
@@ -150,7 +191,13 @@
     long end = System.nanoTime() + PATIENCE_MS * 1_000_000;
     while (!seen.getAsBoolean()) {
       if (System.nanoTime() > end) {
-        throw new IOException("not in " + PATIENCE_MS / 1000 + " s: " + what + "; last seen: " + observer.sight().said());
+        throw new IOException(
+            "not in "
+                + PATIENCE_MS / 1000
+                + " s: "
+                + what
+                + "; last seen: "
+                + observer.sight().said());
       }
       try {
         Thread.sleep(LOOK_MS);
@@ -167,14 +214,18 @@
 
   private long alive() {
     LeaseBook.State state = observer.sight().state();
-    return state == null || observer.sight().leader() < 0 ? 0
+    return state == null || observer.sight().leader() < 0
+        ? 0
         : state.members().stream().filter(member -> member.aliveUntil() > state.now()).count();
   }
 
   private boolean owned() {
     LeaseBook.State state = observer.sight().state();
-    return state != null && observer.sight().leader() >= 0 && !state.duties().isEmpty()
-        && state.duties().stream().allMatch(duty -> !duty.owner().isEmpty() && duty.until() > state.now());
+    return state != null
+        && observer.sight().leader() >= 0
+        && !state.duties().isEmpty()
+        && state.duties().stream()
+            .allMatch(duty -> !duty.owner().isEmpty() && duty.until() > state.now());
   }
 
   private void mark() {
@@ -187,8 +238,16 @@
       renewals.put(name, history.renewals(name));
       claims.put(name, history.claims(name, "report"));
     }
-    mark = new Mark(report() == null ? 0 : report().revision(), report() == null ? 0 : report().token(), sight.leader(),
-        sight.round(), sent, renewals, claims, history.published("retention"));
+    mark =
+        new Mark(
+            report() == null ? 0 : report().revision(),
+            report() == null ? 0 : report().token(),
+            sight.leader(),
+            sight.round(),
+            sent,
+            renewals,
+            claims,
+            history.published("retention"));
   }
 
   private boolean seen(Step step) {
@@ -213,7 +272,10 @@
   }
 
   private boolean more(Step step, ToIntFunction<String> now, Map<String, Integer> then) {
-    return who(step.of()).stream().mapToInt(name -> now.applyAsInt(name) - then.getOrDefault(name, 0)).sum() >= step.count();
+    return who(step.of()).stream()
+            .mapToInt(name -> now.applyAsInt(name) - then.getOrDefault(name, 0))
+            .sum()
+        >= step.count();
   }
 
   // ---- who is meant
@@ -234,9 +296,19 @@
         LeaseBook.Duty duty = LeaseRules.duty(observer.sight().state(), "retention");
         yield List.of(duty == null || duty.owner().isEmpty() ? owner() : duty.owner());
       }
-      case "other" -> List.of(rig.memberNames().stream().filter(one -> !one.equals(owner())).findFirst().orElse(owner()));
+      case "other" ->
+          List.of(
+              rig.memberNames().stream()
+                  .filter(one -> !one.equals(owner()))
+                  .findFirst()
+                  .orElse(owner()));
       case "leader" -> List.of(leader());
-      case "follower" -> List.of(rig.stewardNames().stream().filter(one -> !one.equals(leader())).findFirst().orElse(leader()));
+      case "follower" ->
+          List.of(
+              rig.stewardNames().stream()
+                  .filter(one -> !one.equals(leader()))
+                  .findFirst()
+                  .orElse(leader()));
       case "members" -> rig.memberNames();
       case "stewards" -> rig.stewardNames();
       case "all" -> Stream.concat(rig.memberNames().stream(), rig.stewardNames().stream()).toList();
@@ -277,7 +349,9 @@
       case WAKE -> rig.wake(name);
       case KILL -> rig.end(name, true);
       case TERM -> rig.end(name, false);
-      case START -> rig.start(name, step.clock() == 1 ? script.clocks().getOrDefault(name, 1.0) : step.clock());
+      case START ->
+          rig.start(
+              name, step.clock() == 1 ? script.clocks().getOrDefault(name, 1.0) : step.clock());
       case LINK -> {
         for (String to : who(step.to())) {
           if (!to.equals(name)) {
@@ -292,7 +366,7 @@
       case DRAIN -> operate(Kind.DRAIN, name);
       case ADMIT -> operate(Kind.ADMIT, name);
       case MOVE -> operate(Kind.MOVE, name);
-      default -> { }
+      default -> {}
     }
   }
 
@@ -305,7 +379,11 @@
 
   private static void damage(Path disk) throws IOException {
     try (Stream<Path> files = Files.walk(disk)) {
-      List<Path> snapshots = files.filter(file -> file.getFileName().toString().matches("snapshot\\.\\d+_\\d+")).sorted().toList();
+      List<Path> snapshots =
+          files
+              .filter(file -> file.getFileName().toString().matches("snapshot\\.\\d+_\\d+"))
+              .sorted()
+              .toList();
       if (snapshots.isEmpty()) {
         throw new IOException("there is no snapshot to damage in " + disk);
       }
--- a/lab/src/main/java/tidebank/lab/chaos/Relays.java
+++ b/lab/src/main/java/tidebank/lab/chaos/Relays.java
@@ -27,12 +27,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Stands before the addresses of a fleet's processes and carries what goes to them, or does what it is told to the link between two
- * of them. One event loop owns all of it.
+ * Stands before the addresses of a fleet's processes and carries what goes to them, or does what it
+ * is told to the link between two of them. One event loop owns all of it.
  */
 final class Relays implements AutoCloseable {
   /** What may wait on one way before its sender is not read from any more. */
   private static final int HELD_MOST = 1 << 20;
+
   private static final int PIECES_PER_S = 20;
 
   /** Who calls, by the port of its end and of the relay's; null if it is nobody's. */
@@ -40,7 +41,8 @@
     String at(int port, int relay);
   }
 
-  private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+  private final EventLoopGroup group =
+      new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final Callers callers;
   private final History history;
   private final long seed;
@@ -62,16 +64,24 @@
    * @return the door's own address
    */
   InetSocketAddress open(String to, InetSocketAddress target, boolean tapped) throws IOException {
-    var binding = new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
-        .childOption(ChannelOption.TCP_NODELAY, true).childOption(ChannelOption.AUTO_READ, false)
-        .childHandler(new ChannelInitializer<SocketChannel>() {
-          @Override
-          protected void initChannel(SocketChannel channel) {
-            accepted(channel, to, target, tapped);
-          }
-        }).bind(new InetSocketAddress("127.0.0.1", 0)).awaitUninterruptibly();
+    var binding =
+        new ServerBootstrap()
+            .group(group)
+            .channel(NioServerSocketChannel.class)
+            .childOption(ChannelOption.TCP_NODELAY, true)
+            .childOption(ChannelOption.AUTO_READ, false)
+            .childHandler(
+                new ChannelInitializer<SocketChannel>() {
+                  @Override
+                  protected void initChannel(SocketChannel channel) {
+                    accepted(channel, to, target, tapped);
+                  }
+                })
+            .bind(new InetSocketAddress("127.0.0.1", 0))
+            .awaitUninterruptibly();
     if (!binding.isSuccess()) {
-      throw new IOException("a relay before " + target + " can't listen: " + binding.cause().getMessage());
+      throw new IOException(
+          "a relay before " + target + " can't listen: " + binding.cause().getMessage());
     }
     doors.add(binding.channel());
     return (InetSocketAddress) binding.channel().localAddress();
@@ -83,40 +93,44 @@
 
   /** Does something to the link between two processes, and comes back once it is done. */
   void put(String from, String to, Link.Fault fault, long us, long jitterUs, long bytesPerS) {
-    group.next().submit(() -> {
-      Link link = link(from, to);
-      if (fault != Link.Fault.RESET && fault != Link.Fault.HALF_OPEN) {
-        link.heal();
-      }
-      List<Pair> there = pairs.stream().filter(pair -> pair.link == link).toList();
-      switch (fault) {
-        case DELAY -> {
-          link.up.delayUs = us;
-          link.down.delayUs = us;
-          link.up.jitterUs = jitterUs;
-          link.down.jitterUs = jitterUs;
-        }
-        case SILENT_UP -> link.up.silent = true;
-        case SILENT_DOWN -> link.down.silent = true;
-        case CUT -> {
-          link.up.silent = true;
-          link.down.silent = true;
-        }
-        case TRICKLE -> {
-          link.up.bytesPerS = bytesPerS;
-          link.down.bytesPerS = bytesPerS;
-        }
-        case RESET -> there.forEach(Pair::reset);
-        case HALF_OPEN -> there.forEach(Pair::half);
-        case REFUSE -> refuse(link);
-        case FLAP -> {
-          link.flapUs = us;
-          flap(link, link.turn);
-        }
-        default -> { }
-      }
-      there.forEach(Pair::pump);
-    }).syncUninterruptibly();
+    group
+        .next()
+        .submit(
+            () -> {
+              Link link = link(from, to);
+              if (fault != Link.Fault.RESET && fault != Link.Fault.HALF_OPEN) {
+                link.heal();
+              }
+              List<Pair> there = pairs.stream().filter(pair -> pair.link == link).toList();
+              switch (fault) {
+                case DELAY -> {
+                  link.up.delayUs = us;
+                  link.down.delayUs = us;
+                  link.up.jitterUs = jitterUs;
+                  link.down.jitterUs = jitterUs;
+                }
+                case SILENT_UP -> link.up.silent = true;
+                case SILENT_DOWN -> link.down.silent = true;
+                case CUT -> {
+                  link.up.silent = true;
+                  link.down.silent = true;
+                }
+                case TRICKLE -> {
+                  link.up.bytesPerS = bytesPerS;
+                  link.down.bytesPerS = bytesPerS;
+                }
+                case RESET -> there.forEach(Pair::reset);
+                case HALF_OPEN -> there.forEach(Pair::half);
+                case REFUSE -> refuse(link);
+                case FLAP -> {
+                  link.flapUs = us;
+                  flap(link, link.turn);
+                }
+                default -> {}
+              }
+              there.forEach(Pair::pump);
+            })
+        .syncUninterruptibly();
   }
 
   private void refuse(Link link) {
@@ -143,7 +157,8 @@
     }
   }
 
-  private void accepted(SocketChannel channel, String to, InetSocketAddress target, boolean tapped) {
+  private void accepted(
+      SocketChannel channel, String to, InetSocketAddress target, boolean tapped) {
     String from = callers.at(channel.remoteAddress().getPort(), channel.localAddress().getPort());
     Link link = from == null ? null : link(from, to);
     if (link == null || link.refusing) {
@@ -153,39 +168,57 @@
     Pair pair = new Pair(link, channel, tapped ? new Tap(history, from) : null);
     pairs.add(pair);
     channel.pipeline().addLast(pair.new End(true));
-    new Bootstrap().group(channel.eventLoop()).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true)
-        .option(ChannelOption.AUTO_READ, false).handler(new ChannelInitializer<SocketChannel>() {
-          @Override
-          protected void initChannel(SocketChannel one) {
-            pair.called = one;
-            one.pipeline().addLast(pair.new End(false));
-          }
-        }).connect(target).addListener(connected -> {
-          if (connected.isSuccess() && !pairs.contains(pair)) {
-            // The caller has gone meanwhile.
-            pair.called.close();
-          } else if (connected.isSuccess()) {
-            channel.config().setAutoRead(true);
-            pair.called.config().setAutoRead(true);
-          } else {
-            pair.reset();
-          }
-        });
+    new Bootstrap()
+        .group(channel.eventLoop())
+        .channel(NioSocketChannel.class)
+        .option(ChannelOption.TCP_NODELAY, true)
+        .option(ChannelOption.AUTO_READ, false)
+        .handler(
+            new ChannelInitializer<SocketChannel>() {
+              @Override
+              protected void initChannel(SocketChannel one) {
+                pair.called = one;
+                one.pipeline().addLast(pair.new End(false));
+              }
+            })
+        .connect(target)
+        .addListener(
+            connected -> {
+              if (connected.isSuccess() && !pairs.contains(pair)) {
+                // The caller has gone meanwhile.
+                pair.called.close();
+              } else if (connected.isSuccess()) {
+                channel.config().setAutoRead(true);
+                pair.called.config().setAutoRead(true);
+              } else {
+                pair.reset();
+              }
+            });
   }
 
   @Override
   public void close() {
-    group.next().submit(() -> {
-      doors.forEach(Channel::close);
-      List.copyOf(pairs).forEach(Pair::reset);
-    }).awaitUninterruptibly();
+    group
+        .next()
+        .submit(
+            () -> {
+              doors.forEach(Channel::close);
+              List.copyOf(pairs).forEach(Pair::reset);
+            })
+        .awaitUninterruptibly();
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
   }
 
-  /** Bytes on their way, or the end of the connection where there are none; not to arrive before a time. */
+  /**
+   * Bytes on their way, or the end of the connection where there are none; not to arrive before a
+   * time.
+   */
   private record Piece(ByteBuf bytes, long at) {}
 
-  /** A connection through a door: the caller's half, the called side's half, and what is on its way each way. */
+  /**
+   * A connection through a door: the caller's half, the called side's half, and what is on its way
+   * each way.
+   */
   private final class Pair {
     private final Link link;
     private final Channel caller;
@@ -274,7 +307,10 @@
 
       private void push(ByteBuf bytes, long takes) {
         Link.Way way = way();
-        long arrives = history.now() + way.delayUs + (long) (way.jitterUs == 0 ? 0 : way.jitterUs * link.chance.next());
+        long arrives =
+            history.now()
+                + way.delayUs
+                + (long) (way.jitterUs == 0 ? 0 : way.jitterUs * link.chance.next());
         last = Math.max(last, arrives) + takes;
         pieces.add(new Piece(bytes, last));
         pump();
@@ -291,10 +327,15 @@
           if (wait > 0) {
             if (!waits) {
               waits = true;
-              group.next().schedule(() -> {
-                waits = false;
-                pump();
-              }, wait, TimeUnit.MICROSECONDS);
+              group
+                  .next()
+                  .schedule(
+                      () -> {
+                        waits = false;
+                        pump();
+                      },
+                      wait,
+                      TimeUnit.MICROSECONDS);
             }
             return;
           }
@@ -312,11 +353,12 @@
       }
 
       void drop() {
-        pieces.forEach(piece -> {
-          if (piece.bytes() != null) {
-            piece.bytes().release();
-          }
-        });
+        pieces.forEach(
+            piece -> {
+              if (piece.bytes() != null) {
+                piece.bytes().release();
+              }
+            });
         pieces.clear();
       }
     }
--- a/lab/src/main/java/tidebank/lab/chaos/Reports.java
+++ b/lab/src/main/java/tidebank/lab/chaos/Reports.java
@@ -10,8 +10,9 @@
 import tidebank.lease.LeaseBook;
 
 /**
- * The fleet's reports as they are published one after the other, read by somebody who is none of the fleet: each follows the one
- * before, tokens only grow, and their sums are the scans that were sent. The observer's alone until the run is over.
+ * The fleet's reports as they are published one after the other, read by somebody who is none of
+ * the fleet: each follows the one before, tokens only grow, and their sums are the scans that were
+ * sent. The observer's alone until the run is over.
  */
 final class Reports {
   private static final String SCANS = "scans.throttled";
@@ -31,12 +32,19 @@
   void see(LeaseBook.Duty duty) {
     List<FleetReport> newer = new ArrayList<>();
     try {
-      for (String name = duty.value(); !name.equals(last);) {
+      for (String name = duty.value(); !name.equals(last); ) {
         if (name.isEmpty()) {
-          faults.add("the reports from " + duty.value() + " back do not lead to " + last + ", which was published");
+          faults.add(
+              "the reports from "
+                  + duty.value()
+                  + " back do not lead to "
+                  + last
+                  + ", which was published");
           break;
         }
-        FleetReport report = LeaseCodec.read(Files.readAllBytes(folder.resolve("reports").resolve(name)), FleetReport.class);
+        FleetReport report =
+            LeaseCodec.read(
+                Files.readAllBytes(folder.resolve("reports").resolve(name)), FleetReport.class);
         newer.add(0, report);
         name = report.follows();
       }
@@ -45,7 +53,13 @@
     }
     for (FleetReport report : newer) {
       if (report.token() < token) {
-        faults.add("report " + report.number() + " is by token " + report.token() + ", the one before by " + token);
+        faults.add(
+            "report "
+                + report.number()
+                + " is by token "
+                + report.token()
+                + ", the one before by "
+                + token);
       }
       if (report.number() != ++count) {
         faults.add("report " + report.number() + " stands in place " + count);
@@ -54,7 +68,8 @@
       scans += report.window().getOrDefault(SCANS, 0L);
     }
     if (!newer.isEmpty() && duty.publishedBy() != token) {
-      faults.add(duty.value() + " was published by token " + duty.publishedBy() + " and says " + token);
+      faults.add(
+          duty.value() + " was published by token " + duty.publishedBy() + " and says " + token);
     }
     last = duty.value();
   }
--- a/lab/src/main/java/tidebank/lab/chaos/Rig.java
+++ b/lab/src/main/java/tidebank/lab/chaos/Rig.java
@@ -31,8 +31,9 @@
 import tidebank.lab.replay.GathererProcess;
 
 /**
- * Stewards and gatherers as processes, with a relay before every address of a steward, so that whatever one process asks of another
- * can be seen and broken. Signals go only to processes that it started. The script's thread owns it; relays only look up who calls.
+ * Stewards and gatherers as processes, with a relay before every address of a steward, so that
+ * whatever one process asks of another can be seen and broken. Signals go only to processes that it
+ * started. The script's thread owns it; relays only look up who calls.
  */
 final class Rig implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(Rig.class);
@@ -50,7 +51,8 @@
   private final Map<Guarded, Long> pids = new ConcurrentHashMap<>();
   private final Set<String> stopped = new HashSet<>();
   private final Map<String, Integer> scans = new TreeMap<>();
-  private final HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(SCAN).build();
+  private final HttpClient http =
+      HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(SCAN).build();
   private final List<BufferedWriter> logs = new ArrayList<>();
   private int sent;
   private int untold;
@@ -61,9 +63,20 @@
     this.history = history;
     Files.createDirectories(folder.resolve("logs"));
     relays = new Relays(this::caller, history, seed);
-    stewards = new Stewards(folder, script.stewards(), "[duties]\nnames = [\"report\", \"retention\", \"spare/a\", \"spare/b\"]\n[lease]\nms = "
-        + script.leaseMs() + "\ndrift = " + script.drift() + "\n[election]\nms = 200\n[snapshot]\nevery = 100\n[log]\nlevel = \"debug\"\n"
-        + "lines_a_second = 1000\n", this::door);
+    stewards =
+        new Stewards(
+            folder,
+            script.stewards(),
+            "[duties]\n"
+                + "names = [\"report\", \"retention\", \"spare/a\", \"spare/b\"]\n"
+                + "[lease]\n"
+                + "ms = "
+                + script.leaseMs()
+                + "\ndrift = "
+                + script.drift()
+                + "\n[election]\nms = 200\n[snapshot]\nevery = 100\n[log]\nlevel = \"debug\"\n"
+                + "lines_a_second = 1000\n",
+            this::door);
     for (int i = 0; i < script.stewards(); i++) {
       start("s" + i, rate("s" + i));
     }
@@ -74,17 +87,27 @@
 
   private String door(int steward, boolean raft, String address) throws IOException {
     int colon = address.lastIndexOf(':');
-    InetSocketAddress door = relays.open("s" + steward, new InetSocketAddress(address.substring(0, colon),
-        Integer.parseInt(address.substring(colon + 1))), !raft);
+    InetSocketAddress door =
+        relays.open(
+            "s" + steward,
+            new InetSocketAddress(
+                address.substring(0, colon), Integer.parseInt(address.substring(colon + 1))),
+            !raft);
     return door.getHostString() + ':' + door.getPort();
   }
 
   private String caller(int port, int relay) {
     Map<String, Long> known = new LinkedHashMap<>();
-    processes.forEach((name, process) -> known.put(name, pids.computeIfAbsent(process, one -> {
-      long pid = one.pid();
-      return pid < 0 ? null : pid;
-    })));
+    processes.forEach(
+        (name, process) ->
+            known.put(
+                name,
+                pids.computeIfAbsent(
+                    process,
+                    one -> {
+                      long pid = one.pid();
+                      return pid < 0 ? null : pid;
+                    })));
     known.values().removeIf(pid -> pid == null);
     known.put(SELF, ProcessHandle.current().pid());
     return Sockets.owner(port, relay, known);
@@ -96,24 +119,32 @@
 
   /** Starts one, or starts it again with its disk. */
   void start(String name, double clock) throws IOException {
-    List<String> launcher = clock == 1 ? List.of() : List.of("-Dtidebank.chaos.rate=" + clock, "tidebank.lab.chaos.Skewed");
-    BufferedWriter log = Files.newBufferedWriter(folder.resolve("logs").resolve(name + ".log"), StandardOpenOption.CREATE,
-        StandardOpenOption.APPEND);
+    List<String> launcher =
+        clock == 1
+            ? List.of()
+            : List.of("-Dtidebank.chaos.rate=" + clock, "tidebank.lab.chaos.Skewed");
+    BufferedWriter log =
+        Files.newBufferedWriter(
+            folder.resolve("logs").resolve(name + ".log"),
+            StandardOpenOption.CREATE,
+            StandardOpenOption.APPEND);
     logs.add(log);
-    Consumer<String> told = line -> {
-      try {
-        log.write(line + "\n");
-        log.flush();
-      } catch (IOException closed) {
-        // Its last lines, after the rig has closed its log.
-      }
-    };
+    Consumer<String> told =
+        line -> {
+          try {
+            log.write(line + "\n");
+            log.flush();
+          } catch (IOException closed) {
+            // Its last lines, after the rig has closed its log.
+          }
+        };
     if (name.startsWith("s")) {
       int steward = Integer.parseInt(name.substring(1));
       stewards.start(steward, launcher, told);
       processes.put(name, stewards.process(steward));
     } else {
-      GathererProcess member = Members.start(folder, name, stewards.told(), EVERY_MS, List.of(), launcher, told);
+      GathererProcess member =
+          Members.start(folder, name, stewards.told(), EVERY_MS, List.of(), launcher, told);
       GathererProcess before = members.put(name, member);
       if (before != null) {
         before.close();
@@ -159,7 +190,9 @@
     }
   }
 
-  /** SIGKILL, or SIGTERM and then whatever it does. What it had not told of its scans may be lost. */
+  /**
+   * SIGKILL, or SIGTERM and then whatever it does. What it had not told of its scans may be lost.
+   */
   void end(String name, boolean kill) throws IOException {
     wake(name);
     untold += scans.getOrDefault(name, 0);
@@ -188,10 +221,19 @@
   private void scan(String name) throws IOException {
     InetSocketAddress at = members.get(name).address();
     try {
-      int status = http.send(HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + at.getPort() + "/checkout")).timeout(SCAN)
-          .header("X-Correlation-Id", Long.toHexString(++sent + (1L << 40))).header("X-Time-Left", "2000m")
-          .POST(BodyPublishers.ofString("{\"ranges\":[{\"range\":0,\"portion\":1}],\"predicate\":\"c41e77d0\"}")).build(),
-          BodyHandlers.discarding()).statusCode();
+      int status =
+          http.send(
+                  HttpRequest.newBuilder(
+                          URI.create("http://127.0.0.1:" + at.getPort() + "/checkout"))
+                      .timeout(SCAN)
+                      .header("X-Correlation-Id", Long.toHexString(++sent + (1L << 40)))
+                      .header("X-Time-Left", "2000m")
+                      .POST(
+                          BodyPublishers.ofString(
+                              "{\"ranges\":[{\"range\":0,\"portion\":1}],\"predicate\":\"c41e77d0\"}"))
+                      .build(),
+                  BodyHandlers.discarding())
+              .statusCode();
       scans.merge(name, 1, Integer::sum);
       if (status != 429 && status != 503) {
         throw new IOException("a scan at " + name + " was answered with " + status);
--- a/lab/src/main/java/tidebank/lab/chaos/Script.java
+++ b/lab/src/main/java/tidebank/lab/chaos/Script.java
@@ -30,13 +30,21 @@
  * @param clocks of single processes, as rates; the others run true
  * @param steps in order
  */
-public record Script(String name, String about, int stewards, int members, long leaseMs, double drift,
-    Map<String, Double> clocks, List<Step> steps) {
+public record Script(
+    String name,
+    String about,
+    int stewards,
+    int members,
+    long leaseMs,
+    double drift,
+    Map<String, Double> clocks,
+    List<Step> steps) {
   private static final Pattern PROCESS = Pattern.compile("[gs]\\d{1,2}");
   private static final Pattern NAME = Pattern.compile("[a-z][a-z-]*");
   private static final Set<String> ROLES =
       Set.of("owner", "remover", "other", "leader", "follower", "members", "stewards", "all");
-  private static final Set<Await> OF = Set.of(Await.RENEWALS, Await.CALLS, Await.CLAIMS, Await.ENDED);
+  private static final Set<Await> OF =
+      Set.of(Await.RENEWALS, Await.CALLS, Await.CLAIMS, Await.ENDED);
 
   /** What has to be seen before a step is taken, counted from the step before. */
   public enum Await {
@@ -80,7 +88,9 @@
     KILL,
     /** SIGTERM. */
     TERM,
-    /** Starts a process that has ended, under its name and with its disk; at the rate {@code clock}. */
+    /**
+     * Starts a process that has ended, under its name and with its disk; at the rate {@code clock}.
+     */
     START,
     /** Something to the links from {@code who} to {@code to}. */
     LINK,
@@ -94,7 +104,10 @@
     DAMAGED_DISK,
     /** {@code scans} scans to every member that can answer. */
     SCANS,
-    /** {@code scans} files that are kept too long, and as many that are not, into the fleet's folder. */
+    /**
+     * {@code scans} files that are kept too long, and as many that are not, into the fleet's
+     * folder.
+     */
     LITTER,
     /** An operator drains a member. */
     DRAIN,
@@ -115,8 +128,8 @@
    * @param of whose
    * @param act what is done then
    * @param who to whom; {@code owner} (of the report), {@code remover} (the owner of the retention)
-   *     and {@code leader} are those of that moment, {@code other} and {@code follower} the first that are
-   *     neither
+   *     and {@code leader} are those of that moment, {@code other} and {@code follower} the first
+   *     that are neither
    * @param as a name by which later steps call the same one
    * @param to the other end of the links
    * @param fault what is done to links
@@ -125,8 +138,20 @@
    * @param bytesPerS a rate of the fault
    * @param clock the rate at which a started process's clock runs
    */
-  public record Step(Await await, int count, int scans, String of, Do act, String who, String as, String to, Link.Fault fault, long ms,
-      long jitterMs, long bytesPerS, double clock) {
+  public record Step(
+      Await await,
+      int count,
+      int scans,
+      String of,
+      Do act,
+      String who,
+      String as,
+      String to,
+      Link.Fault fault,
+      long ms,
+      long jitterMs,
+      long bytesPerS,
+      double clock) {
     /** What does not count is the same in all. */
     public Step {
       of = OF.contains(await) ? of : "";
@@ -146,9 +171,19 @@
     /** For people. */
     public String said() {
       String what = act.name().toLowerCase(Locale.ROOT).replace('_', ' ');
-      return act == Do.LINK ? "link " + who + " to " + to + ": " + fault.name().toLowerCase(Locale.ROOT).replace('_', ' ')
-          + (ms > 0 ? " " + ms + " ms" : "") : what + (who.isEmpty() ? "" : " " + who) + (as.isEmpty() ? "" : " as " + as)
-          + (act == Do.SCANS || act == Do.LITTER ? " " + scans : "") + (clock == 1 ? "" : " with a clock at " + clock);
+      return act == Do.LINK
+          ? "link "
+              + who
+              + " to "
+              + to
+              + ": "
+              + fault.name().toLowerCase(Locale.ROOT).replace('_', ' ')
+              + (ms > 0 ? " " + ms + " ms" : "")
+          : what
+              + (who.isEmpty() ? "" : " " + who)
+              + (as.isEmpty() ? "" : " as " + as)
+              + (act == Do.SCANS || act == Do.LITTER ? " " + scans : "")
+              + (clock == 1 ? "" : " with a clock at " + clock);
     }
   }
 
@@ -181,39 +216,73 @@
   static Script read(Toml file, String name) throws Malformed {
     Toml.Table root = file.root();
     Map<String, Double> clocks = new TreeMap<>();
-    root.table("clocks").freeTexts().forEach((who, rate) -> {
-      if (!PROCESS.matcher(who).matches() || !rate.matches("(0\\.[5-9]\\d*|1(\\.\\d+)?)")) {
-        file.fault("clocks." + who, "found " + rate + ", wanted a rate from 0.5 to under 2 for a process such as g0 or s1");
-      } else {
-        clocks.put(who, Double.parseDouble(rate));
-      }
-    });
+    root.table("clocks")
+        .freeTexts()
+        .forEach(
+            (who, rate) -> {
+              if (!PROCESS.matcher(who).matches() || !rate.matches("(0\\.[5-9]\\d*|1(\\.\\d+)?)")) {
+                file.fault(
+                    "clocks." + who,
+                    "found "
+                        + rate
+                        + ", wanted a rate from 0.5 to under 2 for a process such as g0 or s1");
+              } else {
+                clocks.put(who, Double.parseDouble(rate));
+              }
+            });
     List<Step> steps = new ArrayList<>();
     Set<String> called = new HashSet<>(ROLES);
     for (Toml.Table step : root.tables("steps")) {
-      Step read = new Step(step.choice("await", Await.NOTHING, Await.class), (int) step.whole("count", 1, 1, 1000),
-          (int) step.whole("scans", 1, 1, 1000),
-          step.text("of", "owner"), step.choice("do", Do.NOTHING, Do.class), step.text("who", ""), step.text("as", ""),
-          step.text("to", ""), step.choice("fault", null, Link.Fault.class), step.whole("ms", 0, 0, 60_000),
-          step.whole("jitter_ms", 0, 0, 60_000), step.whole("bytes_s", 400, 1, 1 << 30), step.number("clock", 1, 0.5, 2));
+      Step read =
+          new Step(
+              step.choice("await", Await.NOTHING, Await.class),
+              (int) step.whole("count", 1, 1, 1000),
+              (int) step.whole("scans", 1, 1, 1000),
+              step.text("of", "owner"),
+              step.choice("do", Do.NOTHING, Do.class),
+              step.text("who", ""),
+              step.text("as", ""),
+              step.text("to", ""),
+              step.choice("fault", null, Link.Fault.class),
+              step.whole("ms", 0, 0, 60_000),
+              step.whole("jitter_ms", 0, 0, 60_000),
+              step.whole("bytes_s", 400, 1, 1 << 30),
+              step.number("clock", 1, 0.5, 2));
       boolean link = read.act() == Do.LINK;
       if (link && (read.fault() == null || read.to().isEmpty())) {
         step.fault("do", "a link needs `to` and `fault`");
       }
-      boolean needs = link || read.act() != Do.NOTHING && read.act() != Do.SCANS && read.act() != Do.LITTER
-          && read.act() != Do.MOVE_ANYWHERE;
+      boolean needs =
+          link
+              || read.act() != Do.NOTHING
+                  && read.act() != Do.SCANS
+                  && read.act() != Do.LITTER
+                  && read.act() != Do.MOVE_ANYWHERE;
       who(step, "who", needs || !read.who().isEmpty() ? read.who() : "all", called);
       who(step, "of", read.of().isEmpty() ? "all" : read.of(), called);
       who(step, "to", link ? read.to() : "all", called);
-      if (!read.as().isEmpty() && (!NAME.matcher(read.as()).matches() || ROLES.contains(read.as()))) {
-        step.fault("as", "found '" + read.as() + "', wanted a name of small letters that is none of " + String.join(", ", new TreeSet<>(ROLES)));
+      if (!read.as().isEmpty()
+          && (!NAME.matcher(read.as()).matches() || ROLES.contains(read.as()))) {
+        step.fault(
+            "as",
+            "found '"
+                + read.as()
+                + "', wanted a name of small letters that is none of "
+                + String.join(", ", new TreeSet<>(ROLES)));
       }
       called.add(read.as());
       steps.add(read);
     }
-    Script script = new Script(name, root.text("about", ""), (int) root.whole("stewards", 3, 1, 5),
-        (int) root.whole("members", 3, 1, 12), root.whole("lease_ms", 1000, 200, 60_000), root.number("drift", 0.05, 0, 0.2),
-        clocks, steps);
+    Script script =
+        new Script(
+            name,
+            root.text("about", ""),
+            (int) root.whole("stewards", 3, 1, 5),
+            (int) root.whole("members", 3, 1, 12),
+            root.whole("lease_ms", 1000, 200, 60_000),
+            root.number("drift", 0.05, 0, 0.2),
+            clocks,
+            steps);
     if (script.stewards() % 2 == 0) {
       root.fault("stewards", "found " + script.stewards() + ", wanted an odd number");
     }
@@ -225,15 +294,31 @@
   private static void who(Toml.Table step, String key, String who, Set<String> called) {
     if (!PROCESS.matcher(who).matches() && !called.contains(who)) {
       String near = Toml.nearest(who, called);
-      step.fault(key, "found '" + who + "', wanted a process such as g0 or s1, a name given by `as` before, or one of "
-          + String.join(", ", new TreeSet<>(ROLES)) + (near == null ? "" : "; did you mean \"" + near + "\"?"));
+      step.fault(
+          key,
+          "found '"
+              + who
+              + "', wanted a process such as g0 or s1, a name given by `as` before, or one of "
+              + String.join(", ", new TreeSet<>(ROLES))
+              + (near == null ? "" : "; did you mean \"" + near + "\"?"));
     }
   }
 
   /** As a file that {@link #read} takes. */
   public String toml() {
-    StringBuilder text = new StringBuilder("about = \"" + about + "\"\nstewards = " + stewards + "\nmembers = " + members
-        + "\nlease_ms = " + leaseMs + "\ndrift = " + drift + "\n");
+    StringBuilder text =
+        new StringBuilder(
+            "about = \""
+                + about
+                + "\"\nstewards = "
+                + stewards
+                + "\nmembers = "
+                + members
+                + "\nlease_ms = "
+                + leaseMs
+                + "\ndrift = "
+                + drift
+                + "\n");
     if (!clocks.isEmpty()) {
       text.append("\n[clocks]\n");
       clocks.forEach((who, rate) -> text.append(who).append(" = ").append(rate).append('\n'));
@@ -250,8 +335,13 @@
       put(text, "to", step.to(), !step.to().isEmpty());
       if (step.fault() != null) {
         put(text, "fault", word(step.fault()), true);
-        text.append("ms = ").append(step.ms()).append("\njitter_ms = ").append(step.jitterMs()).append("\nbytes_s = ")
-            .append(step.bytesPerS()).append('\n');
+        text.append("ms = ")
+            .append(step.ms())
+            .append("\njitter_ms = ")
+            .append(step.jitterMs())
+            .append("\nbytes_s = ")
+            .append(step.bytesPerS())
+            .append('\n');
       }
       text.append(step.clock() == 1 ? "" : "clock = " + step.clock() + "\n");
     }
--- a/lab/src/main/java/tidebank/lab/chaos/Skewed.java
+++ b/lab/src/main/java/tidebank/lab/chaos/Skewed.java
@@ -15,14 +15,16 @@
 import org.objectweb.asm.Opcodes;
 
 /**
- * Runs a program whose monotonic clock is fast or slow, of which none of its classes knows: each call of
- * {@link System#nanoTime} outside of the platform's own classes goes to {@link SkewedClock}, by the rate that the property
- * {@code tidebank.chaos.rate} gives. Arguments: the program's main class and its own.
+ * Runs a program whose monotonic clock is fast or slow, of which none of its classes knows: each
+ * call of {@link System#nanoTime} outside of the platform's own classes goes to {@link
+ * SkewedClock}, by the rate that the property {@code tidebank.chaos.rate} gives. Arguments: the
+ * program's main class and its own.
  */
 public final class Skewed {
   private Skewed() {}
 
-  public static void main(String[] args) throws ReflectiveOperationException, MalformedURLException {
+  public static void main(String[] args)
+      throws ReflectiveOperationException, MalformedURLException {
     String[] places = System.getProperty("java.class.path").split(File.pathSeparator);
     URL[] urls = new URL[places.length];
     for (int i = 0; i < places.length; i++) {
@@ -30,7 +32,8 @@
     }
     Loader loader = new Loader(urls);
     Thread.currentThread().setContextClassLoader(loader);
-    Class.forName(args[0], true, loader).getMethod("main", String[].class)
+    Class.forName(args[0], true, loader)
+        .getMethod("main", String[].class)
         .invoke(null, (Object) Arrays.copyOfRange(args, 1, args.length));
   }
 
@@ -61,18 +64,28 @@
   static byte[] changed(byte[] bytes) throws IOException {
     ClassReader reader = new ClassReader(new ByteArrayInputStream(bytes));
     ClassWriter writer = new ClassWriter(reader, 0);
-    reader.accept(new ClassVisitor(Opcodes.ASM9, writer) {
-      @Override
-      public MethodVisitor visitMethod(int access, String name, String descriptor, String signature, String[] exceptions) {
-        return new MethodVisitor(Opcodes.ASM9, super.visitMethod(access, name, descriptor, signature, exceptions)) {
+    reader.accept(
+        new ClassVisitor(Opcodes.ASM9, writer) {
           @Override
-          public void visitMethodInsn(int opcode, String owner, String called, String type, boolean ofInterface) {
-            boolean clock = owner.equals("java/lang/System") && called.equals("nanoTime");
-            super.visitMethodInsn(opcode, clock ? "tidebank/lab/chaos/SkewedClock" : owner, called, type, ofInterface);
+          public MethodVisitor visitMethod(
+              int access, String name, String descriptor, String signature, String[] exceptions) {
+            return new MethodVisitor(
+                Opcodes.ASM9, super.visitMethod(access, name, descriptor, signature, exceptions)) {
+              @Override
+              public void visitMethodInsn(
+                  int opcode, String owner, String called, String type, boolean ofInterface) {
+                boolean clock = owner.equals("java/lang/System") && called.equals("nanoTime");
+                super.visitMethodInsn(
+                    opcode,
+                    clock ? "tidebank/lab/chaos/SkewedClock" : owner,
+                    called,
+                    type,
+                    ofInterface);
+              }
+            };
           }
-        };
-      }
-    }, 0);
+        },
+        0);
     return writer.toByteArray();
   }
 }
--- a/lab/src/main/java/tidebank/lab/chaos/Sockets.java
+++ b/lab/src/main/java/tidebank/lab/chaos/Sockets.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * Whose a connection is, by the system's tables (Linux): a relay stands at an address that all processes share, and what is done
- * to a link depends on who calls.
+ * Whose a connection is, by the system's tables (Linux): a relay stands at an address that all
+ * processes share, and what is done to a link depends on who calls.
  */
 final class Sockets {
   private static final int LOCAL = 1;
@@ -44,7 +44,9 @@
       try {
         for (String line : Files.readAllLines(Path.of(table))) {
           String[] words = line.trim().split("\\s+");
-          if (words.length > INODE && words[LOCAL].endsWith(local) && words[REMOTE].endsWith(remote)) {
+          if (words.length > INODE
+              && words[LOCAL].endsWith(local)
+              && words[REMOTE].endsWith(remote)) {
             return words[INODE];
           }
         }
--- a/lab/src/main/java/tidebank/lab/chaos/Stored.java
+++ b/lab/src/main/java/tidebank/lab/chaos/Stored.java
@@ -15,8 +15,9 @@
 import tidebank.lease.LeaseBook;
 
 /**
- * Files of the fleet's folder, some kept too long, and what becomes of them: none may go that no published list had named before, and none
- * that was not too old. Written to by the script, looked at by the observer, each under this object's lock.
+ * Files of the fleet's folder, some kept too long, and what becomes of them: none may go that no
+ * published list had named before, and none that was not too old. Written to by the script, looked
+ * at by the observer, each under this object's lock.
  */
 final class Stored {
   private static final Duration OLD = Duration.ofDays(60);
@@ -42,7 +43,8 @@
       boolean aged = i < count;
       Path file = Files.write(captures.resolve(i + ".part"), new byte[100]);
       Files.setLastModifiedTime(file, FileTime.from(Instant.now().minus(aged ? OLD : YOUNG)));
-      // In place at once with its age: a list that is made now must not find it young, or half there.
+      // In place at once with its age: a list that is made now must not find it young, or half
+      // there.
       Files.move(file, captures.resolve(i + ".tbc"));
       (aged ? old : young).add("captures/of-" + batches + "/" + i + ".tbc");
     }
@@ -59,8 +61,10 @@
   /** What is published, after {@code gone} was seen. */
   synchronized void see(LeaseBook.Duty duty, Set<String> gone) {
     try {
-      for (String name = duty.value(); !name.equals(last) && !name.isEmpty();) {
-        Retention list = LeaseCodec.read(Files.readAllBytes(folder.resolve("removals").resolve(name)), Retention.class);
+      for (String name = duty.value(); !name.equals(last) && !name.isEmpty(); ) {
+        Retention list =
+            LeaseCodec.read(
+                Files.readAllBytes(folder.resolve("removals").resolve(name)), Retention.class);
         named.addAll(list.names());
         name = list.follows();
       }
@@ -70,7 +74,10 @@
     last = duty.value();
     for (String name : gone) {
       if ((!named.contains(name) || young.contains(name)) && told.add(name)) {
-        faults.add(name + " was removed, and " + (named.contains(name) ? "was not too old" : "no published list names it"));
+        faults.add(
+            name
+                + " was removed, and "
+                + (named.contains(name) ? "was not too old" : "no published list names it"));
       }
     }
   }
--- a/lab/src/main/java/tidebank/lab/chaos/Tap.java
+++ b/lab/src/main/java/tidebank/lab/chaos/Tap.java
@@ -18,7 +18,10 @@
 import tidebank.lease.Command;
 import tidebank.lease.LeaseBook;
 
-/** Reads along on one connection to a steward, and tells the history what was asked and answered. Belongs to one event loop. */
+/**
+ * Reads along on one connection to a steward, and tells the history what was asked and answered.
+ * Belongs to one event loop.
+ */
 final class Tap {
   private static final Logger LOG = LoggerFactory.getLogger(Tap.class);
   private static final int BODY = 1 << 22;
@@ -28,8 +31,10 @@
 
   private final History history;
   private final String from;
-  private final EmbeddedChannel up = new EmbeddedChannel(new HttpRequestDecoder(), new HttpObjectAggregator(BODY));
-  private final EmbeddedChannel down = new EmbeddedChannel(new HttpResponseDecoder(), new HttpObjectAggregator(BODY));
+  private final EmbeddedChannel up =
+      new EmbeddedChannel(new HttpRequestDecoder(), new HttpObjectAggregator(BODY));
+  private final EmbeddedChannel down =
+      new EmbeddedChannel(new HttpResponseDecoder(), new HttpObjectAggregator(BODY));
   private final Deque<Call> calls = new ArrayDeque<>();
 
   Tap(History history, String from) {
@@ -58,7 +63,9 @@
   /** What the steward answered, before anything is done to it. */
   void down(ByteBuf bytes) {
     down.writeInbound(bytes.copy());
-    for (FullHttpResponse response = down.readInbound(); response != null; response = down.readInbound()) {
+    for (FullHttpResponse response = down.readInbound();
+        response != null;
+        response = down.readInbound()) {
       Call call = calls.poll();
       try {
         if (call != null && response.status().code() == 200) {
--- a/lab/src/main/java/tidebank/lab/columns/ZstdCodecs.java
+++ b/lab/src/main/java/tidebank/lab/columns/ZstdCodecs.java
@@ -7,9 +7,13 @@
 import org.apache.parquet.compression.CompressionCodecFactory;
 import org.apache.parquet.hadoop.metadata.CompressionCodecName;
 
-/** Parquet's pages packed by zstd without Hadoop's codecs, whose libraries would come along otherwise. */
+/**
+ * Parquet's pages packed by zstd without Hadoop's codecs, whose libraries would come along
+ * otherwise.
+ */
 public final class ZstdCodecs implements CompressionCodecFactory {
   private static final int LEVEL = 3;
+
   /** A page claims its size before it is unpacked; ours are far below this. */
   private static final int PAGE_MOST = 64 << 20;
 
@@ -19,7 +23,8 @@
     return new BytesInputCompressor() {
       @Override
       public BytesInput compress(BytesInput bytes) throws IOException {
-        return codec == CompressionCodecName.UNCOMPRESSED ? bytes
+        return codec == CompressionCodecName.UNCOMPRESSED
+            ? bytes
             : BytesInput.from(Zstd.compress(bytes.toByteArray(), LEVEL));
       }
 
@@ -39,11 +44,14 @@
     return new BytesInputDecompressor() {
       @Override
       public BytesInput decompress(BytesInput bytes, int size) throws IOException {
-        return codec == CompressionCodecName.UNCOMPRESSED ? bytes : BytesInput.from(unpacked(bytes.toByteArray(), size));
+        return codec == CompressionCodecName.UNCOMPRESSED
+            ? bytes
+            : BytesInput.from(unpacked(bytes.toByteArray(), size));
       }
 
       @Override
-      public void decompress(ByteBuffer in, int packed, ByteBuffer out, int size) throws IOException {
+      public void decompress(ByteBuffer in, int packed, ByteBuffer out, int size)
+          throws IOException {
         byte[] bytes = new byte[packed];
         in.get(bytes);
         out.put(codec == CompressionCodecName.UNCOMPRESSED ? bytes : unpacked(bytes, size));
@@ -61,7 +69,9 @@
     byte[] to = new byte[size];
     long found = Zstd.decompressByteArray(to, 0, size, bytes, 0, bytes.length);
     if (Zstd.isError(found) || found != size) {
-      throw new IOException("a page can't be unpacked: " + (Zstd.isError(found) ? Zstd.getErrorName(found) : found + " bytes"));
+      throw new IOException(
+          "a page can't be unpacked: "
+              + (Zstd.isError(found) ? Zstd.getErrorName(found) : found + " bytes"));
     }
     return to;
   }
--- a/lab/src/main/java/tidebank/lab/explore/Explorer.java
+++ b/lab/src/main/java/tidebank/lab/explore/Explorer.java
@@ -9,9 +9,10 @@
 import java.util.function.BiConsumer;
 
 /**
- * Visits every state that a model can come to within so many moves, nearest first, so that the first broken one is reached by a
- * shortest trace. States are told apart by 64 bits of their key: of ten million, two are taken for one with a chance of
- * under one in a hundred thousand, and then a state goes unvisited.
+ * Visits every state that a model can come to within so many moves, nearest first, so that the
+ * first broken one is reached by a shortest trace. States are told apart by 64 bits of their key:
+ * of ten million, two are taken for one with a chance of under one in a hundred thousand, and then
+ * a state goes unvisited.
  */
 public final class Explorer {
   private static final int CHUNK = 1 << 14;
@@ -45,8 +46,12 @@
   public record Found(long states, int depth, String broken, List<String> trace) {
     @Override
     public String toString() {
-      return states + " states to a depth of " + depth + (broken == null ? ", none broken" : "; " + broken + " after:\n  "
-          + String.join("\n  ", trace));
+      return states
+          + " states to a depth of "
+          + depth
+          + (broken == null
+              ? ", none broken"
+              : "; " + broken + " after:\n  " + String.join("\n  ", trace));
     }
   }
 
@@ -72,8 +77,10 @@
       List<Node<S>> next = new ArrayList<>();
       for (int from = 0; from < front.size(); from += CHUNK) {
         List<Node<S>> chunk = front.subList(from, Math.min(front.size(), from + CHUNK));
-        // Made side by side, taken one after the other: what is found, and by which trace, is the same each time.
-        for (List<Reached<S>> all : chunk.parallelStream().map(node -> reached(model, node)).toList()) {
+        // Made side by side, taken one after the other: what is found, and by which trace, is the
+        // same each time.
+        for (List<Reached<S>> all :
+            chunk.parallelStream().map(node -> reached(model, node)).toList()) {
           for (Reached<S> one : all) {
             if (seen.add(one.hash)) {
               if (one.broken != null) {
@@ -93,8 +100,14 @@
 
   private static <S> List<Reached<S>> reached(Model<S> model, Node<S> node) {
     List<Reached<S>> all = new ArrayList<>();
-    model.moves(node.state, (move, state) -> all.add(new Reached<>(new Node<>(state, new Step(move, node.step)),
-        hash(model.key(state)), model.broken(state))));
+    model.moves(
+        node.state,
+        (move, state) ->
+            all.add(
+                new Reached<>(
+                    new Node<>(state, new Step(move, node.step)),
+                    hash(model.key(state)),
+                    model.broken(state))));
     return all;
   }
 
--- a/lab/src/main/java/tidebank/lab/fleet/Load.java
+++ b/lab/src/main/java/tidebank/lab/fleet/Load.java
@@ -23,8 +23,8 @@
 import tidebank.steward.StewardClient;
 
 /**
- * What stewards bear: agents that each join, and then renew as fast as they are answered, one call at a time. Each steward is a process; the
- * agents are this one.
+ * What stewards bear: agents that each join, and then renew as fast as they are answered, one call
+ * at a time. Each steward is a process; the agents are this one.
  */
 public final class Load {
   private static final Duration ONE = Duration.ofSeconds(10);
@@ -40,10 +40,20 @@
    * @param leaderKb resident memory of the leading steward, mostKb of the largest, in KB
    * @param diskBytes of all that the leading steward keeps
    */
-  public record Result(int stewards, int agents, long asked, long failed, double perS, long p50Us, long p99Us, long leaderKb,
-      long mostKb, long diskBytes) {}
+  public record Result(
+      int stewards,
+      int agents,
+      long asked,
+      long failed,
+      double perS,
+      long p50Us,
+      long p99Us,
+      long leaderKb,
+      long mostKb,
+      long diskBytes) {}
 
-  private final HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(ONE).build();
+  private final HttpClient http =
+      HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(ONE).build();
   private final ConcurrentHistogram took = new ConcurrentHistogram(60_000_000, 3);
   private final AtomicLong answered = new AtomicLong();
   private final AtomicLong failed = new AtomicLong();
@@ -57,8 +67,13 @@
    *
    * @param most commands after which it ends, or seconds, whichever is first
    */
-  public static Result run(Path folder, int stewards, int agents, long most, long seconds) throws IOException {
-    try (Stewards fleet = new Stewards(folder, stewards, "[duties]\nnames = [\"report\"]\n[lease]\nms = 30000\n[limits]\nmembers = 5000\n")) {
+  public static Result run(Path folder, int stewards, int agents, long most, long seconds)
+      throws IOException {
+    try (Stewards fleet =
+        new Stewards(
+            folder,
+            stewards,
+            "[duties]\nnames = [\"report\"]\n[lease]\nms = 30000\n[limits]\nmembers = 5000\n")) {
       return new Load().on(fleet, agents, most, seconds);
     }
   }
@@ -85,23 +100,38 @@
     long asked = answered.get();
     double perS = asked * 1e9 / (System.nanoTime() - began);
     over = true;
-    CompletableFuture.allOf(ends.toArray(CompletableFuture[]::new)).orTimeout(ONE.toSeconds(), TimeUnit.SECONDS)
-        .exceptionally(late -> null).join();
+    CompletableFuture.allOf(ends.toArray(CompletableFuture[]::new))
+        .orTimeout(ONE.toSeconds(), TimeUnit.SECONDS)
+        .exceptionally(late -> null)
+        .join();
     int leading = fleet.addresses().indexOf(leader.getAuthority());
     long largest = 0;
     for (int i = 0; i < fleet.count(); i++) {
       largest = Math.max(largest, resident(fleet.process(i).pid()));
     }
-    return new Result(fleet.count(), agents, asked, failed.get(), perS, took.getValueAtPercentile(50), took.getValueAtPercentile(99),
-        resident(fleet.process(leading).pid()), largest, size(fleet.disk(leading)));
+    return new Result(
+        fleet.count(),
+        agents,
+        asked,
+        failed.get(),
+        perS,
+        took.getValueAtPercentile(50),
+        took.getValueAtPercentile(99),
+        resident(fleet.process(leading).pid()),
+        largest,
+        size(fleet.disk(leading)));
   }
 
   /** Who leads, as the stewards say. */
   private void find(Stewards fleet) throws IOException {
     for (String address : fleet.addresses()) {
       try {
-        HttpResponse<byte[]> response = http.send(HttpRequest.newBuilder(URI.create("http://" + address + "/fleet/state"))
-            .timeout(ONE).build(), BodyHandlers.ofByteArray());
+        HttpResponse<byte[]> response =
+            http.send(
+                HttpRequest.newBuilder(URI.create("http://" + address + "/fleet/state"))
+                    .timeout(ONE)
+                    .build(),
+                BodyHandlers.ofByteArray());
         if (response.statusCode() == 200) {
           leader = URI.create("http://" + address + "/fleet/command");
           return;
@@ -119,19 +149,26 @@
       end.complete(null);
       return;
     }
-    Command command = Command.of(number == 1 ? Command.Kind.JOIN : Command.Kind.RENEW, name, number, name);
+    Command command =
+        Command.of(number == 1 ? Command.Kind.JOIN : Command.Kind.RENEW, name, number, name);
     long before = System.nanoTime();
-    http.sendAsync(HttpRequest.newBuilder(leader).timeout(ONE).POST(BodyPublishers.ofByteArray(LeaseCodec.bytes(command))).build(),
-        BodyHandlers.ofByteArray()).whenComplete((response, fault) -> {
-          boolean good = fault == null && response.statusCode() == 200 && done(response.body());
-          if (good) {
-            took.recordValue(Math.min(60_000_000, (System.nanoTime() - before) / 1000));
-            answered.incrementAndGet();
-          } else {
-            failed.incrementAndGet();
-          }
-          ask(name, good ? number + 1 : number, end);
-        });
+    http.sendAsync(
+            HttpRequest.newBuilder(leader)
+                .timeout(ONE)
+                .POST(BodyPublishers.ofByteArray(LeaseCodec.bytes(command)))
+                .build(),
+            BodyHandlers.ofByteArray())
+        .whenComplete(
+            (response, fault) -> {
+              boolean good = fault == null && response.statusCode() == 200 && done(response.body());
+              if (good) {
+                took.recordValue(Math.min(60_000_000, (System.nanoTime() - before) / 1000));
+                answered.incrementAndGet();
+              } else {
+                failed.incrementAndGet();
+              }
+              ask(name, good ? number + 1 : number, end);
+            });
   }
 
   private static boolean done(byte[] body) {
@@ -144,8 +181,11 @@
 
   /** Resident memory of a process in KB, by the system's tables (Linux). */
   private static long resident(long pid) throws IOException {
-    return Files.readAllLines(Path.of("/proc/" + pid + "/status")).stream().filter(line -> line.startsWith("VmRSS"))
-        .mapToLong(line -> Long.parseLong(line.replaceAll("\\D", ""))).findFirst().orElse(0);
+    return Files.readAllLines(Path.of("/proc/" + pid + "/status")).stream()
+        .filter(line -> line.startsWith("VmRSS"))
+        .mapToLong(line -> Long.parseLong(line.replaceAll("\\D", "")))
+        .findFirst()
+        .orElse(0);
   }
 
   private static long size(Path folder) throws IOException {
--- a/lab/src/main/java/tidebank/lab/fleet/Members.java
+++ b/lab/src/main/java/tidebank/lab/fleet/Members.java
@@ -7,11 +7,16 @@
 import java.util.function.Consumer;
 import tidebank.lab.replay.GathererProcess;
 
-/** Gatherers in processes of their own that know of no shard server, and so throttle and count what they are sent. */
+/**
+ * Gatherers in processes of their own that know of no shard server, and so throttle and count what
+ * they are sent.
+ */
 public final class Members {
-  private static final String FILE = "{'name':'%s','listen':'127.0.0.1:0','discovery':'127.0.0.1:1','seed':'8c1f30d27a5be964',"
-      + "'settings':{'discovery':'ask','services':[{'name':'checkout','semantics':'read_like','onTimeMs':1000,'deadlineMs':3000}],"
-      + "'specifics':{'slices':1,'positions':1,'width':1},'limits':{'maxAttempts':2}}}";
+  private static final String FILE =
+      "{'name':'%s','listen':'127.0.0.1:0','discovery':'127.0.0.1:1','seed':'8c1f30d27a5be964',"
+          + "'settings':{'discovery':'ask','services':["
+          + "{'name':'checkout','semantics':'read_like','onTimeMs':1000,'deadlineMs':3000}],"
+          + "'specifics':{'slices':1,'positions':1,'width':1},'limits':{'maxAttempts':2}}}";
 
   private Members() {}
 
@@ -23,9 +28,10 @@
    * @param everyMs how often it tells its counters
    * @param jvm further flags of its process
    */
-  public static GathererProcess start(Path folder, String name, List<String> stewards, long everyMs, List<String> jvm)
+  public static GathererProcess start(
+      Path folder, String name, List<String> stewards, long everyMs, List<String> jvm)
       throws IOException {
-    return start(folder, name, stewards, everyMs, jvm, List.of(), line -> { });
+    return start(folder, name, stewards, everyMs, jvm, List.of(), line -> {});
   }
 
   /**
@@ -34,11 +40,31 @@
    * @param launcher a main class and its flags before the gatherer's own, or none
    * @param told hears each line of its output
    */
-  public static GathererProcess start(Path folder, String name, List<String> stewards, long everyMs, List<String> jvm,
-      List<String> launcher, Consumer<String> told) throws IOException {
-    Path own = Files.writeString(folder.resolve(name + ".toml"), "[fleet]\nstewards = [\"" + String.join("\", \"", stewards)
-        + "\"]\nfolder = \"" + shared(folder) + "\"\nevery_ms = " + everyMs + "\n");
-    return GathererProcess.start(name, FILE.formatted(name).replace('\'', '"'), stewards.isEmpty() ? null : own, jvm, launcher,
+  public static GathererProcess start(
+      Path folder,
+      String name,
+      List<String> stewards,
+      long everyMs,
+      List<String> jvm,
+      List<String> launcher,
+      Consumer<String> told)
+      throws IOException {
+    Path own =
+        Files.writeString(
+            folder.resolve(name + ".toml"),
+            "[fleet]\nstewards = [\""
+                + String.join("\", \"", stewards)
+                + "\"]\nfolder = \""
+                + shared(folder)
+                + "\"\nevery_ms = "
+                + everyMs
+                + "\n");
+    return GathererProcess.start(
+        name,
+        FILE.formatted(name).replace('\'', '"'),
+        stewards.isEmpty() ? null : own,
+        jvm,
+        launcher,
         told);
   }
 
--- a/lab/src/main/java/tidebank/lab/fleet/Stewards.java
+++ b/lab/src/main/java/tidebank/lab/fleet/Stewards.java
@@ -12,10 +12,18 @@
 import java.util.function.Consumer;
 import tidebank.lab.process.Guarded;
 
-/** Stewards in processes of their own, as operators start them, on loopback ports of the system's choice. */
+/**
+ * Stewards in processes of their own, as operators start them, on loopback ports of the system's
+ * choice.
+ */
 public final class Stewards implements AutoCloseable {
-  private static final List<String> FLAGS = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx64m",
-      "-XX:MaxDirectMemorySize=64m", "-XX:-UsePerfData");
+  private static final List<String> FLAGS =
+      List.of(
+          "-XX:+UseSerialGC",
+          "-XX:TieredStopAtLevel=1",
+          "-Xmx64m",
+          "-XX:MaxDirectMemorySize=64m",
+          "-XX:-UsePerfData");
 
   /** What stands before a steward's own address, so that all who call it come through there. */
   public interface Doors {
@@ -49,9 +57,11 @@
   public Stewards(Path folder, int count, String settings, Doors doors) throws IOException {
     this.folder = folder;
     this.settings = settings;
-    // An address of our own in the loopback range: a call that goes out meanwhile can't be given one of these ports.
+    // An address of our own in the loopback range: a call that goes out meanwhile can't be given
+    // one of these ports.
     long pid = ProcessHandle.current().pid();
-    String host = "127." + (64 + (pid >> 16 & 63)) + "." + (pid >> 8 & 255) + "." + Math.max(1, pid & 254);
+    String host =
+        "127." + (64 + (pid >> 16 & 63)) + "." + (pid >> 8 & 255) + "." + Math.max(1, pid & 254);
     for (String port : ports(host, 2 * count)) {
       (raft.size() < count ? raft : http).add(host + ":" + port);
     }
@@ -62,7 +72,10 @@
     }
   }
 
-  /** Ports that were free a moment ago: each steward's file names them all, so that they can't be chosen at its start. */
+  /**
+   * Ports that were free a moment ago: each steward's file names them all, so that they can't be
+   * chosen at its start.
+   */
   private static List<String> ports(String host, int count) throws IOException {
     List<ServerSocket> sockets = new ArrayList<>();
     List<String> ports = new ArrayList<>();
@@ -81,7 +94,7 @@
 
   /** Starts one, or starts it again with what is on its disk. */
   public void start(int steward) throws IOException {
-    start(steward, List.of(), line -> { });
+    start(steward, List.of(), line -> {});
   }
 
   /**
@@ -95,20 +108,31 @@
   }
 
   /** The same with files that can't grow beyond so many bytes. */
-  public void start(int steward, List<String> launcher, Consumer<String> told, long fileBytes) throws IOException {
-    StringBuilder file = new StringBuilder("name = \"s" + steward + "\"\nfolder = \"" + disk(steward) + "\"\n");
+  public void start(int steward, List<String> launcher, Consumer<String> told, long fileBytes)
+      throws IOException {
+    StringBuilder file =
+        new StringBuilder("name = \"s" + steward + "\"\nfolder = \"" + disk(steward) + "\"\n");
     for (int i = 0; i < raft.size(); i++) {
-      file.append("[[peers]]\nname = \"s").append(i).append("\"\nraft = \"").append(toldRaft.get(i)).append("\"\nhttp = \"")
-          .append(toldHttp.get(i)).append("\"\n");
+      file.append("[[peers]]\nname = \"s")
+          .append(i)
+          .append("\"\nraft = \"")
+          .append(toldRaft.get(i))
+          .append("\"\nhttp = \"")
+          .append(toldHttp.get(i))
+          .append("\"\n");
     }
-    file.append("[listen]\nraft = \"").append(raft.get(steward)).append("\"\nhttp = \"").append(http.get(steward))
+    file.append("[listen]\nraft = \"")
+        .append(raft.get(steward))
+        .append("\"\nhttp = \"")
+        .append(http.get(steward))
         .append("\"\n");
     Path config = Files.writeString(folder.resolve("s" + steward + ".toml"), file + settings);
     List<String> arguments = new ArrayList<>(FLAGS);
     arguments.addAll(List.of("-cp", System.getProperty("java.class.path")));
     arguments.addAll(launcher);
     arguments.addAll(List.of("tidebank.steward.StewardMain", "--config", config.toString()));
-    processes.set(steward, Guarded.java("s" + steward, arguments, Map.of(), told, () -> { }, fileBytes));
+    processes.set(
+        steward, Guarded.java("s" + steward, arguments, Map.of(), told, () -> {}, fileBytes));
   }
 
   public Path disk(int steward) {
--- a/lab/src/main/java/tidebank/lab/process/Guarded.java
+++ b/lab/src/main/java/tidebank/lab/process/Guarded.java
@@ -12,14 +12,16 @@
 import java.util.function.Consumer;
 
 /**
- * A Java process that ends with this one, whatever happens to it: between the two stands a shell that kills the child when
- * its own standard input ends. Signals go to the child alone, which this one has started.
+ * A Java process that ends with this one, whatever happens to it: between the two stands a shell
+ * that kills the child when its own standard input ends. Signals go to the child alone, which this
+ * one has started.
  */
 public final class Guarded implements AutoCloseable {
   /** A shell gives what it starts behind itself no standard input, hence the third descriptor. */
   private static final String GUARD =
-      "exec 3<&0; \"$@\" < /dev/null 3<&- & child=$!; { cat <&3 > /dev/null; kill -9 $child; } 2> /dev/null & "
-          + "guard=$!; wait $child; code=$?; kill $guard 2> /dev/null; exit $code";
+      "exec 3<&0; \"$@\" < /dev/null 3<&- & child=$!; { cat <&3 > /dev/null; kill -9 $child; } 2>"
+          + " /dev/null & guard=$!; wait $child; code=$?; kill $guard 2> /dev/null; exit $code";
+
   private static final int LINES_KEPT = 200;
   private static final int END_MS = 2000;
 
@@ -40,8 +42,13 @@
    * @param told hears each line of its output, on a thread of its own
    * @param end run on that thread once there is no more
    */
-  public static Guarded java(String name, List<String> arguments, Map<String, String> environment, Consumer<String> told,
-      Runnable end) throws IOException {
+  public static Guarded java(
+      String name,
+      List<String> arguments,
+      Map<String, String> environment,
+      Consumer<String> told,
+      Runnable end)
+      throws IOException {
     return java(name, arguments, environment, told, end, Long.MAX_VALUE);
   }
 
@@ -50,11 +57,23 @@
    *
    * @param fileBytes the most that any file of it may have; a multiple of 512
    */
-  public static Guarded java(String name, List<String> arguments, Map<String, String> environment, Consumer<String> told,
-      Runnable end, long fileBytes) throws IOException {
+  public static Guarded java(
+      String name,
+      List<String> arguments,
+      Map<String, String> environment,
+      Consumer<String> told,
+      Runnable end,
+      long fileBytes)
+      throws IOException {
     String bound = fileBytes == Long.MAX_VALUE ? "" : "ulimit -f " + fileBytes / 512 + "; ";
-    List<String> command = new ArrayList<>(List.of("/bin/sh", "-c", bound + GUARD, "sh",
-        Path.of(System.getProperty("java.home"), "bin", "java").toString()));
+    List<String> command =
+        new ArrayList<>(
+            List.of(
+                "/bin/sh",
+                "-c",
+                bound + GUARD,
+                "sh",
+                Path.of(System.getProperty("java.home"), "bin", "java").toString()));
     command.addAll(arguments);
     ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
     builder.environment().keySet().removeIf(key -> key.startsWith("NODE_"));
@@ -100,7 +119,11 @@
 
   private ProcessHandle child() {
     // Below the shell stand the child and the guard; only the child is a java.
-    return shell.toHandle().children().filter(one -> one.info().command().orElse("").endsWith("java")).findFirst()
+    return shell
+        .toHandle()
+        .children()
+        .filter(one -> one.info().command().orElse("").endsWith("java"))
+        .findFirst()
         .orElse(null);
   }
 
--- a/lab/src/main/java/tidebank/lab/replay/ClientRules.java
+++ b/lab/src/main/java/tidebank/lab/replay/ClientRules.java
@@ -5,8 +5,9 @@
 import tidebank.model.Repeat;
 
 /**
- * Decides what a client does after a try: ask again and when, or give up. A request that must not run twice is asked
- * again only if no try of it can have run. Pure: time comes in, chance comes from a seed and the request's own name.
+ * Decides what a client does after a try: ask again and when, or give up. A request that must not
+ * run twice is asked again only if no try of it can have run. Pure: time comes in, chance comes
+ * from a seed and the request's own name.
  */
 public final class ClientRules {
   /** How a try came back. */
@@ -34,7 +35,8 @@
   }
 
   /**
-   * Which gatherer a try goes to: those that are admitted in turn; if none is, all in turn, as a front that knows no better.
+   * Which gatherer a try goes to: those that are admitted in turn; if none is, all in turn, as a
+   * front that knows no better.
    *
    * @param turn counts tries
    * @param admitted whether each gatherer is
@@ -48,7 +50,7 @@
       return (int) (turn % admitted.length);
     }
     long skip = turn % count;
-    for (int i = 0;; i++) {
+    for (int i = 0; ; i++) {
       if (admitted[i] && skip-- == 0) {
         return i;
       }
@@ -72,7 +74,8 @@
    * @param holdOffUs what the gatherer asked to wait, 0 if nothing
    * @param limitUs when the client's time is over
    */
-  public long again(String name, Repeat repeat, Came came, int tries, long nowUs, long holdOffUs, long limitUs) {
+  public long again(
+      String name, Repeat repeat, Came came, int tries, long nowUs, long holdOffUs, long limitUs) {
     if (tries > retries || !harmless(repeat, came)) {
       return -1;
     }
--- a/lab/src/main/java/tidebank/lab/replay/Clients.java
+++ b/lab/src/main/java/tidebank/lab/replay/Clients.java
@@ -52,15 +52,20 @@
 import tidebank.node.Clock;
 
 /**
- * The clients of a replay: an open loop, in which arrivals never wait for answers. A scan is sent at its intended time
- * or as soon after it as this process can; how late that was is measured, and a scan's time counts from when it was
- * intended. All of it belongs to one event loop; only the reading of the trace has a thread of its own.
+ * The clients of a replay: an open loop, in which arrivals never wait for answers. A scan is sent
+ * at its intended time or as soon after it as this process can; how late that was is measured, and
+ * a scan's time counts from when it was intended. All of it belongs to one event loop; only the
+ * reading of the trace has a thread of its own.
  */
 final class Clients {
   private static final int AHEAD = 20_000;
   private static final int BODY_MOST = 4 << 20;
-  /** How long after a client's time an answer is still waited for, to tell a late answer from none. */
+
+  /**
+   * How long after a client's time an answer is still waited for, to tell a late answer from none.
+   */
   private static final long PATIENCE_US = 300_000;
+
   private static final int CONNECTIONS_MOST = 2000;
 
   /** One gatherer as its clients see it. */
@@ -100,11 +105,20 @@
         int shard = (row.depot() + place) % shards;
         double weight = parts == row.parts() ? row.weightOf(place) : 1.0 / parts;
         weights.put(shard, weight);
-        ranges.append(place > 0 ? "," : "").append("{\"range\":").append(shard).append(",\"portion\":")
-            .append(String.format(Locale.ROOT, "%.7f", weight)).append('}');
+        ranges
+            .append(place > 0 ? "," : "")
+            .append("{\"range\":")
+            .append(shard)
+            .append(",\"portion\":")
+            .append(String.format(Locale.ROOT, "%.7f", weight))
+            .append('}');
       }
-      body = ranges.append("],\"predicate\":\"").append(Values.text(safe(row.key()), row.workUs())).append("\"}")
-          .toString();
+      body =
+          ranges
+              .append("],\"predicate\":\"")
+              .append(Values.text(safe(row.key()), row.workUs()))
+              .append("\"}")
+              .toString();
     }
 
     private static String safe(String key) {
@@ -148,8 +162,15 @@
   private long sent;
   private long turn;
 
-  Clients(Site site, List<Target> targets, ClientRules rules, RuleAudit audit, Clock clock, EventLoop loop,
-      String seedText, Consumer<ScanRecord> to) {
+  Clients(
+      Site site,
+      List<Target> targets,
+      ClientRules rules,
+      RuleAudit audit,
+      Clock clock,
+      EventLoop loop,
+      String seedText,
+      Consumer<ScanRecord> to) {
     this.site = site;
     this.targets = targets;
     this.rules = rules;
@@ -158,40 +179,61 @@
     this.loop = loop;
     this.seedText = seedText;
     this.to = to;
-    bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true)
-        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1000).handler(new ChannelInitializer<>() {
-          @Override
-          protected void initChannel(Channel channel) {
-            channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(BODY_MOST), new Answers());
-          }
-        });
+    bootstrap =
+        new Bootstrap()
+            .group(loop)
+            .channel(NioSocketChannel.class)
+            .option(ChannelOption.TCP_NODELAY, true)
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1000)
+            .handler(
+                new ChannelInitializer<>() {
+                  @Override
+                  protected void initChannel(Channel channel) {
+                    channel
+                        .pipeline()
+                        .addLast(
+                            new HttpClientCodec(),
+                            new HttpObjectAggregator(BODY_MOST),
+                            new Answers());
+                  }
+                });
   }
 
-  /** Begins to send rows whose times count from this moment. The future ends when the last has its end. */
+  /**
+   * Begins to send rows whose times count from this moment. The future ends when the last has its
+   * end.
+   */
   CompletableFuture<Void> begin(Iterator<TraceRow> rows, long startAtUs) {
     startUs = startAtUs;
-    Thread reader = new Thread(() -> {
-      try {
-        long number = 0;
-        while (rows.hasNext() && !ended.isDone()) {
-          TraceRow row = rows.next();
-          Site.Type type = site.types().get(row.tableType());
-          if (type == null) {
-            throw new IOException("table type \"" + row.tableType() + "\" of the trace is none of the site's: "
-                + String.join(", ", site.types().keySet()));
-          }
-          Scan scan = new Scan(number++, row, type, startAtUs + row.timeUs(), site.shards());
-          while (!ahead.offer(scan, 100, TimeUnit.MILLISECONDS)) {
-            if (ended.isDone()) {
-              return;
-            }
-          }
-        }
-        read = true;
-      } catch (Exception fault) {
-        ended.completeExceptionally(fault);
-      }
-    }, "trace reader");
+    Thread reader =
+        new Thread(
+            () -> {
+              try {
+                long number = 0;
+                while (rows.hasNext() && !ended.isDone()) {
+                  TraceRow row = rows.next();
+                  Site.Type type = site.types().get(row.tableType());
+                  if (type == null) {
+                    throw new IOException(
+                        "table type \""
+                            + row.tableType()
+                            + "\" of the trace is none of the site's: "
+                            + String.join(", ", site.types().keySet()));
+                  }
+                  Scan scan =
+                      new Scan(number++, row, type, startAtUs + row.timeUs(), site.shards());
+                  while (!ahead.offer(scan, 100, TimeUnit.MILLISECONDS)) {
+                    if (ended.isDone()) {
+                      return;
+                    }
+                  }
+                }
+                read = true;
+              } catch (Exception fault) {
+                ended.completeExceptionally(fault);
+              }
+            },
+            "trace reader");
     reader.setDaemon(true);
     reader.start();
     loop.execute(this::pump);
@@ -248,8 +290,11 @@
   private void send(Scan scan) {
     scan.tries++;
     Try one = new Try(scan, target());
-    one.timer = loop.schedule(() -> over(one, Came.TIMED_OUT, 0), scan.limit + PATIENCE_US - clock.now(),
-        TimeUnit.MICROSECONDS);
+    one.timer =
+        loop.schedule(
+            () -> over(one, Came.TIMED_OUT, 0),
+            scan.limit + PATIENCE_US - clock.now(),
+            TimeUnit.MICROSECONDS);
     Channel idle;
     while ((idle = one.target.idle.pollLast()) != null) {
       if (idle.isActive()) {
@@ -262,23 +307,29 @@
       return;
     }
     one.target.open++;
-    bootstrap.connect(one.target.address).addListener((ChannelFuture connected) -> {
-      if (!connected.isSuccess()) {
-        one.target.open--;
-        over(one, Came.NOT_REACHED, 0);
-        return;
-      }
-      Channel channel = connected.channel();
-      channel.closeFuture().addListener(closed -> {
-        one.target.open--;
-        one.target.idle.remove(channel);
-      });
-      if (one.over) {
-        one.target.idle.add(channel);
-      } else {
-        write(one, channel);
-      }
-    });
+    bootstrap
+        .connect(one.target.address)
+        .addListener(
+            (ChannelFuture connected) -> {
+              if (!connected.isSuccess()) {
+                one.target.open--;
+                over(one, Came.NOT_REACHED, 0);
+                return;
+              }
+              Channel channel = connected.channel();
+              channel
+                  .closeFuture()
+                  .addListener(
+                      closed -> {
+                        one.target.open--;
+                        one.target.idle.remove(channel);
+                      });
+              if (one.over) {
+                one.target.idle.add(channel);
+              } else {
+                write(one, channel);
+              }
+            });
   }
 
   private void write(Try one, Channel channel) {
@@ -294,22 +345,37 @@
     channel.pipeline().get(Answers.class).current = one;
     ByteBuf body = Unpooled.copiedBuffer(scan.body, StandardCharsets.UTF_8);
     DefaultFullHttpRequest request =
-        new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/" + scan.type.name(), body);
-    request.headers().set(HttpHeaderNames.HOST, "replay").set("X-Correlation-Id", one.id)
-        .set("X-Account", scan.row.account().isEmpty() ? "nobody" : scan.row.account()).set("X-Time-Left", left + "u")
+        new DefaultFullHttpRequest(
+            HttpVersion.HTTP_1_1, HttpMethod.POST, "/" + scan.type.name(), body);
+    request
+        .headers()
+        .set(HttpHeaderNames.HOST, "replay")
+        .set("X-Correlation-Id", one.id)
+        .set("X-Account", scan.row.account().isEmpty() ? "nobody" : scan.row.account())
+        .set("X-Time-Left", left + "u")
         .setInt(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
     if (scan.tries > 1) {
       request.headers().set("X-Repeat", "1");
     }
     // Told before it is written, so that no dispatch of it can be seen first.
-    audit.scanSent(one.id, one.target.number, scan.type.repeat(), scan.type.floor(), now, scan.limit, scan.weights);
-    channel.writeAndFlush(request).addListener(written -> {
-      one.written = written.isSuccess();
-      if (!written.isSuccess()) {
-        channel.close();
-        over(one, Came.NOT_REACHED, 0);
-      }
-    });
+    audit.scanSent(
+        one.id,
+        one.target.number,
+        scan.type.repeat(),
+        scan.type.floor(),
+        now,
+        scan.limit,
+        scan.weights);
+    channel
+        .writeAndFlush(request)
+        .addListener(
+            written -> {
+              one.written = written.isSuccess();
+              if (!written.isSuccess()) {
+                channel.close();
+                over(one, Came.NOT_REACHED, 0);
+              }
+            });
   }
 
   /** A try is over, and with it perhaps the scan. */
@@ -320,29 +386,47 @@
     one.over = true;
     one.timer.cancel(false);
     long now = clock.now();
-    if (one.channel != null && came != Came.ANSWERED && came != Came.THROTTLED && came != Came.FAILED) {
+    if (one.channel != null
+        && came != Came.ANSWERED
+        && came != Came.THROTTLED
+        && came != Came.FAILED) {
       // No answer: the client leaves; whether that was the gatherer's fault is the audit's to say.
-      audit.replied(one.id, now, switch (came) {
-        case TIMED_OUT -> RuleAudit.Reply.NONE;
-        case BROKEN_OFF -> RuleAudit.Reply.CONNECTION_ENDED;
-        default -> RuleAudit.Reply.NONE_AND_CLIENT_LEFT;
-      }, Set.of(), 0, false);
+      audit.replied(
+          one.id,
+          now,
+          switch (came) {
+            case TIMED_OUT -> RuleAudit.Reply.NONE;
+            case BROKEN_OFF -> RuleAudit.Reply.CONNECTION_ENDED;
+            default -> RuleAudit.Reply.NONE_AND_CLIENT_LEFT;
+          },
+          Set.of(),
+          0,
+          false);
       one.channel.close();
     }
     Scan scan = one.scan;
-    long again = rules.again(String.valueOf(scan.number), scan.type.repeat(), came, scan.tries, now, holdOffUs, scan.limit);
+    long again =
+        rules.again(
+            String.valueOf(scan.number),
+            scan.type.repeat(),
+            came,
+            scan.tries,
+            now,
+            holdOffUs,
+            scan.limit);
     if (again >= 0 && !ended.isDone()) {
       loop.schedule(() -> send(scan), again - now, TimeUnit.MICROSECONDS);
       return;
     }
-    ScanRecord.End end = switch (came) {
-      case ANSWERED -> ScanRecord.End.COMPLETED;
-      case THROTTLED -> ScanRecord.End.THROTTLED;
-      case FAILED -> ScanRecord.End.ABANDONED;
-      case NOT_REACHED -> ScanRecord.End.NOT_REACHED;
-      case BROKEN_OFF -> ScanRecord.End.BROKEN_OFF;
-      case TIMED_OUT -> ScanRecord.End.TIMED_OUT;
-    };
+    ScanRecord.End end =
+        switch (came) {
+          case ANSWERED -> ScanRecord.End.COMPLETED;
+          case THROTTLED -> ScanRecord.End.THROTTLED;
+          case FAILED -> ScanRecord.End.ABANDONED;
+          case NOT_REACHED -> ScanRecord.End.NOT_REACHED;
+          case BROKEN_OFF -> ScanRecord.End.BROKEN_OFF;
+          case TIMED_OUT -> ScanRecord.End.TIMED_OUT;
+        };
     record(scan, end, now, 0, false);
   }
 
@@ -351,8 +435,16 @@
     one.timer.cancel(false);
     long now = clock.now();
     long took = now - one.scan.intended;
-    record(one.scan, took <= one.scan.type.targetUs() ? ScanRecord.End.COMPLETED
-        : took <= one.scan.type.timeoutUs() ? ScanRecord.End.COMPLETED_LATE : ScanRecord.End.TIMED_OUT, now, share, whole);
+    record(
+        one.scan,
+        took <= one.scan.type.targetUs()
+            ? ScanRecord.End.COMPLETED
+            : took <= one.scan.type.timeoutUs()
+                ? ScanRecord.End.COMPLETED_LATE
+                : ScanRecord.End.TIMED_OUT,
+        now,
+        share,
+        whole);
   }
 
   private void record(Scan scan, ScanRecord.End end, long now, double share, boolean whole) {
@@ -361,11 +453,33 @@
     if (completed) {
       latency.recordValue(Math.min(latency.getHighestTrackableValue(), took));
     }
-    double earned = completed ? Account.earned(scan.type.benefit(), took, scan.type.targetUs(), scan.type.timeoutUs(),
-        scan.type.lateShare(), whole, share, scan.type.partialShare()) : 0;
+    double earned =
+        completed
+            ? Account.earned(
+                scan.type.benefit(),
+                took,
+                scan.type.targetUs(),
+                scan.type.timeoutUs(),
+                scan.type.lateShare(),
+                whole,
+                share,
+                scan.type.partialShare())
+            : 0;
     held--;
-    to.accept(new ScanRecord(scan.number, scan.type.name(), scan.row.account(), scan.intended - startUs,
-        scan.sent - startUs, now - startUs, end, share, whole, scan.tries, scan.type.benefit(), earned));
+    to.accept(
+        new ScanRecord(
+            scan.number,
+            scan.type.name(),
+            scan.row.account(),
+            scan.intended - startUs,
+            scan.sent - startUs,
+            now - startUs,
+            end,
+            share,
+            whole,
+            scan.tries,
+            scan.type.benefit(),
+            earned));
   }
 
   /** Reads what comes back on a connection. */
@@ -387,8 +501,17 @@
         ok(one, response, now);
       } else {
         boolean throttled = status == 429 || status == 503;
-        audit.replied(one.id, now, throttled ? RuleAudit.Reply.THROTTLED : RuleAudit.Reply.FAILED, Set.of(), 0, false);
-        over(one, throttled ? Came.THROTTLED : Came.FAILED, holdOff(response.headers().get("Retry-After")));
+        audit.replied(
+            one.id,
+            now,
+            throttled ? RuleAudit.Reply.THROTTLED : RuleAudit.Reply.FAILED,
+            Set.of(),
+            0,
+            false);
+        over(
+            one,
+            throttled ? Came.THROTTLED : Came.FAILED,
+            holdOff(response.headers().get("Retry-After")));
       }
       if (stays) {
         one.target.idle.add(context.channel());
@@ -449,13 +572,18 @@
     }
   }
 
-  /** Connections that are still open are closed; to be called on the loop's thread or before its end. */
+  /**
+   * Connections that are still open are closed; to be called on the loop's thread or before its
+   * end.
+   */
   void close() {
-    loop.submit(() -> {
-      for (Target target : targets) {
-        new ArrayList<>(target.idle).forEach(Channel::close);
-        target.idle.clear();
-      }
-    }).awaitUninterruptibly();
+    loop.submit(
+            () -> {
+              for (Target target : targets) {
+                new ArrayList<>(target.idle).forEach(Channel::close);
+                target.idle.clear();
+              }
+            })
+        .awaitUninterruptibly();
   }
 }
--- a/lab/src/main/java/tidebank/lab/replay/GathererProcess.java
+++ b/lab/src/main/java/tidebank/lab/replay/GathererProcess.java
@@ -22,9 +22,18 @@
 /** A gatherer in a process of its own, started as operators start one, that ends with this one. */
 public final class GathererProcess implements AutoCloseable {
   /** Flags of the deployment's own command; small, so that many fit one machine. */
-  private static final List<String> FLAGS = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xms48m", "-Xmx48m",
-      "-XX:MaxDirectMemorySize=32m", "-XX:MaxMetaspaceSize=32m", "-XX:ReservedCodeCacheSize=16m", "-Xss512k",
-      "-XX:-UsePerfData");
+  private static final List<String> FLAGS =
+      List.of(
+          "-XX:+UseSerialGC",
+          "-XX:TieredStopAtLevel=1",
+          "-Xms48m",
+          "-Xmx48m",
+          "-XX:MaxDirectMemorySize=32m",
+          "-XX:MaxMetaspaceSize=32m",
+          "-XX:ReservedCodeCacheSize=16m",
+          "-Xss512k",
+          "-XX:-UsePerfData");
+
   private static final Pattern LISTENS = Pattern.compile("listens on /?([0-9.]+):([0-9]+)");
   private static final int START_S = 20;
 
@@ -38,9 +47,13 @@
     this.config = config;
   }
 
-  /** Starts one with this configuration file's content, an operator's own file or null, and further flags of its JVM. */
-  public static GathererProcess start(String name, String file, Path own, List<String> jvm) throws IOException {
-    return start(name, file, own, jvm, List.of(), line -> { });
+  /**
+   * Starts one with this configuration file's content, an operator's own file or null, and further
+   * flags of its JVM.
+   */
+  public static GathererProcess start(String name, String file, Path own, List<String> jvm)
+      throws IOException {
+    return start(name, file, own, jvm, List.of(), line -> {});
   }
 
   /**
@@ -49,8 +62,14 @@
    * @param launcher a main class and its flags before the gatherer's own, or none
    * @param told hears each line of its output
    */
-  public static GathererProcess start(String name, String file, Path own, List<String> jvm, List<String> launcher,
-      Consumer<String> told) throws IOException {
+  public static GathererProcess start(
+      String name,
+      String file,
+      Path own,
+      List<String> jvm,
+      List<String> launcher,
+      Consumer<String> told)
+      throws IOException {
     Path config = Files.createTempFile("tidebank-" + name + "-", ".json");
     config.toFile().deleteOnExit();
     Files.writeString(config, file);
@@ -59,11 +78,18 @@
       command.addAll(List.of("--config", own.toString()));
     }
     GathererProcess started = new GathererProcess(name, config);
-    started.process = Guarded.java(name, command, Map.of("NODE_CONFIG", config.toString()), line -> {
-          started.told(line);
-          told.accept(line);
-        },
-        () -> started.address.completeExceptionally(new IOException(name + " ended before it listened")));
+    started.process =
+        Guarded.java(
+            name,
+            command,
+            Map.of("NODE_CONFIG", config.toString()),
+            line -> {
+              started.told(line);
+              told.accept(line);
+            },
+            () ->
+                started.address.completeExceptionally(
+                    new IOException(name + " ended before it listened")));
     return started;
   }
 
@@ -118,8 +144,11 @@
     long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(START_S);
     while (System.nanoTime() < until && process.alive()) {
       try {
-        HttpURLConnection call = (HttpURLConnection) URI.create(
-            "http://" + at.getHostString() + ":" + at.getPort() + "/health/ready").toURL().openConnection();
+        HttpURLConnection call =
+            (HttpURLConnection)
+                URI.create("http://" + at.getHostString() + ":" + at.getPort() + "/health/ready")
+                    .toURL()
+                    .openConnection();
         call.setConnectTimeout(1000);
         call.setReadTimeout(1000);
         if (call.getResponseCode() == 200) {
--- a/lab/src/main/java/tidebank/lab/replay/Replay.java
+++ b/lab/src/main/java/tidebank/lab/replay/Replay.java
@@ -37,15 +37,20 @@
 import tidebank.node.Clock;
 
 /**
- * Plays rows through real gatherer processes on loopback, between clients, shard servers and discovery that are
- * stand-ins in this process, and accounts for what came of it.
+ * Plays rows through real gatherer processes on loopback, between clients, shard servers and
+ * discovery that are stand-ins in this process, and accounts for what came of it.
  */
 public final class Replay {
   private static final Logger LOG = LoggerFactory.getLogger(Replay.class);
   private static final long AUDIT_EVERY_MS = 20;
   private static final long LEAD_US = 200_000;
-  /** On loopback a thing that was written can be this much later at the other side, on a busy machine. */
+
+  /**
+   * On loopback a thing that was written can be this much later at the other side, on a busy
+   * machine.
+   */
   private static final long SEND_SLACK_US = 100_000;
+
   private static final int SOCKETS = 1024;
 
   /**
@@ -55,11 +60,18 @@
    * @param servers stand-ins
    * @param seed of ids and chance
    * @param incidents what happens meanwhile
-   * @param captures where each gatherer records what it is told, in a folder of its own; null for nowhere
+   * @param captures where each gatherer records what it is told, in a folder of its own; null for
+   *     nowhere
    * @param jvm what the gatherers' JVMs are told beside the deployment's flags
    */
   public record Plan(
-      Site site, int gatherers, int servers, long seed, List<Incident> incidents, Path captures, List<String> jvm) {
+      Site site,
+      int gatherers,
+      int servers,
+      long seed,
+      List<Incident> incidents,
+      Path captures,
+      List<String> jvm) {
     public Plan(Site site, int gatherers, int servers, long seed, List<Incident> incidents) {
       this(site, gatherers, servers, seed, incidents, null, List.of());
     }
@@ -130,11 +142,20 @@
     Site site = plan.site();
     Clock clock = new Clock();
     Ledger ledger = new Ledger();
-    RuleAudit audit = new RuleAudit(new RuleAudit.Figures(site.rules().answerSlackUs(), SEND_SLACK_US,
-        site.rules().drainGraceUs(), site.rules().fallMultiple(), site.rules().fallAfterUs(), site.rules().freeFurther(),
-        site.rules().furtherShare(), site.rules().furtherSpanUs()));
-    MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(2, new DefaultThreadFactory("replay", true),
-        NioIoHandler.newFactory());
+    RuleAudit audit =
+        new RuleAudit(
+            new RuleAudit.Figures(
+                site.rules().answerSlackUs(),
+                SEND_SLACK_US,
+                site.rules().drainGraceUs(),
+                site.rules().fallMultiple(),
+                site.rules().fallAfterUs(),
+                site.rules().freeFurther(),
+                site.rules().furtherShare(),
+                site.rules().furtherSpanUs()));
+    MultiThreadIoEventLoopGroup group =
+        new MultiThreadIoEventLoopGroup(
+            2, new DefaultThreadFactory("replay", true), NioIoHandler.newFactory());
     EventLoop front = group.next();
     EventLoop back = group.next();
     List<ShardStandIn> servers = new ArrayList<>();
@@ -142,43 +163,80 @@
     Runtime.getRuntime().addShutdownHook(onExit);
     try {
       for (int i = 0; i < plan.servers(); i++) {
-        ServerModel model = new SlotsModel(site.server().slots(), site.server().queue(), site.server().coldFrom(),
-            site.server().warmUs());
-        ShardStandIn server = new ShardStandIn(i, plan.servers(), plan.gatherers(), site, model, ledger, clock, back);
+        ServerModel model =
+            new SlotsModel(
+                site.server().slots(),
+                site.server().queue(),
+                site.server().coldFrom(),
+                site.server().warmUs());
+        ShardStandIn server =
+            new ShardStandIn(i, plan.servers(), plan.gatherers(), site, model, ledger, clock, back);
         server.open();
         servers.add(server);
       }
-      DiscoveryStandIn discovery = new DiscoveryStandIn(servers, plan.gatherers(), ledger, clock, back);
+      DiscoveryStandIn discovery =
+          new DiscoveryStandIn(servers, plan.gatherers(), ledger, clock, back);
       discovery.open();
       List<Clients.Target> targets = startGatherers(discovery);
-      ClientRules rules = new ClientRules(site.clients().retries(), site.clients().waitUs(), plan.seed());
-      Clients sender = new Clients(site, targets, rules, audit, clock, front, Long.toHexString(plan.seed()), record -> {
-        account.add(record);
-        records.accept(record);
-      });
+      ClientRules rules =
+          new ClientRules(site.clients().retries(), site.clients().waitUs(), plan.seed());
+      Clients sender =
+          new Clients(
+              site,
+              targets,
+              rules,
+              audit,
+              clock,
+              front,
+              Long.toHexString(plan.seed()),
+              record -> {
+                account.add(record);
+                records.accept(record);
+              });
       long start = clock.now() + LEAD_US;
-      front.scheduleAtFixedRate(() -> {
-        ledger.drainTo(audit);
-        audit.judge(clock.now() - SEND_SLACK_US);
-        progress.accept(sender.sent());
-      }, AUDIT_EVERY_MS, AUDIT_EVERY_MS, TimeUnit.MILLISECONDS);
+      front.scheduleAtFixedRate(
+          () -> {
+            ledger.drainTo(audit);
+            audit.judge(clock.now() - SEND_SLACK_US);
+            progress.accept(sender.sent());
+          },
+          AUDIT_EVERY_MS,
+          AUDIT_EVERY_MS,
+          TimeUnit.MILLISECONDS);
       clients = sender;
       CompletableFuture<Void> ended = sender.begin(rows, start);
-      Thread script = new Thread(() -> play(start, clock, servers, discovery, targets, audit, front, ended), "incidents");
+      Thread script =
+          new Thread(
+              () -> play(start, clock, servers, discovery, targets, audit, front, ended),
+              "incidents");
       script.setDaemon(true);
       script.start();
       await(ended);
       double seconds = (clock.now() - start) / 1e6;
       // What was sent late is still on its way; the audit wants to see it.
       await(front.schedule(() -> null, SEND_SLACK_US + 100_000, TimeUnit.MICROSECONDS));
-      front.submit(() -> {
-        ledger.drainTo(audit);
-        audit.judge(Long.MAX_VALUE / 2);
-      }).syncUninterruptibly();
+      front
+          .submit(
+              () -> {
+                ledger.drainTo(audit);
+                audit.judge(Long.MAX_VALUE / 2);
+              })
+          .syncUninterruptibly();
       sender.close();
       stopGatherers();
-      return new Outcome(account.figures(), account.bySecond(), account.byType(), account.byAccount(), audit.counts(),
-          audit.broken(), audit.judged(), audit.dispatches(), sender.lateness(), sender.latency(), exits, sender.sent(),
+      return new Outcome(
+          account.figures(),
+          account.bySecond(),
+          account.byType(),
+          account.byAccount(),
+          audit.counts(),
+          audit.broken(),
+          audit.judged(),
+          audit.dispatches(),
+          sender.lateness(),
+          sender.latency(),
+          exits,
+          sender.sent(),
           seconds);
     } finally {
       kill();
@@ -204,12 +262,24 @@
     return targets;
   }
 
-  private GathererProcess start(int number, String listen, DiscoveryStandIn discovery) throws IOException {
+  private GathererProcess start(int number, String listen, DiscoveryStandIn discovery)
+      throws IOException {
     String seed = String.format("%016x", plan.seed() * 31 + number);
     InetSocketAddress from = discovery.address(number);
-    GathererProcess process = GathererProcess.start("g" + number, plan.site().gathererFile("g" + number, listen,
-        "127.0.0.1:" + from.getPort(), seed, plan.gatherers(), plan.servers(), SOCKETS), own(number),
-        plan.jvm());
+    GathererProcess process =
+        GathererProcess.start(
+            "g" + number,
+            plan.site()
+                .gathererFile(
+                    "g" + number,
+                    listen,
+                    "127.0.0.1:" + from.getPort(),
+                    seed,
+                    plan.gatherers(),
+                    plan.servers(),
+                    SOCKETS),
+            own(number),
+            plan.jvm());
     synchronized (processes) {
       processes.add(process);
       if (ending) {
@@ -219,14 +289,18 @@
     return process;
   }
 
-  /** The operator's own file of a gatherer that records; one started anew goes on in the same folder. */
+  /**
+   * The operator's own file of a gatherer that records; one started anew goes on in the same
+   * folder.
+   */
   private Path own(int number) throws IOException {
     if (plan.captures() == null) {
       return null;
     }
     Path folder = plan.captures().toAbsolutePath().resolve("g" + number);
     Files.createDirectories(folder);
-    return Files.writeString(folder.resolve("gatherer.toml"),
+    return Files.writeString(
+        folder.resolve("gatherer.toml"),
         "[capture]\nfolder = '" + folder + "'\nactions = \"whole\"\n");
   }
 
@@ -241,8 +315,15 @@
     throw new IllegalArgumentException("no gatherer " + number);
   }
 
-  private void play(long start, Clock clock, List<ShardStandIn> servers, DiscoveryStandIn discovery,
-      List<Clients.Target> targets, RuleAudit audit, EventLoop front, CompletableFuture<Void> ended) {
+  private void play(
+      long start,
+      Clock clock,
+      List<ShardStandIn> servers,
+      DiscoveryStandIn discovery,
+      List<Clients.Target> targets,
+      RuleAudit audit,
+      EventLoop front,
+      CompletableFuture<Void> ended) {
     List<Incident> incidents = new ArrayList<>(plan.incidents());
     incidents.sort(Comparator.comparingLong(Incident::atUs));
     for (Incident incident : incidents) {
@@ -269,8 +350,15 @@
     }
   }
 
-  private void happen(Incident incident, Clock clock, List<ShardStandIn> servers, DiscoveryStandIn discovery,
-      List<Clients.Target> targets, RuleAudit audit, EventLoop front) throws IOException {
+  private void happen(
+      Incident incident,
+      Clock clock,
+      List<ShardStandIn> servers,
+      DiscoveryStandIn discovery,
+      List<Clients.Target> targets,
+      RuleAudit audit,
+      EventLoop front)
+      throws IOException {
     int number = incident.number();
     switch (incident.kind()) {
       case SERVER_DRAINS -> {
@@ -318,7 +406,11 @@
       int code = process.waitFor(10_000);
       exits.put(process.name(), code);
       if (code != 0) {
-        LOG.warn("gatherer {} ended with {}; it said last:\n{}", process.name(), code, process.lastLines());
+        LOG.warn(
+            "gatherer {} ended with {}; it said last:\n{}",
+            process.name(),
+            code,
+            process.lastLines());
       }
     }
   }
--- a/lab/src/main/java/tidebank/lab/report/Charts.java
+++ b/lab/src/main/java/tidebank/lab/report/Charts.java
@@ -19,31 +19,55 @@
 public final class Charts {
   private static final int WIDTH = 880;
   private static final int HEIGHT = 280;
+
   /** Told apart also by those who see few colours. */
-  private static final Color[] COLOURS = {new Color(0, 114, 178), new Color(213, 94, 0), new Color(0, 158, 115),
-      new Color(204, 121, 167), new Color(86, 180, 233), new Color(230, 159, 0)};
+  private static final Color[] COLOURS = {
+    new Color(0, 114, 178),
+    new Color(213, 94, 0),
+    new Color(0, 158, 115),
+    new Color(204, 121, 167),
+    new Color(86, 180, 233),
+    new Color(230, 159, 0)
+  };
 
   /** A line: x to y, in order of x. */
   public record Line(String name, Map<? extends Number, Double> points) {}
 
   private Charts() {}
 
-  public static String lines(String title, String x, String y, boolean logX, boolean logY, List<Line> lines) {
-    XYChart chart = new XYChartBuilder().width(WIDTH).height(HEIGHT).title(title).xAxisTitle(x).yAxisTitle(y).build();
-    chart.getStyler().setMarkerSize(0).setChartBackgroundColor(Color.WHITE).setLegendPosition(Styler.LegendPosition.OutsideE)
+  public static String lines(
+      String title, String x, String y, boolean logX, boolean logY, List<Line> lines) {
+    XYChart chart =
+        new XYChartBuilder()
+            .width(WIDTH)
+            .height(HEIGHT)
+            .title(title)
+            .xAxisTitle(x)
+            .yAxisTitle(y)
+            .build();
+    chart
+        .getStyler()
+        .setMarkerSize(0)
+        .setChartBackgroundColor(Color.WHITE)
+        .setLegendPosition(Styler.LegendPosition.OutsideE)
         .setLegendVisible(lines.size() > 1);
     chart.getStyler().setXAxisLogarithmic(logX).setYAxisLogarithmic(logY).setSeriesColors(COLOURS);
     boolean any = false;
     for (Line line : lines) {
       List<Double> xs = new ArrayList<>();
       List<Double> ys = new ArrayList<>();
-      line.points.forEach((at, value) -> {
-        boolean fits = value != null && Double.isFinite(value) && (!logX || at.doubleValue() > 0) && (!logY || value > 0);
-        if (fits) {
-          xs.add(at.doubleValue());
-          ys.add(value);
-        }
-      });
+      line.points.forEach(
+          (at, value) -> {
+            boolean fits =
+                value != null
+                    && Double.isFinite(value)
+                    && (!logX || at.doubleValue() > 0)
+                    && (!logY || value > 0);
+            if (fits) {
+              xs.add(at.doubleValue());
+              ys.add(value);
+            }
+          });
       if (!xs.isEmpty()) {
         any = true;
         chart.addSeries(line.name, xs, ys).setMarker(SeriesMarkers.NONE);
--- a/lab/src/main/java/tidebank/lab/report/Comparison.java
+++ b/lab/src/main/java/tidebank/lab/report/Comparison.java
@@ -21,15 +21,16 @@
 import tidebank.lab.columns.ZstdCodecs;
 
 /**
- * Two runs side by side. How much of a difference may be noise is found by drawing stretches of ten seconds again and
- * again, the same ones of both runs where they played the same time.
+ * Two runs side by side. How much of a difference may be noise is found by drawing stretches of ten
+ * seconds again and again, the same ones of both runs where they played the same time.
  *
  * @param rows figures of both
  * @param difference second less first, of the service of the whole run
  * @param low 2.5% of the resampled differences lie below
  * @param high 2.5% lie above
  */
-public record Comparison(List<Row> rows, double difference, double low, double high, String verdict) {
+public record Comparison(
+    List<Row> rows, double difference, double low, double high, String verdict) {
   /** One figure of both. */
   public record Row(String name, double first, double second) {}
 
@@ -37,7 +38,15 @@
   private static final int STRETCH_S = 10;
   private static final int DRAWS = 2000;
   private static final List<String> FIGURES =
-      List.of("score", "whole", "worst_10s", "worst_table_type", "worst_account", "scans", "seconds", "dispatches");
+      List.of(
+          "score",
+          "whole",
+          "worst_10s",
+          "worst_table_type",
+          "worst_account",
+          "scans",
+          "seconds",
+          "dispatches");
 
   public static Comparison of(Path first, Path second) throws IOException {
     JsonNode one = report(first);
@@ -46,11 +55,21 @@
     for (String figure : FIGURES) {
       rows.add(new Row(figure, one.path(figure).asDouble(), other.path(figure).asDouble()));
     }
-    one.path("by_table_type").fields().forEachRemaining(type -> rows.add(new Row("service of " + type.getKey(),
-        type.getValue().asDouble(), other.path("by_table_type").path(type.getKey()).asDouble(Double.NaN))));
+    one.path("by_table_type")
+        .fields()
+        .forEachRemaining(
+            type ->
+                rows.add(
+                    new Row(
+                        "service of " + type.getKey(),
+                        type.getValue().asDouble(),
+                        other.path("by_table_type").path(type.getKey()).asDouble(Double.NaN))));
     for (String quantile : List.of("p50", "p99", "p99.9")) {
-      rows.add(new Row("answer " + quantile + ", ms", one.path("latency_ms").path(quantile).asDouble(),
-          other.path("latency_ms").path(quantile).asDouble()));
+      rows.add(
+          new Row(
+              "answer " + quantile + ", ms",
+              one.path("latency_ms").path(quantile).asDouble(),
+              other.path("latency_ms").path(quantile).asDouble()));
     }
     Map<Long, double[]> a = stretches(first);
     Map<Long, double[]> b = stretches(second);
@@ -68,8 +87,12 @@
     Arrays.sort(draws);
     double low = draws[(int) (0.025 * DRAWS)];
     double high = draws[(int) (0.975 * DRAWS)];
-    String verdict = both.size() < 3 ? "too few stretches to tell"
-        : low <= 0 && high >= 0 ? "no difference seen" : difference > 0 ? "the second is better" : "the first is better";
+    String verdict =
+        both.size() < 3
+            ? "too few stretches to tell"
+            : low <= 0 && high >= 0
+                ? "no difference seen"
+                : difference > 0 ? "the second is better" : "the first is better";
     return new Comparison(rows, difference, low, high, verdict);
   }
 
@@ -94,9 +117,12 @@
 
   private static Map<Long, double[]> stretches(Path run) throws IOException {
     Map<Long, double[]> sums = new TreeMap<>();
-    try (ParquetReader<Group> reader = new Groups(run.resolve("scans.parquet")).withCodecFactory(new ZstdCodecs()).build()) {
+    try (ParquetReader<Group> reader =
+        new Groups(run.resolve("scans.parquet")).withCodecFactory(new ZstdCodecs()).build()) {
       for (Group row = reader.read(); row != null; row = reader.read()) {
-        double[] sum = sums.computeIfAbsent(row.getLong("intended_us", 0) / 1_000_000 / STRETCH_S, s -> new double[2]);
+        double[] sum =
+            sums.computeIfAbsent(
+                row.getLong("intended_us", 0) / 1_000_000 / STRETCH_S, s -> new double[2]);
         sum[0] += row.getDouble("benefit", 0);
         sum[1] += row.getDouble("earned", 0);
       }
--- a/lab/src/main/java/tidebank/lab/report/Page.java
+++ b/lab/src/main/java/tidebank/lab/report/Page.java
@@ -4,10 +4,12 @@
 
 /** A page of HTML that stands alone: text, tables, charts as SVG, no script. */
 public final class Page {
-  private static final String STYLE = "body{font:15px/1.5 system-ui,sans-serif;max-width:62em;margin:2em auto;padding:0 1em;"
-      + "color:#222}table{border-collapse:collapse;margin:1em 0}td,th{border-bottom:1px solid #ddd;padding:.25em .8em;"
-      + "text-align:right}td:first-child,th:first-child{text-align:left}svg{max-width:100%;height:auto}"
-      + ".bad{color:#b00020;font-weight:600}.good{color:#00695c}";
+  private static final String STYLE =
+      "body{font:15px/1.5 system-ui,sans-serif;max-width:62em;margin:2em auto;padding:0"
+          + " 1em;color:#222}table{border-collapse:collapse;margin:1em 0}td,th{border-bottom:1px"
+          + " solid #ddd;padding:.25em .8em;"
+          + "text-align:right}td:first-child,th:first-child{text-align:left}svg{max-width:100%;height:auto}"
+          + ".bad{color:#b00020;font-weight:600}.good{color:#00695c}";
   private final StringBuilder body = new StringBuilder();
   private final String title;
 
@@ -27,7 +29,11 @@
   }
 
   public Page verdict(boolean good, String text) {
-    body.append("<p class=\"").append(good ? "good" : "bad").append("\">").append(escaped(text)).append("</p>\n");
+    body.append("<p class=\"")
+        .append(good ? "good" : "bad")
+        .append("\">")
+        .append(escaped(text))
+        .append("</p>\n");
     return this;
   }
 
@@ -51,12 +57,20 @@
   }
 
   private static String escaped(String text) {
-    return text.replace("&", "&amp;").replace("<", "&lt;").replace(">", "&gt;").replace("\"", "&quot;");
+    return text.replace("&", "&amp;")
+        .replace("<", "&lt;")
+        .replace(">", "&gt;")
+        .replace("\"", "&quot;");
   }
 
   @Override
   public String toString() {
-    return "<!doctype html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>" + escaped(title) + "</title><style>"
-        + STYLE + "</style></head><body>\n" + body + "</body></html>\n";
+    return "<!doctype html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>"
+        + escaped(title)
+        + "</title><style>"
+        + STYLE
+        + "</style></head><body>\n"
+        + body
+        + "</body></html>\n";
   }
 }
--- a/lab/src/main/java/tidebank/lab/report/RunFolder.java
+++ b/lab/src/main/java/tidebank/lab/report/RunFolder.java
@@ -28,17 +28,23 @@
 import tidebank.lab.account.ScanRecord;
 import tidebank.lab.replay.Replay;
 
-/** A replay's results in a folder of their own: manifest, rows, histograms, report as JSON and as a page. */
+/**
+ * A replay's results in a folder of their own: manifest, rows, histograms, report as JSON and as a
+ * page.
+ */
 public final class RunFolder implements Closeable {
-  private static final ObjectMapper JSON = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
-  private static final DateTimeFormatter NAME = DateTimeFormatter.ofPattern("yyyyMMdd-HHmmss").withZone(ZoneOffset.UTC);
+  private static final ObjectMapper JSON =
+      new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
+  private static final DateTimeFormatter NAME =
+      DateTimeFormatter.ofPattern("yyyyMMdd-HHmmss").withZone(ZoneOffset.UTC);
   private static final int WAITING_MOST = 200_000;
   private static final double[] QUANTILES = {50, 90, 99, 99.9, 100};
 
   private final Path folder;
   private final Table scans;
   private final Map<Long, Map<String, Long>> ends = new TreeMap<>();
-  private final BlockingQueue<Optional<ScanRecord>> waiting = new ArrayBlockingQueue<>(WAITING_MOST);
+  private final BlockingQueue<Optional<ScanRecord>> waiting =
+      new ArrayBlockingQueue<>(WAITING_MOST);
   private final Thread writer = new Thread(this::write, "rows of the run");
   private volatile IOException fault;
   private volatile long notKept;
@@ -80,8 +86,9 @@
   }
 
   /**
-   * A scan's end. Written by a thread of its own: this is called on the sender's event loop, whose lateness is measured.
-   * A row that finds no room is not kept, and the report says how many were not; the account has them all.
+   * A scan's end. Written by a thread of its own: this is called on the sender's event loop, whose
+   * lateness is measured. A row that finds no room is not kept, and the report says how many were
+   * not; the account has them all.
    */
   public void add(ScanRecord scan) {
     if (!waiting.offer(Optional.of(scan))) {
@@ -103,8 +110,19 @@
 
   private void write(ScanRecord scan) {
     try {
-      scans.add(scan.number(), scan.tableType(), scan.account(), scan.intendedUs(), scan.sentUs(), scan.endUs(),
-          scan.end().name(), scan.share(), scan.whole(), scan.tries(), scan.benefit(), scan.earned());
+      scans.add(
+          scan.number(),
+          scan.tableType(),
+          scan.account(),
+          scan.intendedUs(),
+          scan.sentUs(),
+          scan.endUs(),
+          scan.end().name(),
+          scan.share(),
+          scan.whole(),
+          scan.tries(),
+          scan.benefit(),
+          scan.earned());
     } catch (IOException failed) {
       fault = failed;
     }
@@ -113,7 +131,8 @@
   }
 
   /** Writes all but the rows, which are there already. */
-  public ObjectNode finish(Replay.Outcome outcome, Map<String, Object> manifest) throws IOException {
+  public ObjectNode finish(Replay.Outcome outcome, Map<String, Object> manifest)
+      throws IOException {
     close();
     if (fault != null) {
       throw fault;
@@ -125,8 +144,8 @@
       HistogramLogWriter writer = new HistogramLogWriter(log);
       writer.outputLogFormatVersion();
       writer.outputLegend();
-      for (Map.Entry<String, Histogram> one : Map.of("latency_us", outcome.latency(), "lateness_us", outcome.lateness())
-          .entrySet()) {
+      for (Map.Entry<String, Histogram> one :
+          Map.of("latency_us", outcome.latency(), "lateness_us", outcome.lateness()).entrySet()) {
         one.getValue().setTag(one.getKey());
         one.getValue().setStartTimeStamp(0);
         one.getValue().setEndTimeStamp((long) (outcome.seconds() * 1000));
@@ -140,12 +159,20 @@
   private static ObjectNode report(Replay.Outcome outcome) {
     Account.Figures figures = outcome.figures();
     ObjectNode report = JSON.createObjectNode();
-    report.put("score", figures.score()).put("whole", figures.whole()).put("worst_10s", figures.worstWindow())
-        .put("worst_10s_from_s", figures.worstWindowFromS()).put("worst_table_type", figures.worstType())
-        .put("worst_table_type_name", figures.worstTypeName()).put("worst_account", figures.worstAccount())
-        .put("worst_account_name", figures.worstAccountName()).put("scans", figures.scans())
-        .put("seconds", outcome.seconds()).put("dispatches", outcome.dispatches())
-        .put("scans_judged", outcome.scansJudged()).put("rules_kept", outcome.rulesKept());
+    report
+        .put("score", figures.score())
+        .put("whole", figures.whole())
+        .put("worst_10s", figures.worstWindow())
+        .put("worst_10s_from_s", figures.worstWindowFromS())
+        .put("worst_table_type", figures.worstType())
+        .put("worst_table_type_name", figures.worstTypeName())
+        .put("worst_account", figures.worstAccount())
+        .put("worst_account_name", figures.worstAccountName())
+        .put("scans", figures.scans())
+        .put("seconds", outcome.seconds())
+        .put("dispatches", outcome.dispatches())
+        .put("scans_judged", outcome.scansJudged())
+        .put("rules_kept", outcome.rulesKept());
     ObjectNode ends = report.putObject("ends");
     figures.ends().forEach((end, count) -> ends.put(end.name(), count));
     ObjectNode types = report.putObject("by_table_type");
@@ -162,32 +189,68 @@
 
   private static void quantiles(ObjectNode to, Histogram histogram) {
     for (double quantile : QUANTILES) {
-      to.put("p" + (quantile == Math.rint(quantile) ? String.valueOf((int) quantile) : String.valueOf(quantile)),
-          histogram.getTotalCount() == 0 ? null : histogram.getValueAtPercentile(quantile) / 1000.0);
+      to.put(
+          "p"
+              + (quantile == Math.rint(quantile)
+                  ? String.valueOf((int) quantile)
+                  : String.valueOf(quantile)),
+          histogram.getTotalCount() == 0
+              ? null
+              : histogram.getValueAtPercentile(quantile) / 1000.0);
     }
   }
 
   private Page page(Replay.Outcome outcome, Map<String, Object> manifest) {
     Account.Figures figures = outcome.figures();
     Page page = new Page("Replay of " + manifest.get("trace"));
-    page.verdict(outcome.rulesKept(), outcome.rulesKept() ? "All six rules were kept." : "Rules were broken: "
-        + outcome.brokenRules());
-    page.table(List.of("service", "figure", "share of the score"), List.of(
-        List.of("whole run", three(figures.whole()), "40%"),
-        List.of("worst 10 s, from second " + figures.worstWindowFromS(), three(figures.worstWindow()), "30%"),
-        List.of("worst table type: " + figures.worstTypeName(), three(figures.worstType()), "20%"),
-        List.of("worst account: " + figures.worstAccountName(), three(figures.worstAccount()), "10%"),
-        List.of("score", three(figures.score()), "")));
+    page.verdict(
+        outcome.rulesKept(),
+        outcome.rulesKept()
+            ? "All six rules were kept."
+            : "Rules were broken: " + outcome.brokenRules());
+    page.table(
+        List.of("service", "figure", "share of the score"),
+        List.of(
+            List.of("whole run", three(figures.whole()), "40%"),
+            List.of(
+                "worst 10 s, from second " + figures.worstWindowFromS(),
+                three(figures.worstWindow()),
+                "30%"),
+            List.of(
+                "worst table type: " + figures.worstTypeName(), three(figures.worstType()), "20%"),
+            List.of(
+                "worst account: " + figures.worstAccountName(),
+                three(figures.worstAccount()),
+                "10%"),
+            List.of("score", three(figures.score()), "")));
     page.heading("Service over time");
     List<Charts.Line> service = new ArrayList<>();
     service.add(new Charts.Line("service", outcome.serviceBySecond()));
-    page.chart(Charts.lines("benefit earned over benefit asked", "second of the run", "service", false, false, service));
+    page.chart(
+        Charts.lines(
+            "benefit earned over benefit asked",
+            "second of the run",
+            "service",
+            false,
+            false,
+            service));
     page.heading("How scans ended");
     Map<String, Map<Long, Double>> byEnd = new TreeMap<>();
-    ends.forEach((second, counts) -> counts.forEach((end, count) ->
-        byEnd.computeIfAbsent(end, e -> new TreeMap<>()).put(second, (double) count)));
-    page.chart(Charts.lines("scans by their end", "second of the run", "scans a second", false, false,
-        byEnd.entrySet().stream().map(entry -> new Charts.Line(entry.getKey(), entry.getValue())).toList()));
+    ends.forEach(
+        (second, counts) ->
+            counts.forEach(
+                (end, count) ->
+                    byEnd.computeIfAbsent(end, e -> new TreeMap<>()).put(second, (double) count)));
+    page.chart(
+        Charts.lines(
+            "scans by their end",
+            "second of the run",
+            "scans a second",
+            false,
+            false,
+            byEnd.entrySet().stream()
+                .map(entry -> new Charts.Line(entry.getKey(), entry.getValue()))
+                .toList()));
     List<List<String>> rows = new ArrayList<>();
     figures.ends().forEach((end, count) -> rows.add(List.of(end.name(), String.valueOf(count))));
     page.table(List.of("end", "scans"), rows);
@@ -201,10 +264,19 @@
       latency.put(q, outcome.latency().getValueAtPercentile(q) / 1000.0);
       lateness.put(q, outcome.lateness().getValueAtPercentile(q) / 1000.0);
     }
-    page.chart(Charts.lines("time to the answer, from when the scan was intended", "percentile", "ms", false, true,
-        List.of(new Charts.Line("answer", latency), new Charts.Line("sender late by", lateness))));
-    page.text("The sender never waits for answers. How late it was itself is in the chart and in report.json; a scan's time "
-        + "counts from when it was intended, so a late sender makes the figures worse, never better.");
+    page.chart(
+        Charts.lines(
+            "time to the answer, from when the scan was intended",
+            "percentile",
+            "ms",
+            false,
+            true,
+            List.of(
+                new Charts.Line("answer", latency), new Charts.Line("sender late by", lateness))));
+    page.text(
+        "The sender never waits for answers. How late it was itself is in the chart and in"
+            + " report.json; a scan's time counts from when it was intended, so a late sender makes"
+            + " the figures worse, never better.");
     if (!outcome.broken().isEmpty()) {
       page.heading("Broken rules");
       List<List<String>> broken = new ArrayList<>();
@@ -225,7 +297,10 @@
   /** The commit of a checkout, "" if there is none. */
   public static String commit(Path home) {
     try {
-      Process git = new ProcessBuilder("git", "-C", home.toString(), "rev-parse", "HEAD").redirectErrorStream(true).start();
+      Process git =
+          new ProcessBuilder("git", "-C", home.toString(), "rev-parse", "HEAD")
+              .redirectErrorStream(true)
+              .start();
       try (BufferedReader out = git.inputReader()) {
         String line = out.readLine();
         return git.waitFor(2, TimeUnit.SECONDS) && git.exitValue() == 0 && line != null ? line : "";
--- a/lab/src/main/java/tidebank/lab/report/StatsPage.java
+++ b/lab/src/main/java/tidebank/lab/report/StatsPage.java
@@ -22,13 +22,19 @@
     List<List<String>> rows = new ArrayList<>();
     List<TraceStats.Summary> all = traces.stream().map(trace -> trace.stats().summary()).toList();
     traces.forEach(trace -> head.add(trace.name()));
-    rows.add(row("rows", all.stream().map(one -> String.format(Locale.ROOT, "%,d", one.rows())).toList()));
+    rows.add(
+        row(
+            "rows",
+            all.stream().map(one -> String.format(Locale.ROOT, "%,d", one.rows())).toList()));
     rows.add(row("seconds", all.stream().map(one -> number(one.seconds())).toList()));
     rows.add(row("a second", all.stream().map(one -> number(one.ratePerS())).toList()));
     rows.add(row("peak second", all.stream().map(one -> number(one.peakPerS())).toList()));
     rows.add(row("dispersion", all.stream().map(one -> one.dispersion().toString()).toList()));
     rows.add(row("Zipf exponent of keys", all.stream().map(one -> number(one.zipf())).toList()));
-    rows.add(row("keys", all.stream().map(one -> String.format(Locale.ROOT, "%,d", one.keys())).toList()));
+    rows.add(
+        row(
+            "keys",
+            all.stream().map(one -> String.format(Locale.ROOT, "%,d", one.keys())).toList()));
     rows.add(row("work a second, s", all.stream().map(one -> number(one.workPerS())).toList()));
     page.table(head, rows);
     List<Charts.Line> rate = new ArrayList<>();
@@ -60,7 +66,8 @@
     page.chart(Charts.lines("arrivals", "second", "a second", false, false, rate));
     page.chart(Charts.lines("popularity of keys", "rank", "rows", true, true, keys));
     page.chart(Charts.lines("work a part", "percentile", "ms", false, true, work));
-    page.chart(Charts.lines("autocorrelation of arrivals by second", "lag, s", "", false, false, lags));
+    page.chart(
+        Charts.lines("autocorrelation of arrivals by second", "lag, s", "", false, false, lags));
     return page.toString();
   }
 
--- a/lab/src/main/java/tidebank/lab/report/Table.java
+++ b/lab/src/main/java/tidebank/lab/report/Table.java
@@ -21,7 +21,10 @@
 import org.apache.parquet.schema.Types;
 import tidebank.lab.columns.ZstdCodecs;
 
-/** A Parquet file of plain columns: Long, Integer, Double, Boolean or String, told by the first row's types. */
+/**
+ * A Parquet file of plain columns: Long, Integer, Double, Boolean or String, told by the first
+ * row's types.
+ */
 public final class Table implements Closeable {
   private final SimpleGroupFactory groups;
   private final List<String> names;
@@ -33,18 +36,34 @@
     for (Map.Entry<String, Class<?>> column : new LinkedHashMap<>(columns).entrySet()) {
       Class<?> kind = column.getValue();
       if (kind == String.class) {
-        schema.required(PrimitiveTypeName.BINARY).as(LogicalTypeAnnotation.stringType()).named(column.getKey());
+        schema
+            .required(PrimitiveTypeName.BINARY)
+            .as(LogicalTypeAnnotation.stringType())
+            .named(column.getKey());
       } else {
-        schema.required(kind == Long.class ? PrimitiveTypeName.INT64 : kind == Integer.class ? PrimitiveTypeName.INT32
-            : kind == Boolean.class ? PrimitiveTypeName.BOOLEAN : PrimitiveTypeName.DOUBLE).named(column.getKey());
+        schema
+            .required(
+                kind == Long.class
+                    ? PrimitiveTypeName.INT64
+                    : kind == Integer.class
+                        ? PrimitiveTypeName.INT32
+                        : kind == Boolean.class
+                            ? PrimitiveTypeName.BOOLEAN
+                            : PrimitiveTypeName.DOUBLE)
+            .named(column.getKey());
       }
     }
     MessageType type = schema.named("rows");
     groups = new SimpleGroupFactory(type);
     names = new ArrayList<>(columns.keySet());
-    writer = ExampleParquetWriter.builder(new LocalOutputFile(path)).withConf(new PlainParquetConfiguration())
-        .withType(type).withWriteMode(ParquetFileWriter.Mode.OVERWRITE)
-        .withCompressionCodec(CompressionCodecName.ZSTD).withCodecFactory(new ZstdCodecs()).build();
+    writer =
+        ExampleParquetWriter.builder(new LocalOutputFile(path))
+            .withConf(new PlainParquetConfiguration())
+            .withType(type)
+            .withWriteMode(ParquetFileWriter.Mode.OVERWRITE)
+            .withCompressionCodec(CompressionCodecName.ZSTD)
+            .withCodecFactory(new ZstdCodecs())
+            .build();
   }
 
   public void add(Object... values) throws IOException {
