--- a/lab/src/main/java/tidebank/lab/site/Site.java
+++ b/lab/src/main/java/tidebank/lab/site/Site.java
@@ -14,8 +14,9 @@
 import tidebank.model.Repeat;
 
 /**
- * What a replay plays against: table types, how the shards lie on servers, the servers' figures, limits, rules and how
- * clients behave. Read from TOML over the defaults that are built in; handed to gatherers in the platform's form.
+ * What a replay plays against: table types, how the shards lie on servers, the servers' figures,
+ * limits, rules and how clients behave. Read from TOML over the defaults that are built in; handed
+ * to gatherers in the platform's form.
  */
 public record Site(
     Map<String, Type> types,
@@ -36,7 +37,13 @@
    * @param benefit of a whole answer in time
    */
   public record Type(
-      String name, Repeat repeat, long targetUs, long timeoutUs, double lateShare, double floor, double partialShare,
+      String name,
+      Repeat repeat,
+      long targetUs,
+      long timeoutUs,
+      double lateShare,
+      double floor,
+      double partialShare,
       double benefit) {}
 
   /**
@@ -50,12 +57,24 @@
   public record ServerFigures(int slots, int queue, double coldFrom, long warmUs) {}
 
   /** What the platform allows. */
-  public record Limits(int dispatchesMost, boolean secondCopies, long connectTimeoutUs, long idleUs, int streamsMost,
-      int held, boolean holdOff) {}
+  public record Limits(
+      int dispatchesMost,
+      boolean secondCopies,
+      long connectTimeoutUs,
+      long idleUs,
+      int streamsMost,
+      int held,
+      boolean holdOff) {}
 
   /** The rules' figures. */
-  public record Rules(long answerSlackUs, long drainGraceUs, double fallMultiple, long fallAfterUs, double freeFurther,
-      double furtherShare, long furtherSpanUs) {}
+  public record Rules(
+      long answerSlackUs,
+      long drainGraceUs,
+      double fallMultiple,
+      long fallAfterUs,
+      double freeFurther,
+      double furtherShare,
+      long furtherSpanUs) {}
 
   /**
    * How clients behave.
@@ -68,18 +87,28 @@
   private static final long MS = 1000;
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  /** The built-in site: three table types like those of pallet movement queries, 24 shards on three servers each. */
+  /**
+   * The built-in site: three table types like those of pallet movement queries, 24 shards on three
+   * servers each.
+   */
   public static Site standard() {
     Map<String, Type> types = new LinkedHashMap<>();
-    for (Type type : List.of(
-        new Type("network-trace", Repeat.REPLAYABLE, 1000 * MS, 3000 * MS, 0.1, 0.4, 0.9, 3),
-        new Type("depot-manifest", Repeat.REPLAYABLE, 800 * MS, 3000 * MS, 0.1, 1, 0.9, 1),
-        new Type("delivery-confirm", Repeat.NON_REPLAYABLE, 800 * MS, 3000 * MS, 0.3, 1, 0.9, 2))) {
+    for (Type type :
+        List.of(
+            new Type("network-trace", Repeat.REPLAYABLE, 1000 * MS, 3000 * MS, 0.1, 0.4, 0.9, 3),
+            new Type("depot-manifest", Repeat.REPLAYABLE, 800 * MS, 3000 * MS, 0.1, 1, 0.9, 1),
+            new Type(
+                "delivery-confirm", Repeat.NON_REPLAYABLE, 800 * MS, 3000 * MS, 0.3, 1, 0.9, 2))) {
       types.put(type.name(), type);
     }
-    return new Site(types, 24, 3, new ServerFigures(4, 64, 0.3, 4000 * MS),
+    return new Site(
+        types,
+        24,
+        3,
+        new ServerFigures(4, 64, 0.3, 4000 * MS),
         new Limits(3, true, 250 * MS, 20_000 * MS, 100, 600, true),
-        new Rules(50 * MS, 500 * MS, 2.5, 1500 * MS, 0, 0, 0), new Clients(2, 100 * MS));
+        new Rules(50 * MS, 500 * MS, 2.5, 1500 * MS, 0, 0, 0),
+        new Clients(2, 100 * MS));
   }
 
   public static Site read(Path path) throws Malformed {
@@ -92,9 +121,16 @@
     Map<String, Type> types = new LinkedHashMap<>();
     for (Toml.Table row : root.tables("table_type")) {
       long target = row.whole("target_ms", 1000, 1, 600_000) * MS;
-      Type type = new Type(row.needText("name"), row.choice("repeat", Repeat.NON_REPLAYABLE, Repeat.class), target,
-          row.whole("timeout_ms", 3 * target / MS, 1, 600_000) * MS, row.number("late_share", 0, 0, 1),
-          row.number("floor", 1, 0.0001, 1), row.number("partial_share", 1, 0, 1), row.number("benefit", 1, 0, 1e6));
+      Type type =
+          new Type(
+              row.needText("name"),
+              row.choice("repeat", Repeat.NON_REPLAYABLE, Repeat.class),
+              target,
+              row.whole("timeout_ms", 3 * target / MS, 1, 600_000) * MS,
+              row.number("late_share", 0, 0, 1),
+              row.number("floor", 1, 0.0001, 1),
+              row.number("partial_share", 1, 0, 1),
+              row.number("benefit", 1, 0, 1e6));
       if (type.timeoutUs() < target) {
         row.fault("timeout_ms", "is below target_ms");
       }
@@ -109,29 +145,36 @@
     Toml.Table limits = root.table("limits");
     Toml.Table rules = root.table("rules");
     Toml.Table clients = root.table("clients");
-    Site site = new Site(types.isEmpty() ? base.types : types,
-        (int) root.whole("shards", base.shards, 1, 100_000),
-        (int) root.whole("width", base.width, 1, 100),
-        new ServerFigures((int) servers.whole("slots", base.server.slots, 1, 1024),
-            (int) servers.whole("queue", base.server.queue, 0, 100_000),
-            servers.number("cold_from", base.server.coldFrom, 0.01, 1),
-            servers.whole("warm_ms", base.server.warmUs / MS, 0, 600_000) * MS),
-        new Limits((int) limits.whole("dispatches", base.limits.dispatchesMost, 1, 100),
-            limits.flag("second_copies", base.limits.secondCopies),
-            limits.whole("connect_timeout_ms", base.limits.connectTimeoutUs / MS, 1, 60_000) * MS,
-            limits.whole("idle_ms", base.limits.idleUs / MS, 1000, 600_000) * MS,
-            (int) limits.whole("streams", base.limits.streamsMost, 1, 10_000),
-            (int) limits.whole("held", base.limits.held, 1, 1_000_000),
-            limits.flag("hold_off", base.limits.holdOff)),
-        new Rules(rules.whole("answer_slack_ms", base.rules.answerSlackUs / MS, 0, 10_000) * MS,
-            rules.whole("drain_grace_ms", base.rules.drainGraceUs / MS, 0, 60_000) * MS,
-            rules.number("fall_multiple", base.rules.fallMultiple, 1, 100),
-            rules.whole("fall_after_ms", base.rules.fallAfterUs / MS, 1, 60_000) * MS,
-            rules.number("free_further", base.rules.freeFurther, 0, 1e6),
-            rules.number("further_share", base.rules.furtherShare, 0, 10),
-            rules.whole("further_span_ms", base.rules.furtherSpanUs / MS, 0, 600_000) * MS),
-        new Clients((int) clients.whole("retries", base.clients.retries, 0, 20),
-            clients.whole("wait_ms", base.clients.waitUs / MS, 1, 60_000) * MS));
+    Site site =
+        new Site(
+            types.isEmpty() ? base.types : types,
+            (int) root.whole("shards", base.shards, 1, 100_000),
+            (int) root.whole("width", base.width, 1, 100),
+            new ServerFigures(
+                (int) servers.whole("slots", base.server.slots, 1, 1024),
+                (int) servers.whole("queue", base.server.queue, 0, 100_000),
+                servers.number("cold_from", base.server.coldFrom, 0.01, 1),
+                servers.whole("warm_ms", base.server.warmUs / MS, 0, 600_000) * MS),
+            new Limits(
+                (int) limits.whole("dispatches", base.limits.dispatchesMost, 1, 100),
+                limits.flag("second_copies", base.limits.secondCopies),
+                limits.whole("connect_timeout_ms", base.limits.connectTimeoutUs / MS, 1, 60_000)
+                    * MS,
+                limits.whole("idle_ms", base.limits.idleUs / MS, 1000, 600_000) * MS,
+                (int) limits.whole("streams", base.limits.streamsMost, 1, 10_000),
+                (int) limits.whole("held", base.limits.held, 1, 1_000_000),
+                limits.flag("hold_off", base.limits.holdOff)),
+            new Rules(
+                rules.whole("answer_slack_ms", base.rules.answerSlackUs / MS, 0, 10_000) * MS,
+                rules.whole("drain_grace_ms", base.rules.drainGraceUs / MS, 0, 60_000) * MS,
+                rules.number("fall_multiple", base.rules.fallMultiple, 1, 100),
+                rules.whole("fall_after_ms", base.rules.fallAfterUs / MS, 1, 60_000) * MS,
+                rules.number("free_further", base.rules.freeFurther, 0, 1e6),
+                rules.number("further_share", base.rules.furtherShare, 0, 10),
+                rules.whole("further_span_ms", base.rules.furtherSpanUs / MS, 0, 600_000) * MS),
+            new Clients(
+                (int) clients.whole("retries", base.clients.retries, 0, 20),
+                clients.whole("wait_ms", base.clients.waitUs / MS, 1, 60_000) * MS));
     file.check();
     return site;
   }
@@ -151,7 +194,13 @@
 
   /** A gatherer's configuration file for this site. Server i stands at cell i. */
   public String gathererFile(
-      String name, String listen, String discovery, String seed, int gatherers, int servers, int sockets) {
+      String name,
+      String listen,
+      String discovery,
+      String seed,
+      int gatherers,
+      int servers,
+      int sockets) {
     ObjectNode file = JSON.createObjectNode();
     file.put("name", name).put("listen", listen).put("discovery", discovery).put("seed", seed);
     file.putObject("limits").put("sockets", sockets);
@@ -162,23 +211,47 @@
     ArrayNode floors = layout.putArray("floorByClass");
     ArrayNode needs = layout.putArray("classNeed");
     for (Type type : types.values()) {
-      services.addObject().put("name", type.name())
+      services
+          .addObject()
+          .put("name", type.name())
           .put("semantics", type.repeat() == Repeat.REPLAYABLE ? "read_like" : "non_idempotent")
-          .put("onTimeMs", type.targetUs() / MS).put("deadlineMs", type.timeoutUs() / MS)
-          .put("lateWorth", type.lateShare()).put("worth", type.benefit());
+          .put("onTimeMs", type.targetUs() / MS)
+          .put("deadlineMs", type.timeoutUs() / MS)
+          .put("lateWorth", type.lateShare())
+          .put("worth", type.benefit());
       floors.add(type.floor());
       needs.add(1);
     }
-    layout.put("slices", shards).put("positions", servers).put("width", Math.min(width, servers)).put("bundleMax", 1);
-    settings.putObject("limits").put("maxAttempts", limits.dispatchesMost).put("secondCopies", limits.secondCopies)
-        .put("cancel", true).put("connectTimeoutMs", limits.connectTimeoutUs / MS).put("keepaliveMs", limits.idleUs / MS)
-        .put("maxStreams", limits.streamsMost).put("mostHeld", limits.held).put("retryAfter", limits.holdOff)
+    layout
+        .put("slices", shards)
+        .put("positions", servers)
+        .put("width", Math.min(width, servers))
+        .put("bundleMax", 1);
+    settings
+        .putObject("limits")
+        .put("maxAttempts", limits.dispatchesMost)
+        .put("secondCopies", limits.secondCopies)
+        .put("cancel", true)
+        .put("connectTimeoutMs", limits.connectTimeoutUs / MS)
+        .put("keepaliveMs", limits.idleUs / MS)
+        .put("maxStreams", limits.streamsMost)
+        .put("mostHeld", limits.held)
+        .put("retryAfter", limits.holdOff)
         .put("maxRetryAfterMs", 2000);
-    ObjectNode guarantees = settings.putObject("guarantees").put("answerSlackMs", rules.answerSlackUs / MS)
-        .put("askEveryMs", 5000).put("stopSendingWithinMs", rules.drainGraceUs / MS).put("coldFrom", server.coldFrom)
-        .put("coldMs", server.warmUs / MS).put("fallMultiple", rules.fallMultiple).put("tipAfterMs", rules.fallAfterUs / MS);
+    ObjectNode guarantees =
+        settings
+            .putObject("guarantees")
+            .put("answerSlackMs", rules.answerSlackUs / MS)
+            .put("askEveryMs", 5000)
+            .put("stopSendingWithinMs", rules.drainGraceUs / MS)
+            .put("coldFrom", server.coldFrom)
+            .put("coldMs", server.warmUs / MS)
+            .put("fallMultiple", rules.fallMultiple)
+            .put("tipAfterMs", rules.fallAfterUs / MS);
     if (rules.furtherSpanUs > 0) {
-      guarantees.put("freeResends", rules.freeFurther).put("extraRatio", rules.furtherShare)
+      guarantees
+          .put("freeResends", rules.freeFurther)
+          .put("extraRatio", rules.furtherShare)
           .put("ratioSpanMs", rules.furtherSpanUs / MS);
     }
     settings.putObject("report").put("how", "inline").putArray("columns").add("util");
--- a/lab/src/main/java/tidebank/lab/standin/DiscoveryStandIn.java
+++ b/lab/src/main/java/tidebank/lab/standin/DiscoveryStandIn.java
@@ -31,7 +31,10 @@
 import java.util.concurrent.TimeUnit;
 import tidebank.node.Clock;
 
-/** Discovery's stand-in on loopback, with an address of its own for each gatherer. All of it belongs to one event loop. */
+/**
+ * Discovery's stand-in on loopback, with an address of its own for each gatherer. All of it belongs
+ * to one event loop.
+ */
 public final class DiscoveryStandIn {
   private static final long WAIT_MOST_MS = 60_000;
   private static final int CHANGES_KEPT = 256;
@@ -61,7 +64,8 @@
   private long version = 1;
   private long calls;
 
-  public DiscoveryStandIn(List<ShardStandIn> servers, int gatherers, Ledger ledger, Clock clock, EventLoop loop) {
+  public DiscoveryStandIn(
+      List<ShardStandIn> servers, int gatherers, Ledger ledger, Clock clock, EventLoop loop) {
     this.ledger = ledger;
     this.clock = clock;
     this.loop = loop;
@@ -74,14 +78,29 @@
   public void open() {
     for (int gatherer = 0; gatherer < addresses.length; gatherer++) {
       int who = gatherer;
-      Channel listener = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-          .option(ChannelOption.SO_REUSEADDR, true).childHandler(new ChannelInitializer<>() {
-            @Override
-            protected void initChannel(Channel channel) {
-              channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(1 << 16), new Calls(who));
-            }
-          }).bind(addresses[gatherer] == null ? new InetSocketAddress("127.0.0.1", 0) : addresses[gatherer])
-          .syncUninterruptibly().channel();
+      Channel listener =
+          new ServerBootstrap()
+              .group(loop)
+              .channel(NioServerSocketChannel.class)
+              .option(ChannelOption.SO_REUSEADDR, true)
+              .childHandler(
+                  new ChannelInitializer<>() {
+                    @Override
+                    protected void initChannel(Channel channel) {
+                      channel
+                          .pipeline()
+                          .addLast(
+                              new HttpServerCodec(),
+                              new HttpObjectAggregator(1 << 16),
+                              new Calls(who));
+                    }
+                  })
+              .bind(
+                  addresses[gatherer] == null
+                      ? new InetSocketAddress("127.0.0.1", 0)
+                      : addresses[gatherer])
+              .syncUninterruptibly()
+              .channel();
       addresses[gatherer] = (InetSocketAddress) listener.localAddress();
       listeners.add(listener);
     }
@@ -95,37 +114,48 @@
     return calls;
   }
 
-  /** A server's line changes; a start time in Unix milliseconds if it started anew, else 0 for the one it had. */
+  /**
+   * A server's line changes; a start time in Unix milliseconds if it started anew, else 0 for the
+   * one it had.
+   */
   public void change(int server, Health health, long bornMs) {
-    loop.execute(() -> {
-      Line old = lines.get(server);
-      lines.put(server, new Line(old.server, old.cell, health, bornMs == 0 ? old.bornMs : bornMs));
-      changes.put(++version, server);
-      if (changes.size() > CHANGES_KEPT) {
-        changes.pollFirstEntry();
-      }
-      List<Watch> due = List.copyOf(watches);
-      watches.clear();
-      for (Watch watch : due) {
-        watch.end.cancel(false);
-        since(watch.gatherer, watch.channel, watch.after);
-      }
-    });
+    loop.execute(
+        () -> {
+          Line old = lines.get(server);
+          lines.put(
+              server, new Line(old.server, old.cell, health, bornMs == 0 ? old.bornMs : bornMs));
+          changes.put(++version, server);
+          if (changes.size() > CHANGES_KEPT) {
+            changes.pollFirstEntry();
+          }
+          List<Watch> due = List.copyOf(watches);
+          watches.clear();
+          for (Watch watch : due) {
+            watch.end.cancel(false);
+            since(watch.gatherer, watch.channel, watch.after);
+          }
+        });
   }
 
   /** Goes down: connections end, new ones are refused; up again by {@link #open}. */
   public void down() {
-    loop.submit(() -> {
-      listeners.forEach(Channel::close);
-      listeners.clear();
-      watches.forEach(watch -> watch.end.cancel(false));
-      watches.clear();
-      List.copyOf(connections.keySet()).forEach(Channel::close);
-    }).awaitUninterruptibly();
+    loop.submit(
+            () -> {
+              listeners.forEach(Channel::close);
+              listeners.clear();
+              watches.forEach(watch -> watch.end.cancel(false));
+              watches.clear();
+              List.copyOf(connections.keySet()).forEach(Channel::close);
+            })
+        .awaitUninterruptibly();
   }
 
   private void whole(int gatherer, Channel to) {
-    send(gatherer, to, true, lines.values().stream().filter(line -> line.health != Health.Gone).toList());
+    send(
+        gatherer,
+        to,
+        true,
+        lines.values().stream().filter(line -> line.health != Health.Gone).toList());
   }
 
   private void since(int gatherer, Channel to, long after) {
@@ -133,7 +163,11 @@
       whole(gatherer, to);
       return;
     }
-    send(gatherer, to, false, changes.tailMap(after, false).values().stream().distinct().map(lines::get).toList());
+    send(
+        gatherer,
+        to,
+        false,
+        changes.tailMap(after, false).values().stream().distinct().map(lines::get).toList());
   }
 
   private void send(int gatherer, Channel to, boolean whole, List<Line> some) {
@@ -141,23 +175,33 @@
     ArrayNode hosts = body.putArray("hosts");
     for (Line line : some) {
       InetSocketAddress dial = line.server.address(gatherer);
-      hosts.addObject().put("host", line.server.name()).put("dial", "127.0.0.1:" + dial.getPort()).put("site", "a")
-          .put("class", "stand-in").put("block", line.cell).put("health", line.health.name()).put("share", 1.0)
+      hosts
+          .addObject()
+          .put("host", line.server.name())
+          .put("dial", "127.0.0.1:" + dial.getPort())
+          .put("site", "a")
+          .put("class", "stand-in")
+          .put("block", line.cell)
+          .put("health", line.health.name())
+          .put("share", 1.0)
           .put("born_ms", line.bornMs);
     }
     long now = clock.now();
     for (Map.Entry<Integer, Line> entry : lines.entrySet()) {
       boolean named = some.contains(entry.getValue());
       if (named || whole) {
-        ledger.add(new Ledger.Told(gatherer, entry.getKey(), named && entry.getValue().health == Health.Ready, now));
+        ledger.add(
+            new Ledger.Told(
+                gatherer, entry.getKey(), named && entry.getValue().health == Health.Ready, now));
       }
     }
     respond(to, HttpResponseStatus.OK, body.toString());
   }
 
   private static void respond(Channel to, HttpResponseStatus status, String body) {
-    DefaultFullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
-        Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
+    DefaultFullHttpResponse response =
+        new DefaultFullHttpResponse(
+            HttpVersion.HTTP_1_1, status, Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
     response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
     to.writeAndFlush(response);
   }
@@ -177,13 +221,14 @@
     @Override
     public void channelInactive(ChannelHandlerContext context) {
       connections.remove(context.channel());
-      watches.removeIf(watch -> {
-        boolean mine = watch.channel == context.channel();
-        if (mine) {
-          watch.end.cancel(false);
-        }
-        return mine;
-      });
+      watches.removeIf(
+          watch -> {
+            boolean mine = watch.channel == context.channel();
+            if (mine) {
+              watch.end.cancel(false);
+            }
+            return mine;
+          });
     }
 
     @Override
@@ -201,17 +246,28 @@
           return;
         }
         long from = Long.parseLong(after.get(0));
-        long wait = Math.min(WAIT_MOST_MS, Long.parseLong(uri.parameters().getOrDefault("wait_ms", List.of("0")).get(0)));
+        long wait =
+            Math.min(
+                WAIT_MOST_MS,
+                Long.parseLong(uri.parameters().getOrDefault("wait_ms", List.of("0")).get(0)));
         if (from > version) {
           whole(gatherer, context.channel());
         } else if (from < version) {
           since(gatherer, context.channel(), from);
         } else {
           Channel channel = context.channel();
-          watches.add(new Watch(gatherer, channel, from, loop.schedule(() -> {
-            watches.removeIf(watch -> watch.channel == channel);
-            since(gatherer, channel, from);
-          }, wait, TimeUnit.MILLISECONDS)));
+          watches.add(
+              new Watch(
+                  gatherer,
+                  channel,
+                  from,
+                  loop.schedule(
+                      () -> {
+                        watches.removeIf(watch -> watch.channel == channel);
+                        since(gatherer, channel, from);
+                      },
+                      wait,
+                      TimeUnit.MILLISECONDS)));
         }
       } catch (NumberFormatException fault) {
         respond(context.channel(), HttpResponseStatus.BAD_REQUEST, "{}");
--- a/lab/src/main/java/tidebank/lab/standin/Ledger.java
+++ b/lab/src/main/java/tidebank/lab/standin/Ledger.java
@@ -10,11 +10,13 @@
   public sealed interface Entry permits Dispatched, Work, Told {}
 
   /** A part came whole to a server. */
-  public record Dispatched(String scan, int shard, int gatherer, int server, long atUs, RuleAudit.Run run)
+  public record Dispatched(
+      String scan, int shard, int gatherer, int server, long atUs, RuleAudit.Run run)
       implements Entry {}
 
   /** Work came to a server of this warmth. */
-  public record Work(int server, long atUs, double workUs, double capacityUsPerS, double warmth) implements Entry {}
+  public record Work(int server, long atUs, double workUs, double capacityUsPerS, double warmth)
+      implements Entry {}
 
   /** A line of the roster was written to a gatherer. */
   public record Told(int gatherer, int server, boolean mayHaveWork, long atUs) implements Entry {}
--- a/lab/src/main/java/tidebank/lab/standin/ServerModel.java
+++ b/lab/src/main/java/tidebank/lab/standin/ServerModel.java
@@ -3,8 +3,9 @@
 import java.util.List;
 
 /**
- * What goes on inside a shard server, without its sockets. Pure: time comes in, in microseconds. The stand-in on sockets
- * hands it what arrives and asks it what is done; a finer model of queues can take its place.
+ * What goes on inside a shard server, without its sockets. Pure: time comes in, in microseconds.
+ * The stand-in on sockets hands it what arrives and asks it what is done; a finer model of queues
+ * can take its place.
  */
 public interface ServerModel {
   /** A part that is done: its answer is due. */
@@ -19,7 +20,9 @@
    */
   boolean take(long nowUs, String part, long workUs, long untilUs);
 
-  /** A part is given up: what still waits is dropped, what runs runs on. Says whether it never ran. */
+  /**
+   * A part is given up: what still waits is dropped, what runs runs on. Says whether it never ran.
+   */
   boolean drop(long nowUs, String part);
 
   /** What is done by now, in order. */
--- a/lab/src/main/java/tidebank/lab/standin/ShardStandIn.java
+++ b/lab/src/main/java/tidebank/lab/standin/ShardStandIn.java
@@ -31,8 +31,9 @@
 import tidebank.node.Clock;
 
 /**
- * A shard server's stand-in on loopback, from the protocol page. It has a listener of its own for each gatherer, so that
- * what comes is known by who sent it. All of its state belongs to one event loop.
+ * A shard server's stand-in on loopback, from the protocol page. It has a listener of its own for
+ * each gatherer, so that what comes is known by who sent it. All of its state belongs to one event
+ * loop.
  */
 public final class ShardStandIn {
   private static final int FRAME_MOST = 1 << 20;
@@ -59,7 +60,14 @@
 
   /** Server of this number among so many; it stands at the cell of its number. */
   public ShardStandIn(
-      int number, int servers, int gatherers, Site site, ServerModel model, Ledger ledger, Clock clock, EventLoop loop) {
+      int number,
+      int servers,
+      int gatherers,
+      Site site,
+      ServerModel model,
+      Ledger ledger,
+      Clock clock,
+      EventLoop loop) {
     this.number = number;
     this.servers = servers;
     this.site = site;
@@ -74,20 +82,37 @@
     return "s" + number;
   }
 
-  /** Opens the listeners, on ports of the system's choice the first time and on the same ones after that. */
+  /**
+   * Opens the listeners, on ports of the system's choice the first time and on the same ones after
+   * that.
+   */
   public void open() {
     for (int gatherer = 0; gatherer < addresses.length; gatherer++) {
       int who = gatherer;
-      Channel listener = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-          .option(ChannelOption.SO_REUSEADDR, true).childOption(ChannelOption.TCP_NODELAY, true)
-          .childHandler(new ChannelInitializer<>() {
-            @Override
-            protected void initChannel(Channel channel) {
-              channel.pipeline().addLast(new LengthFieldBasedFrameDecoder(FRAME_MOST, 0, 4, 0, 4),
-                  new LengthFieldPrepender(4), new Connection(who));
-            }
-          }).bind(addresses[gatherer] == null ? new InetSocketAddress("127.0.0.1", 0) : addresses[gatherer])
-          .syncUninterruptibly().channel();
+      Channel listener =
+          new ServerBootstrap()
+              .group(loop)
+              .channel(NioServerSocketChannel.class)
+              .option(ChannelOption.SO_REUSEADDR, true)
+              .childOption(ChannelOption.TCP_NODELAY, true)
+              .childHandler(
+                  new ChannelInitializer<>() {
+                    @Override
+                    protected void initChannel(Channel channel) {
+                      channel
+                          .pipeline()
+                          .addLast(
+                              new LengthFieldBasedFrameDecoder(FRAME_MOST, 0, 4, 0, 4),
+                              new LengthFieldPrepender(4),
+                              new Connection(who));
+                    }
+                  })
+              .bind(
+                  addresses[gatherer] == null
+                      ? new InetSocketAddress("127.0.0.1", 0)
+                      : addresses[gatherer])
+              .syncUninterruptibly()
+              .channel();
       addresses[gatherer] = (InetSocketAddress) listener.localAddress();
       listeners.add(listener);
     }
@@ -99,25 +124,27 @@
 
   /** Dies at once: connections are reset, new ones refused, all work is lost. */
   public void kill() {
-    loop.execute(() -> {
-      listeners.forEach(Channel::close);
-      listeners.clear();
-      for (Channel connection : connections) {
-        connection.config().setOption(ChannelOption.SO_LINGER, 0);
-        connection.close();
-      }
-      out.clear();
-      model.restart(clock.now());
-      refusing = true;
-    });
+    loop.execute(
+        () -> {
+          listeners.forEach(Channel::close);
+          listeners.clear();
+          for (Channel connection : connections) {
+            connection.config().setOption(ChannelOption.SO_LINGER, 0);
+            connection.close();
+          }
+          out.clear();
+          model.restart(clock.now());
+          refusing = true;
+        });
   }
 
   /** Comes back cold, on the addresses it had. */
   public void back() {
-    loop.execute(() -> {
-      model.restart(clock.now());
-      refusing = false;
-    });
+    loop.execute(
+        () -> {
+          model.restart(clock.now());
+          refusing = false;
+        });
     open();
   }
 
@@ -149,14 +176,23 @@
         wake.cancel(false);
       }
       wakeAt = next;
-      wake = next == Long.MAX_VALUE ? null
-          : loop.schedule(this::settle, Math.max(0, next - now), TimeUnit.MICROSECONDS);
+      wake =
+          next == Long.MAX_VALUE
+              ? null
+              : loop.schedule(this::settle, Math.max(0, next - now), TimeUnit.MICROSECONDS);
     }
   }
 
   private void answer(Out to, String end, String value) {
-    String line = to.id + " " + end + " 0 inflight=" + model.inFlight() + ",util="
-        + String.format(Locale.ROOT, "%.2f", model.busy()) + "\n";
+    String line =
+        to.id
+            + " "
+            + end
+            + " 0 inflight="
+            + model.inFlight()
+            + ",util="
+            + String.format(Locale.ROOT, "%.2f", model.busy())
+            + "\n";
     ByteBuf frame = to.channel.alloc().buffer();
     frame.writeByte('q');
     ByteBufUtil.writeAscii(frame, line);
@@ -221,7 +257,8 @@
       long now = clock.now();
       while (frame.isReadable()) {
         int end = frame.bytesBefore((byte) '\n');
-        String[] words = end < 0 ? new String[0] : frame.readCharSequence(end, US_ASCII).toString().split(" ");
+        String[] words =
+            end < 0 ? new String[0] : frame.readCharSequence(end, US_ASCII).toString().split(" ");
         if (words.length != 4 || !words[2].startsWith("d=")) {
           unusable(context, "a part without its line");
           return;
@@ -248,15 +285,19 @@
       settle();
     }
 
-    private void part(ChannelHandlerContext context, String id, int shard, long waitMs, String text, long now) {
+    private void part(
+        ChannelHandlerContext context, String id, int shard, long waitMs, String text, long now) {
       int dot = id.lastIndexOf('.');
       long work = Values.work(text, WORK_ABSENT_US);
-      model.done(now).forEach(done -> {
-        Out waits = out.remove(done.part());
-        if (waits != null && !silent) {
-          answer(waits, "good", Values.of(waits.id));
-        }
-      });
+      model
+          .done(now)
+          .forEach(
+              done -> {
+                Out waits = out.remove(done.part());
+                if (waits != null && !silent) {
+                  answer(waits, "good", Values.of(waits.id));
+                }
+              });
       boolean mine = site.holds(number, shard, servers);
       boolean taken = mine && !refusing && model.take(now, key(id), work, now + waitMs * 1000);
       if (taken) {
@@ -265,8 +306,14 @@
       } else {
         answer(new Out(context.channel(), id), mine ? "later" : "bad", "");
       }
-      ledger.add(new Ledger.Dispatched(dot < 0 ? id : id.substring(0, dot), shard, gatherer, number, now,
-          taken ? RuleAudit.Run.RAN : RuleAudit.Run.NEVER_RAN));
+      ledger.add(
+          new Ledger.Dispatched(
+              dot < 0 ? id : id.substring(0, dot),
+              shard,
+              gatherer,
+              number,
+              now,
+              taken ? RuleAudit.Run.RAN : RuleAudit.Run.NEVER_RAN));
       double warmth = model.warmth(now);
       if (warmth < 1) {
         ledger.add(new Ledger.Work(number, now, work, model.capacityUsPerS(), warmth));
@@ -281,14 +328,16 @@
 
   /** Ends it: listeners and connections. */
   public void close() {
-    loop.submit(() -> {
-      listeners.forEach(Channel::close);
-      listeners.clear();
-      List.copyOf(connections).forEach(Channel::close);
-      if (wake != null) {
-        wake.cancel(false);
-      }
-    }).awaitUninterruptibly();
+    loop.submit(
+            () -> {
+              listeners.forEach(Channel::close);
+              listeners.clear();
+              List.copyOf(connections).forEach(Channel::close);
+              if (wake != null) {
+                wake.cancel(false);
+              }
+            })
+        .awaitUninterruptibly();
   }
 
   /** A group of its own for stand-ins, of daemon threads that end with the process. */
--- a/lab/src/main/java/tidebank/lab/standin/SlotsModel.java
+++ b/lab/src/main/java/tidebank/lab/standin/SlotsModel.java
@@ -10,8 +10,8 @@
 import java.util.PriorityQueue;
 
 /**
- * A simple server: so many parts at once, a bounded queue behind them, first come first served, slower while cold. What
- * has waited past its gatherer's time is dropped before it runs.
+ * A simple server: so many parts at once, a bounded queue behind them, first come first served,
+ * slower while cold. What has waited past its gatherer's time is dropped before it runs.
  */
 public final class SlotsModel implements ServerModel {
   private record Waiting(String part, long workUs, long untilUs) {}
--- a/lab/src/main/java/tidebank/lab/standin/Values.java
+++ b/lab/src/main/java/tidebank/lab/standin/Values.java
@@ -3,7 +3,10 @@
 import com.dynatrace.hash4j.hashing.Hashing;
 import java.util.HexFormat;
 
-/** The value a stand-in server makes for a part: told by its id alone, so that a client can tell a wrong one. */
+/**
+ * The value a stand-in server makes for a part: told by its id alone, so that a client can tell a
+ * wrong one.
+ */
 public final class Values {
   private Values() {}
 
--- a/lab/src/main/java/tidebank/lab/trace/Tally.java
+++ b/lab/src/main/java/tidebank/lab/trace/Tally.java
@@ -4,8 +4,9 @@
 import java.util.TreeMap;
 
 /**
- * Where every row of a source went. Nothing is dropped silently: lines in, plus what a line expands to beyond itself,
- * equal rows out, plus rejects and rows left out on purpose, both by cause. {@link #check} holds that.
+ * Where every row of a source went. Nothing is dropped silently: lines in, plus what a line expands
+ * to beyond itself, equal rows out, plus rejects and rows left out on purpose, both by cause.
+ * {@link #check} holds that.
  */
 public final class Tally {
   private long in;
@@ -32,7 +33,10 @@
     rejected.merge(cause, 1L, Long::sum);
   }
 
-  /** A good row that is no request (an event of another kind, or one that the mapping does not want). */
+  /**
+   * A good row that is no request (an event of another kind, or one that the mapping does not
+   * want).
+   */
   public void leaveOut(String cause) {
     leftOut.merge(cause, 1L, Long::sum);
   }
@@ -69,8 +73,18 @@
   public void check() {
     long accounted = out + rejectedRows() + leftOutRows();
     if (in + expanded != accounted) {
-      throw new IllegalStateException("rows are unaccounted for: " + in + " lines and " + expanded
-          + " expanded, but " + out + " out, " + rejected + " rejected, " + leftOut + " left out");
+      throw new IllegalStateException(
+          "rows are unaccounted for: "
+              + in
+              + " lines and "
+              + expanded
+              + " expanded, but "
+              + out
+              + " out, "
+              + rejected
+              + " rejected, "
+              + leftOut
+              + " left out");
     }
   }
 }
--- a/lab/src/main/java/tidebank/lab/trace/TraceRow.java
+++ b/lab/src/main/java/tidebank/lab/trace/TraceRow.java
@@ -10,8 +10,8 @@
  * @param depot the first shard it needs, from 0
  * @param parts how many shards in a row it needs, from 1
  * @param key what it is about; "" where the trace has no such thing
- * @param weight the share of the whole answer that the first part carries, above 0 and at most 1; the rest is spread
- *     evenly over the others
+ * @param weight the share of the whole answer that the first part carries, above 0 and at most 1;
+ *     the rest is spread evenly over the others
  * @param workUs the work of one part at a shard server, in microseconds
  * @param account who asks; "" for nobody in particular
  */
@@ -24,7 +24,10 @@
     double weight,
     long workUs,
     String account) {
-  /** By time, then by everything else, so that the order of rows at the same instant does not depend on the source's. */
+  /**
+   * By time, then by everything else, so that the order of rows at the same instant does not depend
+   * on the source's.
+   */
   public static final Comparator<TraceRow> ORDER = TraceRow::order;
 
   private static int order(TraceRow a, TraceRow b) {
--- a/lab/src/main/java/tidebank/lab/trace/expr/Compiler.java
+++ b/lab/src/main/java/tidebank/lab/trace/expr/Compiler.java
@@ -43,34 +43,46 @@
 import tidebank.lab.trace.layout.RawRow;
 
 /**
- * Reads an expression, checks its types against a layout's columns before a row is read, and makes it ready: a tree of
- * small functions over primitives, several times as quick as walking the parse tree (docs/results.md).
+ * Reads an expression, checks its types against a layout's columns before a row is read, and makes
+ * it ready: a tree of small functions over primitives, several times as quick as walking the parse
+ * tree (docs/results.md).
  */
 public final class Compiler extends ExpressionBaseVisitor<Value> {
   private static final Hasher64 HASHER = Hashing.xxh3_64();
   private static final int BUCKETS_MOST = 1000;
   private static final int DEPTH_MOST = 200;
+
   /** What each function takes and gives; the names are offered where one is misspelt. */
-  static final Map<String, String> FUNCTIONS = new java.util.TreeMap<>(Map.ofEntries(
-      Map.entry("abs", "abs(number): without its sign"),
-      Map.entry("floor", "floor(number): the whole number at or below it"),
-      Map.entry("round", "round(number): the nearest whole number"),
-      Map.entry("log", "log(number): natural logarithm"),
-      Map.entry("sqrt", "sqrt(number)"),
-      Map.entry("min", "min(number, number, ...): the least"),
-      Map.entry("max", "max(number, number, ...): the greatest"),
-      Map.entry("hash", "hash(value) or hash(value, n): a whole number from 0, below 2^53 or below n"),
-      Map.entry("bucket", "bucket(number, b1, b2, ...): how many of the rising bounds it has reached"),
-      Map.entry("quantile", "quantile(number, n): which of n buckets of equal share it lies in, from 0"),
-      Map.entry("coalesce", "coalesce(a, b, ...): the first that is not missing"),
-      Map.entry("missing", "missing(value): whether it is missing"),
-      Map.entry("number", "number(text): the number it says, missing if none"),
-      Map.entry("text", "text(number): as text"),
-      Map.entry("matches", "matches(text, \"regex\"): whether all of it matches"),
-      Map.entry("extract", "extract(text, \"regex\"): its first group, missing if it does not match"),
-      Map.entry("lower", "lower(text): in small letters"),
-      Map.entry("length", "length(text): its characters"),
-      Map.entry("join", "join(text, text, ...): one after the other")));
+  static final Map<String, String> FUNCTIONS =
+      new java.util.TreeMap<>(
+          Map.ofEntries(
+              Map.entry("abs", "abs(number): without its sign"),
+              Map.entry("floor", "floor(number): the whole number at or below it"),
+              Map.entry("round", "round(number): the nearest whole number"),
+              Map.entry("log", "log(number): natural logarithm"),
+              Map.entry("sqrt", "sqrt(number)"),
+              Map.entry("min", "min(number, number, ...): the least"),
+              Map.entry("max", "max(number, number, ...): the greatest"),
+              Map.entry(
+                  "hash",
+                  "hash(value) or hash(value, n): a whole number from 0, below 2^53 or below n"),
+              Map.entry(
+                  "bucket",
+                  "bucket(number, b1, b2, ...): how many of the rising bounds it has reached"),
+              Map.entry(
+                  "quantile",
+                  "quantile(number, n): which of n buckets of equal share it lies in, from 0"),
+              Map.entry("coalesce", "coalesce(a, b, ...): the first that is not missing"),
+              Map.entry("missing", "missing(value): whether it is missing"),
+              Map.entry("number", "number(text): the number it says, missing if none"),
+              Map.entry("text", "text(number): as text"),
+              Map.entry("matches", "matches(text, \"regex\"): whether all of it matches"),
+              Map.entry(
+                  "extract",
+                  "extract(text, \"regex\"): its first group, missing if it does not match"),
+              Map.entry("lower", "lower(text): in small letters"),
+              Map.entry("length", "length(text): its characters"),
+              Map.entry("join", "join(text, text, ...): one after the other")));
 
   private final Map<String, Integer> places = new HashMap<>();
   private final List<Column> columns;
@@ -99,9 +111,11 @@
   /**
    * Compiles an expression.
    *
-   * @param quantiles takes the quantile buckets the expression needs; their first pass is the caller's to make
+   * @param quantiles takes the quantile buckets the expression needs; their first pass is the
+   *     caller's to make
    */
-  public static Value compile(String source, List<Column> columns, List<Quantiles> quantiles) throws ExpressionFault {
+  public static Value compile(String source, List<Column> columns, List<Quantiles> quantiles)
+      throws ExpressionFault {
     try {
       return new Compiler(columns, quantiles).visit(parse(source).expr());
     } catch (Found found) {
@@ -110,13 +124,19 @@
   }
 
   static ExpressionParser.WholeContext parse(String source) throws ExpressionFault {
-    BaseErrorListener listener = new BaseErrorListener() {
-      @Override
-      public void syntaxError(Recognizer<?, ?> recognizer, Object symbol, int line, int column, String text,
-          RecognitionException cause) {
-        throw new Found(new ExpressionFault(line, column + 1, text));
-      }
-    };
+    BaseErrorListener listener =
+        new BaseErrorListener() {
+          @Override
+          public void syntaxError(
+              Recognizer<?, ?> recognizer,
+              Object symbol,
+              int line,
+              int column,
+              String text,
+              RecognitionException cause) {
+            throw new Found(new ExpressionFault(line, column + 1, text));
+          }
+        };
     ExpressionLexer lexer = new ExpressionLexer(CharStreams.fromString(source));
     lexer.removeErrorListeners();
     lexer.addErrorListener(listener);
@@ -133,8 +153,8 @@
   }
 
   /**
-   * The texts that an expression can give by naming them, or null if it can give one it does not name (from a column, or
-   * put together).
+   * The texts that an expression can give by naming them, or null if it can give one it does not
+   * name (from a column, or put together).
    */
   public static Set<String> named(String source) throws ExpressionFault {
     Set<String> names = new HashSet<>();
@@ -195,7 +215,8 @@
     if (value instanceof Bool bool) {
       return bool;
     }
-    throw fault(expr, what + ": found " + word(value) + ", wanted true or false, such as a comparison");
+    throw fault(
+        expr, what + ": found " + word(value) + ", wanted true or false, such as a comparison");
   }
 
   private static String word(Value value) {
@@ -235,12 +256,15 @@
       throw fault(column, "unknown column \"" + name + "\"" + near(name, places.keySet()));
     }
     int at = place;
-    return columns.get(at).kind() == Column.Kind.NUMBER ? (Num) row -> row.numbers()[at] : (Txt) row -> row.texts()[at];
+    return columns.get(at).kind() == Column.Kind.NUMBER
+        ? (Num) row -> row.numbers()[at]
+        : (Txt) row -> row.texts()[at];
   }
 
   private static String near(String name, Collection<String> known) {
     String near = Toml.nearest(name, known);
-    return near == null ? "; known are " + String.join(", ", known.stream().sorted().toList())
+    return near == null
+        ? "; known are " + String.join(", ", known.stream().sorted().toList())
         : "; did you mean \"" + near + "\"?";
   }
 
@@ -279,7 +303,8 @@
   public Value visitLogic(LogicContext logic) {
     Bool left = bool(logic.left, logic.op.getText());
     Bool right = bool(logic.right, logic.op.getText());
-    return logic.op.getText().equals("and") ? (Bool) row -> left.of(row) && right.of(row)
+    return logic.op.getText().equals("and")
+        ? (Bool) row -> left.of(row) && right.of(row)
         : (Bool) row -> left.of(row) || right.of(row);
   }
 
@@ -300,14 +325,21 @@
     }
     if (left instanceof Txt a && right instanceof Txt b && (op.equals("=") || op.equals("!="))) {
       boolean wanted = op.equals("=");
-      return (Bool) row -> {
-        String one = a.of(row);
-        String other = b.of(row);
-        return one != null && other != null && one.equals(other) == wanted;
-      };
+      return (Bool)
+          row -> {
+            String one = a.of(row);
+            String other = b.of(row);
+            return one != null && other != null && one.equals(other) == wanted;
+          };
     }
-    throw fault(comparison, op + " between " + word(left) + " and " + word(right)
-        + (left.type() == right.type() ? ", only = and != are known for it" : ""));
+    throw fault(
+        comparison,
+        op
+            + " between "
+            + word(left)
+            + " and "
+            + word(right)
+            + (left.type() == right.type() ? ", only = and != are known for it" : ""));
   }
 
   @Override
@@ -322,8 +354,9 @@
     values[count] = of(choice.otherwise);
     for (int i = 1; i <= count; i++) {
       if (values[i].type() != values[0].type()) {
-        throw fault(i < count ? choice.value.get(i) : choice.otherwise, "the branches of when differ: "
-            + word(values[0]) + " and " + word(values[i]));
+        throw fault(
+            i < count ? choice.value.get(i) : choice.otherwise,
+            "the branches of when differ: " + word(values[0]) + " and " + word(values[i]));
       }
     }
     return switch (values[0].type()) {
@@ -384,10 +417,11 @@
         takes(call, 2, 2);
         Txt text = txt(of.get(0), name);
         Pattern pattern = pattern(of.get(1), name);
-        yield (Bool) row -> {
-          String value = text.of(row);
-          return value != null && pattern.matcher(value).matches();
-        };
+        yield (Bool)
+            row -> {
+              String value = text.of(row);
+              return value != null && pattern.matcher(value).matches();
+            };
       }
       case "extract" -> {
         takes(call, 2, 2);
@@ -396,11 +430,12 @@
         if (pattern.matcher("").groupCount() < 1) {
           throw fault(of.get(1), "extract: the expression has no group in parentheses");
         }
-        yield (Txt) row -> {
-          String value = text.of(row);
-          Matcher found = value == null ? null : pattern.matcher(value);
-          return found != null && found.find() ? found.group(1) : null;
-        };
+        yield (Txt)
+            row -> {
+              String value = text.of(row);
+              Matcher found = value == null ? null : pattern.matcher(value);
+              return found != null && found.find() ? found.group(1) : null;
+            };
       }
       case "lower" -> {
         takes(call, 1, 1);
@@ -418,17 +453,18 @@
         for (ExprContext one : of) {
           texts.add(txt(one, name));
         }
-        yield (Txt) row -> {
-          StringBuilder all = new StringBuilder();
-          for (Txt text : texts) {
-            String value = text.of(row);
-            if (value == null) {
-              return null;
-            }
-            all.append(value);
-          }
-          return all.toString();
-        };
+        yield (Txt)
+            row -> {
+              StringBuilder all = new StringBuilder();
+              for (Txt text : texts) {
+                String value = text.of(row);
+                if (value == null) {
+                  return null;
+                }
+                all.append(value);
+              }
+              return all.toString();
+            };
       }
     };
   }
@@ -436,7 +472,8 @@
   private static void takes(CallContext call, int least, int most) {
     int found = call.expr().size();
     if (found < least || found > most) {
-      throw fault(call, "found " + found + " values, wanted " + FUNCTIONS.get(call.NAME().getText()));
+      throw fault(
+          call, "found " + found + " values, wanted " + FUNCTIONS.get(call.NAME().getText()));
     }
   }
 
@@ -464,17 +501,20 @@
     if (!(below >= 1 && below <= 0x1p53)) {
       throw fault(call.expr(1), "hash: wanted a number from 1 to 2^53");
     }
-    return (Num) row -> {
-      if (of instanceof Num number) {
-        double value = number.of(row);
-        return Double.isNaN(value) ? Double.NaN : reduced(HASHER.hashStream().putDouble(value).getAsLong(), below);
-      }
-      if (of instanceof Txt text) {
-        String value = text.of(row);
-        return value == null ? Double.NaN : reduced(HASHER.hashCharsToLong(value), below);
-      }
-      return ((Bool) of).of(row) ? 1 : 0;
-    };
+    return (Num)
+        row -> {
+          if (of instanceof Num number) {
+            double value = number.of(row);
+            return Double.isNaN(value)
+                ? Double.NaN
+                : reduced(HASHER.hashStream().putDouble(value).getAsLong(), below);
+          }
+          if (of instanceof Txt text) {
+            String value = text.of(row);
+            return value == null ? Double.NaN : reduced(HASHER.hashCharsToLong(value), below);
+          }
+          return ((Bool) of).of(row) ? 1 : 0;
+        };
   }
 
   private static double reduced(long hash, double below) {
@@ -501,17 +541,18 @@
         throw fault(call.expr(i + 1), "bucket: the bounds must rise");
       }
     }
-    return (Num) row -> {
-      double value = of.of(row);
-      if (Double.isNaN(value)) {
-        return value;
-      }
-      int bucket = 0;
-      while (bucket < bounds.length && value >= bounds[bucket]) {
-        bucket++;
-      }
-      return bucket;
-    };
+    return (Num)
+        row -> {
+          double value = of.of(row);
+          if (Double.isNaN(value)) {
+            return value;
+          }
+          int bucket = 0;
+          while (bucket < bounds.length && value >= bounds[bucket]) {
+            bucket++;
+          }
+          return bucket;
+        };
   }
 
   private Value quantile(CallContext call) {
@@ -532,24 +573,33 @@
     for (ExprContext expr : call.expr()) {
       values.add(of(expr));
       if (values.get(0).type() != values.get(values.size() - 1).type()) {
-        throw fault(expr, "coalesce: found " + word(values.get(values.size() - 1)) + " after " + word(values.get(0)));
+        throw fault(
+            expr,
+            "coalesce: found "
+                + word(values.get(values.size() - 1))
+                + " after "
+                + word(values.get(0)));
       }
     }
     return switch (values.get(0).type()) {
-      case NUMBER -> (Num) row -> {
-        double found = Double.NaN;
-        for (int i = 0; i < values.size() && Double.isNaN(found); i++) {
-          found = ((Num) values.get(i)).of(row);
-        }
-        return found;
-      };
-      case TEXT -> (Txt) row -> {
-        String found = null;
-        for (int i = 0; i < values.size() && found == null; i++) {
-          found = ((Txt) values.get(i)).of(row);
-        }
-        return found;
-      };
+      case NUMBER ->
+          (Num)
+              row -> {
+                double found = Double.NaN;
+                for (int i = 0; i < values.size() && Double.isNaN(found); i++) {
+                  found = ((Num) values.get(i)).of(row);
+                }
+                return found;
+              };
+      case TEXT ->
+          (Txt)
+              row -> {
+                String found = null;
+                for (int i = 0; i < values.size() && found == null; i++) {
+                  found = ((Txt) values.get(i)).of(row);
+                }
+                return found;
+              };
       case TRUTH -> throw fault(call, "coalesce: true or false is never missing");
     };
   }
@@ -557,7 +607,11 @@
   private Value missing(CallContext call) {
     takes(call, 1, 1);
     Value of = of(call.expr(0));
-    return (Bool) row -> of instanceof Num num ? Double.isNaN(num.of(row)) : of instanceof Txt txt && txt.of(row) == null;
+    return (Bool)
+        row ->
+            of instanceof Num num
+                ? Double.isNaN(num.of(row))
+                : of instanceof Txt txt && txt.of(row) == null;
   }
 
   private Pattern pattern(ExprContext expr, String what) {
@@ -580,7 +634,10 @@
   }
 
   private static String write(double value) {
-    return Double.isNaN(value) ? null : value == Math.rint(value) && Math.abs(value) < 1e15 ? String.valueOf((long) value)
-        : String.valueOf(value);
+    return Double.isNaN(value)
+        ? null
+        : value == Math.rint(value) && Math.abs(value) < 1e15
+            ? String.valueOf((long) value)
+            : String.valueOf(value);
   }
 }
--- a/lab/src/main/java/tidebank/lab/trace/expr/Quantiles.java
+++ b/lab/src/main/java/tidebank/lab/trace/expr/Quantiles.java
@@ -8,12 +8,14 @@
 import tidebank.lab.trace.layout.RawRow;
 
 /**
- * Buckets of equal share, learned in a pass of their own before the rows are mapped. Of any number of rows it keeps a
- * sample of a fixed size: those of the smallest hashes, so that neither chance nor the order of rows matters.
+ * Buckets of equal share, learned in a pass of their own before the rows are mapped. Of any number
+ * of rows it keeps a sample of a fixed size: those of the smallest hashes, so that neither chance
+ * nor the order of rows matters.
  */
 public final class Quantiles {
   /** The error of a bucket's share is about a half over the root of this. */
   static final int SAMPLE = 8192;
+
   private static final Hasher64 HASHER = Hashing.xxh3_64();
 
   private record Kept(long hash, double value) {}
@@ -21,7 +23,8 @@
   private final Value.Num of;
   private final int buckets;
   private final PriorityQueue<Kept> sample =
-      new PriorityQueue<>(Comparator.comparingLong(Kept::hash).thenComparingDouble(Kept::value).reversed());
+      new PriorityQueue<>(
+          Comparator.comparingLong(Kept::hash).thenComparingDouble(Kept::value).reversed());
   private double[] bounds;
 
   Quantiles(Value.Num of, int buckets) {
@@ -35,7 +38,13 @@
     if (Double.isNaN(value)) {
       return;
     }
-    long hash = HASHER.hashStream().putLong(row.timeUs()).putString(row.identity()).putDouble(value).getAsLong();
+    long hash =
+        HASHER
+            .hashStream()
+            .putLong(row.timeUs())
+            .putString(row.identity())
+            .putDouble(value)
+            .getAsLong();
     if (sample.size() < SAMPLE) {
       sample.add(new Kept(hash, value));
     } else if (hash < sample.peek().hash) {
@@ -49,7 +58,10 @@
     double[] values = sample.stream().mapToDouble(Kept::value).sorted().toArray();
     bounds = new double[buckets - 1];
     for (int i = 0; i < bounds.length; i++) {
-      bounds[i] = values.length == 0 ? Double.NaN : values[(int) ((long) (i + 1) * values.length / buckets)];
+      bounds[i] =
+          values.length == 0
+              ? Double.NaN
+              : values[(int) ((long) (i + 1) * values.length / buckets)];
     }
     sample.clear();
   }
--- a/lab/src/main/java/tidebank/lab/trace/expr/Value.java
+++ b/lab/src/main/java/tidebank/lab/trace/expr/Value.java
@@ -2,7 +2,10 @@
 
 import tidebank.lab.trace.layout.RawRow;
 
-/** An expression made ready for rows: typed, with no look-up by name left in it. A missing number is NaN, a text null. */
+/**
+ * An expression made ready for rows: typed, with no look-up by name left in it. A missing number is
+ * NaN, a text null.
+ */
 public sealed interface Value permits Value.Num, Value.Txt, Value.Bool {
   /** What an expression gives. */
   enum Type {
--- a/lab/src/main/java/tidebank/lab/trace/layout/Fault.java
+++ b/lab/src/main/java/tidebank/lab/trace/layout/Fault.java
@@ -1,6 +1,9 @@
 package tidebank.lab.trace.layout;
 
-/** Why a line is no request: rejected (it is bad), or left out (it is good, but tells of something else). */
+/**
+ * Why a line is no request: rejected (it is bad), or left out (it is good, but tells of something
+ * else).
+ */
 public final class Fault extends Exception {
   private static final long serialVersionUID = 1L;
   private final boolean bad;
--- a/lab/src/main/java/tidebank/lab/trace/layout/FixedLayout.java
+++ b/lab/src/main/java/tidebank/lab/trace/layout/FixedLayout.java
@@ -44,12 +44,17 @@
   /** The request that this row stands for. */
   abstract RawRow request(Values values) throws Fault;
 
-  /** How a single value of a column of the right count of columns looks, from 0 to 1; more than a check of its kind. */
+  /**
+   * How a single value of a column of the right count of columns looks, from 0 to 1; more than a
+   * check of its kind.
+   */
   double looks(Column column, String value) {
     if (value.isEmpty()) {
       return column.needed() ? 0 : 1;
     }
-    return column.kind() == Column.Kind.NUMBER ? (parsed(value) == null ? 0 : 1) : (parsed(value) == null ? 1 : 0.8);
+    return column.kind() == Column.Kind.NUMBER
+        ? (parsed(value) == null ? 0 : 1)
+        : (parsed(value) == null ? 1 : 0.8);
   }
 
   /** Names that the header of this layout may use for a column beside its own. */
@@ -120,7 +125,8 @@
         if (places[i] >= 0 && places[i] < row.size()) {
           double looks = looks(columns.get(i), row.get(places[i]).trim());
           if (looks == 0 && evidence.size() < 6) {
-            evidence.add("column " + columns.get(i).name() + " holds \"" + row.get(places[i]) + "\"");
+            evidence.add(
+                "column " + columns.get(i).name() + " holds \"" + row.get(places[i]) + "\"");
           }
           sum += looks;
           seen++;
@@ -190,7 +196,9 @@
       this.index = index;
     }
 
-    static Values of(List<Column> columns, int[] places, List<String> line, Map<String, Integer> index) throws Fault {
+    static Values of(
+        List<Column> columns, int[] places, List<String> line, Map<String, Integer> index)
+        throws Fault {
       String[] texts = new String[columns.size()];
       double[] numbers = new double[columns.size()];
       for (int i = 0; i < texts.length; i++) {
--- a/lab/src/main/java/tidebank/lab/trace/layout/Layout.java
+++ b/lab/src/main/java/tidebank/lab/trace/layout/Layout.java
@@ -13,7 +13,10 @@
   /** Whether the first line names the columns. */
   boolean header();
 
-  /** The columns as expressions see them. A layout that takes its columns from the header has them after {@link #open}. */
+  /**
+   * The columns as expressions see them. A layout that takes its columns from the header has them
+   * after {@link #open}.
+   */
   List<Column> columns();
 
   /**
--- a/lab/src/main/java/tidebank/lab/trace/mapping/Mapping.java
+++ b/lab/src/main/java/tidebank/lab/trace/mapping/Mapping.java
@@ -1,7 +1,7 @@
 package tidebank.lab.trace.mapping;
 
-import com.dynatrace.hash4j.consistent.ConsistentHashing;
 import com.dynatrace.hash4j.consistent.ConsistentBucketHasher;
+import com.dynatrace.hash4j.consistent.ConsistentHashing;
 import com.dynatrace.hash4j.hashing.Hasher64;
 import com.dynatrace.hash4j.hashing.Hashing;
 import com.dynatrace.hash4j.random.PseudoRandomGeneratorProvider;
@@ -28,9 +28,10 @@
 import tidebank.lab.trace.layout.RawRow;
 
 /**
- * How a layout's rows become requests of ours: an expression for each value, read from TOML and checked against the
- * layout's columns before a row is read. Depots come out of names by consistent hashing, which keeps the trace's skew:
- * what was one name stays one depot, and few names move if the number of depots changes.
+ * How a layout's rows become requests of ours: an expression for each value, read from TOML and
+ * checked against the layout's columns before a row is read. Depots come out of names by consistent
+ * hashing, which keeps the trace's skew: what was one name stays one depot, and few names move if
+ * the number of depots changes.
  */
 public final class Mapping {
   private static final Hasher64 HASHER = Hashing.xxh3_64();
@@ -70,8 +71,14 @@
     if (layout == null && !layoutName.isEmpty()) {
       List<String> known = Layouts.all().stream().map(Layout::name).toList();
       String near = Toml.nearest(layoutName, known);
-      root.fault("layout", "unknown layout \"" + layoutName + "\"" + (near == null
-          ? "; known are " + String.join(", ", known) : "; did you mean \"" + near + "\"?"));
+      root.fault(
+          "layout",
+          "unknown layout \""
+              + layoutName
+              + "\""
+              + (near == null
+                  ? "; known are " + String.join(", ", known)
+                  : "; did you mean \"" + near + "\"?"));
     }
     depots = (int) root.whole("depots", DEPOTS_DEFAULT, 1, DEPOTS_MOST);
     nonReplayable = Set.copyOf(root.texts("non_replayable"));
@@ -79,16 +86,17 @@
     renamed = root.table("columns").freeTexts();
     Toml.Table timeTable = root.table("time");
     time = expression(timeTable, "value", null);
-    timeUnitUs = switch (timeTable.text("unit", "us")) {
-      case "us" -> 1;
-      case "ms" -> US_PER_MS;
-      case "s" -> 1e6;
-      case "min" -> 60e6;
-      default -> {
-        timeTable.fault("unit", "wanted us, ms, s or min");
-        yield 1;
-      }
-    };
+    timeUnitUs =
+        switch (timeTable.text("unit", "us")) {
+          case "us" -> 1;
+          case "ms" -> US_PER_MS;
+          case "s" -> 1e6;
+          case "min" -> 60e6;
+          default -> {
+            timeTable.fault("unit", "wanted us, ms, s or min");
+            yield 1;
+          }
+        };
     wrap = timeTable.number("wraps_at", 0, 0, 1e18);
     where = expression(root, "where", null);
     Toml.Table map = root.table("map");
@@ -123,7 +131,10 @@
     }
   }
 
-  /** Reads and checks a mapping as far as that needs no file: its keys and, for a layout of known columns, all types. */
+  /**
+   * Reads and checks a mapping as far as that needs no file: its keys and, for a layout of known
+   * columns, all types.
+   */
   public static Mapping read(String name, String text) throws Malformed {
     Mapping mapping = new Mapping(name, text);
     if (mapping.layout != null && !mapping.layout.columns().isEmpty()) {
@@ -152,14 +163,18 @@
   /** Names this mapping, whatever file it stood in. */
   public String digest() {
     try {
-      return HexFormat.of().formatHex(
-          MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.UTF_8)));
+      return HexFormat.of()
+          .formatHex(
+              MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.UTF_8)));
     } catch (NoSuchAlgorithmException fault) {
       throw new IllegalStateException(fault);
     }
   }
 
-  /** A reader of a file whose header, if its layout has one, is this. Columns that mean something else are renamed here. */
+  /**
+   * A reader of a file whose header, if its layout has one, is this. Columns that mean something
+   * else are renamed here.
+   */
   public Layout.Reader open(List<String> header) throws Malformed {
     List<String> names = header;
     if (!order.isEmpty()) {
@@ -177,12 +192,19 @@
     try {
       return layout.open(names);
     } catch (Fault fault) {
-      throw new Malformed("the file is not of layout " + layout.name() + ": " + fault.getMessage()
-          + "; [columns] in the mapping names a column that is called otherwise");
+      throw new Malformed(
+          "the file is not of layout "
+              + layout.name()
+              + ": "
+              + fault.getMessage()
+              + "; [columns] in the mapping names a column that is called otherwise");
     }
   }
 
-  /** The mapping for a file of these columns; every fault of an expression is named by key, line and column. */
+  /**
+   * The mapping for a file of these columns; every fault of an expression is named by key, line and
+   * column.
+   */
   public Bound bind(List<Column> columns) throws Malformed {
     Bound bound = bind(columns, true);
     file.check();
@@ -191,17 +213,19 @@
 
   private Bound bind(List<Column> columns, boolean all) throws Malformed {
     List<Quantiles> quantiles = new ArrayList<>();
-    Bound bound = new Bound(quantiles,
-        (Value.Num) compile(time, columns, quantiles, Value.Type.NUMBER),
-        (Value.Bool) compile(where, columns, quantiles, Value.Type.TRUTH),
-        (Value.Txt) compile(tableType, columns, quantiles, Value.Type.TEXT),
-        compile(depot, columns, quantiles, null),
-        (Value.Num) compile(parts, columns, quantiles, Value.Type.NUMBER),
-        compile(key, columns, quantiles, null),
-        (Value.Num) compile(weight, columns, quantiles, Value.Type.NUMBER),
-        (Value.Num) compile(work, columns, quantiles, Value.Type.NUMBER),
-        (Value.Txt) compile(account, columns, quantiles, Value.Type.TEXT),
-        namesItsTypes());
+    Bound bound =
+        new Bound(
+            quantiles,
+            (Value.Num) compile(time, columns, quantiles, Value.Type.NUMBER),
+            (Value.Bool) compile(where, columns, quantiles, Value.Type.TRUTH),
+            (Value.Txt) compile(tableType, columns, quantiles, Value.Type.TEXT),
+            compile(depot, columns, quantiles, null),
+            (Value.Num) compile(parts, columns, quantiles, Value.Type.NUMBER),
+            compile(key, columns, quantiles, null),
+            (Value.Num) compile(weight, columns, quantiles, Value.Type.NUMBER),
+            (Value.Num) compile(work, columns, quantiles, Value.Type.NUMBER),
+            (Value.Txt) compile(account, columns, quantiles, Value.Type.TEXT),
+            namesItsTypes());
     return bound;
   }
 
@@ -213,15 +237,21 @@
     }
   }
 
-  private Value compile(Expression expression, List<Column> columns, List<Quantiles> quantiles, Value.Type wanted) {
+  private Value compile(
+      Expression expression, List<Column> columns, List<Quantiles> quantiles, Value.Type wanted) {
     if (expression == null) {
       return null;
     }
     try {
       Value value = Compiler.compile(expression.source, columns, quantiles);
-      if (wanted != null && value.type() != wanted || wanted == null && value.type() == Value.Type.TRUTH) {
-        file.fault(expression.key, "gives " + said(value.type()) + ", wanted "
-            + (wanted == null ? "a number or a text" : said(wanted)));
+      if (wanted != null && value.type() != wanted
+          || wanted == null && value.type() == Value.Type.TRUTH) {
+        file.fault(
+            expression.key,
+            "gives "
+                + said(value.type())
+                + ", wanted "
+                + (wanted == null ? "a number or a text" : said(wanted)));
         return null;
       }
       return value;
@@ -255,8 +285,18 @@
     private final ConsistentBucketHasher jump =
         ConsistentHashing.jumpBackHash(PseudoRandomGeneratorProvider.splitMix64_V1());
 
-    private Bound(List<Quantiles> quantiles, Value.Num timeOf, Value.Bool wanted, Value.Txt typeOf, Value depotOf,
-        Value.Num partsOf, Value keyOf, Value.Num weightOf, Value.Num workOf, Value.Txt accountOf, boolean typesNamed) {
+    private Bound(
+        List<Quantiles> quantiles,
+        Value.Num timeOf,
+        Value.Bool wanted,
+        Value.Txt typeOf,
+        Value depotOf,
+        Value.Num partsOf,
+        Value keyOf,
+        Value.Num weightOf,
+        Value.Num workOf,
+        Value.Txt accountOf,
+        boolean typesNamed) {
       this.quantiles = quantiles;
       this.timeOf = timeOf;
       this.wanted = wanted;
@@ -307,7 +347,8 @@
       if (type == null || type.isEmpty()) {
         throw Fault.reject("no-table-type");
       }
-      // A request that may not run twice comes from a word somebody wrote for it, never from a column's content.
+      // A request that may not run twice comes from a word somebody wrote for it, never from a
+      // column's content.
       if (!typesNamed && nonReplayable.contains(type)) {
         throw Fault.reject("non-replayable-not-named");
       }
@@ -318,15 +359,23 @@
       int count = (int) Math.min(depots, Math.floor(partsWanted));
       double workMs = workOf.of(row);
       if (!(workMs >= 0) || workMs > WORK_MS_MOST) {
-        throw Fault.reject(Double.isNaN(workMs) ? "no-work" : workMs < 0 ? "negative-work" : "work-out-of-range");
+        throw Fault.reject(
+            Double.isNaN(workMs) ? "no-work" : workMs < 0 ? "negative-work" : "work-out-of-range");
       }
       double share = weightOf == null ? 1.0 / count : weightOf.of(row);
       if (!(share > 0 && share <= 1)) {
         throw Fault.reject("weight-out-of-range");
       }
       String who = accountOf.of(row);
-      return new TraceRow(timeUs, type, depot(row), count, text(keyOf, row), count == 1 ? 1 : share,
-          Math.round(workMs * US_PER_MS), who == null ? "" : who);
+      return new TraceRow(
+          timeUs,
+          type,
+          depot(row),
+          count,
+          text(keyOf, row),
+          count == 1 ? 1 : share,
+          Math.round(workMs * US_PER_MS),
+          who == null ? "" : who);
     }
 
     private int depot(RawRow row) throws Fault {
@@ -351,8 +400,11 @@
         return value == null ? "" : value;
       }
       double value = ((Value.Num) of).of(row);
-      return Double.isNaN(value) ? "" : value == Math.rint(value) && Math.abs(value) < 1e15
-          ? String.valueOf((long) value) : String.valueOf(value);
+      return Double.isNaN(value)
+          ? ""
+          : value == Math.rint(value) && Math.abs(value) < 1e15
+              ? String.valueOf((long) value)
+              : String.valueOf(value);
     }
   }
 }
--- a/lab/src/main/java/tidebank/lab/trace/order/Lateness.java
+++ b/lab/src/main/java/tidebank/lab/trace/order/Lateness.java
@@ -3,8 +3,9 @@
 /**
  * Decides what becomes of a row by how far it is behind the newest one seen. Pure: times come in.
  *
- * <p>A row at or after the last one handed on is in time. An older one goes through the sort on disk, unless it is
- * further behind the newest than the limit: such a time is a fault of the trace, not an order.
+ * <p>A row at or after the last one handed on is in time. An older one goes through the sort on
+ * disk, unless it is further behind the newest than the limit: such a time is a fault of the trace,
+ * not an order.
  */
 public final class Lateness {
   /** What becomes of a row. */
@@ -31,7 +32,9 @@
     return timeUs < handedOn ? Way.SORTED_ON_DISK : Way.IN_TIME;
   }
 
-  /** The window let a row of this time go; what comes after it in time can still be put in order. */
+  /**
+   * The window let a row of this time go; what comes after it in time can still be put in order.
+   */
   public void handsOn(long timeUs) {
     handedOn = Math.max(handedOn, timeUs);
   }
--- a/lab/src/main/java/tidebank/lab/trace/order/Merge.java
+++ b/lab/src/main/java/tidebank/lab/trace/order/Merge.java
@@ -6,14 +6,18 @@
 import java.util.NoSuchElementException;
 import java.util.PriorityQueue;
 
-/** Many streams that are in order as one; of equal elements those of the earlier stream come first. Pure. */
+/**
+ * Many streams that are in order as one; of equal elements those of the earlier stream come first.
+ * Pure.
+ */
 public final class Merge {
   private Merge() {}
 
   public static <T> Iterator<T> of(List<Iterator<T>> sources, Comparator<? super T> order) {
     record Head<T>(T item, int from) {}
-    PriorityQueue<Head<T>> heads = new PriorityQueue<>(
-        Comparator.<Head<T>, T>comparing(Head::item, order).thenComparingInt(Head::from));
+    PriorityQueue<Head<T>> heads =
+        new PriorityQueue<>(
+            Comparator.<Head<T>, T>comparing(Head::item, order).thenComparingInt(Head::from));
     for (int i = 0; i < sources.size(); i++) {
       if (sources.get(i).hasNext()) {
         heads.add(new Head<>(sources.get(i).next(), i));
--- a/lab/src/main/java/tidebank/lab/trace/order/Once.java
+++ b/lab/src/main/java/tidebank/lab/trace/order/Once.java
@@ -3,7 +3,10 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** Tells an event that is told twice: same time, same identity. Holds the identities of one instant only. Pure. */
+/**
+ * Tells an event that is told twice: same time, same identity. Holds the identities of one instant
+ * only. Pure.
+ */
 public final class Once {
   private long now = Long.MIN_VALUE;
   private final Set<Long> seen = new HashSet<>();
--- a/lab/src/main/java/tidebank/lab/trace/order/SpillSort.java
+++ b/lab/src/main/java/tidebank/lab/trace/order/SpillSort.java
@@ -20,9 +20,10 @@
 import tidebank.lab.trace.TraceRow;
 
 /**
- * Sorts any number of rows in bounded memory: runs are made by replacement selection (twice as long as memory on
- * average, one run where the input is nearly in order), spilled to files, and merged at the end, in several passes
- * where there are more runs than may be open at once. What fits in memory never touches the disk.
+ * Sorts any number of rows in bounded memory: runs are made by replacement selection (twice as long
+ * as memory on average, one run where the input is nearly in order), spilled to files, and merged
+ * at the end, in several passes where there are more runs than may be open at once. What fits in
+ * memory never touches the disk.
  */
 public final class SpillSort implements Closeable {
   private static final int FAN_IN = 64;
@@ -78,7 +79,8 @@
     Files.createDirectories(folder);
     Path file = folder.resolve("run-" + files++);
     runs.add(file);
-    return new DataOutputStream(new BufferedOutputStream(new ZstdOutputStream(Files.newOutputStream(file), LEVEL), BUFFER));
+    return new DataOutputStream(
+        new BufferedOutputStream(new ZstdOutputStream(Files.newOutputStream(file), LEVEL), BUFFER));
   }
 
   private void closeRun() throws IOException {
@@ -157,7 +159,9 @@
     private Item next;
 
     RunReader(Path file) throws IOException {
-      in = new DataInputStream(new BufferedInputStream(new ZstdInputStream(Files.newInputStream(file)), BUFFER));
+      in =
+          new DataInputStream(
+              new BufferedInputStream(new ZstdInputStream(Files.newInputStream(file)), BUFFER));
       open.add(in);
       next = read();
     }
@@ -172,8 +176,17 @@
           open.remove(in);
           return null;
         }
-        return new Item(new TraceRow(time, in.readUTF(), in.readInt(), in.readInt(), in.readUTF(), in.readDouble(),
-            in.readLong(), in.readUTF()), in.readLong());
+        return new Item(
+            new TraceRow(
+                time,
+                in.readUTF(),
+                in.readInt(),
+                in.readInt(),
+                in.readUTF(),
+                in.readDouble(),
+                in.readLong(),
+                in.readUTF()),
+            in.readLong());
       } catch (IOException fault) {
         throw new UncheckedIOException(fault);
       }
--- a/lab/src/main/java/tidebank/lab/trace/order/Unwrap.java
+++ b/lab/src/main/java/tidebank/lab/trace/order/Unwrap.java
@@ -1,8 +1,8 @@
 package tidebank.lab.trace.order;
 
 /**
- * Makes one clock out of a counter that wraps. A step back by more than half the period is a wrap, one forward by more
- * than half is a straggler from before the last wrap. Pure.
+ * Makes one clock out of a counter that wraps. A step back by more than half the period is a wrap,
+ * one forward by more than half is a straggler from before the last wrap. Pure.
  */
 public final class Unwrap {
   private final double period;
--- a/lab/src/main/java/tidebank/lab/trace/order/Window.java
+++ b/lab/src/main/java/tidebank/lab/trace/order/Window.java
@@ -3,7 +3,10 @@
 import java.io.IOException;
 import java.util.PriorityQueue;
 
-/** A bounded window over a stream that is nearly in order: rows leave it by time, the least first, when it is full. */
+/**
+ * A bounded window over a stream that is nearly in order: rows leave it by time, the least first,
+ * when it is full.
+ */
 public final class Window {
   /** Where rows go; it may fail as a file may. */
   public interface Sink {
@@ -27,7 +30,8 @@
   /** Takes a row; says what became of it. A rejected one is the caller's to account for. */
   public Lateness.Way take(Item item) throws IOException {
     Lateness.Way way = lateness.of(item.row().timeUs());
-    // At the instant of the last row let go, the order by content decides: else it would be the source's.
+    // At the instant of the last row let go, the order by content decides: else it would be the
+    // source's.
     if (way == Lateness.Way.IN_TIME && last != null && Item.ORDER.compare(item, last) < 0) {
       way = Lateness.Way.SORTED_ON_DISK;
     }
@@ -39,7 +43,7 @@
         }
       }
       case SORTED_ON_DISK -> stragglers.take(item);
-      default -> { }
+      default -> {}
     }
     return way;
   }
--- a/lab/src/main/java/tidebank/lab/trace/read/Importer.java
+++ b/lab/src/main/java/tidebank/lab/trace/read/Importer.java
@@ -25,8 +25,9 @@
 import tidebank.lab.trace.store.TraceMeta;
 
 /**
- * From files of CSV to the normal form. Rows that are nearly in order pass a bounded window and are written once; rows
- * behind it are sorted on disk and merged in at the end. Every row is accounted for.
+ * From files of CSV to the normal form. Rows that are nearly in order pass a bounded window and are
+ * written once; rows behind it are sorted on disk and merged in at the end. Every row is accounted
+ * for.
  */
 public final class Importer {
   /**
@@ -61,15 +62,27 @@
     Path first = to.resolveSibling("." + to.getFileName() + ".first");
     Path folder = to.resolveSibling("." + to.getFileName() + ".spill");
     TraceMeta meta = TraceMeta.fresh(source.toString(), "", mapping.digest(), mapping.depots());
-    try (Rejects rejects = new Rejects(rejectsTo); SpillSort spill = new SpillSort(limits.spillRows(), folder)) {
+    try (Rejects rejects = new Rejects(rejectsTo);
+        SpillSort spill = new SpillSort(limits.spillRows(), folder)) {
       Pass pass = new Pass(rejects, spill);
       String digest;
       try (TraceFile.Writer writer = new TraceFile.Writer(first, meta)) {
         pass.begin(source, writer);
         digest = source.read(pass);
         pass.window.finish();
-        meta = new TraceMeta(meta.schema(), meta.source(), digest, meta.mappingDigest(), 0, 0, 0, "", meta.depots(),
-            meta.notes()).note("layout", mapping.layout().name());
+        meta =
+            new TraceMeta(
+                    meta.schema(),
+                    meta.source(),
+                    digest,
+                    meta.mappingDigest(),
+                    0,
+                    0,
+                    0,
+                    "",
+                    meta.depots(),
+                    meta.notes())
+                .note("layout", mapping.layout().name());
         if (spill.rows() == 0) {
           pass.tally.check();
           writer.meta(told(meta, pass.tally, 0));
@@ -77,11 +90,18 @@
         meta = writer.finish();
       }
       if (pass.tally.rowsOut() == 0 && spill.rows() == 0) {
-        throw new IOException(source + ": no row is a request; rejected " + pass.tally.rejected() + ", left out "
-            + pass.tally.leftOut());
+        throw new IOException(
+            source
+                + ": no row is a request; rejected "
+                + pass.tally.rejected()
+                + ", left out "
+                + pass.tally.leftOut());
       }
       if (spill.rows() == 0) {
-        Files.move(first, to, java.nio.file.StandardCopyOption.REPLACE_EXISTING,
+        Files.move(
+            first,
+            to,
+            java.nio.file.StandardCopyOption.REPLACE_EXISTING,
             java.nio.file.StandardCopyOption.ATOMIC_MOVE);
       } else {
         meta = merge(first, spill, to, meta, pass.tally);
@@ -95,27 +115,32 @@
   }
 
   private static TraceMeta told(TraceMeta meta, Tally tally, long onDisk) {
-    return meta.note("lines_in", tally.linesIn()).note("expanded", tally.expandedRows())
-        .note("rejected", tally.rejected()).note("left_out", tally.leftOut()).note("sorted_on_disk", onDisk);
+    return meta.note("lines_in", tally.linesIn())
+        .note("expanded", tally.expandedRows())
+        .note("rejected", tally.rejected())
+        .note("left_out", tally.leftOut())
+        .note("sorted_on_disk", onDisk);
   }
 
   /** Stragglers into the first file's rows; what is one event told twice shows only now. */
-  private static TraceMeta merge(Path first, SpillSort spill, Path to, TraceMeta meta, Tally tally) throws IOException {
+  private static TraceMeta merge(Path first, SpillSort spill, Path to, TraceMeta meta, Tally tally)
+      throws IOException {
     try (TraceFile.Reader inOrder = new TraceFile.Reader(first);
         TraceFile.Writer writer = new TraceFile.Writer(to, meta)) {
       long origin = inOrder.meta().originUs();
-      Iterator<Item> absolute = new Iterator<>() {
-        @Override
-        public boolean hasNext() {
-          return inOrder.hasNext();
-        }
+      Iterator<Item> absolute =
+          new Iterator<>() {
+            @Override
+            public boolean hasNext() {
+              return inOrder.hasNext();
+            }
 
-        @Override
-        public Item next() {
-          Item item = inOrder.next();
-          return new Item(item.row().at(item.row().timeUs() + origin), item.event());
-        }
-      };
+            @Override
+            public Item next() {
+              Item item = inOrder.next();
+              return new Item(item.row().at(item.row().timeUs() + origin), item.event());
+            }
+          };
       Once once = new Once();
       long twice = 0;
       Iterator<Item> merged = Merge.of(List.of(absolute, spill.sorted()), Item.ORDER);
@@ -161,8 +186,10 @@
 
     void begin(Source source, TraceFile.Writer to) throws IOException {
       writer = to;
-      window = new Window(limits.windowRows(), new Lateness(limits.lateUs()), this::inOrder, spill::add);
-      // The columns are known with the first file's header; expressions that learn need a pass of their own.
+      window =
+          new Window(limits.windowRows(), new Lateness(limits.lateUs()), this::inOrder, spill::add);
+      // The columns are known with the first file's header; expressions that learn need a pass of
+      // their own.
       Learner learner = new Learner();
       learner.look(source);
     }
@@ -218,7 +245,8 @@
       try {
         try {
           TraceRow row = bound.map(raw, clock.unwrap(bound.timeUs(raw)));
-          long event = raw.identity().isEmpty() ? 0 : Hashing.xxh3_64().hashCharsToLong(raw.identity());
+          long event =
+              raw.identity().isEmpty() ? 0 : Hashing.xxh3_64().hashCharsToLong(raw.identity());
           if (window.take(new Item(row, event)) == Lateness.Way.REJECTED) {
             account(file, number, fields, Fault.reject("too-late"));
           }
@@ -230,7 +258,8 @@
       }
     }
 
-    private void account(Path file, long number, List<String> fields, Fault fault) throws IOException {
+    private void account(Path file, long number, List<String> fields, Fault fault)
+        throws IOException {
       if (fault.bad()) {
         tally.reject(fault.getMessage());
         rejects.add(file, number, fault.getMessage(), fields);
--- a/lab/src/main/java/tidebank/lab/trace/read/Rejects.java
+++ b/lab/src/main/java/tidebank/lab/trace/read/Rejects.java
@@ -7,7 +7,10 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** The file of lines that are no good: where, why, and how they begin. It is made with its first line. */
+/**
+ * The file of lines that are no good: where, why, and how they begin. It is made with its first
+ * line.
+ */
 final class Rejects implements Closeable {
   private static final int TEXT_MOST = 200;
   private final Path path;
@@ -29,7 +32,10 @@
       writer.writeRecord("file", "line", "cause", "text");
     }
     String text = String.join(",", fields);
-    writer.writeRecord(file.getFileName().toString(), String.valueOf(line), cause,
+    writer.writeRecord(
+        file.getFileName().toString(),
+        String.valueOf(line),
+        cause,
         text.length() <= TEXT_MOST ? text : text.substring(0, TEXT_MOST) + "...");
   }
 
--- a/lab/src/main/java/tidebank/lab/trace/read/Sniffer.java
+++ b/lab/src/main/java/tidebank/lab/trace/read/Sniffer.java
@@ -11,6 +11,7 @@
 public final class Sniffer {
   private static final int LINES = 200;
   private static final double LEAST = 0.35;
+
   /** Two layouts that are this near each other both fit. */
   private static final double NEAR = 0.05;
 
@@ -39,11 +40,20 @@
     Guess first = all.get(0);
     Guess second = all.get(1);
     if (first.score() < LEAST) {
-      return new Finding(all, null, "no known layout fits; a mapping with layout = \"generic\" reads any CSV with a header");
+      return new Finding(
+          all,
+          null,
+          "no known layout fits; a mapping with layout = \"generic\" reads any CSV with a header");
     }
     if (second.score() >= LEAST && first.score() - second.score() < NEAR) {
-      return new Finding(all, null, "two fit alike: " + first.layout().name() + " and " + second.layout().name()
-          + "; name one with --layout");
+      return new Finding(
+          all,
+          null,
+          "two fit alike: "
+              + first.layout().name()
+              + " and "
+              + second.layout().name()
+              + "; name one with --layout");
     }
     return new Finding(all, first.layout(), first.layout().name());
   }
--- a/lab/src/main/java/tidebank/lab/trace/read/Source.java
+++ b/lab/src/main/java/tidebank/lab/trace/read/Source.java
@@ -18,7 +18,10 @@
 import java.util.List;
 import java.util.zip.GZIPInputStream;
 
-/** Files of CSV, plain or packed by gzip or zstd (told by their first bytes, not their names), read one after another. */
+/**
+ * Files of CSV, plain or packed by gzip or zstd (told by their first bytes, not their names), read
+ * one after another.
+ */
 public final class Source {
   private static final int BUFFER = 1 << 16;
 
@@ -59,10 +62,16 @@
     }
     to.begins(file);
     long[] at = {0};
-    try (InputStream raw = new DigestInputStream(new BufferedInputStream(Files.newInputStream(file), BUFFER), digest);
+    try (InputStream raw =
+            new DigestInputStream(
+                new BufferedInputStream(Files.newInputStream(file), BUFFER), digest);
         InputStream plain = unpacked(raw);
-        CsvReader<CsvRecord> reader = CsvReader.builder().detectBomHeader(true).ignoreDifferentFieldCount(true)
-            .skipEmptyLines(true).ofCsvRecord(new InputStreamReader(plain, StandardCharsets.UTF_8))) {
+        CsvReader<CsvRecord> reader =
+            CsvReader.builder()
+                .detectBomHeader(true)
+                .ignoreDifferentFieldCount(true)
+                .skipEmptyLines(true)
+                .ofCsvRecord(new InputStreamReader(plain, StandardCharsets.UTF_8))) {
       for (CsvRecord line : reader) {
         at[0] = line.getStartingLineNumber();
         if (!to.line(file, at[0], noMark(line))) {
@@ -73,11 +82,14 @@
       raw.transferTo(java.io.OutputStream.nullOutputStream());
       return true;
     } catch (IOException fault) {
-      throw new IOException(file + ": cannot be read on after line " + at[0] + ": " + fault.getMessage(), fault);
+      throw new IOException(
+          file + ": cannot be read on after line " + at[0] + ": " + fault.getMessage(), fault);
     } catch (RuntimeException fault) {
       Throwable cause = fault.getCause() instanceof IOException io ? io : fault;
-      if (fault instanceof java.io.UncheckedIOException || fault.getClass().getName().startsWith("de.siegmar")) {
-        throw new IOException(file + ": cannot be read on after line " + at[0] + ": " + cause.getMessage(), cause);
+      if (fault instanceof java.io.UncheckedIOException
+          || fault.getClass().getName().startsWith("de.siegmar")) {
+        throw new IOException(
+            file + ": cannot be read on after line " + at[0] + ": " + cause.getMessage(), cause);
       }
       throw fault;
     }
@@ -86,7 +98,9 @@
   /** A byte order mark is no part of the first field. */
   private static List<String> noMark(CsvRecord line) {
     List<String> fields = line.getFields();
-    if (line.getStartingLineNumber() == 1 && !fields.isEmpty() && fields.get(0).startsWith("\ufeff")) {
+    if (line.getStartingLineNumber() == 1
+        && !fields.isEmpty()
+        && fields.get(0).startsWith("\ufeff")) {
       fields = new ArrayList<>(fields);
       fields.set(0, fields.get(0).substring(1));
     }
@@ -102,7 +116,10 @@
     if (first.length >= 2 && (first[0] & 0xff) == 0x1f && (first[1] & 0xff) == 0x8b) {
       return new GZIPInputStream(marked, BUFFER);
     }
-    if (first.length == 4 && (first[0] & 0xff) == 0x28 && (first[1] & 0xff) == 0xb5 && (first[2] & 0xff) == 0x2f
+    if (first.length == 4
+        && (first[0] & 0xff) == 0x28
+        && (first[1] & 0xff) == 0xb5
+        && (first[2] & 0xff) == 0x2f
         && (first[3] & 0xff) == 0xfd) {
       return new ZstdInputStream(marked);
     }
@@ -112,10 +129,11 @@
   /** The first lines, for a look at what they are. */
   public List<List<String>> first(int lines) throws IOException {
     List<List<String>> found = new ArrayList<>();
-    read((file, number, fields) -> {
-      found.add(fields);
-      return found.size() < lines;
-    });
+    read(
+        (file, number, fields) -> {
+          found.add(fields);
+          return found.size() < lines;
+        });
     return found;
   }
 
--- a/lab/src/main/java/tidebank/lab/trace/shape/Rows.java
+++ b/lab/src/main/java/tidebank/lab/trace/shape/Rows.java
@@ -12,8 +12,8 @@
 import tidebank.lab.trace.store.TraceFile;
 
 /**
- * Rows that can be opened again and again, at any window, in order of time: a file, or a shape of other rows. What a
- * shape gives depends on its rows and its seed only.
+ * Rows that can be opened again and again, at any window, in order of time: a file, or a shape of
+ * other rows. What a shape gives depends on its rows and its seed only.
  */
 public interface Rows {
   /** How long they go on, in microseconds; all times are below it. */
@@ -82,8 +82,11 @@
 
   /** Rows in memory, in order. */
   static Rows of(List<TraceRow> rows, long lengthUs) {
-    return made(lengthUs, rows.size(),
-        (from, until) -> rows.stream().filter(row -> row.timeUs() >= from && row.timeUs() < until).iterator());
+    return made(
+        lengthUs,
+        rows.size(),
+        (from, until) ->
+            rows.stream().filter(row -> row.timeUs() >= from && row.timeUs() < until).iterator());
   }
 
   /** What opens a window. */
--- a/lab/src/main/java/tidebank/lab/trace/shape/Shapes.java
+++ b/lab/src/main/java/tidebank/lab/trace/shape/Shapes.java
@@ -9,10 +9,10 @@
 import tidebank.lab.trace.order.Merge;
 
 /**
- * Shapes of traces. What each keeps: a time warp keeps counts, burstiness by count and keys, and stretches time;
- * superposition keeps the index of dispersion and the skew of keys; thinning by row keeps the skew and pulls the index of
- * dispersion towards 1 (to 1 + p (d - 1)); thinning by key keeps each kept key's own bursts, but which keys are kept is a
- * matter of the seed.
+ * Shapes of traces. What each keeps: a time warp keeps counts, burstiness by count and keys, and
+ * stretches time; superposition keeps the index of dispersion and the skew of keys; thinning by row
+ * keeps the skew and pulls the index of dispersion towards 1 (to 1 + p (d - 1)); thinning by key
+ * keeps each kept key's own bursts, but which keys are kept is a matter of the seed.
  */
 public final class Shapes {
   /** What a row is kept or left by. */
@@ -34,8 +34,12 @@
     long from = Math.max(0, Math.min(fromUs, of.lengthUs()));
     long until = Math.max(from, Math.min(untilUs, of.lengthUs()));
     double share = of.lengthUs() == 0 ? 0 : (double) (until - from) / of.lengthUs();
-    return Rows.made(until - from, of.count() * share, (a, b) -> Rows.mapped(
-        of.open(from + a, Math.min(until, from + b)), row -> row.at(row.timeUs() - from)));
+    return Rows.made(
+        until - from,
+        of.count() * share,
+        (a, b) ->
+            Rows.mapped(
+                of.open(from + a, Math.min(until, from + b)), row -> row.at(row.timeUs() - from)));
   }
 
   /** All times by a factor: 2 is twice as slow. */
@@ -44,32 +48,59 @@
       throw new IllegalArgumentException("a time warp wants a factor above 0, found " + factor);
     }
     long length = Math.max(1, (long) Math.ceil(of.lengthUs() * factor));
-    return Rows.made(length, of.count(), (a, b) -> Rows.filtered(Rows.mapped(
-        // One microsecond more at each end, as times are rounded down.
-        of.open((long) Math.floor(a / factor), (long) Math.ceil(b / factor) + 1),
-        row -> row.at((long) (row.timeUs() * factor))), row -> row.timeUs() >= a && row.timeUs() < b));
+    return Rows.made(
+        length,
+        of.count(),
+        (a, b) ->
+            Rows.filtered(
+                Rows.mapped(
+                    // One microsecond more at each end, as times are rounded down.
+                    of.open((long) Math.floor(a / factor), (long) Math.ceil(b / factor) + 1),
+                    row -> row.at((long) (row.timeUs() * factor))),
+                row -> row.timeUs() >= a && row.timeUs() < b));
   }
 
   /** Only a share of the rows, by chance. */
   public static Rows thin(Rows of, double share, By by, long seed) {
     if (!(share > 0 && share <= 1)) {
-      throw new IllegalArgumentException("thinning wants a share above 0 and at most 1, found " + share);
+      throw new IllegalArgumentException(
+          "thinning wants a share above 0 and at most 1, found " + share);
     }
-    return Rows.made(of.lengthUs(), of.count() * share, (a, b) -> {
-      // Rows alike at one instant are told apart by how many of them came before.
-      long[] alike = {0};
-      TraceRow[] before = {null};
-      return Rows.filtered(of.open(a, b), row -> {
-        alike[0] = row.equals(before[0]) ? alike[0] + 1 : 0;
-        before[0] = row;
-        String name = by == By.KEY ? row.key() : row.timeUs() + "/" + row.key() + "/" + row.depot() + "/"
-            + row.workUs() + "/" + row.account() + "/" + alike[0];
-        return chance(seed, name) < share;
-      });
-    });
+    return Rows.made(
+        of.lengthUs(),
+        of.count() * share,
+        (a, b) -> {
+          // Rows alike at one instant are told apart by how many of them came before.
+          long[] alike = {0};
+          TraceRow[] before = {null};
+          return Rows.filtered(
+              of.open(a, b),
+              row -> {
+                alike[0] = row.equals(before[0]) ? alike[0] + 1 : 0;
+                before[0] = row;
+                String name =
+                    by == By.KEY
+                        ? row.key()
+                        : row.timeUs()
+                            + "/"
+                            + row.key()
+                            + "/"
+                            + row.depot()
+                            + "/"
+                            + row.workUs()
+                            + "/"
+                            + row.account()
+                            + "/"
+                            + alike[0];
+                return chance(seed, name) < share;
+              });
+        });
   }
 
-  /** So many copies at once, each turned round in time by an offset of its own, so that their bursts do not coincide. */
+  /**
+   * So many copies at once, each turned round in time by an offset of its own, so that their bursts
+   * do not coincide.
+   */
   public static Rows superpose(Rows of, int copies, long seed) {
     if (copies < 1) {
       throw new IllegalArgumentException("superposition wants one copy at least, found " + copies);
@@ -84,42 +115,63 @@
   /** Turned round in time: what came at the offset comes at 0, what came before it comes last. */
   static Rows turned(Rows of, long offset) {
     long length = of.lengthUs();
-    return Rows.made(length, of.count(), (a, b) -> {
-      long cut = length - offset;
-      return Rows.chained(2, piece -> piece == 0
-          ? Rows.mapped(of.open(Math.min(length, a + offset), Math.min(length, b + offset)),
-              row -> row.at(row.timeUs() - offset))
-          : Rows.mapped(of.open(Math.max(0, a - cut), Math.max(0, b - cut)), row -> row.at(row.timeUs() + cut)));
-    });
+    return Rows.made(
+        length,
+        of.count(),
+        (a, b) -> {
+          long cut = length - offset;
+          return Rows.chained(
+              2,
+              piece ->
+                  piece == 0
+                      ? Rows.mapped(
+                          of.open(Math.min(length, a + offset), Math.min(length, b + offset)),
+                          row -> row.at(row.timeUs() - offset))
+                      : Rows.mapped(
+                          of.open(Math.max(0, a - cut), Math.max(0, b - cut)),
+                          row -> row.at(row.timeUs() + cut)));
+        });
   }
 
   /** Several traces at once, as long as the longest. */
   public static Rows merge(List<Rows> all) {
     long length = all.stream().mapToLong(Rows::lengthUs).max().orElse(0);
     double count = all.stream().mapToDouble(Rows::count).sum();
-    return Rows.made(length, count, (a, b) -> {
-      List<Iterator<TraceRow>> opened = new ArrayList<>();
-      all.forEach(rows -> opened.add(rows.open(a, b)));
-      return Merge.of(opened, TraceRow.ORDER);
-    });
+    return Rows.made(
+        length,
+        count,
+        (a, b) -> {
+          List<Iterator<TraceRow>> opened = new ArrayList<>();
+          all.forEach(rows -> opened.add(rows.open(a, b)));
+          return Merge.of(opened, TraceRow.ORDER);
+        });
   }
 
   /** Over and over, until this time. */
   public static Rows loop(Rows of, long untilUs) {
     long length = Math.max(1, of.lengthUs());
-    return Rows.made(untilUs, of.count() * untilUs / length, (a, b) -> {
-      long end = Math.min(b, untilUs);
-      long first = a / length;
-      int rounds = end <= a ? 0 : (int) ((end - 1) / length - first + 1);
-      return Rows.chained(rounds, round -> {
-        long base = (first + round) * length;
-        return Rows.mapped(of.open(Math.max(0, a - base), Math.min(length, end - base)),
-            row -> row.at(row.timeUs() + base));
-      });
-    });
+    return Rows.made(
+        untilUs,
+        of.count() * untilUs / length,
+        (a, b) -> {
+          long end = Math.min(b, untilUs);
+          long first = a / length;
+          int rounds = end <= a ? 0 : (int) ((end - 1) / length - first + 1);
+          return Rows.chained(
+              rounds,
+              round -> {
+                long base = (first + round) * length;
+                return Rows.mapped(
+                    of.open(Math.max(0, a - base), Math.min(length, end - base)),
+                    row -> row.at(row.timeUs() + base));
+              });
+        });
   }
 
-  /** To a rate in rows a second, either by time alone or by copies (and by thinning what is too much). */
+  /**
+   * To a rate in rows a second, either by time alone or by copies (and by thinning what is too
+   * much).
+   */
   public static Rows scale(Rows of, double perS, Scale how, long seed) {
     if (!(perS > 0)) {
       throw new IllegalArgumentException("a rate wants to be above 0, found " + perS);
--- a/lab/src/main/java/tidebank/lab/trace/stats/TraceStats.java
+++ b/lab/src/main/java/tidebank/lab/trace/stats/TraceStats.java
@@ -12,8 +12,9 @@
 import tidebank.lab.trace.TraceRow;
 
 /**
- * What a trace is like: how fast, how bursty, how skewed, how large. Pure; rows come in order. Times between arrivals and
- * sizes are kept as histograms of three digits; keys are counted one by one, as their skew is in the tail too.
+ * What a trace is like: how fast, how bursty, how skewed, how large. Pure; rows come in order.
+ * Times between arrivals and sizes are kept as histograms of three digits; keys are counted one by
+ * one, as their skew is in the tail too.
  */
 public final class TraceStats {
   static final double[] QUANTILES = {1, 10, 25, 50, 75, 90, 99, 99.9};
@@ -127,9 +128,23 @@
     long[] byKey = keyCounts();
     long hottest = depots.values().stream().mapToLong(Long::longValue).max().orElse(0);
     double workSum = work.getMean() / 1e6 * parts.getMean() * rows;
-    return new Summary(rows, seconds, rows / seconds, Arrays.stream(counts).max().orElse(0), dispersion, autocorrelation,
-        byKey.length, zipf(byKey), byKey.length == 0 ? 0 : (double) byKey[0] / rows, (double) hottest / Math.max(1, rows),
-        shares, accounts.size(), quantiles(between, 1000), quantiles(work, 1000), quantiles(parts, 1), workSum / seconds);
+    return new Summary(
+        rows,
+        seconds,
+        rows / seconds,
+        Arrays.stream(counts).max().orElse(0),
+        dispersion,
+        autocorrelation,
+        byKey.length,
+        zipf(byKey),
+        byKey.length == 0 ? 0 : (double) byKey[0] / rows,
+        (double) hottest / Math.max(1, rows),
+        shares,
+        accounts.size(),
+        quantiles(between, 1000),
+        quantiles(work, 1000),
+        quantiles(parts, 1),
+        workSum / seconds);
   }
 
   private static Map<Double, Double> quantiles(Histogram histogram, double unit) {
@@ -140,7 +155,10 @@
     return values;
   }
 
-  /** Index of dispersion of counts: their variance over their mean; 1 for a Poisson process at any scale. */
+  /**
+   * Index of dispersion of counts: their variance over their mean; 1 for a Poisson process at any
+   * scale.
+   */
   static double dispersion(int[] counts, int scale) {
     int slots = counts.length / scale;
     double[] sums = new double[slots];
@@ -148,7 +166,8 @@
       sums[i / scale] += counts[i];
     }
     double mean = Arrays.stream(sums).average().orElse(0);
-    double variance = Arrays.stream(sums).map(sum -> (sum - mean) * (sum - mean)).sum() / Math.max(1, slots - 1);
+    double variance =
+        Arrays.stream(sums).map(sum -> (sum - mean) * (sum - mean)).sum() / Math.max(1, slots - 1);
     return mean == 0 ? Double.NaN : variance / mean;
   }
 
@@ -166,9 +185,9 @@
   }
 
   /**
-   * Zipf's exponent by maximum likelihood over the ranks, on a finite number of keys; found by halving an interval, as
-   * the likelihood's slope falls with the exponent. Ranks are taken from the counts, so with few rows a key it leans to
-   * the high side.
+   * Zipf's exponent by maximum likelihood over the ranks, on a finite number of keys; found by
+   * halving an interval, as the likelihood's slope falls with the exponent. Ranks are taken from
+   * the counts, so with few rows a key it leans to the high side.
    */
   public static double zipf(long[] counts) {
     if (counts.length < 2) {
--- a/lab/src/main/java/tidebank/lab/trace/store/RowDigest.java
+++ b/lab/src/main/java/tidebank/lab/trace/store/RowDigest.java
@@ -10,9 +10,15 @@
   private final HashStream64 hash = Hashing.xxh3_64().hashStream();
 
   void add(Item item) {
-    hash.putLong(item.row().timeUs()).putString(item.row().tableType()).putInt(item.row().depot())
-        .putInt(item.row().parts()).putString(item.row().key()).putDouble(item.row().weight())
-        .putLong(item.row().workUs()).putString(item.row().account()).putLong(item.event());
+    hash.putLong(item.row().timeUs())
+        .putString(item.row().tableType())
+        .putInt(item.row().depot())
+        .putInt(item.row().parts())
+        .putString(item.row().key())
+        .putDouble(item.row().weight())
+        .putLong(item.row().workUs())
+        .putString(item.row().account())
+        .putLong(item.event());
   }
 
   String hex() {
--- a/lab/src/main/java/tidebank/lab/trace/store/TraceFile.java
+++ b/lab/src/main/java/tidebank/lab/trace/store/TraceFile.java
@@ -44,9 +44,9 @@
 import tidebank.lab.trace.order.Item;
 
 /**
- * The normal form on disk: Parquet, rows in order of time, pages with checksums, and a description in its footer. The
- * page index over the time column opens a window in the middle without the rest being read. A file is written beside
- * its name and takes it when it is whole.
+ * The normal form on disk: Parquet, rows in order of time, pages with checksums, and a description
+ * in its footer. The page index over the time column opens a window in the middle without the rest
+ * being read. A file is written beside its name and takes it when it is whole.
  */
 public final class TraceFile {
   private static final long GROUP_BYTES = 16L << 20;
@@ -54,21 +54,37 @@
   private static final int PAGE_ROWS = 10_000;
   private static final LongColumn TIME = FilterApi.longColumn("time_us");
 
-  private static final MessageType SCHEMA = Types.buildMessage()
-      .required(PrimitiveTypeName.INT64).named("time_us")
-      .required(PrimitiveTypeName.BINARY).as(LogicalTypeAnnotation.stringType()).named("table_type")
-      .required(PrimitiveTypeName.INT32).named("depot")
-      .required(PrimitiveTypeName.INT32).named("parts")
-      .required(PrimitiveTypeName.BINARY).as(LogicalTypeAnnotation.stringType()).named("key")
-      .required(PrimitiveTypeName.DOUBLE).named("weight")
-      .required(PrimitiveTypeName.INT64).named("work_us")
-      .required(PrimitiveTypeName.BINARY).as(LogicalTypeAnnotation.stringType()).named("account")
-      .required(PrimitiveTypeName.INT64).named("event")
-      .named("trace");
+  private static final MessageType SCHEMA =
+      Types.buildMessage()
+          .required(PrimitiveTypeName.INT64)
+          .named("time_us")
+          .required(PrimitiveTypeName.BINARY)
+          .as(LogicalTypeAnnotation.stringType())
+          .named("table_type")
+          .required(PrimitiveTypeName.INT32)
+          .named("depot")
+          .required(PrimitiveTypeName.INT32)
+          .named("parts")
+          .required(PrimitiveTypeName.BINARY)
+          .as(LogicalTypeAnnotation.stringType())
+          .named("key")
+          .required(PrimitiveTypeName.DOUBLE)
+          .named("weight")
+          .required(PrimitiveTypeName.INT64)
+          .named("work_us")
+          .required(PrimitiveTypeName.BINARY)
+          .as(LogicalTypeAnnotation.stringType())
+          .named("account")
+          .required(PrimitiveTypeName.INT64)
+          .named("event")
+          .named("trace");
 
   private TraceFile() {}
 
-  /** Writes rows that come in order. Times are the trace's own; the description notes where it begins. */
+  /**
+   * Writes rows that come in order. Times are the trace's own; the description notes where it
+   * begins.
+   */
   public static final class Writer implements Closeable {
     private final Path path;
     private final Path beside;
@@ -83,10 +99,17 @@
       Files.createDirectories(parent);
       beside = parent.resolve("." + path.getFileName() + ".part");
       support = new Support(meta);
-      writer = new Builder(beside, support).withConf(new PlainParquetConfiguration())
-          .withWriteMode(ParquetFileWriter.Mode.OVERWRITE).withCompressionCodec(CompressionCodecName.ZSTD)
-          .withRowGroupSize(GROUP_BYTES).withPageSize(PAGE_BYTES).withPageRowCountLimit(PAGE_ROWS)
-          .withPageWriteChecksumEnabled(true).withCodecFactory(new ZstdCodecs()).build();
+      writer =
+          new Builder(beside, support)
+              .withConf(new PlainParquetConfiguration())
+              .withWriteMode(ParquetFileWriter.Mode.OVERWRITE)
+              .withCompressionCodec(CompressionCodecName.ZSTD)
+              .withRowGroupSize(GROUP_BYTES)
+              .withPageSize(PAGE_BYTES)
+              .withPageRowCountLimit(PAGE_ROWS)
+              .withPageWriteChecksumEnabled(true)
+              .withCodecFactory(new ZstdCodecs())
+              .build();
     }
 
     public void add(Item item) throws IOException {
@@ -250,8 +273,12 @@
       throw new IOException(path + ": there is no such file");
     }
     String json;
-    try (ParquetFileReader reader = ParquetFileReader.open(file,
-        ParquetReadOptions.builder(new PlainParquetConfiguration()).withCodecFactory(new ZstdCodecs()).build())) {
+    try (ParquetFileReader reader =
+        ParquetFileReader.open(
+            file,
+            ParquetReadOptions.builder(new PlainParquetConfiguration())
+                .withCodecFactory(new ZstdCodecs())
+                .build())) {
       json = reader.getFileMetaData().getKeyValueMetaData().get(TraceMeta.KEY);
     } catch (RuntimeException | IOException fault) {
       throw new Damaged(path + ": no whole Parquet file: " + fault.getMessage(), fault);
@@ -261,7 +288,8 @@
     }
     TraceMeta meta = TraceMeta.read(json);
     if (meta.schema() > TraceMeta.SCHEMA) {
-      throw new Damaged(path + ": its form " + meta.schema() + " is newer than the known " + TraceMeta.SCHEMA);
+      throw new Damaged(
+          path + ": its form " + meta.schema() + " is newer than the known " + TraceMeta.SCHEMA);
     }
     return meta;
   }
@@ -294,9 +322,12 @@
       digest = all ? new RowDigest() : null;
       from = fromUs;
       until = untilUs;
-      FilterPredicate window = FilterApi.and(FilterApi.gtEq(TIME, meta.originUs() + Math.max(0, fromUs)),
-          FilterApi.lt(TIME, meta.originUs() + Math.min(untilUs, meta.endUs() + 1)));
-      ParquetReader.Builder<Item> builder = new ReaderBuilder(file).usePageChecksumVerification().withCodecFactory(new ZstdCodecs());
+      FilterPredicate window =
+          FilterApi.and(
+              FilterApi.gtEq(TIME, meta.originUs() + Math.max(0, fromUs)),
+              FilterApi.lt(TIME, meta.originUs() + Math.min(untilUs, meta.endUs() + 1)));
+      ParquetReader.Builder<Item> builder =
+          new ReaderBuilder(file).usePageChecksumVerification().withCodecFactory(new ZstdCodecs());
       reader = (all ? builder : builder.withFilter(FilterCompat.get(window))).build();
       advance();
     }
@@ -309,16 +340,24 @@
       try {
         next = reader.read();
       } catch (IOException | RuntimeException fault) {
-        throw new UncheckedIOException(new Damaged(path + ": damaged after row " + rows + ": " + fault.getMessage(), fault));
+        throw new UncheckedIOException(
+            new Damaged(path + ": damaged after row " + rows + ": " + fault.getMessage(), fault));
       }
       if (next != null) {
         rows++;
         if (digest != null) {
           digest.add(next);
         }
-      } else if (digest != null && (rows != meta.rows() || !digest.hex().equals(meta.rowsDigest()))) {
-        throw new UncheckedIOException(new Damaged(path + ": damaged: " + rows + " rows of " + meta.rows()
-            + (rows == meta.rows() ? ", but others than were written" : "")));
+      } else if (digest != null
+          && (rows != meta.rows() || !digest.hex().equals(meta.rowsDigest()))) {
+        throw new UncheckedIOException(
+            new Damaged(
+                path
+                    + ": damaged: "
+                    + rows
+                    + " rows of "
+                    + meta.rows()
+                    + (rows == meta.rows() ? ", but others than were written" : "")));
       }
     }
 
@@ -352,7 +391,8 @@
     protected ReadSupport<Item> getReadSupport() {
       return new ReadSupport<>() {
         @Override
-        public ReadContext init(ParquetConfiguration conf, Map<String, String> meta, MessageType schema) {
+        public ReadContext init(
+            ParquetConfiguration conf, Map<String, String> meta, MessageType schema) {
           return new ReadContext(SCHEMA);
         }
 
@@ -364,7 +404,10 @@
 
         @Override
         public RecordMaterializer<Item> prepareForRead(
-            ParquetConfiguration conf, Map<String, String> meta, MessageType schema, ReadContext context) {
+            ParquetConfiguration conf,
+            Map<String, String> meta,
+            MessageType schema,
+            ReadContext context) {
           return new Rows();
         }
       };
@@ -379,43 +422,45 @@
     private final Map<Binary, String> words = new HashMap<>();
 
     private final Converter[] converters = new Converter[9];
-    private final GroupConverter root = new GroupConverter() {
-      @Override
-      public Converter getConverter(int field) {
-        return converters[field];
-      }
-
-      @Override
-      public void start() {}
-
-      @Override
-      public void end() {}
-    };
-
-    Rows() {
-      for (int i = 0; i < converters.length; i++) {
-        int field = i;
-        converters[i] = new PrimitiveConverter() {
+    private final GroupConverter root =
+        new GroupConverter() {
           @Override
-          public void addLong(long value) {
-            wholes[field] = value;
+          public Converter getConverter(int field) {
+            return converters[field];
           }
 
           @Override
-          public void addInt(int value) {
-            wholes[field] = value;
-          }
+          public void start() {}
 
           @Override
-          public void addDouble(double value) {
-            weight = value;
-          }
-
-          @Override
-          public void addBinary(Binary value) {
-            texts[field] = field == 4 ? value.toStringUsingUTF8() : word(value);
-          }
+          public void end() {}
         };
+
+    Rows() {
+      for (int i = 0; i < converters.length; i++) {
+        int field = i;
+        converters[i] =
+            new PrimitiveConverter() {
+              @Override
+              public void addLong(long value) {
+                wholes[field] = value;
+              }
+
+              @Override
+              public void addInt(int value) {
+                wholes[field] = value;
+              }
+
+              @Override
+              public void addDouble(double value) {
+                weight = value;
+              }
+
+              @Override
+              public void addBinary(Binary value) {
+                texts[field] = field == 4 ? value.toStringUsingUTF8() : word(value);
+              }
+            };
       }
     }
 
@@ -432,8 +477,17 @@
 
     @Override
     public Item getCurrentRecord() {
-      return new Item(new TraceRow(wholes[0], texts[1], (int) wholes[2], (int) wholes[3], texts[4], weight, wholes[6],
-          texts[7]), wholes[8]);
+      return new Item(
+          new TraceRow(
+              wholes[0],
+              texts[1],
+              (int) wholes[2],
+              (int) wholes[3],
+              texts[4],
+              weight,
+              wholes[6],
+              texts[7]),
+          wholes[8]);
     }
 
     @Override
@@ -441,5 +495,4 @@
       return root;
     }
   }
-
 }
--- a/lab/src/main/java/tidebank/lab/trace/store/TraceMeta.java
+++ b/lab/src/main/java/tidebank/lab/trace/store/TraceMeta.java
@@ -35,18 +35,31 @@
   private static final ObjectMapper JSON = new ObjectMapper();
 
   /** For a trace that is about to be written; what only its rows tell is filled in then. */
-  public static TraceMeta fresh(String source, String sourceDigest, String mappingDigest, int depots) {
-    return new TraceMeta(SCHEMA, source, sourceDigest, mappingDigest, 0, 0, 0, "", depots, new TreeMap<>());
+  public static TraceMeta fresh(
+      String source, String sourceDigest, String mappingDigest, int depots) {
+    return new TraceMeta(
+        SCHEMA, source, sourceDigest, mappingDigest, 0, 0, 0, "", depots, new TreeMap<>());
   }
 
   public TraceMeta note(String name, Object value) {
     Map<String, String> more = new TreeMap<>(notes);
     more.put(name, String.valueOf(value));
-    return new TraceMeta(schema, source, sourceDigest, mappingDigest, originUs, endUs, rows, rowsDigest, depots, more);
+    return new TraceMeta(
+        schema,
+        source,
+        sourceDigest,
+        mappingDigest,
+        originUs,
+        endUs,
+        rows,
+        rowsDigest,
+        depots,
+        more);
   }
 
   TraceMeta told(long origin, long end, long count, String digest) {
-    return new TraceMeta(schema, source, sourceDigest, mappingDigest, origin, end, count, digest, depots, notes);
+    return new TraceMeta(
+        schema, source, sourceDigest, mappingDigest, origin, end, count, digest, depots, notes);
   }
 
   public double seconds() {
--- a/lab/src/main/java/tidebank/lab/trace/synth/Arrivals.java
+++ b/lab/src/main/java/tidebank/lab/trace/synth/Arrivals.java
@@ -4,8 +4,9 @@
 import java.util.SplittableRandom;
 
 /**
- * Arrivals by second as a Poisson process whose rate is that of a hidden state (Markov-modulated), fitted to counts by
- * expectation and maximisation. How many states there are is chosen by Bayes' criterion.
+ * Arrivals by second as a Poisson process whose rate is that of a hidden state (Markov-modulated),
+ * fitted to counts by expectation and maximisation. How many states there are is chosen by Bayes'
+ * criterion.
  *
  * @param rates arrivals a second in each state
  * @param moves chance to go from one state to another from second to second
@@ -20,10 +21,13 @@
   public static Arrivals fit(int[] counts) {
     Arrivals best = null;
     double least = Double.POSITIVE_INFINITY;
-    for (int states = 1; states <= STATES_MOST && states * states < Math.max(2, counts.length); states++) {
+    for (int states = 1;
+        states <= STATES_MOST && states * states < Math.max(2, counts.length);
+        states++) {
       double[] likelihood = new double[1];
       Arrivals fitted = fit(counts, states, likelihood);
-      double criterion = -2 * likelihood[0] + states * states * Math.log(Math.max(2, counts.length));
+      double criterion =
+          -2 * likelihood[0] + states * states * Math.log(Math.max(2, counts.length));
       if (Double.isFinite(criterion) && criterion < least) {
         least = criterion;
         best = fitted;
@@ -41,7 +45,8 @@
     double[] first = new double[states];
     for (int s = 0; s < states; s++) {
       // Begun at the counts' own quantiles, a little apart where these are alike.
-      rates[s] = Math.max(RATE_LEAST, sorted[(int) ((s + 0.5) / states * n)] * (1 + 0.05 * s) + 0.01 * s);
+      rates[s] =
+          Math.max(RATE_LEAST, sorted[(int) ((s + 0.5) / states * n)] * (1 + 0.05 * s) + 0.01 * s);
       first[s] = 1.0 / states;
       for (int t = 0; t < states; t++) {
         moves[s][t] = states == 1 ? 1 : s == t ? 0.9 : 0.1 / (states - 1);
@@ -100,7 +105,8 @@
           weight[s] += here;
           arrivals[s] += here * counts[i];
           for (int to = 0; i < n - 1 && to < states; to++) {
-            went[s][to] += alpha[i][s] * moves[s][to] * chance[i + 1][to] * beta[i + 1][to] / scale[i + 1];
+            went[s][to] +=
+                alpha[i][s] * moves[s][to] * chance[i + 1][to] * beta[i + 1][to] / scale[i + 1];
           }
         }
       }
--- a/lab/src/main/java/tidebank/lab/trace/synth/Synthesis.java
+++ b/lab/src/main/java/tidebank/lab/trace/synth/Synthesis.java
@@ -14,12 +14,17 @@
 import tidebank.lab.trace.TraceRow;
 import tidebank.lab.trace.stats.TraceStats;
 
-/** Fits arrivals, popularity, table types and sizes to a trace, and makes rows of any length that are like it. */
+/**
+ * Fits arrivals, popularity, table types and sizes to a trace, and makes rows of any length that
+ * are like it.
+ */
 public final class Synthesis {
   private static final long SECOND_US = 1_000_000;
   private static final int SAMPLE = 4096;
 
-  /** What rows of a table type are like: sizes are drawn together, from a sample of what was seen. */
+  /**
+   * What rows of a table type are like: sizes are drawn together, from a sample of what was seen.
+   */
   private static final class Like {
     final Histogram work = new Histogram(3_600_000_000L, 3);
     final List<int[]> parts = new ArrayList<>();
@@ -83,7 +88,8 @@
     Choice<Integer> depots = new Choice<>(stats.depotCounts());
     Choice<String> types = new Choice<>(stats.typeCounts());
     Choice<String> accounts = new Choice<>(stats.accountCounts());
-    // What a key is about does not change from row to row, and the hottest keys make the hottest depots.
+    // What a key is about does not change from row to row, and the hottest keys make the hottest
+    // depots.
     Map<Integer, Integer> depotOf = new HashMap<>();
     List<String> byRank = stats.keysByRank();
     for (int rank = 0; rank < byRank.size(); rank++) {
@@ -120,9 +126,18 @@
         Like like = likes.get(type);
         int sample = chance.nextInt(like.parts.size());
         long work = like.work.getValueAtPercentile(chance.nextDouble() * 100);
-        int depot = depotOf.computeIfAbsent(rank, r -> depots.draw(new SplittableRandom(seed ^ (r * 0x9e3779b97f4a7c15L))));
-        return new TraceRow(times[at++], type, depot, like.parts.get(sample)[0], keyCounts.length == 0 ? "" : "k" + rank,
-            like.weights.get(sample), work, accounts.draw(chance));
+        int depot =
+            depotOf.computeIfAbsent(
+                rank, r -> depots.draw(new SplittableRandom(seed ^ (r * 0x9e3779b97f4a7c15L))));
+        return new TraceRow(
+            times[at++],
+            type,
+            depot,
+            like.parts.get(sample)[0],
+            keyCounts.length == 0 ? "" : "k" + rank,
+            like.weights.get(sample),
+            work,
+            accounts.draw(chance));
       }
     };
   }
@@ -148,28 +163,51 @@
     }
   }
 
-  /** How far off a made trace is: each statistic of the original, of the made one, and their relative difference. */
+  /**
+   * How far off a made trace is: each statistic of the original, of the made one, and their
+   * relative difference.
+   */
   public static Map<String, double[]> off(TraceStats.Summary original, TraceStats.Summary made) {
     Map<String, double[]> off = new LinkedHashMap<>();
     put(off, "rate a second", original.ratePerS(), made.ratePerS());
     put(off, "peak second", original.peakPerS(), made.peakPerS());
-    original.dispersion().forEach((scale, value) ->
-        put(off, "dispersion at " + scale + " s", value, made.dispersion().getOrDefault(scale, Double.NaN)));
+    original
+        .dispersion()
+        .forEach(
+            (scale, value) ->
+                put(
+                    off,
+                    "dispersion at " + scale + " s",
+                    value,
+                    made.dispersion().getOrDefault(scale, Double.NaN)));
     if (!original.autocorrelation().isEmpty() && !made.autocorrelation().isEmpty()) {
-      put(off, "autocorrelation at 1 s", original.autocorrelation().get(0), made.autocorrelation().get(0));
+      put(
+          off,
+          "autocorrelation at 1 s",
+          original.autocorrelation().get(0),
+          made.autocorrelation().get(0));
     }
     put(off, "Zipf exponent of keys", original.zipf(), made.zipf());
     put(off, "share of the hottest key", original.hottestKey(), made.hottestKey());
     put(off, "share of the hottest depot", original.hottestDepot(), made.hottestDepot());
     for (double quantile : new double[] {50.0, 99.0}) {
-      put(off, "work p" + (int) quantile + ", ms", original.workMs().get(quantile), made.workMs().get(quantile));
-      put(off, "between arrivals p" + (int) quantile + ", ms", original.betweenMs().get(quantile),
+      put(
+          off,
+          "work p" + (int) quantile + ", ms",
+          original.workMs().get(quantile),
+          made.workMs().get(quantile));
+      put(
+          off,
+          "between arrivals p" + (int) quantile + ", ms",
+          original.betweenMs().get(quantile),
           made.betweenMs().get(quantile));
     }
     return off;
   }
 
   private static void put(Map<String, double[]> off, String name, double original, double made) {
-    off.put(name, new double[] {original, made, original == 0 ? Double.NaN : (made - original) / original});
+    off.put(
+        name,
+        new double[] {original, made, original == 0 ? Double.NaN : (made - original) / original});
   }
 }
--- a/lab/src/test/java/tidebank/lab/AccountTest.java
+++ b/lab/src/test/java/tidebank/lab/AccountTest.java
@@ -16,13 +16,28 @@
 import tidebank.lab.replay.ClientRules.Came;
 import tidebank.model.Repeat;
 
-/** The account against examples worked by hand, the six rules from the outside, and what clients may try again. */
+/**
+ * The account against examples worked by hand, the six rules from the outside, and what clients may
+ * try again.
+ */
 class AccountTest {
   private static final long S = 1_000_000;
 
-  private static ScanRecord scan(long second, String type, String account, double benefit, double earned) {
-    return new ScanRecord(0, type, account, second * S, second * S, second * S, earned > 0 ? End.COMPLETED : End.ABANDONED,
-        1, true, 1, benefit, earned);
+  private static ScanRecord scan(
+      long second, String type, String account, double benefit, double earned) {
+    return new ScanRecord(
+        0,
+        type,
+        account,
+        second * S,
+        second * S,
+        second * S,
+        earned > 0 ? End.COMPLETED : End.ABANDONED,
+        1,
+        true,
+        1,
+        benefit,
+        earned);
   }
 
   @Test
@@ -64,7 +79,8 @@
 
   // ---- the rules
 
-  private final RuleAudit audit = new RuleAudit(new RuleAudit.Figures(50_000, 10_000, 500_000, 2, S, 1, 0, 10 * S));
+  private final RuleAudit audit =
+      new RuleAudit(new RuleAudit.Figures(50_000, 10_000, 500_000, 2, S, 1, 0, 10 * S));
 
   private void sent(String id, Repeat repeat, double floor, double... weights) {
     Map<Integer, Double> by = new java.util.HashMap<>();
@@ -203,20 +219,28 @@
     ClientRules rules = new ClientRules(3, 100_000, 1);
     for (Came came : Came.values()) {
       boolean again = rules.again("a", Repeat.NON_REPLAYABLE, came, 1, 0, 0, 10 * S) >= 0;
-      assertThat(again).as(came.name()).isEqualTo(came == Came.THROTTLED || came == Came.NOT_REACHED);
+      assertThat(again)
+          .as(came.name())
+          .isEqualTo(came == Came.THROTTLED || came == Came.NOT_REACHED);
       boolean replayed = rules.again("a", Repeat.REPLAYABLE, came, 1, 0, 0, 10 * S) >= 0;
-      assertThat(replayed).as(came.name()).isEqualTo(came != Came.ANSWERED && came != Came.TIMED_OUT);
+      assertThat(replayed)
+          .as(came.name())
+          .isEqualTo(came != Came.ANSWERED && came != Came.TIMED_OUT);
     }
   }
 
   @Test
   void clientsWaitLongerEachTimeHonourAHoldOffAndKnowWhenThereIsNoTime() {
     ClientRules rules = new ClientRules(3, 100_000, 1);
-    assertThat(rules.again("a", Repeat.REPLAYABLE, Came.FAILED, 1, 0, 0, 10 * S)).isBetween(50_000L, 150_000L)
+    assertThat(rules.again("a", Repeat.REPLAYABLE, Came.FAILED, 1, 0, 0, 10 * S))
+        .isBetween(50_000L, 150_000L)
         .isEqualTo(rules.again("a", Repeat.REPLAYABLE, Came.FAILED, 1, 0, 0, 10 * S));
-    assertThat(rules.again("a", Repeat.REPLAYABLE, Came.FAILED, 3, 0, 0, 10 * S)).isBetween(200_000L, 600_000L);
-    assertThat(rules.again("a", Repeat.REPLAYABLE, Came.THROTTLED, 1, 0, 2 * S, 10 * S)).isEqualTo(2 * S);
-    assertThat(rules.again("a", Repeat.REPLAYABLE, Came.THROTTLED, 1, 0, 2 * S, 2 * S)).isEqualTo(-1);
+    assertThat(rules.again("a", Repeat.REPLAYABLE, Came.FAILED, 3, 0, 0, 10 * S))
+        .isBetween(200_000L, 600_000L);
+    assertThat(rules.again("a", Repeat.REPLAYABLE, Came.THROTTLED, 1, 0, 2 * S, 10 * S))
+        .isEqualTo(2 * S);
+    assertThat(rules.again("a", Repeat.REPLAYABLE, Came.THROTTLED, 1, 0, 2 * S, 2 * S))
+        .isEqualTo(-1);
     assertThat(rules.again("a", Repeat.REPLAYABLE, Came.FAILED, 4, 0, 0, 10 * S)).isEqualTo(-1);
   }
 }
--- a/lab/src/test/java/tidebank/lab/ArchitectureTest.java
+++ b/lab/src/test/java/tidebank/lab/ArchitectureTest.java
@@ -13,31 +13,56 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Where arrows may go, and that what decides does no I/O and has no thread, clock or chance of its own. */
+/**
+ * Where arrows may go, and that what decides does no I/O and has no thread, clock or chance of its
+ * own.
+ */
 class ArchitectureTest {
   private static final JavaClasses ALL =
-      new ClassFileImporter().withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("tidebank");
+      new ClassFileImporter()
+          .withImportOption(new ImportOption.DoNotIncludeTests())
+          .importPackages("tidebank");
 
   /** The classes that decide. A new one is added here. */
-  private static final Set<String> DECIDE = Set.of("tidebank.Brain", "tidebank.capture.Codec", "tidebank.capture.Keeping", "tidebank.fleet.FleetReport",
-      "tidebank.fleet.Retention", "tidebank.node.Readiness", "tidebank.node.ShutdownPlan",
-      "tidebank.lab.account.Account", "tidebank.lab.chaos.Drawn", "tidebank.lab.chaos.Gaps", "tidebank.lab.chaos.LeaseRules", "tidebank.lab.chaos.Linear",
-      "tidebank.lab.account.RuleAudit", "tidebank.lab.replay.ClientRules", "tidebank.lab.standin.SlotsModel",
-      "tidebank.lab.trace.Tally", "tidebank.lab.trace.order.Lateness", "tidebank.lab.trace.order.Merge", "tidebank.lab.trace.order.Once",
-      "tidebank.lab.trace.order.Unwrap", "tidebank.lab.trace.stats.TraceStats", "tidebank.lab.trace.synth.Arrivals");
+  private static final Set<String> DECIDE =
+      Set.of(
+          "tidebank.Brain",
+          "tidebank.capture.Codec",
+          "tidebank.capture.Keeping",
+          "tidebank.fleet.FleetReport",
+          "tidebank.fleet.Retention",
+          "tidebank.node.Readiness",
+          "tidebank.node.ShutdownPlan",
+          "tidebank.lab.account.Account",
+          "tidebank.lab.chaos.Drawn",
+          "tidebank.lab.chaos.Gaps",
+          "tidebank.lab.chaos.LeaseRules",
+          "tidebank.lab.chaos.Linear",
+          "tidebank.lab.account.RuleAudit",
+          "tidebank.lab.replay.ClientRules",
+          "tidebank.lab.standin.SlotsModel",
+          "tidebank.lab.trace.Tally",
+          "tidebank.lab.trace.order.Lateness",
+          "tidebank.lab.trace.order.Merge",
+          "tidebank.lab.trace.order.Once",
+          "tidebank.lab.trace.order.Unwrap",
+          "tidebank.lab.trace.stats.TraceStats",
+          "tidebank.lab.trace.synth.Arrivals");
 
-  private static final DescribedPredicate<JavaClass> DECIDING = new DescribedPredicate<>("decide") {
-    @Override
-    public boolean test(JavaClass one) {
-      String name = one.getName();
-      int dollar = name.indexOf('$');
-      String outer = dollar < 0 ? name : name.substring(0, dollar);
-      return DECIDE.contains(outer) || one.getPackageName().equals("tidebank.model")
-          || one.getPackageName().equals("tidebank.lease")
-          || one.getPackageName().equals("tidebank.lab.trace.expr") || one.getPackageName().equals("tidebank.lab.trace.shape")
-          && !outer.endsWith("Rows");
-    }
-  };
+  private static final DescribedPredicate<JavaClass> DECIDING =
+      new DescribedPredicate<>("decide") {
+        @Override
+        public boolean test(JavaClass one) {
+          String name = one.getName();
+          int dollar = name.indexOf('$');
+          String outer = dollar < 0 ? name : name.substring(0, dollar);
+          return DECIDE.contains(outer)
+              || one.getPackageName().equals("tidebank.model")
+              || one.getPackageName().equals("tidebank.lease")
+              || one.getPackageName().equals("tidebank.lab.trace.expr")
+              || one.getPackageName().equals("tidebank.lab.trace.shape") && !outer.endsWith("Rows");
+        }
+      };
 
   private static void holds(ArchRule rule) {
     rule.check(ALL);
@@ -45,18 +70,41 @@
 
   @Test
   void whatDecidesDoesNoInputOrOutput() {
-    holds(noClasses().that(DECIDING).should().dependOnClassesThat().resideInAnyPackage("io.netty..", "java.net..",
-        "java.nio.file..", "java.nio.channels..", "java.util.concurrent..", "org.slf4j..")
-        .because("time, seed and events come in, decisions go out"));
+    holds(
+        noClasses()
+            .that(DECIDING)
+            .should()
+            .dependOnClassesThat()
+            .resideInAnyPackage(
+                "io.netty..",
+                "java.net..",
+                "java.nio.file..",
+                "java.nio.channels..",
+                "java.util.concurrent..",
+                "org.slf4j..")
+            .because("time, seed and events come in, decisions go out"));
   }
 
   @Test
   void whatDecidesHasNoClockThreadOrChanceOfItsOwn() {
-    holds(noClasses().that(DECIDING).should().callMethod(System.class, "nanoTime").orShould()
-        .callMethod(System.class, "currentTimeMillis").orShould().callMethod(java.time.Instant.class, "now").orShould()
-        .callMethod(Math.class, "random").orShould().dependOnClassesThat().areAssignableTo(Thread.class).orShould()
-        .dependOnClassesThat().areAssignableTo(java.util.Random.class)
-        .because("the same events must give the same decisions"));
+    holds(
+        noClasses()
+            .that(DECIDING)
+            .should()
+            .callMethod(System.class, "nanoTime")
+            .orShould()
+            .callMethod(System.class, "currentTimeMillis")
+            .orShould()
+            .callMethod(java.time.Instant.class, "now")
+            .orShould()
+            .callMethod(Math.class, "random")
+            .orShould()
+            .dependOnClassesThat()
+            .areAssignableTo(Thread.class)
+            .orShould()
+            .dependOnClassesThat()
+            .areAssignableTo(java.util.Random.class)
+            .because("the same events must give the same decisions"));
   }
 
   @Test
@@ -68,39 +116,91 @@
 
   @Test
   void theGathererKnowsNothingOfTheLabOrItsLibraries() {
-    holds(noClasses().that().resideOutsideOfPackages("tidebank.lab..", "tidebank.cli..", "tidebank.steward..").should()
-        .dependOnClassesThat().resideInAnyPackage("tidebank.lab..", "tidebank.cli..", "tidebank.steward..", "org.apache..",
-            "org.knowm..", "com.dynatrace..", "picocli.."));
+    holds(
+        noClasses()
+            .that()
+            .resideOutsideOfPackages("tidebank.lab..", "tidebank.cli..", "tidebank.steward..")
+            .should()
+            .dependOnClassesThat()
+            .resideInAnyPackage(
+                "tidebank.lab..",
+                "tidebank.cli..",
+                "tidebank.steward..",
+                "org.apache..",
+                "org.knowm..",
+                "com.dynatrace..",
+                "picocli.."));
   }
 
   @Test
   void theStewardKnowsOfTheGathererOnlyTheRulesTheyShare() {
-    holds(classes().that().resideInAPackage("tidebank.steward..").should().onlyDependOnClassesThat(
-        JavaClass.Predicates.resideInAnyPackage("tidebank.steward..", "tidebank.base..", "tidebank.config..", "tidebank.lease..",
-            "java..", "io.netty..", "com.fasterxml..", "org.slf4j..", "org.apache.ratis..")
-            .or(JavaClass.Predicates.belongToAnyOf(tidebank.fleet.LeaseCodec.class))));
+    holds(
+        classes()
+            .that()
+            .resideInAPackage("tidebank.steward..")
+            .should()
+            .onlyDependOnClassesThat(
+                JavaClass.Predicates.resideInAnyPackage(
+                        "tidebank.steward..",
+                        "tidebank.base..",
+                        "tidebank.config..",
+                        "tidebank.lease..",
+                        "java..",
+                        "io.netty..",
+                        "com.fasterxml..",
+                        "org.slf4j..",
+                        "org.apache.ratis..")
+                    .or(JavaClass.Predicates.belongToAnyOf(tidebank.fleet.LeaseCodec.class))));
   }
 
   @Test
   void theRulesOfLeasesDependOnNothingButTheirFaultsAndChance() {
-    holds(classes().that().resideInAPackage("tidebank.lease..").should().onlyDependOnClassesThat(
-        JavaClass.Predicates.resideInAnyPackage("tidebank.lease..", "java..")
-            .or(JavaClass.Predicates.belongToAnyOf(tidebank.base.Fault.class, tidebank.model.Chance.class))));
+    holds(
+        classes()
+            .that()
+            .resideInAPackage("tidebank.lease..")
+            .should()
+            .onlyDependOnClassesThat(
+                JavaClass.Predicates.resideInAnyPackage("tidebank.lease..", "java..")
+                    .or(
+                        JavaClass.Predicates.belongToAnyOf(
+                            tidebank.base.Fault.class, tidebank.model.Chance.class))));
   }
 
   @Test
   void theThreeSidesNeverCallEachOther() {
     for (String side : Set.of("front", "shard", "discovery")) {
-      holds(classes().that().resideInAPackage("tidebank." + side + "..").should().onlyDependOnClassesThat()
-          .resideInAnyPackage("tidebank." + side + "..", "tidebank", "tidebank.base..", "tidebank.config..",
-              "tidebank.model..", "tidebank.node..", "java..", "io.netty..", "com.fasterxml..", "org.slf4j.."));
+      holds(
+          classes()
+              .that()
+              .resideInAPackage("tidebank." + side + "..")
+              .should()
+              .onlyDependOnClassesThat()
+              .resideInAnyPackage(
+                  "tidebank." + side + "..",
+                  "tidebank",
+                  "tidebank.base..",
+                  "tidebank.config..",
+                  "tidebank.model..",
+                  "tidebank.node..",
+                  "java..",
+                  "io.netty..",
+                  "com.fasterxml..",
+                  "org.slf4j.."));
     }
   }
 
   @Test
   void theDecisionsOfTheOrdinaryPathDependOnTheirModelOnly() {
-    holds(classes().that().haveFullyQualifiedName("tidebank.Brain").or().resideInAPackage("tidebank.model").should()
-        .onlyDependOnClassesThat().resideInAnyPackage("tidebank", "tidebank.model", "java.."));
+    holds(
+        classes()
+            .that()
+            .haveFullyQualifiedName("tidebank.Brain")
+            .or()
+            .resideInAPackage("tidebank.model")
+            .should()
+            .onlyDependOnClassesThat()
+            .resideInAnyPackage("tidebank", "tidebank.model", "java.."));
   }
 
   @Test
--- a/lab/src/test/java/tidebank/lab/ErrorsTest.java
+++ b/lab/src/test/java/tidebank/lab/ErrorsTest.java
@@ -18,13 +18,15 @@
     String page = Files.readString(Path.of("../docs/errors.md"));
     List<String> types = Fault.entries().stream().map(Fault.Entry::code).toList();
     assertThat(types).doesNotHaveDuplicates().allMatch(code -> code.matches("TB-\\d{4}"));
-    assertThat(HEAD.matcher(page).results().map(found -> found.group(1)).toList()).containsExactlyElementsOf(
-        types.stream().sorted().toList());
+    assertThat(HEAD.matcher(page).results().map(found -> found.group(1)).toList())
+        .containsExactlyElementsOf(types.stream().sorted().toList());
     for (Class<?> type : Fault.class.getPermittedSubclasses()) {
       Fault.Entry entry = type.getAnnotation(Fault.Entry.class);
       if (type != Fault.Refused.class) {
         assertThat(entry.advice()).as(type.getSimpleName()).hasSizeGreaterThan(30);
-        assertThat(page).contains("## " + entry.code() + " " + type.getSimpleName() + "\n").contains(entry.advice());
+        assertThat(page)
+            .contains("## " + entry.code() + " " + type.getSimpleName() + "\n")
+            .contains(entry.advice());
       }
     }
     assertThat(Fault.entry("TB-1002")).isPresent();
--- a/lab/src/test/java/tidebank/lab/ExpressionTest.java
+++ b/lab/src/test/java/tidebank/lab/ExpressionTest.java
@@ -18,16 +18,24 @@
 
 /** The language of mappings: what it gives, and what it says of what is wrong. */
 class ExpressionTest {
-  private static final List<Column> COLUMNS = List.of(new Column("cpu", Column.Kind.NUMBER, "", false, ""),
-      new Column("job", Column.Kind.TEXT, "", false, ""), new Column("gone", Column.Kind.NUMBER, "", false, ""),
-      new Column("lost", Column.Kind.TEXT, "", false, ""));
+  private static final List<Column> COLUMNS =
+      List.of(
+          new Column("cpu", Column.Kind.NUMBER, "", false, ""),
+          new Column("job", Column.Kind.TEXT, "", false, ""),
+          new Column("gone", Column.Kind.NUMBER, "", false, ""),
+          new Column("lost", Column.Kind.TEXT, "", false, ""));
   private static final RawRow ROW =
-      new RawRow(0, "", new String[] {"0.5", "job-17a", null, null}, new double[] {0.5, Double.NaN, Double.NaN, Double.NaN});
+      new RawRow(
+          0,
+          "",
+          new String[] {"0.5", "job-17a", null, null},
+          new double[] {0.5, Double.NaN, Double.NaN, Double.NaN});
 
   private static Object of(String source) throws Exception {
     Value value = Compiler.compile(source, COLUMNS, new ArrayList<>());
-    return value instanceof Value.Num num ? num.of(ROW) : value instanceof Value.Txt txt ? txt.of(ROW)
-        : (Object) ((Value.Bool) value).of(ROW);
+    return value instanceof Value.Num num
+        ? num.of(ROW)
+        : value instanceof Value.Txt txt ? txt.of(ROW) : (Object) ((Value.Bool) value).of(ROW);
   }
 
   @Test
@@ -41,7 +49,8 @@
   @Test
   void whatIsMissingStaysMissingUntilSomethingStandsIn() throws Exception {
     assertThat(of("gone + 1")).isEqualTo(Double.NaN);
-    assertThat(of("gone < 1 or gone >= 1 or gone != 1 or lost = \"\" or lost != \"\"")).isEqualTo(false);
+    assertThat(of("gone < 1 or gone >= 1 or gone != 1 or lost = \"\" or lost != \"\""))
+        .isEqualTo(false);
     assertThat(of("coalesce(gone, cpu)")).isEqualTo(0.5);
     assertThat(of("coalesce(lost, lower(\"NONE\"))")).isEqualTo("none");
     assertThat(of("missing(gone) and missing(lost) and not missing(cpu)")).isEqualTo(true);
@@ -61,8 +70,10 @@
 
   @Test
   void quantileBucketsAreOfEqualShareWhateverTheOrderOfRows() throws Exception {
-    List<RawRow> rows = IntStream.range(0, 20_000)
-        .mapToObj(i -> new RawRow(i, "r" + i, new String[4], new double[] {i * i, 0, 0, 0})).toList();
+    List<RawRow> rows =
+        IntStream.range(0, 20_000)
+            .mapToObj(i -> new RawRow(i, "r" + i, new String[4], new double[] {i * i, 0, 0, 0}))
+            .toList();
     List<RawRow> turned = new ArrayList<>(rows);
     java.util.Collections.reverse(turned);
     List<int[]> both = new ArrayList<>();
@@ -110,19 +121,31 @@
 
   @Test
   void aMappingNamesEveryFaultByKeyAndLine() {
-    assertThatThrownBy(() -> Mapping.read("m.toml", """
-        layout = "google-2011-task-events"
-        depoots = 4
-        [map]
-        table_type = 'scheduling_class'
-        depot = 'job_idd'
-        work_ms = '20 + user'
-        """)).isInstanceOf(Malformed.class)
+    assertThatThrownBy(
+            () ->
+                Mapping.read(
+                    "m.toml",
+                    """
+                    layout = "google-2011-task-events"
+                    depoots = 4
+                    [map]
+                    table_type = 'scheduling_class'
+                    depot = 'job_idd'
+                    work_ms = '20 + user'
+                    """))
+        .isInstanceOf(Malformed.class)
         .hasMessageContaining("m.toml:2: depoots: unknown key; did you mean \"depots\"?")
         .hasMessageContaining("m.toml:4: map.table_type: gives a number, wanted a text")
-        .hasMessageContaining("m.toml:5: map.depot: line 1, column 1: unknown column \"job_idd\"; did you mean \"job_id\"?")
-        .hasMessageContaining("m.toml:6: map.work_ms: line 1, column 6: +: found a text, wanted a number");
-    assertThatThrownBy(() -> Mapping.read("m.toml", "layout = 'google-2011-task-event'\n[map]\ntable_type='\"a\"'\n"))
-        .hasMessageContaining("did you mean \"google-2011-task-events\"").hasMessageContaining("map.depot: is missing");
+        .hasMessageContaining(
+            "m.toml:5: map.depot: line 1, column 1: unknown column \"job_idd\"; did you mean"
+                + " \"job_id\"?")
+        .hasMessageContaining(
+            "m.toml:6: map.work_ms: line 1, column 6: +: found a text, wanted a number");
+    assertThatThrownBy(
+            () ->
+                Mapping.read(
+                    "m.toml", "layout = 'google-2011-task-event'\n[map]\ntable_type='\"a\"'\n"))
+        .hasMessageContaining("did you mean \"google-2011-task-events\"")
+        .hasMessageContaining("map.depot: is missing");
   }
 }
--- a/lab/src/test/java/tidebank/lab/KnownRedTest.java
+++ b/lab/src/test/java/tidebank/lab/KnownRedTest.java
@@ -12,7 +12,8 @@
 
 /** What CI makes of failures, each case planted: the program is {@code .ci/KnownRed.java}. */
 class KnownRedTest {
-  private static final String LINE = "a.OneTest#stands | nobody knows why it stands still | issue 7";
+  private static final String LINE =
+      "a.OneTest#stands | nobody knows why it stands still | issue 7";
 
   @TempDir private Path folder;
 
@@ -27,7 +28,8 @@
   }
 
   private void report(String... cases) throws IOException {
-    Files.writeString(folder.resolve("m/target/surefire-reports/TEST-a.OneTest.xml"),
+    Files.writeString(
+        folder.resolve("m/target/surefire-reports/TEST-a.OneTest.xml"),
         "<testsuite>" + String.join("", cases) + "</testsuite>");
   }
 
@@ -47,8 +49,15 @@
   private String judged(String... known) throws Exception {
     Files.write(folder.resolve("KNOWN-RED.txt"), List.of(known));
     Path program = Path.of("../.ci/KnownRed.java").toAbsolutePath();
-    Process process = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), program.toString(),
-        "KNOWN-RED.txt", "m").directory(folder.toFile()).redirectErrorStream(true).start();
+    Process process =
+        new ProcessBuilder(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                program.toString(),
+                "KNOWN-RED.txt",
+                "m")
+            .directory(folder.toFile())
+            .redirectErrorStream(true)
+            .start();
     String text = new String(process.getInputStream().readAllBytes());
     return process.waitFor() + " " + text;
   }
@@ -62,7 +71,10 @@
   @Test
   void aKnownFailureIsPrintedAndPassesAlsoAsOneOfSeveralCases() throws Exception {
     report(passed("walks"), passed("stands(String)[1]"), failed("stands(String)[2]"));
-    assertThat(judged(LINE)).startsWith("0 ").contains("known red, FAILED: a.OneTest#stands | nobody knows why it stands still | issue 7");
+    assertThat(judged(LINE))
+        .startsWith("0 ")
+        .contains(
+            "known red, FAILED: a.OneTest#stands | nobody knows why it stands still | issue 7");
   }
 
   @Test
@@ -74,7 +86,10 @@
   @Test
   void anyOtherFailureErrorOrSkippedTestFails() throws Exception {
     report(failed("stands"), failed("walks"));
-    assertThat(judged(LINE)).startsWith("1 ").contains("FAULT: failed: a.OneTest#walks").contains("known red, FAILED");
+    assertThat(judged(LINE))
+        .startsWith("1 ")
+        .contains("FAULT: failed: a.OneTest#walks")
+        .contains("known red, FAILED");
     report(failed("stands"), ended("walks", "<error/>"));
     assertThat(judged(LINE)).startsWith("1 ").contains("FAULT: failed: a.OneTest#walks");
     report(failed("stands"), ended("walks", "<skipped/>"));
@@ -84,7 +99,9 @@
   @Test
   void aKnownFailureThatWasNotRunFails() throws Exception {
     report(passed("walks"));
-    assertThat(judged(LINE)).startsWith("1 ").contains("FAULT: known red, but not run: a.OneTest#stands");
+    assertThat(judged(LINE))
+        .startsWith("1 ")
+        .contains("FAULT: known red, but not run: a.OneTest#stands");
     report(ended("stands", "<skipped/>"));
     assertThat(judged(LINE)).startsWith("1 ").contains("FAULT: skipped: a.OneTest#stands");
   }
@@ -92,18 +109,33 @@
   @Test
   void aMalformedAFourthAndADoubleLineFail() throws Exception {
     report(passed("stands"), passed("walks"), passed("runs"), passed("swims"));
-    for (String line : List.of("", "a.OneTest#stands", "a.OneTest#stands | | issue 7", "a.OneTest#stands | nobody knows why | soon",
-        "OneTest stands | nobody knows why | issue 7")) {
+    for (String line :
+        List.of(
+            "",
+            "a.OneTest#stands",
+            "a.OneTest#stands | | issue 7",
+            "a.OneTest#stands | nobody knows why | soon",
+            "OneTest stands | nobody knows why | issue 7")) {
       assertThat(judged(line)).as(line).startsWith("1 ").contains("FAULT: a line that is not");
     }
     assertThat(judged(LINE, LINE)).startsWith("1 ").contains("FAULT: named twice");
-    assertThat(judged(LINE, LINE.replace("stands", "walks"), LINE.replace("#stands", "#runs"))).startsWith("0 ");
-    assertThat(judged(LINE, LINE.replace("#stands", "#walks"), LINE.replace("#stands", "#runs"), LINE.replace("#stands", "#swims")))
-        .startsWith("1 ").contains("FAULT: 4 lines, 3 at the most");
+    assertThat(judged(LINE, LINE.replace("stands", "walks"), LINE.replace("#stands", "#runs")))
+        .startsWith("0 ");
+    assertThat(
+            judged(
+                LINE,
+                LINE.replace("#stands", "#walks"),
+                LINE.replace("#stands", "#runs"),
+                LINE.replace("#stands", "#swims")))
+        .startsWith("1 ")
+        .contains("FAULT: 4 lines, 3 at the most");
   }
 
   @Test
   void aTestClassWithoutAReportAndARunOfNoTestFail() throws Exception {
-    assertThat(judged()).startsWith("1 ").contains("FAULT: no report of a.OneTest").contains("FAULT: no test was run");
+    assertThat(judged())
+        .startsWith("1 ")
+        .contains("FAULT: no report of a.OneTest")
+        .contains("FAULT: no test was run");
   }
 }
--- a/lab/src/test/java/tidebank/lab/ReplayTest.java
+++ b/lab/src/test/java/tidebank/lab/ReplayTest.java
@@ -22,7 +22,10 @@
 import tidebank.lab.site.Site;
 import tidebank.lab.trace.TraceRow;
 
-/** Real gatherer processes between stand-ins: what goes well, what breaks, and that nothing is left behind. */
+/**
+ * Real gatherer processes between stand-ins: what goes well, what breaks, and that nothing is left
+ * behind.
+ */
 @Timeout(60)
 class ReplayTest {
   private static final long S = 1_000_000;
@@ -32,15 +35,27 @@
   private static List<TraceRow> rows(int seconds, int perS) {
     List<TraceRow> rows = new ArrayList<>();
     for (int i = 0; i < seconds * perS; i++) {
-      String type = i % 4 == 0 ? "delivery-confirm" : i % 4 == 1 ? "depot-manifest" : "network-trace";
+      String type =
+          i % 4 == 0 ? "delivery-confirm" : i % 4 == 1 ? "depot-manifest" : "network-trace";
       int parts = type.equals("network-trace") ? 8 : type.equals("depot-manifest") ? 3 : 1;
-      rows.add(new TraceRow(i * S / perS, type, i % 24, parts, "k" + i % 50, parts == 1 ? 1 : 0.4, 4000, "acc" + i % 3));
+      rows.add(
+          new TraceRow(
+              i * S / perS,
+              type,
+              i % 24,
+              parts,
+              "k" + i % 50,
+              parts == 1 ? 1 : 0.4,
+              4000,
+              "acc" + i % 3));
     }
     return rows;
   }
 
-  private Replay.Outcome play(List<TraceRow> rows, List<Incident> incidents, RunFolder to) throws Exception {
-    Replay replay = new Replay(new Replay.Plan(Site.standard(), 2, 6, 1, incidents), to::add, sent -> { });
+  private Replay.Outcome play(List<TraceRow> rows, List<Incident> incidents, RunFolder to)
+      throws Exception {
+    Replay replay =
+        new Replay(new Replay.Plan(Site.standard(), 2, 6, 1, incidents), to::add, sent -> {});
     return replay.run(rows.iterator());
   }
 
@@ -55,7 +70,10 @@
     assertThat(outcome.dispatches()).isGreaterThanOrEqualTo(30 + 30 * 3 + 60 * 8);
     assertThat(outcome.exitCodes()).isEqualTo(Map.of("g0", 0, "g1", 0));
     run.finish(outcome, Map.of("trace", "calm"));
-    assertThat(run.folder().resolve("report.html")).content().contains("<svg").contains("All six rules were kept")
+    assertThat(run.folder().resolve("report.html"))
+        .content()
+        .contains("<svg")
+        .contains("All six rules were kept")
         .doesNotContain("<script");
     assertThat(Comparison.of(run.folder(), run.folder()).difference()).isZero();
     assertThat(Files.readString(run.folder().resolve("latency.hlog"))).contains("lateness_us");
@@ -64,9 +82,16 @@
   @Test
   void serversThatDrainAndDieAndAGathererThatIsKilledBreakNoRule() throws Exception {
     RunFolder run = RunFolder.create(folder, "trouble");
-    Replay.Outcome outcome = play(rows(4, 60), List.of(new Incident(S / 2, Kind.SERVER_DRAINS, 1),
-        new Incident(S, Kind.ROSTER_GONE, 1), new Incident(S, Kind.SERVER_DIES, 4), new Incident(2 * S, Kind.SERVER_BACK, 4),
-        new Incident(3 * S / 2, Kind.GATHERER_KILLED, 1)), run);
+    Replay.Outcome outcome =
+        play(
+            rows(4, 60),
+            List.of(
+                new Incident(S / 2, Kind.SERVER_DRAINS, 1),
+                new Incident(S, Kind.ROSTER_GONE, 1),
+                new Incident(S, Kind.SERVER_DIES, 4),
+                new Incident(2 * S, Kind.SERVER_BACK, 4),
+                new Incident(3 * S / 2, Kind.GATHERER_KILLED, 1)),
+            run);
     assertThat(outcome.broken()).isEmpty();
     assertThat(outcome.figures().scans()).isEqualTo(240);
     assertThat(outcome.figures().whole()).isGreaterThan(0.6);
@@ -79,10 +104,13 @@
     List<List<String>> sent = new ArrayList<>();
     for (int round = 0; round < 2; round++) {
       ConcurrentLinkedQueue<ScanRecord> records = new ConcurrentLinkedQueue<>();
-      new Replay(new Replay.Plan(Site.standard(), 1, 4, 5, List.of()), records::add, count -> { })
+      new Replay(new Replay.Plan(Site.standard(), 1, 4, 5, List.of()), records::add, count -> {})
           .run(rows(1, 50).iterator());
-      sent.add(records.stream().sorted((a, b) -> Long.compare(a.number(), b.number()))
-          .map(record -> record.number() + " " + record.tableType() + " " + record.intendedUs()).toList());
+      sent.add(
+          records.stream()
+              .sorted((a, b) -> Long.compare(a.number(), b.number()))
+              .map(record -> record.number() + " " + record.tableType() + " " + record.intendedUs())
+              .toList());
     }
     assertThat(sent.get(0)).hasSize(50).isEqualTo(sent.get(1));
   }
@@ -90,23 +118,45 @@
   @Test
   void aTableTypeThatTheSiteLacksIsTold() {
     List<TraceRow> rows = List.of(new TraceRow(0, "unheard-of", 0, 1, "", 1, 1000, ""));
-    assertThatThrownBy(() -> new Replay(new Replay.Plan(Site.standard(), 1, 3, 1, List.of()), record -> { }, sent -> { })
-        .run(rows.iterator())).hasMessageContaining("unheard-of").hasMessageContaining("network-trace");
-    assertThat(ProcessHandle.current().descendants().filter(child -> child.info().commandLine().orElse("")
-        .contains("tidebank.Main"))).isEmpty();
+    assertThatThrownBy(
+            () ->
+                new Replay(
+                        new Replay.Plan(Site.standard(), 1, 3, 1, List.of()),
+                        record -> {},
+                        sent -> {})
+                    .run(rows.iterator()))
+        .hasMessageContaining("unheard-of")
+        .hasMessageContaining("network-trace");
+    assertThat(
+            ProcessHandle.current()
+                .descendants()
+                .filter(child -> child.info().commandLine().orElse("").contains("tidebank.Main")))
+        .isEmpty();
   }
 
   @Test
   void aSiteIsReadOverTheDefaultsAndItsFaultsAreNamed() throws Exception {
-    Path file = Files.writeString(folder.resolve("site.toml"), "shards = 8\n[servers]\nslots = 2\n[[table_type]]\n"
-        + "name = 'a'\nrepeat = 'replayable'\ntarget_ms = 300\ntimeout_ms = 900\n");
+    Path file =
+        Files.writeString(
+            folder.resolve("site.toml"),
+            "shards = 8\n[servers]\nslots = 2\n[[table_type]]\n"
+                + "name = 'a'\nrepeat = 'replayable'\ntarget_ms = 300\ntimeout_ms = 900\n");
     Site site = Site.read(file);
     assertThat(site.shards()).isEqualTo(8);
     assertThat(site.types()).containsOnlyKeys("a");
     assertThat(site.width()).isEqualTo(Site.standard().width());
-    Files.writeString(file, "shard = 8\n[[table_type]]\nname = 'a'\nrepeat = 'keyed'\ntarget_ms = 300\ntimeout_ms = 9\n");
-    assertThatThrownBy(() -> Site.read(file)).isInstanceOf(Malformed.class)
+    Files.writeString(
+        file,
+        "shard = 8\n"
+            + "[[table_type]]\n"
+            + "name = 'a'\n"
+            + "repeat = 'keyed'\n"
+            + "target_ms = 300\n"
+            + "timeout_ms = 9\n");
+    assertThatThrownBy(() -> Site.read(file))
+        .isInstanceOf(Malformed.class)
         .hasMessageContaining("site.toml:1: shard: unknown key; did you mean \"shards\"?")
-        .hasMessageContaining("site.toml:4: table_type[0].repeat").hasMessageContaining("site.toml:6: table_type[0].timeout_ms");
+        .hasMessageContaining("site.toml:4: table_type[0].repeat")
+        .hasMessageContaining("site.toml:6: table_type[0].timeout_ms");
   }
 }
--- a/lab/src/test/java/tidebank/lab/ReplayedTest.java
+++ b/lab/src/test/java/tidebank/lab/ReplayedTest.java
@@ -27,7 +27,10 @@
 import tidebank.model.Settings;
 import tidebank.model.TableType;
 
-/** A capture drives a fresh module to the same decisions; where it can't, it says so and guesses nothing. */
+/**
+ * A capture drives a fresh module to the same decisions; where it can't, it says so and guesses
+ * nothing.
+ */
 class ReplayedTest {
   private static final long MS = 1000;
 
@@ -36,14 +39,27 @@
 
   private static Settings settings() {
     Map<String, TableType> types = new LinkedHashMap<>();
-    types.put("part", new TableType("part", Repeat.REPLAYABLE, 0, 1000 * MS, 3000 * MS, 0.1, 0.5, 1, 0));
-    types.put("once", new TableType("once", Repeat.NON_REPLAYABLE, 0, 1000 * MS, 3000 * MS, 0.1, 1, 1, 0));
-    return new Settings(2, 0, 5 * MS, types, Map.of(), 0.1, new Settings.Layout(8, 6, 2, 1, 0),
+    types.put(
+        "part", new TableType("part", Repeat.REPLAYABLE, 0, 1000 * MS, 3000 * MS, 0.1, 0.5, 1, 0));
+    types.put(
+        "once",
+        new TableType("once", Repeat.NON_REPLAYABLE, 0, 1000 * MS, 3000 * MS, 0.1, 1, 1, 0));
+    return new Settings(
+        2,
+        0,
+        5 * MS,
+        types,
+        Map.of(),
+        0.1,
+        new Settings.Layout(8, 6, 2, 1, 0),
         new Settings.Limits(3, true, true, false, true, 500 * MS, 100, false),
-        new Settings.Rules(20 * MS, 10_000 * MS, 1000 * MS, 0.2, 10_000 * MS, 2, 1000 * MS, 0, 0, 0));
+        new Settings.Rules(
+            20 * MS, 10_000 * MS, 1000 * MS, 0.2, 10_000 * MS, 2, 1000 * MS, 0, 0, 0));
   }
 
-  /** Plays a rough little day through a module and records it; returns how many turns there were. */
+  /**
+   * Plays a rough little day through a module and records it; returns how many turns there were.
+   */
   private int day(Recorder recorder, long seed, int scans) {
     Brain brain = new Brain(settings(), seed);
     recorder.started(settings(), seed);
@@ -63,14 +79,28 @@
       for (Action action : todo) {
         if (action instanceof Action.Send send) {
           int number = tries.merge(send.part(), 1, Integer::sum) - 1;
-          Outcome outcome = chance.nextInt(5) == 0 ? Outcome.FULL : chance.nextInt(9) == 0 ? Outcome.TIMED_OUT : Outcome.COMPLETED;
-          events.add(new Event.DispatchEnded(send.part(), number, outcome, 1000 + chance.nextInt(90_000), false, Map.of()));
+          Outcome outcome =
+              chance.nextInt(5) == 0
+                  ? Outcome.FULL
+                  : chance.nextInt(9) == 0 ? Outcome.TIMED_OUT : Outcome.COMPLETED;
+          events.add(
+              new Event.DispatchEnded(
+                  send.part(), number, outcome, 1000 + chance.nextInt(90_000), false, Map.of()));
         } else if (action instanceof Action.SetTimer timer && timer.waitUs() < 20_000) {
           events.add(new Event.TimerDue(timer.token()));
         }
       }
       String id = "q" + scan;
-      events.add(new Event.ScanTaken(id, scan, chance.nextInt(4) == 0 ? "once" : "part", "", now, now + 3000 * MS, false, "k" + scan % 7));
+      events.add(
+          new Event.ScanTaken(
+              id,
+              scan,
+              chance.nextInt(4) == 0 ? "once" : "part",
+              "",
+              now,
+              now + 3000 * MS,
+              false,
+              "k" + scan % 7));
       for (int shard = 0; shard < 4; shard++) {
         events.add(new Event.PartTaken(id + "." + shard, scan, shard, 0.25, ""));
       }
@@ -87,11 +117,13 @@
   }
 
   private Recorder recorder(boolean whole, long segment) throws IOException {
-    return new Recorder(new Recorder.Plan(folder.resolve("c"), whole, 100_000, segment, 1L << 30, false), () -> now);
+    return new Recorder(
+        new Recorder.Plan(folder.resolve("c"), whole, 100_000, segment, 1L << 30, false),
+        () -> now);
   }
 
   private Replayed.Result replay() throws IOException {
-    return Replayed.replay(folder.resolve("c"), (number, turn, actions) -> { });
+    return Replayed.replay(folder.resolve("c"), (number, turn, actions) -> {});
   }
 
   @Test
@@ -111,10 +143,16 @@
     try (Recorder recorder = recorder(true, 1 << 20)) {
       recorder.started(settings(), 5);
       Brain brain = new Brain(settings(), 5);
-      List<Event> list = List.of(new Event.ListSeen(ListKind.REMEMBERED, List.of(new Listed("s0", 0, ServerStatus.IN_SERVICE, 0, 1))));
+      List<Event> list =
+          List.of(
+              new Event.ListSeen(
+                  ListKind.REMEMBERED,
+                  List.of(new Listed("s0", 0, ServerStatus.IN_SERVICE, 0, 1))));
       recorder.turn(now, list, brain.on(now, list));
-      List<Event> scan = List.of(new Event.ScanTaken("a", 1, "part", "", now, now + 3000 * MS, false, "k"),
-          new Event.PartTaken("a.0", 1, 0, 1, ""));
+      List<Event> scan =
+          List.of(
+              new Event.ScanTaken("a", 1, "part", "", now, now + 3000 * MS, false, "k"),
+              new Event.PartTaken("a.0", 1, 0, 1, ""));
       // Another build of the module turned it away.
       recorder.turn(now + 5, scan, List.of(new Action.Throttle("a", 0)));
     }
@@ -122,7 +160,8 @@
     assertThat(result.alike()).isFalse();
     assertThat(result.divergence().turn()).isEqualTo(1);
     assertThat(result.divergence().then()).containsExactly(new Action.Throttle("a", 0));
-    assertThat(result.divergence().now()).anyMatch(action -> action instanceof Action.Send send && send.part().equals("a.0"));
+    assertThat(result.divergence().now())
+        .anyMatch(action -> action instanceof Action.Send send && send.part().equals("a.0"));
   }
 
   @Test
--- a/lab/src/test/java/tidebank/lab/ShapesTest.java
+++ b/lab/src/test/java/tidebank/lab/ShapesTest.java
@@ -31,9 +31,20 @@
     for (int second = 0; second < seconds; second++) {
       busy = chance.nextDouble() < (busy ? 0.9 : 0.1);
       double step = 1e6 / (busy ? 60 : 10);
-      for (double at = step * chance.nextDouble(); at < S; at += step * (0.5 + chance.nextDouble())) {
+      for (double at = step * chance.nextDouble();
+          at < S;
+          at += step * (0.5 + chance.nextDouble())) {
         int key = (int) Math.exp(chance.nextDouble() * Math.log(300));
-        rows.add(new TraceRow(second * S + (long) at, key % 2 == 0 ? "a" : "b", key % 24, 1, "k" + key, 1, 10_000 + key, "x"));
+        rows.add(
+            new TraceRow(
+                second * S + (long) at,
+                key % 2 == 0 ? "a" : "b",
+                key % 24,
+                1,
+                "k" + key,
+                1,
+                10_000 + key,
+                "x"));
       }
     }
     return Rows.of(rows, seconds * S);
@@ -52,9 +63,15 @@
   }
 
   private static List<Rows> shapes(Rows rows, long seed) {
-    return List.of(Shapes.window(rows, 3 * S, 17 * S), Shapes.warp(rows, 0.37), Shapes.warp(rows, 2.9),
-        Shapes.thin(rows, 0.4, Shapes.By.ROW, seed), Shapes.thin(rows, 0.4, Shapes.By.KEY, seed),
-        Shapes.superpose(rows, 3, seed), Shapes.loop(rows, 57 * S), Shapes.scale(rows, 50, Shapes.Scale.COPIES, seed),
+    return List.of(
+        Shapes.window(rows, 3 * S, 17 * S),
+        Shapes.warp(rows, 0.37),
+        Shapes.warp(rows, 2.9),
+        Shapes.thin(rows, 0.4, Shapes.By.ROW, seed),
+        Shapes.thin(rows, 0.4, Shapes.By.KEY, seed),
+        Shapes.superpose(rows, 3, seed),
+        Shapes.loop(rows, 57 * S),
+        Shapes.scale(rows, 50, Shapes.Scale.COPIES, seed),
         Shapes.merge(List.of(rows, Shapes.warp(rows, 2))));
   }
 
@@ -72,18 +89,24 @@
   }
 
   @Property(tries = 20, seed = "17")
-  void aWindowOfAShapeIsThatPartOfAllOfIt(@ForAll long seed, @ForAll @DoubleRange(min = 0, max = 1) double a,
+  void aWindowOfAShapeIsThatPartOfAllOfIt(
+      @ForAll long seed,
+      @ForAll @DoubleRange(min = 0, max = 1) double a,
       @ForAll @DoubleRange(min = 0, max = 1) double b) {
     for (Rows shape : shapes(trace(20, seed), seed)) {
       long from = (long) (Math.min(a, b) * shape.lengthUs());
       long until = (long) (Math.max(a, b) * shape.lengthUs());
-      assertThat(all(shape.open(from, until))).containsExactlyElementsOf(
-          all(shape.open()).stream().filter(row -> row.timeUs() >= from && row.timeUs() < until).toList());
+      assertThat(all(shape.open(from, until)))
+          .containsExactlyElementsOf(
+              all(shape.open()).stream()
+                  .filter(row -> row.timeUs() >= from && row.timeUs() < until)
+                  .toList());
     }
   }
 
   @Property(tries = 10, seed = "17")
-  void copiesKeepEveryRowAndLoopsRepeatThemAll(@ForAll long seed, @ForAll @IntRange(min = 1, max = 5) int times) {
+  void copiesKeepEveryRowAndLoopsRepeatThemAll(
+      @ForAll long seed, @ForAll @IntRange(min = 1, max = 5) int times) {
     Rows rows = trace(10, seed);
     int count = all(rows.open()).size();
     assertThat(all(Shapes.superpose(rows, times, seed).open())).hasSize(times * count);
@@ -95,10 +118,13 @@
     Rows rows = trace(8000, 5);
     TraceStats.Summary before = stats(rows);
     TraceStats.Summary copies = stats(Shapes.superpose(rows, 4, 9));
-    assertThat(copies.dispersion().get(1)).isCloseTo(before.dispersion().get(1), within(0.2 * before.dispersion().get(1)));
+    assertThat(copies.dispersion().get(1))
+        .isCloseTo(before.dispersion().get(1), within(0.2 * before.dispersion().get(1)));
     assertThat(copies.zipf()).isCloseTo(before.zipf(), within(0.05));
-    assertThat(stats(Shapes.scale(rows, 75, Shapes.Scale.COPIES, 9)).ratePerS()).isCloseTo(75, within(4.0));
-    assertThat(stats(Shapes.scale(rows, 7, Shapes.Scale.WARP, 9)).ratePerS()).isCloseTo(7, within(0.1));
+    assertThat(stats(Shapes.scale(rows, 75, Shapes.Scale.COPIES, 9)).ratePerS())
+        .isCloseTo(75, within(4.0));
+    assertThat(stats(Shapes.scale(rows, 7, Shapes.Scale.WARP, 9)).ratePerS())
+        .isCloseTo(7, within(0.1));
     // Thinning pulls the index of dispersion d to 1 + p (d - 1).
     double d = before.dispersion().get(1);
     assertThat(stats(Shapes.thin(rows, 0.25, Shapes.By.ROW, 9)).dispersion().get(1))
@@ -142,7 +168,8 @@
     assertThat(off.get("autocorrelation at 1 s")[2]).isBetween(-0.2, 0.2);
     assertThat(off.get("Zipf exponent of keys")[2]).isBetween(-0.15, 0.15);
     assertThat(off.get("work p50, ms")[2]).isBetween(-0.1, 0.1);
-    assertThat(all(synthesis.rows(60, 7))).isEqualTo(all(synthesis.rows(60, 7)))
+    assertThat(all(synthesis.rows(60, 7)))
+        .isEqualTo(all(synthesis.rows(60, 7)))
         .isNotEqualTo(all(synthesis.rows(60, 8)));
   }
 }
--- a/lab/src/test/java/tidebank/lab/bench/ExpressionBench.java
+++ b/lab/src/test/java/tidebank/lab/bench/ExpressionBench.java
@@ -32,9 +32,12 @@
 @Measurement(iterations = 5, time = 1)
 public class ExpressionBench {
   private static final String SOURCE =
-      "when class >= 2 then 6 + min(coalesce(cpu, 0), 0.5) * 400 when class = 1 then cpu * 2 else -(1 + cpu)";
-  private static final List<Column> COLUMNS = List.of(new Column("class", Column.Kind.NUMBER, "", false, ""),
-      new Column("cpu", Column.Kind.NUMBER, "", false, ""));
+      "when class >= 2 then 6 + min(coalesce(cpu, 0), 0.5) * 400 when class = 1 then cpu * 2 else"
+          + " -(1 + cpu)";
+  private static final List<Column> COLUMNS =
+      List.of(
+          new Column("class", Column.Kind.NUMBER, "", false, ""),
+          new Column("cpu", Column.Kind.NUMBER, "", false, ""));
 
   private final RawRow[] rows = new RawRow[1024];
   private Value.Num compiled;
@@ -44,10 +47,16 @@
   @Setup
   public void setup() throws Exception {
     for (int i = 0; i < rows.length; i++) {
-      rows[i] = new RawRow(i, "", new String[2], new double[] {i % 4, i % 10 == 0 ? Double.NaN : i / 2048.0});
+      rows[i] =
+          new RawRow(
+              i, "", new String[2], new double[] {i % 4, i % 10 == 0 ? Double.NaN : i / 2048.0});
     }
     compiled = (Value.Num) Compiler.compile(SOURCE, COLUMNS, new ArrayList<>());
-    tree = new ExpressionParser(new CommonTokenStream(new ExpressionLexer(CharStreams.fromString(SOURCE)))).whole().expr();
+    tree =
+        new ExpressionParser(
+                new CommonTokenStream(new ExpressionLexer(CharStreams.fromString(SOURCE))))
+            .whole()
+            .expr();
     for (RawRow row : rows) {
       double one = compiled.of(row);
       double other = (Double) new Walk(row).visit(tree);
@@ -132,7 +141,9 @@
     public Object visitCall(ExpressionParser.CallContext call) {
       Double a = (Double) visit(call.expr(0));
       Double b = (Double) visit(call.expr(1));
-      return call.NAME().getText().equals("min") ? Double.valueOf(Math.min(a, b)) : a.isNaN() ? b : a;
+      return call.NAME().getText().equals("min")
+          ? Double.valueOf(Math.min(a, b))
+          : a.isNaN() ? b : a;
     }
   }
 }
--- a/lab/src/test/java/tidebank/lab/bench/StewardBench.java
+++ b/lab/src/test/java/tidebank/lab/bench/StewardBench.java
@@ -17,8 +17,9 @@
 import tidebank.steward.StewardClient;
 
 /**
- * Figures for the results page, by hand: renewals a second of 100 members against 1, 3 and 5 stewards, and how long the fleet's
- * report has no owner after the owner is killed, stopped or ended, with the default lease and three gatherers.
+ * Figures for the results page, by hand: renewals a second of 100 members against 1, 3 and 5
+ * stewards, and how long the fleet's report has no owner after the owner is killed, stopped or
+ * ended, with the default lease and three gatherers.
  */
 public final class StewardBench {
   private static final String SETTINGS = "[duties]\nnames = [\"report\"]\n";
@@ -47,7 +48,9 @@
       List<Thread> threads = new ArrayList<>();
       for (int i = 0; i < MEMBERS; i++) {
         String name = "m" + i;
-        threads.add(new Thread(() -> renew(new StewardClient(stewards.addresses(), 20_000), name, on, took)));
+        threads.add(
+            new Thread(
+                () -> renew(new StewardClient(stewards.addresses(), 20_000), name, on, took)));
         threads.get(i).start();
       }
       Thread.sleep(2000);
@@ -58,12 +61,18 @@
       for (Thread thread : threads) {
         thread.join();
       }
-      System.out.printf("%d stewards, %d members: %d commands a second, median %.1f ms, 99%% %.1f ms%n", count, MEMBERS,
-          all.length / SECONDS, all[all.length / 2] / 1e6, all[all.length * 99 / 100] / 1e6);
+      System.out.printf(
+          "%d stewards, %d members: %d commands a second, median %.1f ms, 99%% %.1f ms%n",
+          count,
+          MEMBERS,
+          all.length / SECONDS,
+          all[all.length / 2] / 1e6,
+          all[all.length * 99 / 100] / 1e6);
     }
   }
 
-  private static void renew(StewardClient client, String name, AtomicBoolean on, ConcurrentLinkedQueue<Long> took) {
+  private static void renew(
+      StewardClient client, String name, AtomicBoolean on, ConcurrentLinkedQueue<Long> took) {
     try {
       long number = 0;
       client.command(Command.of(Kind.JOIN, name, ++number, name));
@@ -105,14 +114,16 @@
         } else {
           gatherers.get(owner).waitFor(10_000);
           gatherers.get(owner).close();
-          gatherers.set(owner, Members.start(folder, "g" + owner, stewards.addresses(), 60_000, List.of()));
+          gatherers.set(
+              owner, Members.start(folder, "g" + owner, stewards.addresses(), 60_000, List.of()));
         }
       }
       gatherers.forEach(GathererProcess::close);
     }
     Arrays.sort(gaps);
-    System.out.printf("%s, lease 3000 ms, %d times: without an owner for %d ms in the median, %d at most%n", loss, LOSSES,
-        gaps[LOSSES / 2] / 1_000_000, gaps[LOSSES - 1] / 1_000_000);
+    System.out.printf(
+        "%s, lease 3000 ms, %d times: without an owner for %d ms in the median, %d at most%n",
+        loss, LOSSES, gaps[LOSSES / 2] / 1_000_000, gaps[LOSSES - 1] / 1_000_000);
   }
 
   private static LeaseBook.Duty owned(StewardClient client, long after) throws Exception {
--- a/lab/src/test/java/tidebank/lab/chaos/ChaosTest.java
+++ b/lab/src/test/java/tidebank/lab/chaos/ChaosTest.java
@@ -16,7 +16,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Every script that comes with the program, played on processes; and one whose stewards are outside of what is promised. */
+/**
+ * Every script that comes with the program, played on processes; and one whose stewards are outside
+ * of what is promised.
+ */
 @Timeout(180)
 class ChaosTest {
   @TempDir private Path folder;
@@ -26,7 +29,7 @@
   }
 
   private Play.Verdict play(Script script) throws IOException {
-    return new Play(script, 0, folder, line -> { }).run();
+    return new Play(script, 0, folder, line -> {}).run();
   }
 
   @Execution(ExecutionMode.CONCURRENT)
@@ -38,7 +41,10 @@
     assertThat(verdict.publications()).isGreaterThanOrEqualTo(3);
   }
 
-  /** On its own, so that it has a name: it stood still in one of four plays, and why is not known (KNOWN-RED.txt). */
+  /**
+   * On its own, so that it has a name: it stood still in one of four plays, and why is not known
+   * (KNOWN-RED.txt).
+   */
   @Execution(ExecutionMode.CONCURRENT)
   @Test
   void allThatIsPromisedHoldsWhereAStewardComesBackWithAnOlderDisk() throws Exception {
@@ -47,16 +53,30 @@
 
   @Execution(ExecutionMode.CONCURRENT)
   @Test
-  void aStewardWhoseClockIsWrongerThanStatedIsFoundAndTheRunSaysHowToPlayItAgain() throws Exception {
+  void aStewardWhoseClockIsWrongerThanStatedIsFoundAndTheRunSaysHowToPlayItAgain()
+      throws Exception {
     Script good = Script.read("owner-unheard");
-    Script wrong = new Script(good.name(), good.about(), 1, good.members(), good.leaseMs(), good.drift(), Map.of("s0", 1.9),
-        good.steps());
+    Script wrong =
+        new Script(
+            good.name(),
+            good.about(),
+            1,
+            good.members(),
+            good.leaseMs(),
+            good.drift(),
+            Map.of("s0", 1.9),
+            good.steps());
     Play.Verdict verdict = play(wrong);
     assertThat(verdict.broken()).isNotEmpty().allMatch(one -> one.contains("was granted at"));
     assertThat(RunFiles.verdict(folder)).isEqualTo(verdict);
-    assertThat(Files.readString(folder.resolve("report.html"))).contains("broken").contains("bin/tidebank chaos run owner-unheard");
-    assertThat(Files.readString(folder.resolve("timeline.svg"))).contains("link first to stewards: silent up");
-    assertThat(Files.readAllLines(folder.resolve("history.jsonl"))).hasSizeGreaterThan(verdict.commands());
-    assertThat(List.of("s0", "g0", "g1", "g2")).allMatch(one -> Files.exists(folder.resolve("logs/" + one + ".log")));
+    assertThat(Files.readString(folder.resolve("report.html")))
+        .contains("broken")
+        .contains("bin/tidebank chaos run owner-unheard");
+    assertThat(Files.readString(folder.resolve("timeline.svg")))
+        .contains("link first to stewards: silent up");
+    assertThat(Files.readAllLines(folder.resolve("history.jsonl")))
+        .hasSizeGreaterThan(verdict.commands());
+    assertThat(List.of("s0", "g0", "g1", "g2"))
+        .allMatch(one -> Files.exists(folder.resolve("logs/" + one + ".log")));
   }
 }
--- a/lab/src/test/java/tidebank/lab/chaos/LeaseRulesTest.java
+++ b/lab/src/test/java/tidebank/lab/chaos/LeaseRulesTest.java
@@ -15,7 +15,10 @@
 import tidebank.lease.LeaseBook;
 import tidebank.lease.Terms;
 
-/** Histories of a duty, a good one and ones with a planted fault each. Times in milliseconds; the lease lasts a second. */
+/**
+ * Histories of a duty, a good one and ones with a planted fault each. Times in milliseconds; the
+ * lease lasts a second.
+ */
 class LeaseRulesTest {
   private static final Terms TERMS = new Terms(1_000_000, 0.05, 100, 100);
   private static final String DUTY = "report";
@@ -23,9 +26,34 @@
   private final List<Asked> asked = new ArrayList<>();
   private int number;
 
-  private void add(long call, long back, Kind kind, String who, long token, long revision, Fault fault, Grant grant, long now) {
-    Command command = new Command(kind, who, ++number, who, kind == Kind.RENEW ? "" : DUTY, token, revision, who + revision, null);
-    Answer answer = new Answer(fault == null ? null : fault.told(), grant == null ? List.of() : List.of(grant), List.of(), TERMS, now);
+  private void add(
+      long call,
+      long back,
+      Kind kind,
+      String who,
+      long token,
+      long revision,
+      Fault fault,
+      Grant grant,
+      long now) {
+    Command command =
+        new Command(
+            kind,
+            who,
+            ++number,
+            who,
+            kind == Kind.RENEW ? "" : DUTY,
+            token,
+            revision,
+            who + revision,
+            null);
+    Answer answer =
+        new Answer(
+            fault == null ? null : fault.told(),
+            grant == null ? List.of() : List.of(grant),
+            List.of(),
+            TERMS,
+            now);
     asked.add(new Asked(who, command, call * 1000, back * 1000, answer, 1));
   }
 
@@ -53,7 +81,9 @@
     return LeaseRules.early(asked, DUTY, TERMS);
   }
 
-  /** An owner renews, falls silent, and is told that its token is old once a successor is at work. */
+  /**
+   * An owner renews, falls silent, and is told that its token is old once a successor is at work.
+   */
   private void good() {
     claim(0, 10, "a", 1);
     publish(20, 30, "a", 1, 0);
@@ -102,10 +132,15 @@
   @Test
   void aGapLastsFromAnOwnersLossToTheNextGrantAndALossOfAnotherIsNone() {
     good();
-    List<History.Event> events = List.of(new History.Event(200_000, "b", "kill other"), new History.Event(310_000, "a", "stop owner as x"),
-        new History.Event(320_000, "a", "scans 2"), new History.Event(1_400_000, "b", "link b to stewards: cut"));
+    List<History.Event> events =
+        List.of(
+            new History.Event(200_000, "b", "kill other"),
+            new History.Event(310_000, "a", "stop owner as x"),
+            new History.Event(320_000, "a", "scans 2"),
+            new History.Event(1_400_000, "b", "link b to stewards: cut"));
     assertThat(Gaps.of(events, asked, DUTY)).isEqualTo(Map.of("stop", List.of(1_000_000L)));
-    assertThat(Gaps.said(Map.of("stop", List.of(9000L, 1000L, 5000L)))).isEqualTo("stop 3: median 5 ms, most 9 ms");
+    assertThat(Gaps.said(Map.of("stop", List.of(9000L, 1000L, 5000L))))
+        .isEqualTo("stop 3: median 5 ms, most 9 ms");
   }
 
   @Test
@@ -121,8 +156,20 @@
     renew(300, 310, "a", 1);
     claim(1200, 1210, "b", 2);
     assertThat(linear()).isTrue();
-    assertThat(early()).singleElement().asString().contains("token 2 of b").contains("lasts to 1252 ms");
-    asked.add(1, new Asked("a", new Command(Kind.RELEASE, "a", 99, "a", DUTY, 1, 0, "", null), 1_100_000, Long.MAX_VALUE, null, 1));
+    assertThat(early())
+        .singleElement()
+        .asString()
+        .contains("token 2 of b")
+        .contains("lasts to 1252 ms");
+    asked.add(
+        1,
+        new Asked(
+            "a",
+            new Command(Kind.RELEASE, "a", 99, "a", DUTY, 1, 0, "", null),
+            1_100_000,
+            Long.MAX_VALUE,
+            null,
+            1));
     assertThat(early()).isEmpty();
   }
 
@@ -130,11 +177,23 @@
   void whatAReaderIsToldMustHaveBeenSoThen() {
     good();
     LeaseBook.Duty cell = new LeaseBook.Duty(DUTY, 1, "a", "a", 0, "a", "", 1, 1, "a0");
-    LeaseBook.State state = new LeaseBook.State(TERMS, 1, 0, 0, List.of(), List.of(cell), List.of());
-    assertThat(Linear.check(LeaseRules.operations(asked, List.of(new History.Read("o", 1_000_000, 1_100_000, state)), DUTY),
-        LeaseRules.Cell.NEW).holds()).isTrue();
-    assertThat(Linear.check(LeaseRules.operations(asked, List.of(new History.Read("o", 1_340_000, 1_390_000, state)), DUTY),
-        LeaseRules.Cell.NEW).holds()).as("read after the next one's first").isFalse();
+    LeaseBook.State state =
+        new LeaseBook.State(TERMS, 1, 0, 0, List.of(), List.of(cell), List.of());
+    assertThat(
+            Linear.check(
+                    LeaseRules.operations(
+                        asked, List.of(new History.Read("o", 1_000_000, 1_100_000, state)), DUTY),
+                    LeaseRules.Cell.NEW)
+                .holds())
+        .isTrue();
+    assertThat(
+            Linear.check(
+                    LeaseRules.operations(
+                        asked, List.of(new History.Read("o", 1_340_000, 1_390_000, state)), DUTY),
+                    LeaseRules.Cell.NEW)
+                .holds())
+        .as("read after the next one's first")
+        .isFalse();
   }
 
   @Test
@@ -146,7 +205,8 @@
     Answer first = new Answer(null, List.of(new Grant(DUTY, 1)), List.of(), TERMS, 0);
     history.answered(command, first);
     history.answered(command, first);
-    history.answered(command, new Answer(new Fault.CallOld("a", 1, 2).told(), List.of(), List.of(), TERMS, 0));
+    history.answered(
+        command, new Answer(new Fault.CallOld("a", 1, 2).told(), List.of(), List.of(), TERMS, 0));
     assertThat(history.faults()).isEmpty();
     assertThat(history.asked()).singleElement().matches(one -> one.copies() == 2);
     history.answered(command, new Answer(null, List.of(new Grant(DUTY, 2)), List.of(), TERMS, 0));
--- a/lab/src/test/java/tidebank/lab/chaos/LinearTest.java
+++ b/lab/src/test/java/tidebank/lab/chaos/LinearTest.java
@@ -15,8 +15,13 @@
     return new Linear.Operation<>("read " + value, call, back, now -> now == value ? now : null);
   }
 
-  private static Linear.Operation<Integer> set(long call, long back, int from, int to, boolean done) {
-    return new Linear.Operation<>("set " + from + " to " + to, call, back, now -> done == (now == from) ? done ? to : now : null);
+  private static Linear.Operation<Integer> set(
+      long call, long back, int from, int to, boolean done) {
+    return new Linear.Operation<>(
+        "set " + from + " to " + to,
+        call,
+        back,
+        now -> done == (now == from) ? done ? to : now : null);
   }
 
   private static boolean holds(List<Linear.Operation<Integer>> history) {
@@ -26,25 +31,35 @@
   @Test
   void whatOverlapsMayHaveComeInAnyOrderAndWhatFollowsMayNot() {
     assertThat(holds(List.of(set(0, 10, 0, 1, true), read(1, 9, 0), read(2, 8, 1)))).isTrue();
-    assertThat(holds(List.of(set(0, 10, 0, 1, true), read(1, 3, 1), read(4, 8, 0)))).as("the new value, then the old").isFalse();
-    assertThat(holds(List.of(set(0, 2, 0, 1, true), read(3, 4, 0)))).as("a write that was lost").isFalse();
-    assertThat(holds(List.of(set(0, 9, 0, 1, true), set(1, 8, 0, 2, true)))).as("two that both took it").isFalse();
+    assertThat(holds(List.of(set(0, 10, 0, 1, true), read(1, 3, 1), read(4, 8, 0))))
+        .as("the new value, then the old")
+        .isFalse();
+    assertThat(holds(List.of(set(0, 2, 0, 1, true), read(3, 4, 0))))
+        .as("a write that was lost")
+        .isFalse();
+    assertThat(holds(List.of(set(0, 9, 0, 1, true), set(1, 8, 0, 2, true))))
+        .as("two that both took it")
+        .isFalse();
     assertThat(holds(List.of(set(0, 9, 0, 1, true), set(1, 8, 0, 2, false)))).isTrue();
   }
 
   @Test
   void oneWithoutAnAnswerMayHaveTakenEffectOnceAtAnyTimeLaterOrNever() {
-    Linear.Operation<Integer> unheard = new Linear.Operation<>("unheard", 0, NEVER, now -> now == 0 ? 1 : now);
+    Linear.Operation<Integer> unheard =
+        new Linear.Operation<>("unheard", 0, NEVER, now -> now == 0 ? 1 : now);
     assertThat(holds(List.of(unheard, read(5, 6, 0)))).isTrue();
     assertThat(holds(List.of(unheard, read(5, 6, 0), read(7, 8, 1)))).isTrue();
     assertThat(holds(List.of(unheard, read(5, 6, 1), read(7, 8, 0)))).isFalse();
-    assertThat(holds(List.of(read(1, 2, 1), new Linear.Operation<>("later", 5, NEVER, now -> 1)))).as("before it was asked").isFalse();
+    assertThat(holds(List.of(read(1, 2, 1), new Linear.Operation<>("later", 5, NEVER, now -> 1))))
+        .as("before it was asked")
+        .isFalse();
   }
 
   @Test
   void itSaysWhereItStoodStill() {
     Linear.Outcome outcome = Linear.check(List.of(set(0, 2, 0, 1, true), read(3, 4, 7)), 0);
-    assertThat(outcome.fault()).isEqualTo("after 1 of 2 operations, with 1, none of these fits: read 7");
+    assertThat(outcome.fault())
+        .isEqualTo("after 1 of 2 operations, with 1, none of these fits: read 7");
   }
 
   @Test
@@ -56,7 +71,8 @@
       int value = 0;
       int last = 0;
       for (int i = 0; i < 300; i++) {
-        // Each takes effect at 10 i; it was called up to five operations before and answered up to five after.
+        // Each takes effect at 10 i; it was called up to five operations before and answered up to
+        // five after.
         long call = 10 * i - (int) (50 * chance.next());
         long back = 10 * i + 1 + (int) (50 * chance.next());
         if (chance.next() < 0.5) {
--- a/lab/src/test/java/tidebank/lab/chaos/RelaysTest.java
+++ b/lab/src/test/java/tidebank/lab/chaos/RelaysTest.java
@@ -30,24 +30,28 @@
   @BeforeEach
   void open() throws Exception {
     server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-    Thread echo = new Thread(() -> {
-      try {
-        while (true) {
-          Socket one = server.accept();
-          Thread each = new Thread(() -> {
-            try (one) {
-              one.getInputStream().transferTo(one.getOutputStream());
-            } catch (IOException gone) {
-              // As the test wanted.
-            }
-          });
-          each.setDaemon(true);
-          each.start();
-        }
-      } catch (IOException closed) {
-        // The test is over.
-      }
-    });
+    Thread echo =
+        new Thread(
+            () -> {
+              try {
+                while (true) {
+                  Socket one = server.accept();
+                  Thread each =
+                      new Thread(
+                          () -> {
+                            try (one) {
+                              one.getInputStream().transferTo(one.getOutputStream());
+                            } catch (IOException gone) {
+                              // As the test wanted.
+                            }
+                          });
+                  each.setDaemon(true);
+                  each.start();
+                }
+              } catch (IOException closed) {
+                // The test is over.
+              }
+            });
     echo.setDaemon(true);
     echo.start();
     relays = new Relays((port, relay) -> Sockets.owner(port, relay, processes), history, 1);
@@ -91,7 +95,9 @@
       put(fault, 0, 0);
       send(socket, "two");
       socket.setSoTimeout(50);
-      assertThatThrownBy(() -> got(socket, 1)).as(fault.name()).isInstanceOf(SocketTimeoutException.class);
+      assertThatThrownBy(() -> got(socket, 1))
+          .as(fault.name())
+          .isInstanceOf(SocketTimeoutException.class);
       put(Link.Fault.HEAL, 0, 0);
       socket.setSoTimeout(10_000);
       assertThat(got(socket, 3)).isEqualTo("two");
@@ -111,7 +117,9 @@
     String text = "0123456789".repeat(20);
     send(socket, text);
     assertThat(got(socket, 200)).isEqualTo(text);
-    assertThat(System.nanoTime() - before).as("200 bytes at 1,000 a second").isGreaterThanOrEqualTo(200_000_000L);
+    assertThat(System.nanoTime() - before)
+        .as("200 bytes at 1,000 a second")
+        .isGreaterThanOrEqualTo(200_000_000L);
   }
 
   @Test
@@ -120,7 +128,9 @@
     send(first, "x");
     got(first, 1);
     put(Link.Fault.RESET, 0, 0);
-    assertThatThrownBy(() -> got(first, 1)).isInstanceOf(IOException.class).hasMessageContaining("reset");
+    assertThatThrownBy(() -> got(first, 1))
+        .isInstanceOf(IOException.class)
+        .hasMessageContaining("reset");
     Socket second = connect();
     send(second, "y");
     assertThat(got(second, 1)).isEqualTo("y");
@@ -129,13 +139,15 @@
     second.setSoTimeout(50);
     assertThatThrownBy(() -> got(second, 1)).isInstanceOf(SocketTimeoutException.class);
     put(Link.Fault.REFUSE, 0, 0);
-    assertThatThrownBy(() -> {
-      Socket third = connect();
-      send(third, "a");
-      got(third, 1);
-      send(third, "b");
-      got(third, 1);
-    }).isInstanceOf(IOException.class);
+    assertThatThrownBy(
+            () -> {
+              Socket third = connect();
+              send(third, "a");
+              got(third, 1);
+              send(third, "b");
+              got(third, 1);
+            })
+        .isInstanceOf(IOException.class);
     put(Link.Fault.HEAL, 0, 0);
     Socket fourth = connect();
     send(fourth, "w");
--- a/lab/src/test/java/tidebank/lab/chaos/ScriptTest.java
+++ b/lab/src/test/java/tidebank/lab/chaos/ScriptTest.java
@@ -30,20 +30,56 @@
       Script script = Drawn.script(seed);
       assertThat(Drawn.script(seed)).isEqualTo(script);
       assertThat(Script.read(Toml.read("drawn", script.toml()), script.name())).isEqualTo(script);
-      script.steps().forEach(step -> done.add(step.act() == Script.Do.LINK ? step.fault() : step.act()));
+      script
+          .steps()
+          .forEach(step -> done.add(step.act() == Script.Do.LINK ? step.fault() : step.act()));
     }
-    assertThat(done).contains(Script.Do.STOP, Script.Do.WAKE, Script.Do.KILL, Script.Do.TERM, Script.Do.START, Script.Do.SCANS,
-        Link.Fault.SILENT_UP, Link.Fault.SILENT_DOWN, Link.Fault.CUT, Link.Fault.RESET, Link.Fault.HALF_OPEN, Link.Fault.DELAY,
-        Link.Fault.FLAP, Link.Fault.TRICKLE, Link.Fault.HEAL);
+    assertThat(done)
+        .contains(
+            Script.Do.STOP,
+            Script.Do.WAKE,
+            Script.Do.KILL,
+            Script.Do.TERM,
+            Script.Do.START,
+            Script.Do.SCANS,
+            Link.Fault.SILENT_UP,
+            Link.Fault.SILENT_DOWN,
+            Link.Fault.CUT,
+            Link.Fault.RESET,
+            Link.Fault.HALF_OPEN,
+            Link.Fault.DELAY,
+            Link.Fault.FLAP,
+            Link.Fault.TRICKLE,
+            Link.Fault.HEAL);
   }
 
   @Test
   void whatIsWrongInAScriptIsNamedByLineAndAnUnknownScriptByThoseThereAre() {
-    String text = "stewards = 2\n[clocks]\ng0 = 3.0\n[[steps]]\ndo = \"stopp\"\n[[steps]]\ndo = \"link\"\nwho = \"g0\"\n"
-        + "[[steps]]\ndo = \"kill\"\nwho = \"ownr\"\nasif = 1\n";
-    assertThatThrownBy(() -> Script.read(Toml.read("x.toml", text), "x")).isInstanceOf(Malformed.class).hasMessageContainingAll(
-        "x.toml:1: stewards", "x.toml:3: clocks.g0", "x.toml:5: steps[0].do", "x.toml:7: steps[1].do: a link needs",
-        "x.toml:11: steps[2].who: found 'ownr'", "did you mean \"owner\"?", "x.toml:12: steps[2].asif: unknown key");
-    assertThatThrownBy(() -> Script.read("no-such")).isInstanceOf(Fault.ScriptUnknown.class).hasMessageContaining("owner-stopped");
+    String text =
+        "stewards = 2\n"
+            + "[clocks]\n"
+            + "g0 = 3.0\n"
+            + "[[steps]]\n"
+            + "do = \"stopp\"\n"
+            + "[[steps]]\n"
+            + "do = \"link\"\n"
+            + "who = \"g0\"\n"
+            + "[[steps]]\n"
+            + "do = \"kill\"\n"
+            + "who = \"ownr\"\n"
+            + "asif = 1\n";
+    assertThatThrownBy(() -> Script.read(Toml.read("x.toml", text), "x"))
+        .isInstanceOf(Malformed.class)
+        .hasMessageContainingAll(
+            "x.toml:1: stewards",
+            "x.toml:3: clocks.g0",
+            "x.toml:5: steps[0].do",
+            "x.toml:7: steps[1].do: a link needs",
+            "x.toml:11: steps[2].who: found 'ownr'",
+            "did you mean \"owner\"?",
+            "x.toml:12: steps[2].asif: unknown key");
+    assertThatThrownBy(() -> Script.read("no-such"))
+        .isInstanceOf(Fault.ScriptUnknown.class)
+        .hasMessageContaining("owner-stopped");
   }
 }
--- a/lab/src/test/java/tidebank/lab/chaos/SkewedTest.java
+++ b/lab/src/test/java/tidebank/lab/chaos/SkewedTest.java
@@ -15,10 +15,14 @@
     }
   }
 
-  /** Loads the clock and the class that reads it anew, so that the rate of this test holds for them alone. */
+  /**
+   * Loads the clock and the class that reads it anew, so that the rate of this test holds for them
+   * alone.
+   */
   private static final class Loader extends ClassLoader {
     Class<?> define(Class<?> one, boolean changed) throws Exception {
-      try (InputStream in = one.getResourceAsStream("/" + one.getName().replace('.', '/') + ".class")) {
+      try (InputStream in =
+          one.getResourceAsStream("/" + one.getName().replace('.', '/') + ".class")) {
         byte[] bytes = changed ? Skewed.changed(in.readAllBytes()) : in.readAllBytes();
         return defineClass(one.getName(), bytes, 0, bytes.length);
       }
@@ -42,7 +46,8 @@
       long after = System.nanoTime();
       long second = (long) reader.invoke(null);
       long last = System.nanoTime();
-      // Whatever the machine does in between, the rate lies between what the clock around it allows.
+      // Whatever the machine does in between, the rate lies between what the clock around it
+      // allows.
       assertThat((second - first) / (double) (after - between)).isGreaterThanOrEqualTo(1.5 * 0.999);
       assertThat((second - first) / (double) (last - before)).isLessThanOrEqualTo(1.5 * 1.001);
     } finally {
--- a/lab/src/test/java/tidebank/lab/chaos/StoredTest.java
+++ b/lab/src/test/java/tidebank/lab/chaos/StoredTest.java
@@ -29,7 +29,9 @@
   }
 
   private LeaseBook.Duty published(String... names) throws Exception {
-    Files.write(folder.resolve("removals/removal-1-by-1.json"), LeaseCodec.bytes(new Retention(1, "", 1, List.of(names))));
+    Files.write(
+        folder.resolve("removals/removal-1-by-1.json"),
+        LeaseCodec.bytes(new Retention(1, "", 1, List.of(names))));
     return new LeaseBook.Duty("retention", 1, "g0", "x", 0, "g0", "", 1, 1, "removal-1-by-1.json");
   }
 
@@ -49,7 +51,8 @@
     Set<String> gone = stored.gone();
     stored.see(new LeaseBook.Duty("retention", 1, "g0", "x", 0, "g0", "", 0, 0, ""), gone);
     stored.see(published(OLD), gone);
-    assertThat(stored.faults()).containsExactly(OLD + " was removed, and no published list names it");
+    assertThat(stored.faults())
+        .containsExactly(OLD + " was removed, and no published list names it");
   }
 
   @Test
