--- a/lab/src/test/java/tidebank/lab/fleet/DutiesTest.java
+++ b/lab/src/test/java/tidebank/lab/fleet/DutiesTest.java
@@ -27,7 +27,10 @@
 import tidebank.lease.LeaseBook;
 import tidebank.steward.StewardClient;
 
-/** Gatherers and a steward as processes; owners of the report are stopped, woken, killed and ended amid their work. */
+/**
+ * Gatherers and a steward as processes; owners of the report are stopped, woken, killed and ended
+ * amid their work.
+ */
 @Timeout(120)
 class DutiesTest {
 
@@ -40,7 +43,11 @@
 
   @BeforeEach
   void start() throws Exception {
-    stewards = new Stewards(folder, 1, "[duties]\nnames = [\"report\"]\n[lease]\nms = 1000\n[election]\nms = 200\n");
+    stewards =
+        new Stewards(
+            folder,
+            1,
+            "[duties]\nnames = [\"report\"]\n[lease]\nms = 1000\n[election]\nms = 200\n");
     client = new StewardClient(stewards.addresses(), PATIENCE_MS);
     for (int i = 0; i < 3; i++) {
       gatherers.add(gatherer("g" + i, stewards.addresses(), List.of()));
@@ -54,7 +61,8 @@
     stewards.close();
   }
 
-  private GathererProcess gatherer(String name, List<String> asks, List<String> flags) throws IOException {
+  private GathererProcess gatherer(String name, List<String> asks, List<String> flags)
+      throws IOException {
     return Members.start(folder, name, asks, 250, flags);
   }
 
@@ -74,19 +82,29 @@
   /** A scan that a gatherer without shard servers throttles, and counts. */
   private void scan(GathererProcess gatherer) throws Exception {
     InetSocketAddress at = gatherer.address();
-    int status = http.send(HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + at.getPort() + "/checkout"))
-        .header("X-Correlation-Id", Long.toHexString(++sent + (1L << 40))).header("X-Time-Left", "2000m")
-        .POST(BodyPublishers.ofString("{\"ranges\":[{\"range\":0,\"portion\":1}],\"predicate\":\"c41e77d0\"}")).build(),
-        BodyHandlers.ofString()).statusCode();
+    int status =
+        http.send(
+                HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + at.getPort() + "/checkout"))
+                    .header("X-Correlation-Id", Long.toHexString(++sent + (1L << 40)))
+                    .header("X-Time-Left", "2000m")
+                    .POST(
+                        BodyPublishers.ofString(
+                            "{\"ranges\":[{\"range\":0,\"portion\":1}],\"predicate\":\"c41e77d0\"}"))
+                    .build(),
+                BodyHandlers.ofString())
+            .statusCode();
     assertThat(status).isIn(429, 503);
   }
 
-  /** The scans of all reports that were published: the last one and, by the names that they give, those before it. */
+  /**
+   * The scans of all reports that were published: the last one and, by the names that they give,
+   * those before it.
+   */
   private long counted() throws Exception {
     long sum = 0;
     long after = Long.MAX_VALUE;
     long number = published();
-    for (String name = report().value(); !name.isEmpty();) {
+    for (String name = report().value(); !name.isEmpty(); ) {
       FleetReport report = read(name);
       assertThat(report.token()).as("tokens only grow").isLessThanOrEqualTo(after);
       assertThat(report.number()).isGreaterThanOrEqualTo(number--);
@@ -98,7 +116,9 @@
   }
 
   private FleetReport read(String name) throws IOException {
-    return new ObjectMapper().readValue(Members.shared(folder).resolve("reports").resolve(name).toFile(), FleetReport.class);
+    return new ObjectMapper()
+        .readValue(
+            Members.shared(folder).resolve("reports").resolve(name).toFile(), FleetReport.class);
   }
 
   private void allCounted() throws Exception {
@@ -106,7 +126,8 @@
   }
 
   @Test
-  void anOwnerStoppedPastItsLeaseAndWokenAfterItsSuccessorsFirstReportDoesNoHarm() throws Exception {
+  void anOwnerStoppedPastItsLeaseAndWokenAfterItsSuccessorsFirstReportDoesNoHarm()
+      throws Exception {
     for (int round = 0; round < 3; round++) {
       for (GathererProcess gatherer : gatherers) {
         scan(gatherer);
@@ -117,7 +138,11 @@
       until(this::report, duty -> duty.token() > token && duty.publishedBy() > token);
       gatherers.get(owner).wake();
       // It is one of them again, and what it had begun came to nothing.
-      until(client::state, state -> state.members().stream().filter(member -> member.aliveUntil() > state.now()).count() == 3);
+      until(
+          client::state,
+          state ->
+              state.members().stream().filter(member -> member.aliveUntil() > state.now()).count()
+                  == 3);
       scan(gatherers.get(owner));
     }
     allCounted();
@@ -175,11 +200,15 @@
   @Test
   void switchedOffNothingOfItIsLoadedAndNoThreadOfItRuns() throws Exception {
     Path loaded = folder.resolve("classes.log");
-    GathererProcess plain = gatherer("plain", List.of(), List.of("-Xlog:class+load:file=" + loaded));
+    GathererProcess plain =
+        gatherer("plain", List.of(), List.of("-Xlog:class+load:file=" + loaded));
     gatherers.add(plain);
     scan(plain);
     plain.terminate();
     assertThat(plain.waitFor(10_000)).isZero();
-    assertThat(Files.readString(loaded)).contains("tidebank.Brain").doesNotContain("tidebank.fleet.").doesNotContain("tidebank.lease.");
+    assertThat(Files.readString(loaded))
+        .contains("tidebank.Brain")
+        .doesNotContain("tidebank.fleet.")
+        .doesNotContain("tidebank.lease.");
   }
 }
--- a/lab/src/test/java/tidebank/lab/fleet/StewardsTest.java
+++ b/lab/src/test/java/tidebank/lab/fleet/StewardsTest.java
@@ -36,8 +36,9 @@
 /** Stewards as processes, killed, stopped and woken, emptied and damaged between calls. */
 @Timeout(120)
 class StewardsTest {
-  private static final String SETTINGS = "[duties]\nnames = [\"report\", \"probe/a\"]\n[lease]\nms = 1500\n"
-      + "[election]\nms = 200\n[snapshot]\nevery = 20\n";
+  private static final String SETTINGS =
+      "[duties]\nnames = [\"report\", \"probe/a\"]\n[lease]\nms = 1500\n"
+          + "[election]\nms = 200\n[snapshot]\nevery = 20\n";
 
   @TempDir private Path folder;
 
@@ -67,10 +68,12 @@
 
     /** Asks until it owns the duty; its token. */
     long own(String duty) throws Exception {
-      return until(() -> {
-        step();
-        return holder.mayAct(duty, now(), 0);
-      }, token -> token > 0);
+      return until(
+          () -> {
+            step();
+            return holder.mayAct(duty, now(), 0);
+          },
+          token -> token > 0);
     }
   }
 
@@ -79,29 +82,41 @@
   }
 
   private static LeaseBook.Duty duty(StewardClient client, String name) throws IOException {
-    return client.state().duties().stream().filter(duty -> duty.name().equals(name)).findFirst().orElseThrow();
+    return client.state().duties().stream()
+        .filter(duty -> duty.name().equals(name))
+        .findFirst()
+        .orElseThrow();
   }
 
   /** The steward that leads, as it says itself. */
   private static int leader(Stewards stewards) throws Exception {
-    return until(() -> {
-      for (int i = 0; i < stewards.count(); i++) {
-        try {
-          HttpResponse<String> response = call(stewards.addresses().get(i), "GET", "/fleet/state", "");
-          if (response.statusCode() == 200) {
-            return i;
+    return until(
+        () -> {
+          for (int i = 0; i < stewards.count(); i++) {
+            try {
+              HttpResponse<String> response =
+                  call(stewards.addresses().get(i), "GET", "/fleet/state", "");
+              if (response.statusCode() == 200) {
+                return i;
+              }
+            } catch (IOException notThis) {
+              // Down or stopped.
+            }
           }
-        } catch (IOException notThis) {
-          // Down or stopped.
-        }
-      }
-      return -1;
-    }, one -> one >= 0);
+          return -1;
+        },
+        one -> one >= 0);
   }
 
-  private static HttpResponse<String> call(String address, String method, String path, String body) throws Exception {
-    return HttpClient.newHttpClient().send(HttpRequest.newBuilder(URI.create("http://" + address + path))
-        .timeout(Duration.ofSeconds(8)).method(method, BodyPublishers.ofString(body)).build(), BodyHandlers.ofString());
+  private static HttpResponse<String> call(String address, String method, String path, String body)
+      throws Exception {
+    return HttpClient.newHttpClient()
+        .send(
+            HttpRequest.newBuilder(URI.create("http://" + address + path))
+                .timeout(Duration.ofSeconds(8))
+                .method(method, BodyPublishers.ofString(body))
+                .build(),
+            BodyHandlers.ofString());
   }
 
   @Test
@@ -116,7 +131,8 @@
       stewards.process(0).kill();
       stewards.process(0).waitFor(5000);
       stewards.start(0);
-      // Sent again, as if the answer had been lost: it took effect once, and the answer is the first one's.
+      // Sent again, as if the answer had been lost: it took effect once, and the answer is the
+      // first one's.
       assertThat(client.command(published)).isEqualTo(first);
       assertThat(duty(client, "report").value()).isEqualTo("fleet-1." + token);
       assertThat(duty(client, "report").revision()).isEqualTo(1);
@@ -125,21 +141,59 @@
 
       String address = stewards.addresses().get(0);
       String[][] faults = {
-          {"POST", "/fleet/command", "{", "400", "TB-1104"}, {"POST", "/fleet/command", "{\"kind\":\"JOIN\"}", "400", "TB-1104"},
-          {"POST", "/fleet/command", "{\"kind\":\"JOIN\",\"odd\":1}", "400", "TB-1104"},
-          {"POST", "/fleet/command", "{\"kind\":\"CLAIM\",\"session\":\"x\",\"number\":1,\"name\":\"g9\",\"duty\":\"report\"}", "200", "TB-1007"},
-          {"POST", "/fleet/command", "{\"kind\":\"MOVE\",\"session\":\"y\",\"number\":1,\"duty\":\"nothing\"}", "200", "TB-1001"},
-          {"POST", "/fleet/command", "{\"kind\":\"DRAIN\",\"session\":\"z\",\"number\":1,\"name\":\"nobody\"}", "200", "TB-1015"},
-          {"POST", "/fleet/command", "{\"kind\":\"JOIN\",\"session\":\"w\",\"number\":1,\"name\":\"g1\"}", "200", "TB-1006"},
-          {"POST", "/fleet/command", "{\"kind\":\"JOIN\",\"session\":\"v\",\"number\":1,\"name\":\"" + "g".repeat(1025) + "\"}", "200", "TB-1012"},
-          {"GET", "/fleet", "", "404", "TB-1105"}, {"DELETE", "/fleet/state", "", "404", "TB-1105"}};
+        {"POST", "/fleet/command", "{", "400", "TB-1104"},
+        {"POST", "/fleet/command", "{\"kind\":\"JOIN\"}", "400", "TB-1104"},
+        {"POST", "/fleet/command", "{\"kind\":\"JOIN\",\"odd\":1}", "400", "TB-1104"},
+        {
+          "POST",
+          "/fleet/command",
+          "{\"kind\":\"CLAIM\",\"session\":\"x\",\"number\":1,\"name\":\"g9\",\"duty\":\"report\"}",
+          "200",
+          "TB-1007"
+        },
+        {
+          "POST",
+          "/fleet/command",
+          "{\"kind\":\"MOVE\",\"session\":\"y\",\"number\":1,\"duty\":\"nothing\"}",
+          "200",
+          "TB-1001"
+        },
+        {
+          "POST",
+          "/fleet/command",
+          "{\"kind\":\"DRAIN\",\"session\":\"z\",\"number\":1,\"name\":\"nobody\"}",
+          "200",
+          "TB-1015"
+        },
+        {
+          "POST",
+          "/fleet/command",
+          "{\"kind\":\"JOIN\",\"session\":\"w\",\"number\":1,\"name\":\"g1\"}",
+          "200",
+          "TB-1006"
+        },
+        {
+          "POST",
+          "/fleet/command",
+          "{\"kind\":\"JOIN\",\"session\":\"v\",\"number\":1,\"name\":\""
+              + "g".repeat(1025)
+              + "\"}",
+          "200",
+          "TB-1012"
+        },
+        {"GET", "/fleet", "", "404", "TB-1105"},
+        {"DELETE", "/fleet/state", "", "404", "TB-1105"}
+      };
       for (String[] fault : faults) {
         HttpResponse<String> response = call(address, fault[0], fault[1], fault[2]);
         JsonNode told = new ObjectMapper().readTree(response.body()).path("fault");
-        assertThat(response.statusCode() + " " + told.path("code").asText()).as(fault[2]).isEqualTo(fault[3] + " " + fault[4]);
+        assertThat(response.statusCode() + " " + told.path("code").asText())
+            .as(fault[2])
+            .isEqualTo(fault[3] + " " + fault[4]);
         assertThat(told.path("advice").asText()).isNotBlank();
       }
-      assertThat(call(address, "POST", "/fleet/command", "x".repeat(70_000)).statusCode()).isEqualTo(413);
+      assertThat(call(address, "POST", "/fleet/command", "x".repeat(70_000)).statusCode())
+          .isEqualTo(413);
     }
   }
 
@@ -151,15 +205,19 @@
       long token = owner.own("report");
       int leader = leader(stewards);
       stewards.process(leader).kill();
-      // Its renewals go on, at the next leader; until then it stops by itself if the lease ends first.
+      // Its renewals go on, at the next leader; until then it stops by itself if the lease ends
+      // first.
       assertThat(owner.own("report")).isGreaterThanOrEqualTo(token);
       assertThat(leader(stewards)).isNotEqualTo(leader);
-      // A second one lost, there is no majority, and nothing is decided: neither a duty nor a second owner.
+      // A second one lost, there is no majority, and nothing is decided: neither a duty nor a
+      // second owner.
       int second = leader(stewards);
       stewards.process(second).kill();
       int left = 3 - leader - second;
-      HttpResponse<String> response = until(() -> call(stewards.addresses().get(left), "GET", "/fleet/state", ""),
-          answer -> answer.statusCode() != 200);
+      HttpResponse<String> response =
+          until(
+              () -> call(stewards.addresses().get(left), "GET", "/fleet/state", ""),
+              answer -> answer.statusCode() != 200);
       assertThat(response.body()).containsAnyOf("TB-1101", "TB-1102");
       stewards.start(leader);
       assertThat(owner.own("report")).isGreaterThanOrEqualTo(token);
@@ -174,20 +232,43 @@
       long token = owner.own("report");
       int old = leader(stewards);
       stewards.process(old).stop();
-      Member next = new Member("g1", "second", new StewardClient(stewards.addresses().stream()
-          .filter(address -> !address.equals(stewards.addresses().get(old))).toList(), PATIENCE_MS));
+      Member next =
+          new Member(
+              "g1",
+              "second",
+              new StewardClient(
+                  stewards.addresses().stream()
+                      .filter(address -> !address.equals(stewards.addresses().get(old)))
+                      .toList(),
+                  PATIENCE_MS));
       long taken = next.own("report");
       assertThat(taken).isGreaterThan(token);
-      // By its own clock the first owner knew that its time was over, though nobody could tell it so.
+      // By its own clock the first owner knew that its time was over, though nobody could tell it
+      // so.
       assertThat(owner.holder.mayAct("report", Member.now(), 0)).isZero();
       stewards.process(old).wake();
-      // What the woken one says is never that the old owner may publish, whether it thinks that it leads or not.
-      Command late = new Command(Kind.PUBLISH, "first", 99, "g0", "report", token, 0, "too late", null);
-      HttpResponse<String> said = until(() -> call(stewards.addresses().get(old), "POST", "/fleet/command",
-          new ObjectMapper().writeValueAsString(late)), answer -> answer.statusCode() != 503);
+      // What the woken one says is never that the old owner may publish, whether it thinks that it
+      // leads or not.
+      Command late =
+          new Command(Kind.PUBLISH, "first", 99, "g0", "report", token, 0, "too late", null);
+      HttpResponse<String> said =
+          until(
+              () ->
+                  call(
+                      stewards.addresses().get(old),
+                      "POST",
+                      "/fleet/command",
+                      new ObjectMapper().writeValueAsString(late)),
+              answer -> answer.statusCode() != 503);
       assertThat(said.body()).containsAnyOf("TB-1101", "TB-1004");
-      assertThat(client.command(new Command(Kind.PUBLISH, "first", 100, "g0", "report", token, 0, "too late", null))
-          .fault().code()).isEqualTo("TB-1004");
+      assertThat(
+              client
+                  .command(
+                      new Command(
+                          Kind.PUBLISH, "first", 100, "g0", "report", token, 0, "too late", null))
+                  .fault()
+                  .code())
+          .isEqualTo("TB-1004");
       assertThat(duty(client, "report").revision()).isZero();
       assertThat(duty(client, "report").token()).isEqualTo(taken);
     }
@@ -210,9 +291,12 @@
         Files.write(snapshot, Arrays.copyOf(whole, whole.length / 2));
       }
       stewards.start(down);
-      assertThat(stewards.process(down).waitFor(15_000)).as(stewards.process(down).lastLines()).isEqualTo(1);
+      assertThat(stewards.process(down).waitFor(15_000))
+          .as(stewards.process(down).lastLines())
+          .isEqualTo(1);
       assertThat(stewards.process(down).lastLines()).contains("TB-1107").contains("what to do: ");
-      // As it was told: the folder out of the way, an empty one, with all others running, and the leader once anew.
+      // As it was told: the folder out of the way, an empty one, with all others running, and the
+      // leader once anew.
       Files.move(stewards.disk(down), folder.resolve("put-away"));
       stewards.start(down);
       int leader = leader(stewards);
@@ -232,7 +316,9 @@
       return List.of();
     }
     try (Stream<Path> all = Files.walk(disk)) {
-      return all.filter(path -> path.getFileName().toString().matches("snapshot\\.\\d+_\\d+")).sorted().toList();
+      return all.filter(path -> path.getFileName().toString().matches("snapshot\\.\\d+_\\d+"))
+          .sorted()
+          .toList();
     } catch (UncheckedIOException moving) {
       return List.of();
     }
@@ -240,53 +326,83 @@
 
   @Test
   void whoWaitsForADutyHearsOfItAsSoonAsItIsFreeAndOthersDoNot() throws Exception {
-    try (Stewards stewards = new Stewards(folder, 1, SETTINGS.replace(", \"probe/a\"", "").replace("ms = 1500", "ms = 60000"))) {
+    try (Stewards stewards =
+        new Stewards(
+            folder, 1, SETTINGS.replace(", \"probe/a\"", "").replace("ms = 1500", "ms = 60000"))) {
       StewardClient client = client(stewards);
       Member owner = new Member("g0", "first", client);
       owner.own("report");
       client.command(Command.of(Kind.JOIN, "second", 1, "g1"));
       String address = stewards.addresses().get(0);
-      assertThat(call(address, "GET", "/fleet/wanted?name=g1&wait_ms=1", "").body()).isEqualTo("[]");
-      CompletableFuture<String> news = CompletableFuture.supplyAsync(() -> {
-        try {
-          return call(address, "GET", "/fleet/wanted?name=g1&wait_ms=7000", "").body();
-        } catch (Exception fault) {
-          return fault.toString();
-        }
-      });
+      assertThat(call(address, "GET", "/fleet/wanted?name=g1&wait_ms=1", "").body())
+          .isEqualTo("[]");
+      CompletableFuture<String> news =
+          CompletableFuture.supplyAsync(
+              () -> {
+                try {
+                  return call(address, "GET", "/fleet/wanted?name=g1&wait_ms=7000", "").body();
+                } catch (Exception fault) {
+                  return fault.toString();
+                }
+              });
       long before = System.nanoTime();
       owner.holder.leave();
       owner.step();
-      // The lease would have lasted a minute, and the call would have come back with nothing after seven seconds.
+      // The lease would have lasted a minute, and the call would have come back with nothing after
+      // seven seconds.
       assertThat(news.get()).isEqualTo("[\"report\"]");
       assertThat(System.nanoTime() - before).isLessThan(5_000_000_000L);
-      assertThat(call(address, "GET", "/fleet/wanted?name=g0&wait_ms=1", "").body()).isEqualTo("[]");
-      for (String wrong : List.of("x=1", "name=g0&wait_ms=99999", "name=g0&wait_ms=x", "name=&wait_ms=1")) {
-        assertThat(call(address, "GET", "/fleet/wanted?" + wrong, "").body()).as(wrong).contains("TB-1104");
+      assertThat(call(address, "GET", "/fleet/wanted?name=g0&wait_ms=1", "").body())
+          .isEqualTo("[]");
+      for (String wrong :
+          List.of("x=1", "name=g0&wait_ms=99999", "name=g0&wait_ms=x", "name=&wait_ms=1")) {
+        assertThat(call(address, "GET", "/fleet/wanted?" + wrong, "").body())
+            .as(wrong)
+            .contains("TB-1104");
       }
     }
   }
 
   @Test
   void aFullDiskIsNamedEndsItAndLosesNothingThatWasAnswered() throws Exception {
-    try (Stewards stewards = new Stewards(folder, 1, SETTINGS.replace("every = 20", "every = 1000000"), (one, raft, address) -> address)) {
-      stewards.start(0, List.of(), line -> { }, 100 * 1024);
+    try (Stewards stewards =
+        new Stewards(
+            folder,
+            1,
+            SETTINGS.replace("every = 20", "every = 1000000"),
+            (one, raft, address) -> address)) {
+      stewards.start(0, List.of(), line -> {}, 100 * 1024);
       StewardClient client = new StewardClient(stewards.addresses(), 5000);
       until(() -> stewards.process(0).lastLines(), lines -> lines.contains("leads"));
       client.state();
       long answered = 0;
       try {
-        while (answered < 5000 && client.command(Command.of(answered == 0 ? Kind.JOIN : Kind.RENEW, "x", answered + 1, "g0")).fault() == null) {
+        while (answered < 5000
+            && client
+                    .command(
+                        Command.of(answered == 0 ? Kind.JOIN : Kind.RENEW, "x", answered + 1, "g0"))
+                    .fault()
+                == null) {
           answered++;
         }
       } catch (Fault.StewardsUnreached ended) {
         // As it was to: the one steward there is can't decide any more.
       }
-      assertThat(stewards.process(0).waitFor(15_000)).as(stewards.process(0).lastLines()).isEqualTo(1);
-      assertThat(stewards.process(0).lastLines()).contains("tidebank: TB-1108").contains("what to do: ").contains("free some space");
+      assertThat(stewards.process(0).waitFor(15_000))
+          .as(stewards.process(0).lastLines())
+          .isEqualTo(1);
+      assertThat(stewards.process(0).lastLines())
+          .contains("tidebank: TB-1108")
+          .contains("what to do: ")
+          .contains("free some space");
       stewards.start(0);
-      assertThat(until(client(stewards)::state, state -> !state.members().isEmpty()).members().get(0).number())
-          .as("the last one that was answered, or one more that was written").isBetween(answered, answered + 1);
+      assertThat(
+              until(client(stewards)::state, state -> !state.members().isEmpty())
+                  .members()
+                  .get(0)
+                  .number())
+          .as("the last one that was answered, or one more that was written")
+          .isBetween(answered, answered + 1);
     }
   }
 
@@ -295,7 +411,8 @@
     try (Stewards stewards = new Stewards(folder, 1, SETTINGS)) {
       leader(stewards);
       // A second one on the same folder and addresses.
-      try (Stewards twin = new Stewards(folder, 1, SETTINGS.replace("ms = 200", "ms = 200 # another"))) {
+      try (Stewards twin =
+          new Stewards(folder, 1, SETTINGS.replace("ms = 200", "ms = 200 # another"))) {
         assertThat(twin.process(0).waitFor(15_000)).as(twin.process(0).lastLines()).isEqualTo(1);
         assertThat(twin.process(0).lastLines()).contains("TB-1108").contains("what to do: ");
       }
--- a/lab/src/test/java/tidebank/lab/trace/store/TimeIndexTest.java
+++ b/lab/src/test/java/tidebank/lab/trace/store/TimeIndexTest.java
@@ -80,10 +80,21 @@
   void aHundredthOfATraceIsReadWithLittleMoreThanThat() throws IOException {
     Path path = folder.resolve("t.parquet");
     SplittableRandom chance = new SplittableRandom(1);
-    try (TraceFile.Writer writer = new TraceFile.Writer(path, TraceMeta.fresh("test", "", "", 24))) {
+    try (TraceFile.Writer writer =
+        new TraceFile.Writer(path, TraceMeta.fresh("test", "", "", 24))) {
       for (long i = 0; i < 1_000_000; i++) {
-        writer.add(new Item(new TraceRow(i * 100, "a", chance.nextInt(24), 2, "k" + chance.nextInt(100_000), 0.5,
-            chance.nextInt(100_000), "x"), i + 1));
+        writer.add(
+            new Item(
+                new TraceRow(
+                    i * 100,
+                    "a",
+                    chance.nextInt(24),
+                    2,
+                    "k" + chance.nextInt(100_000),
+                    0.5,
+                    chance.nextInt(100_000),
+                    "x"),
+                i + 1));
       }
       writer.finish();
     }
--- a/lab/src/test/java/tidebank/lease/LeaseBookTest.java
+++ b/lab/src/test/java/tidebank/lease/LeaseBookTest.java
@@ -27,7 +27,17 @@
   }
 
   private void plan(List<String> duties) {
-    apply(new Command(Kind.PLAN, "steward", number("steward"), "", "", 0, 0, "", new Command.Plan(TERMS, duties)));
+    apply(
+        new Command(
+            Kind.PLAN,
+            "steward",
+            number("steward"),
+            "",
+            "",
+            0,
+            0,
+            "",
+            new Command.Plan(TERMS, duties)));
   }
 
   private long number(String session) {
@@ -44,7 +54,9 @@
   }
 
   private Answer about(Kind kind, String session, String duty, long token) {
-    return apply(new Command(kind, session, number(session), session.replace("'", ""), duty, token, 0, "x", null));
+    return apply(
+        new Command(
+            kind, session, number(session), session.replace("'", ""), duty, token, 0, "x", null));
   }
 
   private String operate(Kind kind, String name, String duty) {
@@ -56,13 +68,17 @@
   }
 
   private Duty duty(String name) {
-    return book.state().duties().stream().filter(duty -> duty.name().equals(name)).findFirst().orElseThrow();
+    return book.state().duties().stream()
+        .filter(duty -> duty.name().equals(name))
+        .findFirst()
+        .orElseThrow();
   }
 
   @Test
   void aDutyIsClaimedRenewedReleasedAndHeldByOneOnly() {
     assertThat(ask(Kind.JOIN, "a").wanted()).containsExactly("probe/a", "report");
-    assertThat(about(Kind.CLAIM, "a", "report", 0).grants()).containsExactly(new Answer.Grant("report", 1));
+    assertThat(about(Kind.CLAIM, "a", "report", 0).grants())
+        .containsExactly(new Answer.Grant("report", 1));
     assertThat(code(about(Kind.CLAIM, "a", "nothing", 0))).isEqualTo("TB-1001");
     ask(Kind.JOIN, "b");
     assertThat(code(about(Kind.CLAIM, "b", "report", 0))).isEqualTo("TB-1002");
@@ -82,7 +98,8 @@
     assertThat(book.state().unclaimed()).isEqualTo(Map.of("a", List.of("probe/a", "report")));
     about(Kind.CLAIM, "a", "report", 0);
     assertThat(book.state().unclaimed()).isEqualTo(Map.of("a", List.of("probe/a")));
-    assertThat(book.state().at((now + 3001) * MS).unclaimed()).isEqualTo(Map.of("a", List.of("probe/a", "report")));
+    assertThat(book.state().at((now + 3001) * MS).unclaimed())
+        .isEqualTo(Map.of("a", List.of("probe/a", "report")));
   }
 
   @Test
@@ -92,7 +109,8 @@
     now += 3000;
     assertThat(ask(Kind.RENEW, "a").grants()).isEmpty();
     assertThat(code(about(Kind.PUBLISH, "a", "report", 1))).isEqualTo("TB-1005");
-    assertThat(about(Kind.CLAIM, "a", "report", 0).grants()).containsExactly(new Answer.Grant("report", 2));
+    assertThat(about(Kind.CLAIM, "a", "report", 0).grants())
+        .containsExactly(new Answer.Grant("report", 2));
   }
 
   @Test
@@ -105,7 +123,8 @@
     ask(Kind.RENEW, "b");
     now += 1500;
     assertThat(ask(Kind.RENEW, "b").wanted()).contains("report");
-    assertThat(about(Kind.CLAIM, "b", "report", 0).grants()).contains(new Answer.Grant("report", 2));
+    assertThat(about(Kind.CLAIM, "b", "report", 0).grants())
+        .contains(new Answer.Grant("report", 2));
     assertThat(code(ask(Kind.JOIN, "a'"))).isEmpty();
     assertThat(code(ask(Kind.RENEW, "a"))).isEqualTo("TB-1007");
   }
@@ -152,7 +171,9 @@
     term = 3;
     now = 1_000_000;
     ask(Kind.RENEW, "b");
-    assertThat(book.state().members().get(0).aliveUntil()).as("a was silent before").isEqualTo(now * MS);
+    assertThat(book.state().members().get(0).aliveUntil())
+        .as("a was silent before")
+        .isEqualTo(now * MS);
   }
 
   @Test
@@ -182,7 +203,8 @@
     about(Kind.CLAIM, "a", "report", 0);
     plan(List.of("probe/a"));
     plan(List.of("probe/a", "report"));
-    assertThat(about(Kind.CLAIM, "a", "report", 0).grants()).contains(new Answer.Grant("report", 3));
+    assertThat(about(Kind.CLAIM, "a", "report", 0).grants())
+        .contains(new Answer.Grant("report", 3));
   }
 
   @Test
@@ -201,7 +223,8 @@
     assertThat(each.values()).allMatch(count -> count <= 2);
     ask(Kind.LEAVE, before.get("probe/7"));
     Map<String, String> after = meant();
-    assertThat(after.keySet()).filteredOn(duty -> !after.get(duty).equals(before.get(duty)))
+    assertThat(after.keySet())
+        .filteredOn(duty -> !after.get(duty).equals(before.get(duty)))
         .allMatch(duty -> before.get(duty).equals(before.get("probe/7")));
     for (int i = 40; i < 50; i++) {
       assertThat(code(ask(Kind.JOIN, "m" + i))).isEmpty();
@@ -221,12 +244,18 @@
   void itsStateTakenUpAnewGoesOnAsIfNothingHadBeen() {
     ask(Kind.JOIN, "a");
     about(Kind.CLAIM, "a", "report", 0);
-    Command published = new Command(Kind.PUBLISH, "a", number("a"), "a", "report", 1, 0, "report-1", null);
+    Command published =
+        new Command(Kind.PUBLISH, "a", number("a"), "a", "report", 1, 0, "report-1", null);
     Answer first = apply(published);
     LeaseBook again = new LeaseBook(book.state());
     assertThat(again.state()).isEqualTo(book.state());
     assertThat(again.apply(term, now * MS + 5, published)).isEqualTo(first);
-    assertThat(code(again.apply(term, now * MS + 5, new Command(Kind.PUBLISH, "a", 90, "a", "report", 1, 0, "report-2", null))))
+    assertThat(
+            code(
+                again.apply(
+                    term,
+                    now * MS + 5,
+                    new Command(Kind.PUBLISH, "a", 90, "a", "report", 1, 0, "report-2", null))))
         .isEqualTo("TB-1011");
   }
 }
--- a/lab/src/test/java/tidebank/lease/LeaseModel.java
+++ b/lab/src/test/java/tidebank/lease/LeaseModel.java
@@ -10,17 +10,20 @@
 import tidebank.lab.explore.Explorer;
 
 /**
- * Three members, two duties, stewards whose log is taken for granted (a library's), and a network that loses, repeats and
- * reorders whatever it likes: what was sent once may come at any time, any number of times. A member that is not moved is
- * paused. Clocks run 5% fast or slow, and begin anywhere. The rules are the product's own classes.
+ * Three members, two duties, stewards whose log is taken for granted (a library's), and a network
+ * that loses, repeats and reorders whatever it likes: what was sent once may come at any time, any
+ * number of times. A member that is not moved is paused. Clocks run 5% fast or slow, and begin
+ * anywhere. The rules are the product's own classes.
  */
 final class LeaseModel implements Explorer.Model<LeaseModel.World> {
   static final int MEMBERS = 3;
   static final List<String> DUTIES = List.of("probe", "report");
   private static final long TICK = 1_000_000;
   static final Terms TERMS = new Terms(3 * TICK, 0.05, 8, 64);
+
   /** How fast the clocks of the members and of the leaders by term run. */
   private static final double[] MEMBER_RATES = {0.95, 1.05, 1};
+
   private static final double[] LEADER_RATES = {1.05, 0.95};
   private static final long[] LEADER_STARTS = {50 * TICK, 90 * TICK};
 
@@ -42,8 +45,17 @@
   }
 
   /** All there is at a moment; what was sent stays on its way for good. */
-  record World(int tick, int term, LeaseBook.State book, List<Holder> holders, List<Command> commands, List<Sent> answers,
-      int lost, int disturbed, TreeMap<String, String> ghosts, String wrong) {}
+  record World(
+      int tick,
+      int term,
+      LeaseBook.State book,
+      List<Holder> holders,
+      List<Command> commands,
+      List<Sent> answers,
+      int lost,
+      int disturbed,
+      TreeMap<String, String> ghosts,
+      String wrong) {}
 
   record Sent(int to, String session, long number, Answer answer) {}
 
@@ -116,12 +128,16 @@
 
     @Override
     protected long countsFrom(long asked, long answered) {
-      return flaw == Flaw.LEASE_COUNTED_FROM_THE_ANSWER ? answered : super.countsFrom(asked, answered);
+      return flaw == Flaw.LEASE_COUNTED_FROM_THE_ANSWER
+          ? answered
+          : super.countsFrom(asked, answered);
     }
 
     @Override
     protected long askedFrom(long first, long again) {
-      return flaw == Flaw.LEASE_COUNTED_FROM_THE_LAST_REPEAT ? again : super.askedFrom(first, again);
+      return flaw == Flaw.LEASE_COUNTED_FROM_THE_LAST_REPEAT
+          ? again
+          : super.askedFrom(first, again);
     }
 
     @Override
@@ -154,23 +170,49 @@
   }
 
   private static long leaderClock(World world) {
-    return LEADER_STARTS[world.term - 1] + Math.round(world.tick * TICK * LEADER_RATES[world.term - 1]);
+    return LEADER_STARTS[world.term - 1]
+        + Math.round(world.tick * TICK * LEADER_RATES[world.term - 1]);
   }
 
   @Override
   public World start() {
-    World world = new World(0, 1, new LeaseBook(TERMS).state(), List.of(), List.of(), List.of(), 0, 0, new TreeMap<>(), null);
+    World world =
+        new World(
+            0,
+            1,
+            new LeaseBook(TERMS).state(),
+            List.of(),
+            List.of(),
+            List.of(),
+            0,
+            0,
+            new TreeMap<>(),
+            null);
     Book book = new Book(world.book);
-    book.apply(1, leaderClock(world), new Command(Command.Kind.PLAN, "steward", 1, "", "", 0, 0, "",
-        new Command.Plan(TERMS, DUTIES)));
+    book.apply(
+        1,
+        leaderClock(world),
+        new Command(
+            Command.Kind.PLAN, "steward", 1, "", "", 0, 0, "", new Command.Plan(TERMS, DUTIES)));
     List<Holder> holders = new ArrayList<>();
     for (int i = 0; i < MEMBERS; i++) {
       Holder holder = new Member("m" + i, "s" + i);
       Command join = holder.ask(memberClock(world, i));
-      holder.answered(join.number(), book.apply(1, leaderClock(world), join), memberClock(world, i));
+      holder.answered(
+          join.number(), book.apply(1, leaderClock(world), join), memberClock(world, i));
       holders.add(holder);
     }
-    return new World(0, 1, book.state(), holders, List.of(), List.of(), 0, disturbed ? 0 : 1, new TreeMap<>(), null);
+    return new World(
+        0,
+        1,
+        book.state(),
+        holders,
+        List.of(),
+        List.of(),
+        0,
+        disturbed ? 0 : 1,
+        new TreeMap<>(),
+        null);
   }
 
   @Override
@@ -178,24 +220,74 @@
     if (world.wrong != null) {
       return;
     }
-    next.accept("a second passes", new World(world.tick + 1, world.term, world.book, world.holders, world.commands,
-        world.answers, world.lost, world.disturbed, world.ghosts, null));
+    next.accept(
+        "a second passes",
+        new World(
+            world.tick + 1,
+            world.term,
+            world.book,
+            world.holders,
+            world.commands,
+            world.answers,
+            world.lost,
+            world.disturbed,
+            world.ghosts,
+            null));
     if (world.term < LEADER_STARTS.length) {
-      next.accept("another steward leads", new World(world.tick, world.term + 1, world.book, world.holders, world.commands,
-          world.answers, world.lost, world.disturbed, world.ghosts, null));
+      next.accept(
+          "another steward leads",
+          new World(
+              world.tick,
+              world.term + 1,
+              world.book,
+              world.holders,
+              world.commands,
+              world.answers,
+              world.lost,
+              world.disturbed,
+              world.ghosts,
+              null));
     }
     if (world.disturbed == 0) {
-      World moved = taken(world, new Command(Command.Kind.MOVE, "operator", 1, "m1", DUTIES.get(0), 0, 0, "", null), null).world;
-      next.accept("an operator moves probe to m1", new World(world.tick, world.term, moved.book, moved.holders, moved.commands,
-          moved.answers, moved.lost, 1, moved.ghosts, moved.wrong));
+      World moved =
+          taken(
+                  world,
+                  new Command(
+                      Command.Kind.MOVE, "operator", 1, "m1", DUTIES.get(0), 0, 0, "", null),
+                  null)
+              .world;
+      next.accept(
+          "an operator moves probe to m1",
+          new World(
+              world.tick,
+              world.term,
+              moved.book,
+              moved.holders,
+              moved.commands,
+              moved.answers,
+              moved.lost,
+              1,
+              moved.ghosts,
+              moved.wrong));
     }
     for (int i = 0; i < MEMBERS; i++) {
       asks(world, i, next);
       if (world.disturbed == 0) {
         List<Holder> holders = new ArrayList<>(world.holders);
         holders.set(i, new Member("m" + i, "s" + i + "'"));
-        next.accept("m" + i + " is killed and starts again", new World(world.tick, world.term, world.book, holders,
-            world.commands, world.answers, world.lost, 1, world.ghosts, null));
+        next.accept(
+            "m" + i + " is killed and starts again",
+            new World(
+                world.tick,
+                world.term,
+                world.book,
+                holders,
+                world.commands,
+                world.answers,
+                world.lost,
+                1,
+                world.ghosts,
+                null));
       }
     }
     for (Command command : world.commands) {
@@ -207,13 +299,27 @@
       if (holder.toString().startsWith("m" + sent.to + sent.session)) {
         holder.answered(sent.number, sent.answer, memberClock(world, sent.to));
         holders.set(sent.to, holder);
-        next.accept("late: m" + sent.to + " hears the answer to " + sent.number, new World(world.tick, world.term, world.book,
-            holders, world.commands, world.answers, world.lost, world.disturbed, world.ghosts, null));
+        next.accept(
+            "late: m" + sent.to + " hears the answer to " + sent.number,
+            new World(
+                world.tick,
+                world.term,
+                world.book,
+                holders,
+                world.commands,
+                world.answers,
+                world.lost,
+                world.disturbed,
+                world.ghosts,
+                null));
       }
     }
   }
 
-  /** What member i asks next, and the ways it may go: answered, answer on its way, command on its way. */
+  /**
+   * What member i asks next, and the ways it may go: answered, answer on its way, command on its
+   * way.
+   */
   private void asks(World world, int i, BiConsumer<String, World> next) {
     for (boolean publish : new boolean[] {false, true}) {
       Holder asking = world.holders.get(i).copy();
@@ -241,26 +347,62 @@
         waiting.set(i, asking);
         Sent sent = new Sent(i, command.session(), command.number(), taken.answer);
         World lost = taken(world, command, sent).world;
-        next.accept("m" + i + ": " + text(command) + ", answer on its way", new World(lost.tick, lost.term, lost.book, waiting,
-            lost.commands, lost.answers, world.lost + 1, lost.disturbed, lost.ghosts, lost.wrong));
+        next.accept(
+            "m" + i + ": " + text(command) + ", answer on its way",
+            new World(
+                lost.tick,
+                lost.term,
+                lost.book,
+                waiting,
+                lost.commands,
+                lost.answers,
+                world.lost + 1,
+                lost.disturbed,
+                lost.ghosts,
+                lost.wrong));
         List<Command> commands = new ArrayList<>(world.commands);
         commands.add(command);
-        next.accept("m" + i + ": " + text(command) + ", on its way", new World(world.tick, world.term, world.book, waiting,
-            commands, world.answers, world.lost + 1, world.disturbed, world.ghosts, null));
+        next.accept(
+            "m" + i + ": " + text(command) + ", on its way",
+            new World(
+                world.tick,
+                world.term,
+                world.book,
+                waiting,
+                commands,
+                world.answers,
+                world.lost + 1,
+                world.disturbed,
+                world.ghosts,
+                null));
       }
     }
   }
 
   private static World with(World world, List<Holder> holders) {
-    return new World(world.tick, world.term, world.book, holders, world.commands, world.answers, world.lost, world.disturbed,
-        world.ghosts, world.wrong);
+    return new World(
+        world.tick,
+        world.term,
+        world.book,
+        holders,
+        world.commands,
+        world.answers,
+        world.lost,
+        world.disturbed,
+        world.ghosts,
+        world.wrong);
   }
 
   /** Calls that may come again; no others are worth noting down. */
   private static TreeMap<String, String> mayRepeat(World world) {
     TreeMap<String, String> ghosts = new TreeMap<>(world.ghosts);
-    ghosts.keySet().removeIf(call -> world.commands.stream().noneMatch(command -> call.equals(call(command)))
-        && world.answers.stream().noneMatch(sent -> call.equals(call(sent.session, sent.number))));
+    ghosts
+        .keySet()
+        .removeIf(
+            call ->
+                world.commands.stream().noneMatch(command -> call.equals(call(command)))
+                    && world.answers.stream()
+                        .noneMatch(sent -> call.equals(call(sent.session, sent.number))));
     return ghosts;
   }
 
@@ -273,15 +415,24 @@
   }
 
   private static String text(Command command) {
-    return command.kind() + (command.duty().isEmpty() ? "" : " " + command.duty()) + " (" + command.session() + " "
-        + command.number() + ")";
+    return command.kind()
+        + (command.duty().isEmpty() ? "" : " " + command.duty())
+        + " ("
+        + command.session()
+        + " "
+        + command.number()
+        + ")";
   }
 
   private record Taken(World world, Answer answer) {}
 
   /** The stewards take a command. Beside it, what an observer at the resource notes down. */
   private Taken taken(World world, Command command, Sent sent) {
-    Book book = new Book(flaw == Flaw.NEW_LEADER_FORGETS && world.term > world.book.term() ? forgotten(world.book) : world.book);
+    Book book =
+        new Book(
+            flaw == Flaw.NEW_LEADER_FORGETS && world.term > world.book.term()
+                ? forgotten(world.book)
+                : world.book);
     Answer answer = book.apply(world.term, leaderClock(world), command);
     LeaseBook.State after = book.state();
     TreeMap<String, String> ghosts = new TreeMap<>(world.ghosts);
@@ -289,19 +440,26 @@
     for (int i = 0; i < DUTIES.size(); i++) {
       LeaseBook.Duty was = world.book.duties().get(i);
       LeaseBook.Duty is = after.duties().get(i);
-      if (is.token() < was.token() || !is.session().isEmpty() && !is.session().equals(was.session())
-          && is.token() == was.token()) {
+      if (is.token() < was.token()
+          || !is.session().isEmpty()
+              && !is.session().equals(was.session())
+              && is.token() == was.token()) {
         wrong = is.name() + " was granted by token " + is.token() + " again";
       }
-      if (is.revision() > was.revision() && (command.token() != was.token() || !command.session().equals(was.session()))) {
+      if (is.revision() > was.revision()
+          && (command.token() != was.token() || !command.session().equals(was.session()))) {
         wrong = is.name() + " was published under the old token " + command.token();
       }
     }
     String call = call(command);
     String outcome = answer.fault() + " " + answer.revision();
-    // One that came after its session's next, or outside of its session, is refused as such, without effect.
-    boolean past = answer.fault() != null && (answer.fault().is(Fault.CallOld.class)
-        || answer.fault().is(Fault.MemberUnknown.class) || answer.fault().is(Fault.NameTaken.class));
+    // One that came after its session's next, or outside of its session, is refused as such,
+    // without effect.
+    boolean past =
+        answer.fault() != null
+            && (answer.fault().is(Fault.CallOld.class)
+                || answer.fault().is(Fault.MemberUnknown.class)
+                || answer.fault().is(Fault.NameTaken.class));
     if (!past && !outcome.equals(ghosts.getOrDefault(call, outcome))) {
       wrong = call + " was answered differently when repeated";
     }
@@ -312,15 +470,45 @@
     if (sent != null) {
       answers.add(sent);
     }
-    return new Taken(new World(world.tick, world.term, after, world.holders, world.commands, answers, world.lost,
-        world.disturbed, ghosts, wrong), answer);
+    return new Taken(
+        new World(
+            world.tick,
+            world.term,
+            after,
+            world.holders,
+            world.commands,
+            answers,
+            world.lost,
+            world.disturbed,
+            ghosts,
+            wrong),
+        answer);
   }
 
   /** The state with every lease over. */
   private static LeaseBook.State forgotten(LeaseBook.State state) {
-    return new LeaseBook.State(state.terms(), state.term(), state.now(), state.tokenFloor(), state.members(),
-        state.duties().stream().map(duty -> new LeaseBook.Duty(duty.name(), duty.token(), duty.owner(), duty.session(), 0,
-            duty.meant(), duty.pinned(), duty.revision(), duty.publishedBy(), duty.value())).toList(), state.operators());
+    return new LeaseBook.State(
+        state.terms(),
+        state.term(),
+        state.now(),
+        state.tokenFloor(),
+        state.members(),
+        state.duties().stream()
+            .map(
+                duty ->
+                    new LeaseBook.Duty(
+                        duty.name(),
+                        duty.token(),
+                        duty.owner(),
+                        duty.session(),
+                        0,
+                        duty.meant(),
+                        duty.pinned(),
+                        duty.revision(),
+                        duty.publishedBy(),
+                        duty.value()))
+            .toList(),
+        state.operators());
   }
 
   @Override
@@ -336,7 +524,12 @@
         if (token > 0) {
           acting.add("m" + i + " by token " + token);
           if (token != world.book.duties().get(duty).token()) {
-            return name + ": " + acting + " while token " + world.book.duties().get(duty).token() + " is granted";
+            return name
+                + ": "
+                + acting
+                + " while token "
+                + world.book.duties().get(duty).token()
+                + " is granted";
           }
         }
       }
@@ -349,8 +542,17 @@
 
   @Override
   public String key(World world) {
-    return world.tick + " " + world.term + world.book + world.holders + world.commands + world.answers.stream()
-        .map(sent -> sent.session + sent.number + sent.answer).collect(Collectors.joining(",")) + world.lost + world.disturbed
+    return world.tick
+        + " "
+        + world.term
+        + world.book
+        + world.holders
+        + world.commands
+        + world.answers.stream()
+            .map(sent -> sent.session + sent.number + sent.answer)
+            .collect(Collectors.joining(","))
+        + world.lost
+        + world.disturbed
         + mayRepeat(world);
   }
 
--- a/lab/src/test/java/tidebank/lease/LeaseModelTest.java
+++ b/lab/src/test/java/tidebank/lease/LeaseModelTest.java
@@ -24,8 +24,12 @@
   @ParameterizedTest
   @MethodSource("tidebank.lease.LeaseModel#flaws")
   void aRuleLeftOutIsFoundWithItsShortestTrace(Flaw flaw) {
-    Found found = Explorer.explore(flaw == Flaw.ANY_ANSWER_TAKEN_FOR_THE_AWAITED
-        ? new LeaseModel(flaw, 2, false) : new LeaseModel(flaw, 1, true), 8);
+    Found found =
+        Explorer.explore(
+            flaw == Flaw.ANY_ANSWER_TAKEN_FOR_THE_AWAITED
+                ? new LeaseModel(flaw, 2, false)
+                : new LeaseModel(flaw, 1, true),
+            8);
     System.out.println(flaw + ": " + found);
     assertThat(found.broken()).as(flaw + ": " + found).isNotNull();
   }
--- a/lab/src/test/java/tidebank/steward/SnapshotTest.java
+++ b/lab/src/test/java/tidebank/steward/SnapshotTest.java
@@ -18,7 +18,10 @@
 import tidebank.steward.LeaseMachine.Kept;
 import tidebank.steward.StewardClient.Past;
 
-/** A snapshot whole, cut, spoilt and of an older version; and what became of duties, which stands in it. */
+/**
+ * A snapshot whole, cut, spoilt and of an older version; and what became of duties, which stands in
+ * it.
+ */
 class SnapshotTest {
   private static final Terms TERMS = new Terms(1_000_000, 0.05, 10, 100);
 
@@ -29,7 +32,8 @@
   private void apply(long at, Kind kind, String who, String duty, long token) {
     LeaseBook.State before = book.state();
     Command.Plan plan = kind == Kind.PLAN ? new Command.Plan(TERMS, List.of("report")) : null;
-    book.apply(1, at * 1000, new Command(kind, "of " + who, ++number, who, duty, token, 0, "", plan));
+    book.apply(
+        1, at * 1000, new Command(kind, "of " + who, ++number, who, duty, token, 0, "", plan));
     history.applied(before, book.state(), at);
   }
 
@@ -47,8 +51,15 @@
   @Test
   void whatBecameOfADutyIsToldInItsOrder() {
     some();
-    assertThat(history.all()).isEqualTo(Map.of("report", List.of(new Past(20, 1, "g0", "granted"),
-        new Past(2010, 2, "g1", "granted, as the lease of g0 was over"), new Past(2020, 2, "g1", "moved to"), new Past(2030, 2, "g1", "let go"))));
+    assertThat(history.all())
+        .isEqualTo(
+            Map.of(
+                "report",
+                List.of(
+                    new Past(20, 1, "g0", "granted"),
+                    new Past(2010, 2, "g1", "granted, as the lease of g0 was over"),
+                    new Past(2020, 2, "g1", "moved to"),
+                    new Past(2030, 2, "g1", "let go"))));
   }
 
   @Test
@@ -57,7 +68,10 @@
     for (int i = 0; i < 100; i++) {
       apply(3000 + i, Kind.MOVE, i % 2 == 0 ? "" : "g1", "report", 0);
     }
-    assertThat(history.all().get("report")).hasSize(DutyHistory.KEPT).last().isEqualTo(new Past(3099, 2, "g1", "moved to"));
+    assertThat(history.all().get("report"))
+        .hasSize(DutyHistory.KEPT)
+        .last()
+        .isEqualTo(new Past(3099, 2, "g1", "moved to"));
   }
 
   @Test
@@ -68,10 +82,14 @@
     assertThat(LeaseMachine.unpacked("s", whole)).isEqualTo(kept);
     for (int length = 0; length < whole.length; length++) {
       byte[] cut = Arrays.copyOf(whole, length);
-      assertThatThrownBy(() -> LeaseMachine.unpacked("s", cut)).as("cut to " + length).isInstanceOf(Fault.SnapshotDamaged.class);
+      assertThatThrownBy(() -> LeaseMachine.unpacked("s", cut))
+          .as("cut to " + length)
+          .isInstanceOf(Fault.SnapshotDamaged.class);
       byte[] turned = whole.clone();
       turned[length] ^= (byte) (1 << length % 8);
-      assertThatThrownBy(() -> LeaseMachine.unpacked("s", turned)).as("turned at " + length).isInstanceOf(Fault.SnapshotDamaged.class);
+      assertThatThrownBy(() -> LeaseMachine.unpacked("s", turned))
+          .as("turned at " + length)
+          .isInstanceOf(Fault.SnapshotDamaged.class);
     }
   }
 
@@ -81,7 +99,8 @@
     byte[] json = LeaseCodec.bytes(book.state());
     CRC32C crc = new CRC32C();
     crc.update(json);
-    byte[] old = ByteBuffer.allocate(12 + json.length).putInt(1).putLong(crc.getValue()).put(json).array();
+    byte[] old =
+        ByteBuffer.allocate(12 + json.length).putInt(1).putLong(crc.getValue()).put(json).array();
     assertThat(LeaseMachine.unpacked("s", old)).isEqualTo(new Kept(book.state(), Map.of()));
   }
 }
--- a/lab/src/test/java/tidebank/threads/HandoverThreadsTest.java
+++ b/lab/src/test/java/tidebank/threads/HandoverThreadsTest.java
@@ -74,8 +74,14 @@
   }
 
   private static ModelCheckingOptions options() {
-    return new ModelCheckingOptions().threads(2).actorsPerThread(3).actorsBefore(0).actorsAfter(1).iterations(30)
-        .invocationsPerIteration(1000).minimizeFailedScenario(false);
+    return new ModelCheckingOptions()
+        .threads(2)
+        .actorsPerThread(3)
+        .actorsBefore(0)
+        .actorsAfter(1)
+        .iterations(30)
+        .invocationsPerIteration(1000)
+        .minimizeFailedScenario(false);
   }
 
   @Test
@@ -85,7 +91,8 @@
 
   @Test
   void whatIsReadAndThenClearedIsFound() {
-    assertThatThrownBy(() -> options().check(ReadThenCleared.class)).isInstanceOf(AssertionError.class)
+    assertThatThrownBy(() -> options().check(ReadThenCleared.class))
+        .isInstanceOf(AssertionError.class)
         .hasMessageContaining("Invalid execution results");
   }
 }
--- a/lab/src/test/java/tidebank/threads/LineBoundThreadsTest.java
+++ b/lab/src/test/java/tidebank/threads/LineBoundThreadsTest.java
@@ -58,8 +58,14 @@
   }
 
   private static ModelCheckingOptions options() {
-    return new ModelCheckingOptions().threads(3).actorsPerThread(2).actorsBefore(0).actorsAfter(1).iterations(20)
-        .invocationsPerIteration(500).minimizeFailedScenario(false);
+    return new ModelCheckingOptions()
+        .threads(3)
+        .actorsPerThread(2)
+        .actorsBefore(0)
+        .actorsAfter(1)
+        .iterations(20)
+        .invocationsPerIteration(500)
+        .minimizeFailedScenario(false);
   }
 
   @Test
@@ -69,7 +75,8 @@
 
   @Test
   void withoutItsLockItIsFound() {
-    assertThatThrownBy(() -> options().check(Unlocked.class)).isInstanceOf(AssertionError.class)
+    assertThatThrownBy(() -> options().check(Unlocked.class))
+        .isInstanceOf(AssertionError.class)
         .hasMessageContaining("Invalid execution results");
   }
 }
--- a/steward/src/main/java/tidebank/steward/DutyHistory.java
+++ b/steward/src/main/java/tidebank/steward/DutyHistory.java
@@ -13,8 +13,8 @@
 import tidebank.steward.StewardClient.Past;
 
 /**
- * What became of each duty, the last of it, for people. Kept beside the rules, which know nothing of it; a function of the log alone, so that all
- * stewards have the same.
+ * What became of each duty, the last of it, for people. Kept beside the rules, which know nothing
+ * of it; a function of the log alone, so that all stewards have the same.
  */
 final class DutyHistory {
   /** Of each duty. */
@@ -40,13 +40,22 @@
         continue;
       }
       if (now.token() != was.token()) {
-        String late = was.owner().isEmpty() || was.token() == 0 ? "" : ", as the lease of " + was.owner() + " was over";
+        String late =
+            was.owner().isEmpty() || was.token() == 0
+                ? ""
+                : ", as the lease of " + was.owner() + " was over";
         add(now.name(), new Past(wallMs, now.token(), now.owner(), "granted" + late));
       } else if (now.owner().isEmpty() && !was.owner().isEmpty()) {
         add(now.name(), new Past(wallMs, now.token(), was.owner(), "let go"));
       }
       if (!now.pinned().equals(was.pinned())) {
-        add(now.name(), new Past(wallMs, now.token(), now.pinned(), now.pinned().isEmpty() ? "moved to anywhere" : "moved to"));
+        add(
+            now.name(),
+            new Past(
+                wallMs,
+                now.token(),
+                now.pinned(),
+                now.pinned().isEmpty() ? "moved to anywhere" : "moved to"));
       }
     }
     then.keySet().forEach(duties::remove);
--- a/steward/src/main/java/tidebank/steward/HttpSide.java
+++ b/steward/src/main/java/tidebank/steward/HttpSide.java
@@ -37,18 +37,25 @@
 import tidebank.fleet.LeaseCodec;
 import tidebank.lease.Answer;
 
-/** HTTP/1.1 with JSON, as members and operators speak to a steward. A connection has one call at work at a time. */
+/**
+ * HTTP/1.1 with JSON, as members and operators speak to a steward. A connection has one call at
+ * work at a time.
+ */
 final class HttpSide {
   private static final int BODY = 1 << 16;
   private static final int IDLE_S = 60;
+
   /** How long a call may wait for news; well under what ends an idle connection. */
   private static final int WAIT_MOST_MS = 30_000;
+
   /** One is a call at a time; a fleet of a thousand has two each, one of which waits for news. */
   private static final int CONNECTIONS = 4096;
 
   private final Steward steward;
   private final InetSocketAddress address;
-  private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+  private final EventLoopGroup group =
+      new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+
   /** Connections that are open; belongs to the one event loop. */
   private int open;
 
@@ -58,23 +65,37 @@
   }
 
   void listen() throws IOException {
-    ChannelFuture binding = new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
-        .option(ChannelOption.SO_REUSEADDR, true).childOption(ChannelOption.TCP_NODELAY, true)
-        .childHandler(new ChannelInitializer<SocketChannel>() {
-          @Override
-          protected void initChannel(SocketChannel channel) {
-            if (++open > CONNECTIONS) {
-              channel.close();
-            }
-            channel.closeFuture().addListener(closed -> open--);
-            channel.pipeline().addLast(new IdleStateHandler(0, 0, IDLE_S) {
-              @Override
-              protected void channelIdle(ChannelHandlerContext context, IdleStateEvent event) {
-                context.close();
-              }
-            }, new HttpServerCodec(), new HttpObjectAggregator(BODY), new Calls());
-          }
-        }).bind(address).awaitUninterruptibly();
+    ChannelFuture binding =
+        new ServerBootstrap()
+            .group(group)
+            .channel(NioServerSocketChannel.class)
+            .option(ChannelOption.SO_REUSEADDR, true)
+            .childOption(ChannelOption.TCP_NODELAY, true)
+            .childHandler(
+                new ChannelInitializer<SocketChannel>() {
+                  @Override
+                  protected void initChannel(SocketChannel channel) {
+                    if (++open > CONNECTIONS) {
+                      channel.close();
+                    }
+                    channel.closeFuture().addListener(closed -> open--);
+                    channel
+                        .pipeline()
+                        .addLast(
+                            new IdleStateHandler(0, 0, IDLE_S) {
+                              @Override
+                              protected void channelIdle(
+                                  ChannelHandlerContext context, IdleStateEvent event) {
+                                context.close();
+                              }
+                            },
+                            new HttpServerCodec(),
+                            new HttpObjectAggregator(BODY),
+                            new Calls());
+                  }
+                })
+            .bind(address)
+            .awaitUninterruptibly();
     if (!binding.isSuccess()) {
       throw new Fault.AddressTaken(Steward.text(address), binding.cause().getMessage());
     }
@@ -90,8 +111,18 @@
       boolean keep = HttpUtil.isKeepAlive(request) && request.decoderResult().isSuccess();
       // The next call is read once this one is answered.
       context.channel().config().setAutoRead(false);
-      answer(request).whenComplete((body, fault) -> context.executor().execute(() ->
-          write(context, keep, fault == null ? 200 : status(fault), fault == null ? body : told(fault))));
+      answer(request)
+          .whenComplete(
+              (body, fault) ->
+                  context
+                      .executor()
+                      .execute(
+                          () ->
+                              write(
+                                  context,
+                                  keep,
+                                  fault == null ? 200 : status(fault),
+                                  fault == null ? body : told(fault))));
     }
 
     private CompletableFuture<byte[]> answer(FullHttpRequest request) {
@@ -112,7 +143,8 @@
           if (!steward.ready()) {
             throw new Fault.NoMajority("no leader is known");
           }
-          return CompletableFuture.completedFuture(LeaseCodec.bytes(Map.of("leader", steward.leader())));
+          return CompletableFuture.completedFuture(
+              LeaseCodec.bytes(Map.of("leader", steward.leader())));
         }
         throw new Fault.PathUnknown(request.method().name(), path);
       } catch (Fault fault) {
@@ -124,14 +156,18 @@
       String name = query.parameters().getOrDefault("name", List.of("")).get(0);
       String wait = query.parameters().getOrDefault("wait_ms", List.of("0")).get(0);
       if (name.isEmpty() || !wait.matches("\\d{1,5}") || Integer.parseInt(wait) > WAIT_MOST_MS) {
-        throw new Fault.CallMalformed("'name' is to be a member's, 'wait_ms' from 0 to " + WAIT_MOST_MS);
+        throw new Fault.CallMalformed(
+            "'name' is to be a member's, 'wait_ms' from 0 to " + WAIT_MOST_MS);
       }
       return steward.wanted(name, Integer.parseInt(wait));
     }
 
     private void write(ChannelHandlerContext context, boolean keep, int status, byte[] body) {
-      DefaultFullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-          HttpResponseStatus.valueOf(status), Unpooled.wrappedBuffer(body));
+      DefaultFullHttpResponse response =
+          new DefaultFullHttpResponse(
+              HttpVersion.HTTP_1_1,
+              HttpResponseStatus.valueOf(status),
+              Unpooled.wrappedBuffer(body));
       response.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
       response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, body.length);
       if (status == 421 && !steward.leaderAddress().isEmpty()) {
@@ -139,8 +175,12 @@
       }
       HttpUtil.setKeepAlive(response, keep);
       // A client that does not read its answers is not read from.
-      context.writeAndFlush(response).addListener(keep
-          ? (ChannelFutureListener) written -> written.channel().config().setAutoRead(true) : ChannelFutureListener.CLOSE);
+      context
+          .writeAndFlush(response)
+          .addListener(
+              keep
+                  ? (ChannelFutureListener) written -> written.channel().config().setAutoRead(true)
+                  : ChannelFutureListener.CLOSE);
     }
 
     @Override
@@ -151,14 +191,20 @@
 
   /** What kept a call from being decided, as a condition of its own. */
   static Fault fault(Throwable thrown) {
-    Throwable cause = thrown instanceof CompletionException && thrown.getCause() != null ? thrown.getCause() : thrown;
+    Throwable cause =
+        thrown instanceof CompletionException && thrown.getCause() != null
+            ? thrown.getCause()
+            : thrown;
     return cause instanceof Fault known ? known : new Fault.NoMajority(String.valueOf(cause));
   }
 
   private static int status(Throwable thrown) {
     Fault fault = fault(thrown);
-    return fault instanceof Fault.NotLeading ? 421 : fault instanceof Fault.CallMalformed ? 400
-        : fault instanceof Fault.PathUnknown ? 404 : 503;
+    return fault instanceof Fault.NotLeading
+        ? 421
+        : fault instanceof Fault.CallMalformed
+            ? 400
+            : fault instanceof Fault.PathUnknown ? 404 : 503;
   }
 
   /** What went wrong, in the form of an answer, so that a caller reads one form only. */
--- a/steward/src/main/java/tidebank/steward/LeaseMachine.java
+++ b/steward/src/main/java/tidebank/steward/LeaseMachine.java
@@ -41,16 +41,20 @@
 import tidebank.lease.Terms;
 
 /**
- * The rules of leases behind the replicated log. The leader stamps each command with its term and clock before it goes into the
- * log; all stewards apply what the log says, in its order. A stamp of another term than the one the command came into the
- * log in is no time at all, and the command has no effect.
+ * The rules of leases behind the replicated log. The leader stamps each command with its term and
+ * clock before it goes into the log; all stewards apply what the log says, in its order. A stamp of
+ * another term than the one the command came into the log in is no time at all, and the command has
+ * no effect.
  */
 final class LeaseMachine extends BaseStateMachine {
   private static final Logger LOG = LoggerFactory.getLogger(LeaseMachine.class);
+
   /** Snapshots begin with their version and a check of what follows. */
   private static final int VERSION = 2;
+
   /** Held the state of the rules alone. */
   private static final int WITHOUT_HISTORY = 1;
+
   private static final int HEAD = Integer.BYTES + Long.BYTES;
 
   /** What stands in the log. */
@@ -86,7 +90,8 @@
   }
 
   @Override
-  public void initialize(RaftServer server, RaftGroupId group, RaftStorage raftStorage) throws IOException {
+  public void initialize(RaftServer server, RaftGroupId group, RaftStorage raftStorage)
+      throws IOException {
     super.initialize(server, group, raftStorage);
     storage.init(raftStorage);
     restore();
@@ -109,7 +114,14 @@
     history = new DutyHistory(kept.history());
     seen = book.state();
     setLastAppliedTermIndex(snapshot.getTermIndex());
-    LOG.info("restored " + file.getName() + ": " + seen.members().size() + " members, " + seen.duties().size() + " duties");
+    LOG.info(
+        "restored "
+            + file.getName()
+            + ": "
+            + seen.members().size()
+            + " members, "
+            + seen.duties().size()
+            + " duties");
   }
 
   /** The state of a snapshot, or the fault that says why there is none. */
@@ -127,7 +139,8 @@
     }
     try {
       byte[] json = Arrays.copyOfRange(bytes, HEAD, bytes.length);
-      return version == VERSION ? LeaseCodec.read(json, Kept.class)
+      return version == VERSION
+          ? LeaseCodec.read(json, Kept.class)
           : new Kept(LeaseCodec.read(json, LeaseBook.State.class), Map.of());
     } catch (IOException fault) {
       throw new Fault.SnapshotDamaged(name, fault.getMessage());
@@ -136,7 +149,8 @@
 
   static byte[] packed(Kept kept) {
     byte[] json = LeaseCodec.bytes(kept);
-    ByteBuffer buffer = ByteBuffer.allocate(HEAD + json.length).putInt(VERSION).putLong(check(json, 0)).put(json);
+    ByteBuffer buffer =
+        ByteBuffer.allocate(HEAD + json.length).putInt(VERSION).putLong(check(json, 0)).put(json);
     return buffer.array();
   }
 
@@ -157,17 +171,26 @@
     }
     File file = storage.getSnapshotFile(last.getTerm(), last.getIndex());
     File beside = new File(file.getParentFile(), file.getName() + ".part");
-    try (FileChannel channel = FileChannel.open(beside.toPath(), StandardOpenOption.CREATE,
-        StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
+    try (FileChannel channel =
+        FileChannel.open(
+            beside.toPath(),
+            StandardOpenOption.CREATE,
+            StandardOpenOption.TRUNCATE_EXISTING,
+            StandardOpenOption.WRITE)) {
       ByteBuffer buffer = ByteBuffer.wrap(bytes);
       while (buffer.hasRemaining()) {
         channel.write(buffer);
       }
       channel.force(true);
     }
-    Files.move(beside.toPath(), file.toPath(), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+    Files.move(
+        beside.toPath(),
+        file.toPath(),
+        StandardCopyOption.ATOMIC_MOVE,
+        StandardCopyOption.REPLACE_EXISTING);
     MD5Hash hash = MD5FileUtil.computeAndSaveMd5ForFile(file);
-    storage.updateLatestSnapshot(new SingleFileSnapshotInfo(new FileInfo(file.toPath(), hash), last));
+    storage.updateLatestSnapshot(
+        new SingleFileSnapshotInfo(new FileInfo(file.toPath(), hash), last));
     return last.getIndex();
   }
 
@@ -179,41 +202,63 @@
   @Override
   public TransactionContext startTransaction(RaftClientRequest request) throws IOException {
     long term = getServer().join().getDivision(getGroupId()).getInfo().getCurrentTerm();
-    Command command = LeaseCodec.read(request.getMessage().getContent().toByteArray(), Command.class);
-    byte[] stamped = LeaseCodec.bytes(new Stamped(term, clock(), System.currentTimeMillis(), command));
-    return TransactionContext.newBuilder().setServerRole(RaftPeerRole.LEADER).setStateMachine(this).setClientRequest(request)
-        .setLogData(UnsafeByteOperations.unsafeWrap(stamped)).build();
+    Command command =
+        LeaseCodec.read(request.getMessage().getContent().toByteArray(), Command.class);
+    byte[] stamped =
+        LeaseCodec.bytes(new Stamped(term, clock(), System.currentTimeMillis(), command));
+    return TransactionContext.newBuilder()
+        .setServerRole(RaftPeerRole.LEADER)
+        .setStateMachine(this)
+        .setClientRequest(request)
+        .setLogData(UnsafeByteOperations.unsafeWrap(stamped))
+        .build();
   }
 
   @Override
   public CompletableFuture<Message> applyTransaction(TransactionContext transaction) {
     LogEntryProto entry = transaction.getLogEntry();
     try {
-      Stamped stamped = LeaseCodec.read(entry.getStateMachineLogEntry().getLogData().toByteArray(), Stamped.class);
+      Stamped stamped =
+          LeaseCodec.read(
+              entry.getStateMachineLogEntry().getLogData().toByteArray(), Stamped.class);
       Answer answer;
       synchronized (this) {
-        answer = stamped.term() == entry.getTerm() ? book.apply(entry.getTerm(), stamped.at(), stamped.command())
-            : new Answer(new Fault.LeaderChanged(stamped.term(), entry.getTerm()).told(), null, null, null, 0);
+        answer =
+            stamped.term() == entry.getTerm()
+                ? book.apply(entry.getTerm(), stamped.at(), stamped.command())
+                : new Answer(
+                    new Fault.LeaderChanged(stamped.term(), entry.getTerm()).told(),
+                    null,
+                    null,
+                    null,
+                    0);
         history.applied(seen, book.state(), stamped.wallMs());
         seen = book.state();
         updateLastAppliedTermIndex(entry.getTerm(), entry.getIndex());
       }
       changed.run();
-      return CompletableFuture.completedFuture(Message.valueOf(ByteString.copyFrom(LeaseCodec.bytes(answer))));
+      return CompletableFuture.completedFuture(
+          Message.valueOf(ByteString.copyFrom(LeaseCodec.bytes(answer))));
     } catch (IOException | RuntimeException fault) {
       // The same on every steward, as the log is; the command has no effect.
-      LOG.error("entry " + entry.getTerm() + ":" + entry.getIndex() + " of the log can't be applied", fault);
+      LOG.error(
+          "entry " + entry.getTerm() + ":" + entry.getIndex() + " of the log can't be applied",
+          fault);
       updateLastAppliedTermIndex(entry.getTerm(), entry.getIndex());
       return CompletableFuture.failedFuture(fault);
     }
   }
 
-  /** The state, for calls that the library found to come to the leader, by whose clock they are told how late it is. */
+  /**
+   * The state, for calls that the library found to come to the leader, by whose clock they are told
+   * how late it is.
+   */
   @Override
   public CompletableFuture<Message> query(Message request) {
     if (request.getContent().equals(HISTORY)) {
       synchronized (this) {
-        return CompletableFuture.completedFuture(Message.valueOf(ByteString.copyFrom(LeaseCodec.bytes(history.all()))));
+        return CompletableFuture.completedFuture(
+            Message.valueOf(ByteString.copyFrom(LeaseCodec.bytes(history.all()))));
       }
     }
     LeaseBook.State now = seen;
@@ -223,7 +268,8 @@
     } catch (IOException fault) {
       return CompletableFuture.failedFuture(fault);
     }
-    return CompletableFuture.completedFuture(Message.valueOf(ByteString.copyFrom(LeaseCodec.bytes(now))));
+    return CompletableFuture.completedFuture(
+        Message.valueOf(ByteString.copyFrom(LeaseCodec.bytes(now))));
   }
 
   private static long clock() {
--- a/steward/src/main/java/tidebank/steward/Steward.java
+++ b/steward/src/main/java/tidebank/steward/Steward.java
@@ -55,18 +55,27 @@
   private final HttpSide http;
   private final ClientId client = ClientId.randomId();
   private final AtomicLong calls = new AtomicLong();
+
   /** As many as there are connections at most: one that waits asks nothing else. */
   private final Set<Waiter> waiters = ConcurrentHashMap.newKeySet();
+
   private final CompletableFuture<Fault> ended = new CompletableFuture<>();
 
   private Steward(StewardFile file) throws IOException {
     this.file = file;
     machine = new LeaseMachine(file.terms(), this::plan, this::changed, this::broken);
-    List<RaftPeer> peers = file.peers().stream().map(peer -> RaftPeer.newBuilder().setId(peer.name())
-        .setAddress(peer.raft()).build()).toList();
-    server = RaftServer.newBuilder().setServerId(RaftPeerId.valueOf(file.name())).setStateMachine(machine)
-        .setGroup(RaftGroup.valueOf(GROUP, peers)).setOption(RaftStorage.StartupOption.RECOVER)
-        .setProperties(properties(file)).build();
+    List<RaftPeer> peers =
+        file.peers().stream()
+            .map(peer -> RaftPeer.newBuilder().setId(peer.name()).setAddress(peer.raft()).build())
+            .toList();
+    server =
+        RaftServer.newBuilder()
+            .setServerId(RaftPeerId.valueOf(file.name()))
+            .setStateMachine(machine)
+            .setGroup(RaftGroup.valueOf(GROUP, peers))
+            .setOption(RaftStorage.StartupOption.RECOVER)
+            .setProperties(properties(file))
+            .build();
     http = new HttpSide(this, file.listen().http());
   }
 
@@ -82,14 +91,17 @@
     RaftServerConfigKeys.Rpc.setTimeoutMax(properties, twice);
     RaftServerConfigKeys.Rpc.setFirstElectionTimeoutMin(properties, election);
     RaftServerConfigKeys.Rpc.setFirstElectionTimeoutMax(properties, twice);
-    // A read is answered by a leader that has just heard from most: one that was stopped and woken does not pass for one.
+    // A read is answered by a leader that has just heard from most: one that was stopped and woken
+    // does not pass for one.
     RaftServerConfigKeys.Read.setOption(properties, RaftServerConfigKeys.Read.Option.LINEARIZABLE);
-    RaftServerConfigKeys.Read.setTimeout(properties, TimeDuration.valueOf(4 * file.electionUs(), TimeUnit.MICROSECONDS));
+    RaftServerConfigKeys.Read.setTimeout(
+        properties, TimeDuration.valueOf(4 * file.electionUs(), TimeUnit.MICROSECONDS));
     RaftServerConfigKeys.Snapshot.setAutoTriggerEnabled(properties, true);
     RaftServerConfigKeys.Snapshot.setAutoTriggerThreshold(properties, file.snapshotEvery());
     RaftServerConfigKeys.Snapshot.setRetentionFileNum(properties, 2);
     RaftServerConfigKeys.Log.setPurgeUptoSnapshotIndex(properties, true);
-    RaftServerConfigKeys.Log.Appender.setBufferByteLimit(properties, SizeInBytes.valueOf(REQUEST_BYTES));
+    RaftServerConfigKeys.Log.Appender.setBufferByteLimit(
+        properties, SizeInBytes.valueOf(REQUEST_BYTES));
     RaftServerConfigKeys.Log.setSegmentSizeMax(properties, SizeInBytes.valueOf(SEGMENT));
     RaftServerConfigKeys.Log.setPreallocatedSize(properties, SizeInBytes.valueOf(REQUEST_BYTES));
     RaftServerConfigKeys.Log.setWriteBufferSize(properties, SizeInBytes.valueOf(2 * REQUEST_BYTES));
@@ -112,7 +124,13 @@
       steward.close();
       throw named(file, fault);
     }
-    LOG.info("steward " + file.name() + " listens on " + file.listen().http() + ", one of " + file.peers().size());
+    LOG.info(
+        "steward "
+            + file.name()
+            + " listens on "
+            + file.listen().http()
+            + ", one of "
+            + file.peers().size());
     return steward;
   }
 
@@ -125,8 +143,10 @@
       if (cause instanceof BindException) {
         return new Fault.AddressTaken(file.listen().raft().toString(), cause.getMessage());
       }
-      if (cause instanceof OverlappingFileLockException || String.valueOf(cause.getMessage()).contains("lock")) {
-        return new Fault.FolderUnusable(file.folder().toString(), String.valueOf(cause.getMessage()));
+      if (cause instanceof OverlappingFileLockException
+          || String.valueOf(cause.getMessage()).contains("lock")) {
+        return new Fault.FolderUnusable(
+            file.folder().toString(), String.valueOf(cause.getMessage()));
       }
     }
     return fault instanceof IOException io ? io : new IOException(fault);
@@ -147,7 +167,10 @@
   /** A member that waits for a duty to claim. */
   private record Waiter(String name, CompletableFuture<byte[]> answer) {}
 
-  /** Duties that are meant for a member and that nobody has, as a list; told as soon as there is one, or when the wait is over. */
+  /**
+   * Duties that are meant for a member and that nobody has, as a list; told as soon as there is
+   * one, or when the wait is over.
+   */
   CompletableFuture<byte[]> wanted(String name, long waitMs) {
     try {
       if (!server.getDivision(GROUP).getInfo().isLeader()) {
@@ -156,7 +179,11 @@
     } catch (IOException fault) {
       return CompletableFuture.failedFuture(new Fault.NoMajority(fault.toString()));
     }
-    Waiter waiter = new Waiter(name, new CompletableFuture<byte[]>().completeOnTimeout(NOTHING, waitMs, TimeUnit.MILLISECONDS));
+    Waiter waiter =
+        new Waiter(
+            name,
+            new CompletableFuture<byte[]>()
+                .completeOnTimeout(NOTHING, waitMs, TimeUnit.MILLISECONDS));
     waiters.add(waiter);
     waiter.answer().whenComplete((done, fault) -> waiters.remove(waiter));
     // After it is known to the next change, so that none falls in between.
@@ -191,11 +218,20 @@
       if (!info.isLeader()) {
         return CompletableFuture.failedFuture(new Fault.NotLeading(file.name(), leader()));
       }
-      RaftClientRequest request = RaftClientRequest.newBuilder().setClientId(client).setServerId(server.getId())
-          .setGroupId(GROUP).setCallId(calls.incrementAndGet()).setType(type)
-          .setMessage(Message.valueOf(ByteString.copyFrom(body))).build();
-      return server.submitClientRequestAsync(request).orTimeout(8 * file.electionUs(), TimeUnit.MICROSECONDS)
-          .handle(this::answered).thenCompose(answer -> answer);
+      RaftClientRequest request =
+          RaftClientRequest.newBuilder()
+              .setClientId(client)
+              .setServerId(server.getId())
+              .setGroupId(GROUP)
+              .setCallId(calls.incrementAndGet())
+              .setType(type)
+              .setMessage(Message.valueOf(ByteString.copyFrom(body)))
+              .build();
+      return server
+          .submitClientRequestAsync(request)
+          .orTimeout(8 * file.electionUs(), TimeUnit.MICROSECONDS)
+          .handle(this::answered)
+          .thenCompose(answer -> answer);
     } catch (IOException fault) {
       return CompletableFuture.failedFuture(new Fault.NoMajority(fault.toString()));
     }
@@ -206,8 +242,10 @@
       return CompletableFuture.failedFuture(new Fault.NoMajority(String.valueOf(fault)));
     }
     if (!reply.isSuccess()) {
-      return CompletableFuture.failedFuture(reply.getNotLeaderException() != null
-          ? new Fault.NotLeading(file.name(), leader()) : new Fault.NoMajority(String.valueOf(reply.getException())));
+      return CompletableFuture.failedFuture(
+          reply.getNotLeaderException() != null
+              ? new Fault.NotLeading(file.name(), leader())
+              : new Fault.NoMajority(String.valueOf(reply.getException())));
     }
     return CompletableFuture.completedFuture(reply.getMessage().getContent().toByteArray());
   }
@@ -216,8 +254,11 @@
   String leader() {
     try {
       RaftPeerId leader = server.getDivision(GROUP).getInfo().getLeaderId();
-      return file.peers().stream().filter(peer -> leader != null && peer.name().equals(leader.toString())).findFirst()
-          .map(peer -> peer.name() + " at " + text(peer.http())).orElse("");
+      return file.peers().stream()
+          .filter(peer -> leader != null && peer.name().equals(leader.toString()))
+          .findFirst()
+          .map(peer -> peer.name() + " at " + text(peer.http()))
+          .orElse("");
     } catch (IOException fault) {
       return "";
     }
@@ -243,28 +284,50 @@
     Command.Plan wanted = new Command.Plan(file.terms(), file.duties().stream().sorted().toList());
     LeaseBook.State now = machine.seen();
     LOG.info("steward " + file.name() + " leads");
-    if (!now.terms().equals(wanted.terms()) || !now.duties().stream().map(LeaseBook.Duty::name).toList().equals(wanted.duties())) {
-      plan(new Command(Command.Kind.PLAN, "plan of " + file.name() + " " + UUID.randomUUID(), 1, "", "", 0, 0, "", wanted));
+    if (!now.terms().equals(wanted.terms())
+        || !now.duties().stream().map(LeaseBook.Duty::name).toList().equals(wanted.duties())) {
+      plan(
+          new Command(
+              Command.Kind.PLAN,
+              "plan of " + file.name() + " " + UUID.randomUUID(),
+              1,
+              "",
+              "",
+              0,
+              0,
+              "",
+              wanted));
     }
   }
 
   /** Until it has taken hold, or another one leads, whose file counts then. */
   private void plan(Command command) {
-    command(command).whenComplete((done, fault) -> {
-      if (fault != null && !(HttpSide.fault(fault) instanceof Fault.NotLeading)) {
-        LOG.warn("the plan of " + file.name() + " has not taken hold yet: " + fault.getMessage());
-        CompletableFuture.delayedExecutor(file.electionUs(), TimeUnit.MICROSECONDS).execute(() -> plan(command));
-      }
-    });
+    command(command)
+        .whenComplete(
+            (done, fault) -> {
+              if (fault != null && !(HttpSide.fault(fault) instanceof Fault.NotLeading)) {
+                LOG.warn(
+                    "the plan of "
+                        + file.name()
+                        + " has not taken hold yet: "
+                        + fault.getMessage());
+                CompletableFuture.delayedExecutor(file.electionUs(), TimeUnit.MICROSECONDS)
+                    .execute(() -> plan(command));
+              }
+            });
   }
 
-  /** Its log can't be written: it takes part in nothing any more, and whoever started it is to end it and say so. */
+  /**
+   * Its log can't be written: it takes part in nothing any more, and whoever started it is to end
+   * it and say so.
+   */
   private void broken(Throwable cause) {
     Throwable root = cause;
     while (root.getCause() != null) {
       root = root.getCause();
     }
-    Fault fault = new Fault.FolderUnusable(file.folder().toString(), "its log can't be written: " + root);
+    Fault fault =
+        new Fault.FolderUnusable(file.folder().toString(), "its log can't be written: " + root);
     if (ended.complete(fault)) {
       LOG.error(fault.told().lines().replace('\n', ' '));
     }
--- a/steward/src/main/java/tidebank/steward/StewardClient.java
+++ b/steward/src/main/java/tidebank/steward/StewardClient.java
@@ -23,11 +23,15 @@
 import tidebank.lease.LeaseBook;
 
 /**
- * Calls for operators: asks one steward after the other, goes where a follower points, and repeats a command, which takes effect
- * once. A blocking one, for command lines and tests; gatherers have their own.
+ * Calls for operators: asks one steward after the other, goes where a follower points, and repeats
+ * a command, which takes effect once. A blocking one, for command lines and tests; gatherers have
+ * their own.
  */
 public final class StewardClient {
-  /** One thing that became of a duty: when, in milliseconds since 1970 by the leading steward's clock; by which token; who; what. */
+  /**
+   * One thing that became of a duty: when, in milliseconds since 1970 by the leading steward's
+   * clock; by which token; who; what.
+   */
   public record Past(long wallMs, long token, String who, String what) {}
 
   /** As it comes over the wire. */
@@ -52,7 +56,9 @@
     this(addresses, patienceMs, ONE);
   }
 
-  /** @param one how long one steward may take to answer before the next is asked */
+  /**
+   * @param one how long one steward may take to answer before the next is asked
+   */
   public StewardClient(List<String> addresses, long patienceMs, Duration one) {
     this.addresses = List.copyOf(addresses);
     this.patienceMs = patienceMs;
@@ -74,7 +80,10 @@
     return command(new Command(kind, session, ++number, name, duty, 0, 0, "", null));
   }
 
-  /** Any command as it stands. Its answer says if it was refused; thrown is only what kept it from being decided. */
+  /**
+   * Any command as it stands. Its answer says if it was refused; thrown is only what kept it from
+   * being decided.
+   */
   public Answer command(Command command) throws IOException {
     return LeaseCodec.read(call("/fleet/command", LeaseCodec.bytes(command)), Answer.class);
   }
@@ -95,8 +104,14 @@
           if (answer.fault() != null && answer.fault().again() == Fault.Again.NO) {
             throw new Fault.Refused(answer.fault());
           }
-          tried.put(address, answer.fault() == null ? "status " + response.statusCode() : answer.fault().what());
-          response.headers().firstValue("location").map(uri -> URI.create(uri).getAuthority()).ifPresent(next::addFirst);
+          tried.put(
+              address,
+              answer.fault() == null ? "status " + response.statusCode() : answer.fault().what());
+          response
+              .headers()
+              .firstValue("location")
+              .map(uri -> URI.create(uri).getAuthority())
+              .ifPresent(next::addFirst);
         } catch (Fault.Refused fault) {
           throw fault;
         } catch (IOException fault) {
@@ -111,10 +126,15 @@
   }
 
   private HttpResponse<byte[]> send(String uri, byte[] body) throws IOException {
-    BodyPublisher publisher = body == null ? BodyPublishers.noBody() : BodyPublishers.ofByteArray(body);
+    BodyPublisher publisher =
+        body == null ? BodyPublishers.noBody() : BodyPublishers.ofByteArray(body);
     try {
-      return http.send(HttpRequest.newBuilder(URI.create(uri)).timeout(one).method(body == null ? "GET" : "POST", publisher)
-          .build(), BodyHandlers.ofByteArray());
+      return http.send(
+          HttpRequest.newBuilder(URI.create(uri))
+              .timeout(one)
+              .method(body == null ? "GET" : "POST", publisher)
+              .build(),
+          BodyHandlers.ofByteArray());
     } catch (InterruptedException fault) {
       Thread.currentThread().interrupt();
       throw new IOException("interrupted");
--- a/steward/src/main/java/tidebank/steward/StewardFile.java
+++ b/steward/src/main/java/tidebank/steward/StewardFile.java
@@ -19,15 +19,24 @@
  * @param name its name, one of the peers'
  * @param folder where it keeps log and snapshots
  * @param peers all stewards, itself among them
- * @param listen where it listens itself, which is as its peer's line says unless something stands between
+ * @param listen where it listens itself, which is as its peer's line says unless something stands
+ *     between
  * @param log how it logs
  * @param terms what leases are granted by
  * @param duties the names of all duties
  * @param electionUs how long a follower waits for its leader, in microseconds
  * @param snapshotEvery commands between two snapshots
  */
-public record StewardFile(String name, Path folder, List<Peer> peers, Peer listen, Log.Style log, Terms terms, List<String> duties,
-    long electionUs, long snapshotEvery) {
+public record StewardFile(
+    String name,
+    Path folder,
+    List<Peer> peers,
+    Peer listen,
+    Log.Style log,
+    Terms terms,
+    List<String> duties,
+    long electionUs,
+    long snapshotEvery) {
   private static final Pattern NAME = Pattern.compile("[a-z0-9][a-z0-9/._-]{0,62}");
 
   /** A steward: where its peers reach it, and where members and operators do. */
@@ -50,25 +59,48 @@
     Set<String> names = new HashSet<>();
     peers.forEach(peer -> names.add(peer.name()));
     if (peers.isEmpty() || names.size() < peers.size() || peers.size() % 2 == 0) {
-      file.fault("peers", "found " + peers.size() + " of " + names.size() + " names, wanted an odd number, each name once");
+      file.fault(
+          "peers",
+          "found "
+              + peers.size()
+              + " of "
+              + names.size()
+              + " names, wanted an odd number, each name once");
     } else if (!names.contains(name)) {
-      file.fault("name", "found " + name + ", wanted one of the peers: " + String.join(", ", names));
+      file.fault(
+          "name", "found " + name + ", wanted one of the peers: " + String.join(", ", names));
     }
     List<String> duties = root.table("duties").texts("names");
     for (String duty : duties) {
       if (!NAME.matcher(duty).matches()) {
-        file.fault("duties.names", "found " + duty + ", wanted small letters, digits, and / . _ - within");
+        file.fault(
+            "duties.names", "found " + duty + ", wanted small letters, digits, and / . _ - within");
       }
     }
-    Terms terms = new Terms(lease.whole("ms", 3000, 100, 600_000) * 1000, lease.number("drift", 0.05, 0, 0.2),
-        (int) limits.whole("members", 1000, 1, 10_000), (int) limits.whole("text", 1024, 16, 4096));
+    Terms terms =
+        new Terms(
+            lease.whole("ms", 3000, 100, 600_000) * 1000,
+            lease.number("drift", 0.05, 0, 0.2),
+            (int) limits.whole("members", 1000, 1, 10_000),
+            (int) limits.whole("text", 1024, 16, 4096));
     Toml.Table listen = root.table("listen");
     Peer self = peers.stream().filter(peer -> peer.name().equals(name)).findFirst().orElse(null);
-    Peer own = new Peer(name, listen.has("raft") ? address(listen, "raft") : self == null ? null : self.raft(),
-        listen.has("http") ? address(listen, "http") : self == null ? null : self.http());
-    StewardFile read = new StewardFile(name, Path.of(folder), peers, own, OperatorFile.style(root.table("log")), terms, duties,
-        root.table("election").whole("ms", 500, 50, 60_000) * 1000,
-        root.table("snapshot").whole("every", 10_000, 10, 10_000_000));
+    Peer own =
+        new Peer(
+            name,
+            listen.has("raft") ? address(listen, "raft") : self == null ? null : self.raft(),
+            listen.has("http") ? address(listen, "http") : self == null ? null : self.http());
+    StewardFile read =
+        new StewardFile(
+            name,
+            Path.of(folder),
+            peers,
+            own,
+            OperatorFile.style(root.table("log")),
+            terms,
+            duties,
+            root.table("election").whole("ms", 500, 50, 60_000) * 1000,
+            root.table("snapshot").whole("every", 10_000, 10, 10_000_000));
     file.check();
     return read;
   }
--- a/steward/src/main/java/tidebank/steward/StewardMain.java
+++ b/steward/src/main/java/tidebank/steward/StewardMain.java
@@ -6,7 +6,10 @@
 import tidebank.base.Log;
 import tidebank.config.Malformed;
 
-/** The process of one steward: {@code --config FILE}. Ends with 0 on SIGTERM, 1 if it can't start, 2 for a wrong file. */
+/**
+ * The process of one steward: {@code --config FILE}. Ends with 0 on SIGTERM, 1 if it can't start, 2
+ * for a wrong file.
+ */
 public final class StewardMain {
   private StewardMain() {}
 
@@ -21,7 +24,8 @@
       System.err.println("tidebank: " + fault.getMessage().replace("\n", "\ntidebank: "));
       System.exit(2);
     } catch (IOException fault) {
-      System.err.println(fault instanceof Fault known ? known.told().lines() : "tidebank: " + fault);
+      System.err.println(
+          fault instanceof Fault known ? known.told().lines() : "tidebank: " + fault);
       System.exit(1);
     }
   }
@@ -32,10 +36,13 @@
     Log.own();
     Log.style(file.log());
     Steward steward = Steward.start(file);
-    Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-      steward.close();
-      Runtime.getRuntime().halt(0);
-    }));
+    Runtime.getRuntime()
+        .addShutdownHook(
+            new Thread(
+                () -> {
+                  steward.close();
+                  Runtime.getRuntime().halt(0);
+                }));
     // SIGTERM ends the process from the hook; this comes back only where the steward can't go on.
     Fault fault = steward.ended().join();
     System.err.println(fault.told().lines());
