--- a/cli/src/main/java/tidebank/cli/CaptureCommands.java
+++ b/cli/src/main/java/tidebank/cli/CaptureCommands.java
@@ -76,7 +76,7 @@
             .put("entries", read.entries().size())
             .put("torn", read.torn());
         for (Entry entry : read.entries()) {
-          if (entry instanceof Entry.Turn turn) {
+          if (entry instanceof Entry.Iteration turn) {
             first = turns++ == 0 ? turn.nowUs() : first;
             last = turn.nowUs();
             turn.events()
--- a/cli/src/main/java/tidebank/cli/FleetCommands.java
+++ b/cli/src/main/java/tidebank/cli/FleetCommands.java
@@ -20,7 +20,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import tidebank.base.Fault;
+import tidebank.base.TidebankException;
 import tidebank.lease.Answer;
 import tidebank.lease.Command.Kind;
 import tidebank.lease.LeaseBook;
@@ -132,7 +132,7 @@
     protected int operate(Kind kind, String name, String duty, String done) throws IOException {
       Answer answer = client().operate(kind, name, duty);
       if (answer.fault() != null) {
-        throw new Fault.Refused(answer.fault());
+        throw new TidebankException.Refused(answer.fault());
       }
       out().println(json ? "{\"done\":true}" : done);
       return Tidebank.DONE;
@@ -272,7 +272,7 @@
     int once() throws IOException {
       List<StewardClient.Past> past = client().history().get(duty);
       if (past == null) {
-        throw new Fault.DutyUnknown(duty);
+        throw new TidebankException.DutyUnknown(duty);
       }
       return show(
           past,
--- a/cli/src/main/java/tidebank/cli/Tidebank.java
+++ b/cli/src/main/java/tidebank/cli/Tidebank.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.ScopeType;
 import picocli.CommandLine.Spec;
-import tidebank.base.Fault;
+import tidebank.base.TidebankException;
 import tidebank.config.Malformed;
 
 /** The command line {@code tidebank}. */
@@ -78,7 +78,7 @@
         (fault, command, parsed) -> {
           Throwable cause =
               fault instanceof UncheckedIOException unchecked ? unchecked.getCause() : fault;
-          if (cause instanceof Fault known) {
+          if (cause instanceof TidebankException known) {
             boolean json = parsed.expandedArgs().contains("--json");
             command
                 .getErr()
--- a/cli/src/main/java/tidebank/cli/Watch.java
+++ b/cli/src/main/java/tidebank/cli/Watch.java
@@ -12,7 +12,7 @@
 import org.jline.utils.Display;
 import org.jline.utils.NonBlockingReader;
 import picocli.CommandLine;
-import tidebank.base.Fault;
+import tidebank.base.TidebankException;
 
 /**
  * A screen that shows a command's output anew as it changes. Where there is no terminal, each
@@ -42,7 +42,7 @@
     line.setOut(new PrintWriter(text, true));
     try {
       shown.once();
-    } catch (Fault fault) {
+    } catch (TidebankException fault) {
       return fault.told().lines().lines().toList();
     } finally {
       line.setOut(before);
--- a/gatherer/src/main/java/tidebank/Brain.java
+++ b/gatherer/src/main/java/tidebank/RoutingPolicy.java
@@ -6,16 +6,16 @@
 import tidebank.model.Scan.Verdict;
 
 /**
- * All decisions of one gatherer. A front makes one Brain an instance and calls {@link #on} with the
- * clock and all that happened to the instance since the last call; the answer is what to do now, in
- * order. The interface is the package {@code tidebank.model}: Settings, Event and Action in and
- * out, the rest the state kept here. Events change the state, {@link #review} settles what is
- * wanted (dispatches, verdicts, wake-ups), {@link #settle} alone emits the difference.
+ * All decisions of one gatherer. A front makes one RoutingPolicy an instance and calls {@link #on}
+ * with the clock and all that happened to the instance since the last call; the answer is what to
+ * do now, in order. The interface is the package {@code tidebank.model}: Settings, Event and Action
+ * in and out, the rest the state kept here. Events change the state, {@link #review} settles what
+ * is wanted (dispatches, verdicts, wake-ups), {@link #settle} alone emits the difference.
  */
-public final class Brain {
+public final class RoutingPolicy {
   private static final double CAP_START = 8;
-  private static final double SPILL_START = 4;
-  private static final double SPILL_LEAST = 1;
+  private static final double OVERFLOW_START = 4;
+  private static final double OVERFLOW_LEAST = 1;
   private static final double SLOW = 2;
   private static final double CALL_MORE = 0.5;
   private static final double IDLE = 0.1;
@@ -33,8 +33,8 @@
   private static final double OUT_LONG = 1.4;
   private static final double PATIENCE_TYPICAL = 5;
   private static final double TYPICAL_START = 0.1;
-  private static final double STRAIN_START = 0.75;
-  private static final double STRAIN_FAST = 1.0 / 12;
+  private static final double CONGESTION_START = 0.75;
+  private static final double CONGESTION_FAST = 1.0 / 12;
   private static final double LOW = 0.2;
   private static final double LEARN = 1.0 / 32;
   private static final double LEARN_FAST = 1.0 / 16;
@@ -50,7 +50,7 @@
   private static final double OVERLOADED_SHARE = 1.0 / 3;
   private static final int FURTHER_MOST = 2;
   private static final int FATAL = 2;
-  private static final int SCOUT_TARGETS = 16;
+  private static final int CANARY_TARGETS = 16;
   private static final int MARGIN_TICKS = 3;
 
   /**
@@ -68,7 +68,7 @@
   private final Chance chance;
   private final Fleet fleet;
   private final ListCalls listCalls;
-  private final Agenda agenda = new Agenda();
+  private final ScanWorkQueue workQueue = new ScanWorkQueue();
   private final Map<Integer, Shard> shards = new HashMap<>();
   private final Map<String, Scan> scans = new HashMap<>();
   private final Map<Long, Scan> byNumber = new HashMap<>();
@@ -94,7 +94,7 @@
   private final long margin;
 
   /** How many of our parts a home may hold before a part goes elsewhere. */
-  private double spill = SPILL_START;
+  private double overflow = OVERFLOW_START;
 
   private double typical;
 
@@ -114,7 +114,7 @@
   private double service;
 
   /** The share of our latest dispatches that were overdue or refused, whatever the servers. */
-  private double strain = OVERLOADED_SHARE * STRAIN_START;
+  private double congestion = OVERLOADED_SHARE * CONGESTION_START;
 
   private long calls;
 
@@ -131,7 +131,7 @@
   /** When the call to discovery that is out was made. */
   private long calledAt;
 
-  public Brain(Settings settings, long seed) {
+  public RoutingPolicy(Settings settings, long seed) {
     this.settings = settings;
     this.margin = MARGIN_TICKS * settings.tickUs();
     this.chance = new Chance(seed);
@@ -169,7 +169,7 @@
         part.stage = Stage.HELD;
         scan.parts.add(part);
         parts.put(part.id, part);
-        agenda.changed(scan);
+        workQueue.changed(scan);
       }
     } else if (event instanceof Event.DispatchEnded ended) {
       takeEnd(ended);
@@ -183,7 +183,7 @@
       armedAt = Long.MAX_VALUE;
     } else if (event instanceof Event.Ending ending) {
       endAt = ending.at();
-      scans.values().forEach(scan -> agenda.changed(scan.endBy(endAt)));
+      scans.values().forEach(scan -> workQueue.changed(scan.endBy(endAt)));
     }
   }
 
@@ -226,7 +226,7 @@
     scan.targetAt = firstAsked(event, type) + type.targetUs();
     scans.put(scan.id, scan);
     byNumber.put(scan.number, scan);
-    agenda.changed(scan.endBy(endAt));
+    workQueue.changed(scan.endBy(endAt));
     taken.add(now, settings.rules().ratioSpanUs());
   }
 
@@ -257,7 +257,7 @@
     }
     Dispatch dispatch = part.dispatches.get(ended.dispatch());
     dispatch.end(ended.outcome());
-    agenda.changed(part.scan);
+    workQueue.changed(part.scan);
     judge(dispatch, ended.tookUs());
     boolean open = part.scan.verdict == Verdict.OPEN;
     if (ended.outcome() == Outcome.BROKEN) {
@@ -286,8 +286,8 @@
     Shard shard = shard(dispatch.part.shard);
     // The overflow figure of a home starts at the page's and follows how its answers come.
     boolean quick = dispatch.outcome == Outcome.COMPLETED && tookUs <= SLOW * typical;
-    spill = spilled(spill, quick, 0);
-    srv.spill = spilled(Math.min(SPILL_START, srv.spill), quick, SPILL_LEAST);
+    overflow = overflowAfter(overflow, quick, 0);
+    srv.overflow = overflowAfter(Math.min(OVERFLOW_START, srv.overflow), quick, OVERFLOW_LEAST);
     switch (dispatch.outcome) {
       case COMPLETED -> {
         srv.heardAt = now;
@@ -330,7 +330,7 @@
           srv.downAt = Math.min(srv.downAt, now);
           // Sick so, with parts out when it broke: something brought it down.
           if (srv.sick && now - srv.brokeAt < EVIDENCE_US) {
-            breaks.add(now, SCOUT_TARGETS * shortestTarget);
+            breaks.add(now, CANARY_TARGETS * shortestTarget);
           }
         }
         srv.brokeAt = dispatch.outcome == Outcome.BROKEN ? now : Long.MIN_VALUE / 2;
@@ -339,8 +339,10 @@
     }
   }
 
-  private static double spilled(double spill, boolean quick, double least) {
-    return quick ? Math.min(SPILL_START, spill + LEARN_FAST) : Math.max(least, spill * HALF);
+  private static double overflowAfter(double overflow, boolean quick, double least) {
+    return quick
+        ? Math.min(OVERFLOW_START, overflow + LEARN_FAST)
+        : Math.max(least, overflow * HALF);
   }
 
   private void overdue(Dispatch dispatch) {
@@ -391,19 +393,19 @@
     }
   }
 
-  /** A server tells once a second of strain, or of none, so that one is not the fleet. */
-  private void tell(ShardServer srv, boolean strained) {
-    if (strained && now - srv.strainedAt >= TROUBLE_US || now - srv.toldAt >= TROUBLE_US) {
+  /** A server tells once a second of congestion, or of none, so that one is not the fleet. */
+  private void tell(ShardServer srv, boolean congested) {
+    if (congested && now - srv.congestedAt >= TROUBLE_US || now - srv.toldAt >= TROUBLE_US) {
       srv.toldAt = now;
-      srv.strainedAt = strained ? now : srv.strainedAt;
-      strain +=
-          ((strained ? 1 : 0) - strain)
-              / Math.max(1 / STRAIN_FAST, Math.min(1 / LEARN, fleet.size()));
+      srv.congestedAt = congested ? now : srv.congestedAt;
+      congestion +=
+          ((congested ? 1 : 0) - congestion)
+              / Math.max(1 / CONGESTION_FAST, Math.min(1 / LEARN, fleet.size()));
     }
   }
 
   private boolean overload() {
-    return strain >= OVERLOADED_SHARE;
+    return congestion >= OVERLOADED_SHARE;
   }
 
   /**
@@ -417,7 +419,7 @@
   // ---- what is wanted
 
   private void review() {
-    for (Scan scan : agenda.take(now)) {
+    for (Scan scan : workQueue.take(now)) {
       if (scan.verdict != Verdict.OPEN) {
         continue;
       }
@@ -426,7 +428,7 @@
         scan.parts.sort(
             Comparator.comparingDouble((Part p) -> -p.weight).thenComparingInt(p -> p.shard));
       }
-      if (!scan.selected && !scouting(scan)) {
+      if (!scan.selected && !awaitingCanary(scan)) {
         select(scan);
       }
       if (scan.verdict == Verdict.OPEN) {
@@ -440,7 +442,7 @@
     if (dispatch.out && now >= dispatch.dueAt) {
       overdue(dispatch);
     } else if (dispatch.out) {
-      agenda.at(dispatch.dueAt, dispatch.part.scan);
+      workQueue.at(dispatch.dueAt, dispatch.part.scan);
     }
   }
 
@@ -452,7 +454,7 @@
       giveUp(scan);
       return;
     }
-    boolean calm = !sparse() || strain < OVERLOADED_SHARE * HALF;
+    boolean calm = !sparse() || congestion < OVERLOADED_SHARE * HALF;
     if (scan.type.floor() >= scan.type.need()
         || calm
             && ranked.stream()
@@ -463,8 +465,9 @@
       return;
     }
     int most = ranked.size();
-    // T falls from all parts to none as strain grows; it starts at half of them.
-    int top = (int) Math.ceil(most * Math.min(1, Math.max(0, 2 - 2 * strain / OVERLOADED_SHARE)));
+    // T falls from all parts to none as congestion grows; it starts at half of them.
+    int top =
+        (int) Math.ceil(most * Math.min(1, Math.max(0, 2 - 2 * congestion / OVERLOADED_SHARE)));
     double weight = 0;
     for (int rank = 0; rank < most; rank++) {
       Part part = ranked.get(rank);
@@ -477,7 +480,7 @@
       double threshold = cap * (1 - fall * (1 - IDLE));
       double load = holders.stream().mapToInt(srv -> srv.out.size()).sum();
       if (sparse() && rank >= top) {
-        load = Math.max(load, cap * Math.min(1, strain / OVERLOADED_SHARE));
+        load = Math.max(load, cap * Math.min(1, congestion / OVERLOADED_SHARE));
       }
       if (part.stage == Stage.HELD && (rank < top ? load > cap : load >= threshold)) {
         part.stage = Stage.UNSENT;
@@ -490,7 +493,7 @@
   /**
    * Exception: among so many gatherers that our share of a replica's cap, as two would have it, is
    * under one part, our own parts tell nothing of its load. Past T it is taken as loaded as our
-   * latest dispatches were strained, and a refused part goes on, as it was none of our parts that
+   * latest dispatches were congested, and a refused part goes on, as it was none of our parts that
    * filled the server.
    */
   private boolean sparse() {
@@ -500,23 +503,23 @@
   /**
    * Exception: while connections broke of late with parts out, a scan's heaviest part goes first
    * and alone, the others once it is in, or out for twice the typical time. A scan that brings its
-   * servers down reaches one of them so, not all. Costs sound scans the scout's time; not while
+   * servers down reaches one of them so, not all. Costs sound scans the canary's time; not while
    * overload is seen.
    */
-  private boolean scouting(Scan scan) {
-    int broken = breaks.count(now, SCOUT_TARGETS * shortestTarget);
-    Part scout = scan.parts.size() < 2 ? null : scan.parts.get(0);
+  private boolean awaitingCanary(Scan scan) {
+    int broken = breaks.count(now, CANARY_TARGETS * shortestTarget);
+    Part canary = scan.parts.size() < 2 ? null : scan.parts.get(0);
     if (broken < FATAL
         || overload()
-        || scout == null
+        || canary == null
         || scan.step > 0
         || scan.limitAt - now <= margin
-        || scout.stage == Stage.IN) {
+        || canary.stage == Stage.IN) {
       return false;
     }
-    long sentAt = scout.dispatches.isEmpty() ? now : scout.dispatches.get(0).sentAt;
+    long sentAt = canary.dispatches.isEmpty() ? now : canary.dispatches.get(0).sentAt;
     long until = sentAt + Math.round(Math.min(patience(scan), SLOW * typical));
-    agenda.at(until, scan);
+    workQueue.at(until, scan);
     return scan.broken > 0 || now < until;
   }
 
@@ -555,7 +558,7 @@
           part.dispatches.stream().filter(d -> d.server.sick).forEach(this::unwant);
         }
       }
-      agenda.at(now + patience(part.scan) / 4, part.scan);
+      workQueue.at(now + patience(part.scan) / 4, part.scan);
     }
   }
 
@@ -563,7 +566,7 @@
   private boolean straggles(Dispatch dispatch) {
     Scan scan = dispatch.part.scan;
     long at = dispatch.sentAt + Math.round(scan.type.targetUs() * PATIENCE_LEAST);
-    agenda.at(now < at ? at : Long.MAX_VALUE, scan);
+    workQueue.at(now < at ? at : Long.MAX_VALUE, scan);
     return now >= at
         && settings.limits().secondCopies()
         && scan.left <= Math.max(1, scan.parts.size() * IDLE);
@@ -577,7 +580,7 @@
     }
     ShardServer srv = place(part);
     if (srv == null) {
-      agenda.at(now + patience(part.scan) / 4, part.scan);
+      workQueue.at(now + patience(part.scan) / 4, part.scan);
     } else {
       send(part, srv);
       part.stage = Stage.SENT;
@@ -634,7 +637,7 @@
     List<ShardServer> sound =
         (fresh.isEmpty() ? open : fresh).stream().filter(srv -> !srv.sick).toList();
     List<ShardServer> pick = !sound.isEmpty() ? sound : fresh.isEmpty() ? open : fresh;
-    if (pick.get(0) == home && held(home) <= Math.min(spill, home.spill)) {
+    if (pick.get(0) == home && held(home) <= Math.min(overflow, home.overflow)) {
       return home;
     }
     return pick.stream().min(Comparator.comparingDouble(this::held)).orElseThrow();
@@ -650,7 +653,7 @@
     long last = -1;
     for (Dispatch dispatch : srv.out) {
       held += dispatch.call != last ? 1 : CALL_MORE;
-      held += dispatch.overdue ? SPILL_START : 0;
+      held += dispatch.overdue ? OVERFLOW_START : 0;
       last = dispatch.call;
     }
     return held;
@@ -737,7 +740,7 @@
     srv.coldTurn = srv.startedAt == 0 ? 0 : coldTurn(srv);
     srv.out.add(dispatch);
     unsettled.add(dispatch);
-    agenda.at(dispatch.dueAt, scan);
+    workQueue.at(dispatch.dueAt, scan);
   }
 
   private long patience(Scan scan) {
@@ -773,7 +776,7 @@
     // Dispatches that broke and none in: the scan itself may bring its servers down.
     boolean fatal = scan.broken >= FATAL && first && in <= 0;
     if (none && now < endAt) {
-      agenda.at(endAt, scan);
+      workQueue.at(endAt, scan);
     } else if (whole && !none) {
       close(scan, Verdict.ANSWER_WHOLE);
     } else if (enough && (pending <= 0 || all || now >= answerAt || now >= endAt)) {
@@ -784,7 +787,7 @@
         || type.lateBenefit() <= 0 && now >= scan.targetAt) {
       giveUp(scan);
     } else {
-      agenda.at(now < answerAt ? answerAt : now < scan.targetAt ? scan.targetAt : endAt, scan);
+      workQueue.at(now < answerAt ? answerAt : now < scan.targetAt ? scan.targetAt : endAt, scan);
     }
   }
 
@@ -821,7 +824,7 @@
   private void settle() {
     decided.forEach(this::announce);
     decided.clear();
-    long wakeAt = agenda.next();
+    long wakeAt = workQueue.next();
     if (settings.limits().listOnRequest()) {
       boolean silent = following && !followAnswered && now >= askAt + settings.rules().askEveryUs();
       if (!following && now >= askAt || silent) {
@@ -878,7 +881,7 @@
       scan.step++;
       scan.firstWhole = whole;
       scan.verdict = Verdict.OPEN;
-      agenda.at(scan.limitAt - early(scan), scan);
+      workQueue.at(scan.limitAt - early(scan), scan);
     } else {
       scans.remove(scan.id);
       byNumber.remove(scan.number);
--- a/gatherer/src/main/java/tidebank/base/Fault.java
+++ b/gatherer/src/main/java/tidebank/base/TidebankException.java
@@ -15,11 +15,11 @@
  * values involved (the message), whether trying again can help, and what an operator can do. {@code
  * docs/errors.md} has an entry for each, and a test holds the two to each other.
  */
-public abstract sealed class Fault extends IOException {
+public abstract sealed class TidebankException extends IOException {
   @Serial private static final long serialVersionUID = 1L;
 
   /** Whether the same call may go through without anybody's doing. */
-  public enum Again {
+  public enum Retry {
     NO,
     LATER,
     ELSEWHERE
@@ -31,15 +31,15 @@
   public @interface Entry {
     String code();
 
-    Again again();
+    Retry again();
 
     /** What an operator can do: a command, a key, a file or a limit. */
     String advice();
   }
 
   /** A fault as it is told over a wire, where only its fields are left of it. */
-  public record Told(String code, String what, Again again, String advice) {
-    public boolean is(Class<? extends Fault> type) {
+  public record Details(String code, String what, Retry again, String advice) {
+    public boolean is(Class<? extends TidebankException> type) {
       return type.getAnnotation(Entry.class).code().equals(code);
     }
 
@@ -62,29 +62,29 @@
     }
   }
 
-  protected Fault(String what) {
+  protected TidebankException(String what) {
     super(what);
   }
 
   /** A fault that was told over a wire, as it was told there. */
-  public static final class Refused extends Fault {
+  public static final class Refused extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
-    private final transient Told told;
+    private final transient Details told;
 
-    public Refused(Told told) {
+    public Refused(Details told) {
       super(told.what());
       this.told = told;
     }
 
     @Override
-    public Told told() {
+    public Details told() {
       return told;
     }
   }
 
-  public Told told() {
+  public Details told() {
     Entry entry = getClass().getAnnotation(Entry.class);
-    return new Told(entry.code(), getMessage(), entry.again(), entry.advice());
+    return new Details(entry.code(), getMessage(), entry.again(), entry.advice());
   }
 
   /** The entry of a code, if there is such a condition. */
@@ -94,7 +94,7 @@
 
   /** All conditions there are, but for {@link Refused}, which stands for any. */
   public static List<Entry> entries() {
-    return Arrays.stream(Fault.class.getPermittedSubclasses())
+    return Arrays.stream(TidebankException.class.getPermittedSubclasses())
         .filter(type -> type != Refused.class)
         .map(type -> type.getAnnotation(Entry.class))
         .toList();
@@ -105,11 +105,11 @@
   /** No duty of this name is configured. */
   @Entry(
       code = "TB-1001",
-      again = Again.NO,
+      again = Retry.NO,
       advice =
           "Compare the name with those under duties.names in deploy/steward.toml; add it there and"
               + " restart the stewards one after the other.")
-  public static final class DutyUnknown extends Fault {
+  public static final class DutyUnknown extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
 
     public DutyUnknown(String duty) {
@@ -120,11 +120,11 @@
   /** Another member holds the lease of the duty. */
   @Entry(
       code = "TB-1002",
-      again = Again.LATER,
+      again = Retry.LATER,
       advice =
           "Nothing needs doing: an owner that has gone loses the duty when its lease ends. tidebank"
               + " fleet duties shows who holds it.")
-  public static final class DutyHeld extends Fault {
+  public static final class DutyHeld extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
 
     public DutyHeld(String duty, String owner, long leftUs) {
@@ -135,11 +135,11 @@
   /** The duty is assigned to another member. */
   @Entry(
       code = "TB-1003",
-      again = Again.NO,
+      again = Retry.NO,
       advice =
           "Nothing needs doing where a duty was moved. To have it at a member of your choice:"
               + " tidebank fleet move DUTY --to NAME.")
-  public static final class DutyElsewhere extends Fault {
+  public static final class DutyElsewhere extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
 
     public DutyElsewhere(String duty, String wanted, String asker) {
@@ -156,12 +156,12 @@
   /** The fencing token is not the current one of the duty. */
   @Entry(
       code = "TB-1004",
-      again = Again.NO,
+      again = Retry.NO,
       advice =
           "Nothing needs doing: a successor is at work, and what the old owner wanted to do was"
               + " kept from taking effect. If it comes often, see why owners stall: their log,"
               + " their processor share.")
-  public static final class TokenOld extends Fault {
+  public static final class TokenOld extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
 
     public TokenOld(String duty, long given, long current) {
@@ -172,12 +172,12 @@
   /** The lease under this token has expired. */
   @Entry(
       code = "TB-1005",
-      again = Again.LATER,
+      again = Retry.LATER,
       advice =
           "Nothing needs doing: the duty is claimed anew with a new token. If it comes often,"
               + " renewals take longer than the lease: raise lease.ms in deploy/steward.toml, or"
               + " see what slows the stewards.")
-  public static final class LeaseOver extends Fault {
+  public static final class LeaseOver extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
 
     public LeaseOver(String duty, long token) {
@@ -188,11 +188,11 @@
   /** Another live process is a member under the same name. */
   @Entry(
       code = "TB-1006",
-      again = Again.LATER,
+      again = Retry.LATER,
       advice =
           "A member that was restarted gets its name once the old process's lease has ended. If it"
               + " lasts, two processes run under one name: give one of them another NODE_NAME.")
-  public static final class NameTaken extends Fault {
+  public static final class NameTaken extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
 
     public NameTaken(String name, long leftUs) {
@@ -208,11 +208,11 @@
   /** The member is not registered, or its session was replaced. */
   @Entry(
       code = "TB-1007",
-      again = Again.LATER,
+      again = Retry.LATER,
       advice =
           "Nothing needs doing: the member joins again. If it comes often, its calls take longer"
               + " than the lease: see its log and the way between it and the stewards.")
-  public static final class MemberUnknown extends Fault {
+  public static final class MemberUnknown extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
 
     public MemberUnknown(String name) {
@@ -223,11 +223,11 @@
   /** An operator retired the member. */
   @Entry(
       code = "TB-1008",
-      again = Again.NO,
+      again = Retry.NO,
       advice =
           "The name was retired by an operator. Start the process under another NODE_NAME, or stop"
               + " it.")
-  public static final class MemberRetired extends Fault {
+  public static final class MemberRetired extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
 
     public MemberRetired(String name) {
@@ -238,11 +238,11 @@
   /** The configured limit of members is reached. */
   @Entry(
       code = "TB-1009",
-      again = Again.LATER,
+      again = Retry.LATER,
       advice =
           "Raise limits.members in deploy/steward.toml and restart the stewards one after the"
               + " other. Names that fell silent make room by themselves, retired ones do not.")
-  public static final class MembersFull extends Fault {
+  public static final class MembersFull extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
 
     public MembersFull(int most) {
@@ -253,11 +253,11 @@
   /** A call of a session arrived after a newer one of the same session. */
   @Entry(
       code = "TB-1010",
-      again = Again.NO,
+      again = Retry.NO,
       advice =
           "An older call of a session came after a newer one. If it is not a late copy, two"
               + " processes share a session: restart one.")
-  public static final class CallOld extends Fault {
+  public static final class CallOld extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
 
     public CallOld(String session, long number, long last) {
@@ -268,11 +268,11 @@
   /** A conditional write named a revision that is no longer current. */
   @Entry(
       code = "TB-1011",
-      again = Again.NO,
+      again = Retry.NO,
       advice =
           "Read what is published now, and decide again: tidebank fleet duties --json shows"
               + " revision and value.")
-  public static final class RevisionMoved extends Fault {
+  public static final class RevisionMoved extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
 
     public RevisionMoved(String duty, long given, long current) {
@@ -289,10 +289,10 @@
   /** A field is longer than allowed. */
   @Entry(
       code = "TB-1012",
-      again = Again.NO,
+      again = Retry.NO,
       advice =
           "Shorten what is published: it is to name a file of the fleet's folder, not to hold it.")
-  public static final class ValueLong extends Fault {
+  public static final class ValueLong extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
 
     public ValueLong(String field, int length, int most) {
@@ -303,11 +303,11 @@
   /** The name is not allowed for a member. */
   @Entry(
       code = "TB-1013",
-      again = Again.NO,
+      again = Retry.NO,
       advice =
           "Give the gatherer a NODE_NAME of letters, digits, and . _ - within, as a file of the"
               + " fleet's folder is named after it.")
-  public static final class NameUnfit extends Fault {
+  public static final class NameUnfit extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
 
     public NameUnfit(String name) {
@@ -318,12 +318,12 @@
   /** The fleet's shared folder cannot be read or written. */
   @Entry(
       code = "TB-1014",
-      again = Again.LATER,
+      again = Retry.LATER,
       advice =
           "See that fleet.folder in deploy/gatherer.toml is there, the same for all members,"
               + " writable for the gatherer's user, and has space. Scans are served meanwhile; the"
               + " fleet's report waits.")
-  public static final class FleetFolderUnusable extends Fault {
+  public static final class FleetFolderUnusable extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
 
     public FleetFolderUnusable(String folder, String what) {
@@ -334,9 +334,9 @@
   /** A command names a member that does not exist. */
   @Entry(
       code = "TB-1015",
-      again = Again.NO,
+      again = Retry.NO,
       advice = "Compare the name with those that tidebank fleet members lists.")
-  public static final class NobodyCalled extends Fault {
+  public static final class NobodyCalled extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
 
     public NobodyCalled(String name) {
@@ -349,11 +349,11 @@
   /** The steward that was asked is not the leader. */
   @Entry(
       code = "TB-1101",
-      again = Again.ELSEWHERE,
+      again = Retry.ELSEWHERE,
       advice =
           "Ask the steward that is named; the fleet commands do so by themselves. If none is named,"
               + " an election is under way: ask again within some seconds.")
-  public static final class NotLeading extends Fault {
+  public static final class NotLeading extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
 
     public NotLeading(String steward, String leader) {
@@ -368,11 +368,11 @@
   /** The stewards did not reach a quorum in time. */
   @Entry(
       code = "TB-1102",
-      again = Again.LATER,
+      again = Retry.LATER,
       advice =
           "Most of the stewards have to run and reach each other. Start those that are down; see"
               + " each one's log for its peers. Serving goes on meanwhile.")
-  public static final class NoMajority extends Fault {
+  public static final class NoMajority extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
 
     public NoMajority(String what) {
@@ -383,9 +383,9 @@
   /** The leader changed between taking a call and committing it. */
   @Entry(
       code = "TB-1103",
-      again = Again.LATER,
+      again = Retry.LATER,
       advice = "Nothing needs doing: the same call, sent again, takes effect once.")
-  public static final class LeaderChanged extends Fault {
+  public static final class LeaderChanged extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
 
     public LeaderChanged(long stamped, long term) {
@@ -396,11 +396,11 @@
   /** The body of a call cannot be parsed. */
   @Entry(
       code = "TB-1104",
-      again = Again.NO,
+      again = Retry.NO,
       advice =
           "Correct the body: docs/fleet-control.md shows one of each kind. A body has 64 KiB at"
               + " most.")
-  public static final class CallMalformed extends Fault {
+  public static final class CallMalformed extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
 
     public CallMalformed(String what) {
@@ -411,11 +411,11 @@
   /** The steward has no resource at this method and path. */
   @Entry(
       code = "TB-1105",
-      again = Again.NO,
+      again = Retry.NO,
       advice =
           "Use POST /fleet/command, GET /fleet/state, GET /fleet/history, GET"
               + " /fleet/wanted?name=NAME&wait_ms=MS or GET /health/ready.")
-  public static final class PathUnknown extends Fault {
+  public static final class PathUnknown extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
 
     public PathUnknown(String method, String path) {
@@ -426,11 +426,11 @@
   /** No steward accepted a connection. */
   @Entry(
       code = "TB-1106",
-      again = Again.ELSEWHERE,
+      again = Retry.ELSEWHERE,
       advice =
           "See that the stewards run and that the addresses given by --stewards are those of http"
               + " in deploy/steward.toml.")
-  public static final class StewardsUnreached extends Fault {
+  public static final class StewardsUnreached extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
 
     public StewardsUnreached(String tried) {
@@ -441,12 +441,12 @@
   /** A snapshot of the replicated log's state is unreadable. */
   @Entry(
       code = "TB-1107",
-      again = Again.NO,
+      again = Retry.NO,
       advice =
           "Bring the folder back from a copy. Without one, and only while all other stewards run:"
               + " move it away, start this steward empty, then restart the one that leads, and wait"
               + " until this one has written a snapshot.")
-  public static final class SnapshotDamaged extends Fault {
+  public static final class SnapshotDamaged extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
 
     public SnapshotDamaged(String file, String what) {
@@ -457,11 +457,11 @@
   /** The steward's storage folder cannot be read or written. */
   @Entry(
       code = "TB-1108",
-      again = Again.NO,
+      again = Retry.NO,
       advice =
           "Make the folder of deploy/steward.toml writable for the steward's user, free some space"
               + " in it, or name another one; and end any other steward that uses it.")
-  public static final class FolderUnusable extends Fault {
+  public static final class FolderUnusable extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
 
     public FolderUnusable(String folder, String what) {
@@ -472,11 +472,11 @@
   /** The address to listen on is in use or not available. */
   @Entry(
       code = "TB-1109",
-      again = Again.NO,
+      again = Retry.NO,
       advice =
           "End the other program, or give the address of http or of the steward's own line under"
               + " peers in deploy/steward.toml another port.")
-  public static final class AddressTaken extends Fault {
+  public static final class AddressTaken extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
 
     public AddressTaken(String address, String what) {
@@ -489,10 +489,10 @@
   /** No chaos script has this name. */
   @Entry(
       code = "TB-1201",
-      again = Again.NO,
+      again = Retry.NO,
       advice =
           "Give the path of a script's file, or one of the names that tidebank chaos list shows.")
-  public static final class ScriptUnknown extends Fault {
+  public static final class ScriptUnknown extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
 
     public ScriptUnknown(String name, List<String> known) {
@@ -503,11 +503,11 @@
   /** The folder does not hold a recorded chaos run. */
   @Entry(
       code = "TB-1202",
-      again = Again.NO,
+      again = Retry.NO,
       advice =
           "Give the folder of a run, as tidebank chaos run named it; runs that held leave none"
               + " unless it is asked to keep them by --keep.")
-  public static final class RunUnknown extends Fault {
+  public static final class RunUnknown extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
 
     public RunUnknown(String folder) {
--- a/gatherer/src/main/java/tidebank/capture/Codec.java
+++ b/gatherer/src/main/java/tidebank/capture/Codec.java
@@ -84,7 +84,7 @@
         }
         fixed(started.seed());
         end(at);
-      } else if (entry instanceof Entry.Turn turn) {
+      } else if (entry instanceof Entry.Iteration turn) {
         int at = begin(TURN);
         time(turn.nowUs());
         events(turn.events());
@@ -349,7 +349,7 @@
                 actions.add(action);
               }
             }
-            entries.add(new Entry.Turn(now, events, digest, actions));
+            entries.add(new Entry.Iteration(now, events, digest, actions));
           }
           case FAILED -> {
             now += signed();
--- a/gatherer/src/main/java/tidebank/capture/TurnLog.java
+++ b/gatherer/src/main/java/tidebank/capture/DecisionLog.java
@@ -9,9 +9,9 @@
  * Is told of every turn, on the loop; it must neither wait nor fail, and keeps the lists it is
  * given as they are.
  */
-public interface TurnLog {
-  TurnLog NONE =
-      new TurnLog() {
+public interface DecisionLog {
+  DecisionLog NONE =
+      new DecisionLog() {
         @Override
         public void started(Settings settings, long seed) {}
 
--- a/gatherer/src/main/java/tidebank/capture/Entry.java
+++ b/gatherer/src/main/java/tidebank/capture/Entry.java
@@ -21,7 +21,8 @@
    * @param digest over what it wanted done
    * @param actions what it wanted done, or null where only the digest was kept
    */
-  record Turn(long nowUs, List<Event> events, int digest, List<Action> actions) implements Entry {}
+  record Iteration(long nowUs, List<Event> events, int digest, List<Action> actions)
+      implements Entry {}
 
   /**
    * A turn failed: what the module had been told in it, and nothing of what it wanted was done in
--- a/gatherer/src/main/java/tidebank/capture/Recorder.java
+++ b/gatherer/src/main/java/tidebank/capture/Recorder.java
@@ -21,7 +21,7 @@
  * its own packs and writes. What finds no room, or no disk, is missing, and the capture says how
  * much and where. Nothing here ever waits for the loop, or the loop for it.
  */
-public final class Recorder implements TurnLog, AutoCloseable {
+public final class Recorder implements DecisionLog, AutoCloseable {
   /**
    * How to record.
    *
@@ -94,7 +94,7 @@
   public void turn(long nowUs, List<Event> events, List<Action> actions) {
     put(
         new Waiting(
-            new Entry.Turn(nowUs, events, 0, null), actions, events.size() + actions.size()));
+            new Entry.Iteration(nowUs, events, 0, null), actions, events.size() + actions.size()));
   }
 
   @Override
@@ -157,9 +157,9 @@
       blockFrom = clock.getAsLong();
     }
     Entry entry = one.entry;
-    if (entry instanceof Entry.Turn turn) {
+    if (entry instanceof Entry.Iteration turn) {
       entry =
-          new Entry.Turn(
+          new Entry.Iteration(
               turn.nowUs(),
               turn.events(),
               Codec.digest(one.actions),
--- a/gatherer/src/main/java/tidebank/discovery/DiscoverySide.java
+++ b/gatherer/src/main/java/tidebank/discovery/DiscoverySide.java
@@ -32,8 +32,8 @@
 import tidebank.model.ListCalls;
 import tidebank.node.Clock;
 import tidebank.node.ListPort;
+import tidebank.node.PolicyDriver;
 import tidebank.node.Timers;
-import tidebank.node.Turn;
 
 /**
  * Watches discovery on one connection: calls that wait for changes, each renewed at once. A watch
@@ -51,7 +51,7 @@
   private final ObjectMapper mapper = new ObjectMapper();
   private final NodeConfig.Transport transport;
   private final Bootstrap template;
-  private final Turn turn;
+  private final PolicyDriver driver;
   private final Clock clock;
   private final Timers timers;
   private final Counters counters;
@@ -76,7 +76,7 @@
   public DiscoverySide(
       NodeConfig config,
       Bootstrap template,
-      Turn turn,
+      PolicyDriver driver,
       Clock clock,
       Timers timers,
       Counters counters) {
@@ -86,7 +86,7 @@
     this.chance = new Chance(config.seed());
     this.unasked = !config.settings().limits().listOnRequest();
     this.template = template;
-    this.turn = turn;
+    this.driver = driver;
     this.clock = clock;
     this.timers = timers;
     this.counters = counters;
@@ -129,7 +129,7 @@
     address = to;
     version = -1;
     close();
-    turn.listSeen(ListKind.MOVED, List.of());
+    driver.listSeen(ListKind.MOVED, List.of());
     begin();
   }
 
@@ -172,7 +172,7 @@
       if (unasked) {
         timers.set(again, clock.now() + times.failedUnaskedUs(chance.next()));
       } else {
-        turn.listSeen(ListKind.LOST, List.of());
+        driver.listSeen(ListKind.LOST, List.of());
       }
     }
   }
@@ -201,7 +201,7 @@
     version = list.version();
     if (!confirmed || list.whole() || !list.members().isEmpty()) {
       confirmed = true;
-      turn.listSeen(list.whole() ? ListKind.FULL : ListKind.CHANGES, list.members());
+      driver.listSeen(list.whole() ? ListKind.FULL : ListKind.CHANGES, list.members());
     }
     // An answer without a length ends with its connection.
     if (!HttpUtil.isKeepAlive(response) || !link.channel.isActive()) {
--- a/gatherer/src/main/java/tidebank/fleet/FleetAgent.java
+++ b/gatherer/src/main/java/tidebank/fleet/FleetAgent.java
@@ -10,7 +10,7 @@
 import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tidebank.base.Fault;
+import tidebank.base.TidebankException;
 import tidebank.lease.Answer;
 import tidebank.lease.Command;
 import tidebank.lease.Holder;
@@ -125,10 +125,11 @@
         Thread.currentThread().interrupt();
         return;
       } catch (IOException fault) {
-        Fault named =
-            fault instanceof Fault known
+        TidebankException named =
+            fault instanceof TidebankException known
                 ? known
-                : new Fault.FleetFolderUnusable(plan.folder().toString(), fault.toString());
+                : new TidebankException.FleetFolderUnusable(
+                    plan.folder().toString(), fault.toString());
         say(named.told());
         pause();
       } catch (RuntimeException fault) {
@@ -187,7 +188,7 @@
         return answer.get();
       }
       if (handover.leaving() && command.kind() != Command.Kind.LEAVE) {
-        throw new Fault.StewardsUnreached(plan.stewards().toString());
+        throw new TidebankException.StewardsUnreached(plan.stewards().toString());
       }
       pause();
     }
@@ -202,7 +203,7 @@
   }
 
   /** What repeats is said once, until something went well again. */
-  private void say(Fault.Told fault) {
+  private void say(TidebankException.Details fault) {
     if (!fault.code().equals(said)) {
       said = fault.code();
       LOG.warn(fault.lines().replace('\n', ' '));
--- a/gatherer/src/main/java/tidebank/fleet/FleetFolder.java
+++ b/gatherer/src/main/java/tidebank/fleet/FleetFolder.java
@@ -23,7 +23,7 @@
 import java.util.stream.Stream;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tidebank.base.Fault;
+import tidebank.base.TidebankException;
 
 /**
  * The folder that all members share: what each has counted, and the reports. Every file is there
@@ -54,7 +54,7 @@
 
   void tell(String name, FleetReport.Told now) throws IOException {
     if (!NAME.matcher(name).matches()) {
-      throw new Fault.NameUnfit(name);
+      throw new TidebankException.NameUnfit(name);
     }
     put(told.resolve(name + ".json"), LeaseCodec.bytes(now));
   }
--- a/gatherer/src/main/java/tidebank/fleet/LeaseCodec.java
+++ b/gatherer/src/main/java/tidebank/fleet/LeaseCodec.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
-import tidebank.base.Fault;
+import tidebank.base.TidebankException;
 import tidebank.lease.Command;
 
 /** Commands, answers and state as JSON, on the wire and in the log. */
@@ -29,17 +29,17 @@
   /**
    * A command from outside: any text is possible, and no field may be missing that its kind needs.
    */
-  public static Command command(byte[] body) throws Fault.CallMalformed {
+  public static Command command(byte[] body) throws TidebankException.CallMalformed {
     Command command;
     try {
       command = read(body, Command.class);
     } catch (JsonProcessingException fault) {
-      throw new Fault.CallMalformed(fault.getOriginalMessage().split("\n")[0]);
+      throw new TidebankException.CallMalformed(fault.getOriginalMessage().split("\n")[0]);
     } catch (IOException fault) {
-      throw new Fault.CallMalformed(fault.getMessage());
+      throw new TidebankException.CallMalformed(fault.getMessage());
     }
     if (command == null || command.kind() == null || command.kind() == Command.Kind.PLAN) {
-      throw new Fault.CallMalformed("field 'kind' names no command");
+      throw new TidebankException.CallMalformed("field 'kind' names no command");
     }
     Command whole =
         new Command(
@@ -53,11 +53,11 @@
             text(command.value()),
             null);
     if (whole.session().isEmpty() || whole.session().length() > 128 || whole.number() < 1) {
-      throw new Fault.CallMalformed(
+      throw new TidebankException.CallMalformed(
           "field 'session' is to be a text of 1 to 128 characters, 'number' to be from 1 up");
     }
     if (whole.name().isEmpty() && command.kind() != Command.Kind.MOVE) {
-      throw new Fault.CallMalformed("field 'name' is missing");
+      throw new TidebankException.CallMalformed("field 'name' is missing");
     }
     return whole;
   }
--- a/gatherer/src/main/java/tidebank/fleet/StewardLink.java
+++ b/gatherer/src/main/java/tidebank/fleet/StewardLink.java
@@ -9,7 +9,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Optional;
-import tidebank.base.Fault;
+import tidebank.base.TidebankException;
 import tidebank.lease.Answer;
 import tidebank.lease.Command;
 import tidebank.lease.LeaseBook;
@@ -57,7 +57,7 @@
   }
 
   /** The body of a good answer; null where none was got, and the next call goes to another. */
-  private byte[] call(String path, byte[] body, int timeoutMs) throws Fault.Refused {
+  private byte[] call(String path, byte[] body, int timeoutMs) throws TidebankException.Refused {
     String asked = next;
     try {
       HttpURLConnection call =
@@ -78,14 +78,15 @@
         if (status == 200) {
           return answer;
         }
-        Fault.Told told = answer.length == 0 ? null : LeaseCodec.read(answer, Answer.class).fault();
-        if (told != null && told.again() == Fault.Again.NO) {
-          throw new Fault.Refused(told);
+        TidebankException.Details told =
+            answer.length == 0 ? null : LeaseCodec.read(answer, Answer.class).fault();
+        if (told != null && told.again() == TidebankException.Retry.NO) {
+          throw new TidebankException.Refused(told);
         }
         String leader = call.getHeaderField("Location");
         next = leader == null ? another() : URI.create(leader).getAuthority();
       }
-    } catch (Fault.Refused fault) {
+    } catch (TidebankException.Refused fault) {
       throw fault;
     } catch (IOException fault) {
       next = another();
--- a/gatherer/src/main/java/tidebank/front/ClientConnection.java
+++ b/gatherer/src/main/java/tidebank/front/ClientConnection.java
@@ -227,10 +227,10 @@
       reject(exchange, HttpResponseStatus.valueOf(fault.status), fault.getMessage());
       return;
     }
-    if (side.turn.holds(scan)) {
+    if (side.driver.holds(scan)) {
       side.counters.add("front.rejected");
       reject(exchange, HttpResponseStatus.BAD_REQUEST, "X-Correlation-Id is in use");
-    } else if (side.turn.scanTaken(scan, exchange)) {
+    } else if (side.driver.scanTaken(scan, exchange)) {
       side.counters.add("scans.taken");
       exchange.scan = scan.id();
     } else {
@@ -323,7 +323,7 @@
     side.left(this);
     for (Exchange exchange : exchanges) {
       if (exchange.scan != null) {
-        side.turn.scanLapsed(exchange.scan);
+        side.driver.scanLapsed(exchange.scan);
       }
       if (exchange.response != null) {
         exchange.response.release();
--- a/gatherer/src/main/java/tidebank/front/ClientSide.java
+++ b/gatherer/src/main/java/tidebank/front/ClientSide.java
@@ -16,12 +16,12 @@
 import tidebank.base.Counters;
 import tidebank.config.NodeConfig;
 import tidebank.node.Clock;
+import tidebank.node.PolicyDriver;
 import tidebank.node.Timers;
-import tidebank.node.Turn;
 
 /** Listens for clients and keeps their connections within their budget. */
 public final class ClientSide {
-  final Turn turn;
+  final PolicyDriver driver;
   final Clock clock;
   final Timers timers;
   final Counters counters;
@@ -45,13 +45,13 @@
 
   public ClientSide(
       NodeConfig config,
-      Turn turn,
+      PolicyDriver driver,
       Clock clock,
       Timers timers,
       Counters counters,
       BooleanSupplier ready) {
     this.config = config;
-    this.turn = turn;
+    this.driver = driver;
     this.clock = clock;
     this.timers = timers;
     this.counters = counters;
--- a/gatherer/src/main/java/tidebank/lease/Answer.java
+++ b/gatherer/src/main/java/tidebank/lease/Answer.java
@@ -1,7 +1,7 @@
 package tidebank.lease;
 
 import java.util.List;
-import tidebank.base.Fault;
+import tidebank.base.TidebankException;
 
 /**
  * What a command came to.
@@ -13,7 +13,11 @@
  * @param revision what is published now, where the command was about that
  */
 public record Answer(
-    Fault.Told fault, List<Grant> grants, List<String> wanted, Terms terms, long revision) {
+    TidebankException.Details fault,
+    List<Grant> grants,
+    List<String> wanted,
+    Terms terms,
+    long revision) {
   /** A duty that the member owns, by this token. */
   public record Grant(String duty, long token) {}
 }
--- a/gatherer/src/main/java/tidebank/lease/Holder.java
+++ b/gatherer/src/main/java/tidebank/lease/Holder.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.SortedMap;
 import java.util.TreeMap;
-import tidebank.base.Fault;
+import tidebank.base.TidebankException;
 import tidebank.lease.Answer.Grant;
 
 /**
@@ -135,9 +135,9 @@
     }
     Command command = out;
     out = null;
-    Fault.Told fault = answer.fault();
-    boolean retired = fault != null && fault.is(Fault.MemberRetired.class);
-    boolean gone = retired || fault != null && fault.is(Fault.MemberUnknown.class);
+    TidebankException.Details fault = answer.fault();
+    boolean retired = fault != null && fault.is(TidebankException.MemberRetired.class);
+    boolean gone = retired || fault != null && fault.is(TidebankException.MemberUnknown.class);
     joined = !gone && (joined || fault == null);
     left = retired || command.kind() == Command.Kind.LEAVE;
     renewEvery = answer.terms().renewUs();
--- a/gatherer/src/main/java/tidebank/lease/LeaseBook.java
+++ b/gatherer/src/main/java/tidebank/lease/LeaseBook.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.SortedMap;
 import java.util.TreeMap;
-import tidebank.base.Fault;
+import tidebank.base.TidebankException;
 import tidebank.lease.Answer.Grant;
 
 /**
@@ -167,12 +167,12 @@
     Answer answer;
     try {
       if (command.number() < last) {
-        throw new Fault.CallOld(command.session(), command.number(), last);
+        throw new TidebankException.CallOld(command.session(), command.number(), last);
       }
       long revision = command.ofMember() ? byMember(command, before) : byOperator(command);
       assign();
       answer = new Answer(null, grants(command.session()), wanted(command), terms, revision);
-    } catch (Fault fault) {
+    } catch (TidebankException fault) {
       assign();
       return remember(
           command, new Answer(fault.told(), grants(command.session()), wanted(command), terms, 0));
@@ -241,16 +241,16 @@
 
   // ---- members
 
-  private long byMember(Command command, Member before) throws Fault {
+  private long byMember(Command command, Member before) throws TidebankException {
     if (command.kind() == Command.Kind.JOIN) {
       join(command, before);
       return 0;
     }
     if (before == null || !before.session().equals(command.session())) {
-      throw new Fault.MemberUnknown(command.name());
+      throw new TidebankException.MemberUnknown(command.name());
     }
     if (before.retired()) {
-      throw new Fault.MemberRetired(command.name());
+      throw new TidebankException.MemberRetired(command.name());
     }
     switch (command.kind()) {
       case RENEW -> {
@@ -276,14 +276,14 @@
     return 0;
   }
 
-  private void join(Command command, Member before) throws Fault {
+  private void join(Command command, Member before) throws TidebankException {
     text("name", command.name());
     boolean same = before != null && before.session().equals(command.session());
     if (before != null && before.retired()) {
-      throw new Fault.MemberRetired(command.name());
+      throw new TidebankException.MemberRetired(command.name());
     }
     if (before != null && !same && before.aliveUntil() > now) {
-      throw new Fault.NameTaken(command.name(), before.aliveUntil() - now);
+      throw new TidebankException.NameTaken(command.name(), before.aliveUntil() - now);
     }
     if (before == null) {
       makeRoom();
@@ -309,7 +309,7 @@
   }
 
   /** Forgets one that is long gone where there are as many as may be. */
-  private void makeRoom() throws Fault {
+  private void makeRoom() throws TidebankException {
     if (members.size() < terms.mostMembers()) {
       return;
     }
@@ -317,43 +317,43 @@
         members.values().stream()
             .filter(member -> member.aliveUntil() <= now && !member.retired())
             .min(Comparator.comparingLong(Member::aliveUntil))
-            .orElseThrow(() -> new Fault.MembersFull(terms.mostMembers()));
+            .orElseThrow(() -> new TidebankException.MembersFull(terms.mostMembers()));
     members.remove(gone.name());
   }
 
-  private void claim(Command command) throws Fault {
+  private void claim(Command command) throws TidebankException {
     assign();
     Duty duty = duty(command.duty());
     boolean own = duty.session().equals(command.session());
     if (!over(duty) && !own) {
-      throw new Fault.DutyHeld(duty.name(), duty.owner(), duty.until() - now);
+      throw new TidebankException.DutyHeld(duty.name(), duty.owner(), duty.until() - now);
     }
     if (!duty.meant().equals(command.name())) {
-      throw new Fault.DutyElsewhere(duty.name(), duty.meant(), command.name());
+      throw new TidebankException.DutyElsewhere(duty.name(), duty.meant(), command.name());
     }
     long token = over(duty) ? nextToken(duty) : duty.token();
     duties.put(
         duty.name(), duty.held(token, command.name(), command.session(), now + terms.leaseUs()));
   }
 
-  private long publish(Command command) throws Fault {
+  private long publish(Command command) throws TidebankException {
     Duty duty = owned(command);
     text("value", command.value());
     if (duty.revision() != command.revision()) {
-      throw new Fault.RevisionMoved(duty.name(), command.revision(), duty.revision());
+      throw new TidebankException.RevisionMoved(duty.name(), command.revision(), duty.revision());
     }
     duties.put(duty.name(), duty.published(command.value()));
     return duty.revision() + 1;
   }
 
   /** The duty of a command that only its owner may give. */
-  private Duty owned(Command command) throws Fault {
+  private Duty owned(Command command) throws TidebankException {
     Duty duty = duty(command.duty());
     if (!current(duty, command)) {
-      throw new Fault.TokenOld(duty.name(), command.token(), duty.token());
+      throw new TidebankException.TokenOld(duty.name(), command.token(), duty.token());
     }
     if (over(duty)) {
-      throw new Fault.LeaseOver(duty.name(), duty.token());
+      throw new TidebankException.LeaseOver(duty.name(), duty.token());
     }
     return duty;
   }
@@ -364,7 +364,7 @@
 
   // ---- operators
 
-  private long byOperator(Command command) throws Fault {
+  private long byOperator(Command command) throws TidebankException {
     switch (command.kind()) {
       case MOVE -> {
         Duty duty = duty(command.duty());
@@ -401,28 +401,28 @@
     return 0;
   }
 
-  private Duty duty(String name) throws Fault {
+  private Duty duty(String name) throws TidebankException {
     Duty duty = duties.get(name);
     if (duty == null) {
-      throw new Fault.DutyUnknown(name);
+      throw new TidebankException.DutyUnknown(name);
     }
     return duty;
   }
 
-  private Member member(String name) throws Fault {
+  private Member member(String name) throws TidebankException {
     Member member = members.get(name);
     if (member == null) {
-      throw new Fault.NobodyCalled(name);
+      throw new TidebankException.NobodyCalled(name);
     }
     if (member.retired()) {
-      throw new Fault.MemberRetired(name);
+      throw new TidebankException.MemberRetired(name);
     }
     return member;
   }
 
-  private void text(String field, String text) throws Fault {
+  private void text(String field, String text) throws TidebankException {
     if (text.length() > terms.mostText()) {
-      throw new Fault.ValueLong(field, text.length(), terms.mostText());
+      throw new TidebankException.ValueLong(field, text.length(), terms.mostText());
     }
   }
 
--- a/gatherer/src/main/java/tidebank/model/Agenda.java
+++ b/gatherer/src/main/java/tidebank/model/ScanWorkQueue.java
@@ -9,7 +9,7 @@
  * The scans that a turn has to look at: those that something happened to, and those whose time has
  * come.
  */
-public final class Agenda {
+public final class ScanWorkQueue {
   private record Entry(long at, Scan scan) {}
 
   private final PriorityQueue<Entry> queue =
--- a/gatherer/src/main/java/tidebank/model/ShardServer.java
+++ b/gatherer/src/main/java/tidebank/model/ShardServer.java
@@ -45,7 +45,7 @@
    * How many of our parts it may hold as a home before a part goes elsewhere; no bound before its
    * first end.
    */
-  public double spill = Double.POSITIVE_INFINITY;
+  public double overflow = Double.POSITIVE_INFINITY;
 
   public boolean sick;
 
@@ -67,7 +67,7 @@
   public long silentAt = -1;
 
   public long toldAt = Long.MIN_VALUE / 2;
-  public long strainedAt = Long.MIN_VALUE / 2;
+  public long congestedAt = Long.MIN_VALUE / 2;
 
   public ShardServer(String id) {
     this.id = id;
--- a/gatherer/src/main/java/tidebank/node/Order.java
+++ b/gatherer/src/main/java/tidebank/node/DispatchRequest.java
@@ -4,7 +4,7 @@
  * One dispatch, from the module's word to its one end. The shard side carries it out, the turn
  * keeps the books.
  */
-public final class Order {
+public final class DispatchRequest {
   public final String part;
   public final int shard;
   public final String server;
@@ -13,10 +13,11 @@
   final HeldScan.HeldPart held;
   final int number;
   final long askedAt;
-  Ticket ticket;
+  Handle handle;
   boolean ended;
 
-  Order(HeldScan.HeldPart held, int number, String server, byte[] text, long stopAt, long askedAt) {
+  DispatchRequest(
+      HeldScan.HeldPart held, int number, String server, byte[] text, long stopAt, long askedAt) {
     this.held = held;
     this.part = held.id;
     this.shard = held.range.shard();
@@ -27,8 +28,8 @@
     this.askedAt = askedAt;
   }
 
-  /** What the shard side gives back for an order. */
-  public interface Ticket {
+  /** What the shard side gives back for a request. */
+  public interface Handle {
     /** Stop waiting for it; its shard server is told so if it got it. */
     void cancel();
 
--- a/gatherer/src/main/java/tidebank/node/Gatherer.java
+++ b/gatherer/src/main/java/tidebank/node/Gatherer.java
@@ -52,7 +52,7 @@
   private final ByteBufAllocator allocator;
   private final EventLoop loop;
   private final Timers timers;
-  private final Turn turn;
+  private final PolicyDriver driver;
   private final Recorder recorder;
   private final ShardSide shards;
   private final DiscoverySide discovery;
@@ -72,7 +72,7 @@
     group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     loop = group.next();
     timers = new Timers(loop, clock, counters);
-    turn = new Turn(config.settings(), config.seed(), clock, timers, loop, counters);
+    driver = new PolicyDriver(config.settings(), config.seed(), clock, timers, loop, counters);
     allocator = new PooledByteBufAllocator(true, 0, 1, PAGE, CHUNK_ORDER);
     Bootstrap out =
         new Bootstrap()
@@ -84,22 +84,22 @@
             .option(
                 ChannelOption.CONNECT_TIMEOUT_MILLIS,
                 (int) (config.transport().connectTimeoutUs() / 1000));
-    shards = new ShardSide(config, out, turn, clock, timers, counters);
-    discovery = new DiscoverySide(config, out, turn, clock, timers, counters);
-    turn.connect(shards, discovery);
+    shards = new ShardSide(config, out, driver, clock, timers, counters);
+    discovery = new DiscoverySide(config, out, driver, clock, timers, counters);
+    driver.connect(shards, discovery);
     recorder = recorder(own);
     if (recorder != null) {
-      turn.log(recorder);
+      driver.log(recorder);
     }
     Readiness readiness = new Readiness(clock.now());
     clients =
         new ClientSide(
             config,
-            turn,
+            driver,
             clock,
             timers,
             counters,
-            () -> readiness.ready(clock.now(), turn.knowsServers(), turn.listed()));
+            () -> readiness.ready(clock.now(), driver.knowsServers(), driver.listed()));
   }
 
   /** What can't be recorded is served all the same. */
@@ -159,7 +159,7 @@
             .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, waterMark());
     loop.submit(
             () -> {
-              turn.listSeen(ListKind.REMEMBERED, known.members());
+              driver.listSeen(ListKind.REMEMBERED, known.members());
               discovery.begin(known.members().isEmpty() ? -1 : known.version());
             })
         .syncUninterruptibly();
@@ -226,7 +226,7 @@
                 new ShutdownPlan(config.settings(), clock.now(), timers.latenessUs());
             endBy = plan.endBy;
             lingerUs = plan.lingerUs;
-            turn.ending(endBy);
+            driver.ending(endBy);
             timers.set(Timers.timer(this::noMoreRequests), plan.closeAt);
           }
         });
@@ -255,7 +255,7 @@
 
   private void noMoreRequests() {
     clients.end();
-    turn.whenIdle(this::waitForClients);
+    driver.whenIdle(this::waitForClients);
   }
 
   /**
@@ -267,7 +267,7 @@
     clients.close(now >= endBy ? Long.MAX_VALUE : now - lingerUs);
     if (clients.open() > 0) {
       timers.set(
-          Timers.timer(() -> turn.whenIdle(this::waitForClients)),
+          Timers.timer(() -> driver.whenIdle(this::waitForClients)),
           clock.now() + config.settings().tickUs());
       return;
     }
--- a/gatherer/src/main/java/tidebank/node/HeldScan.java
+++ b/gatherer/src/main/java/tidebank/node/HeldScan.java
@@ -28,7 +28,7 @@
     }
   }
 
-  /** The values that are in, in the order in which the client listed the parts. */
+  /** The values that are in, in the request in which the client listed the parts. */
   List<Value> values() {
     return parts.values().stream()
         .filter(part -> part.value != null)
@@ -41,7 +41,7 @@
     final HeldScan scan;
     final ScanRequest.Range range;
     final String id;
-    final List<Order> orders = new ArrayList<>();
+    final List<DispatchRequest> requests = new ArrayList<>();
     byte[] value;
 
     HeldPart(HeldScan scan, ScanRequest.Range range) {
--- a/gatherer/src/main/java/tidebank/node/Turn.java
+++ b/gatherer/src/main/java/tidebank/node/PolicyDriver.java
@@ -9,9 +9,9 @@
 import java.util.function.BiConsumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tidebank.Brain;
+import tidebank.RoutingPolicy;
 import tidebank.base.Counters;
-import tidebank.capture.TurnLog;
+import tidebank.capture.DecisionLog;
 import tidebank.model.Action;
 import tidebank.model.Event;
 import tidebank.model.Event.ListKind;
@@ -25,8 +25,8 @@
  * Gathers what one pass of the event loop brings, calls the module once and carries out what it
  * wants, in order. It decides nothing. All of it runs on the event loop.
  */
-public final class Turn {
-  private static final Logger LOG = LoggerFactory.getLogger(Turn.class);
+public final class PolicyDriver {
+  private static final Logger LOG = LoggerFactory.getLogger(PolicyDriver.class);
   private final Settings settings;
   private final Clock clock;
   private final Timers timers;
@@ -39,16 +39,16 @@
   private List<Event> events = new ArrayList<>();
   private boolean scheduled;
   private boolean listed;
-  private Brain brain;
+  private RoutingPolicy policy;
   private long seed;
   private ShardPort shards;
   private ListPort discovery;
   private Runnable whenIdle;
-  private TurnLog log = TurnLog.NONE;
+  private DecisionLog log = DecisionLog.NONE;
   private long numbers;
   private int held;
 
-  public Turn(
+  public PolicyDriver(
       Settings settings, long seed, Clock clock, Timers timers, EventLoop loop, Counters counters) {
     this.settings = settings;
     this.seed = seed;
@@ -56,11 +56,11 @@
     this.timers = timers;
     this.loop = loop;
     this.counters = counters;
-    this.brain = new Brain(settings, seed);
+    this.policy = new RoutingPolicy(settings, seed);
   }
 
   /** Has every turn told from now on, which is before the first. */
-  public void log(TurnLog wanted) {
+  public void log(DecisionLog wanted) {
     log = wanted;
     log.started(settings, seed);
   }
@@ -120,12 +120,12 @@
 
   /** A dispatch has come to its one end; {@code value} is null unless it completed. */
   public void dispatchEnded(
-      Order order, Outcome outcome, byte[] value, Map<String, Double> report) {
-    if (!counters.must(!order.ended, "a dispatch ends once")) {
+      DispatchRequest request, Outcome outcome, byte[] value, Map<String, Double> report) {
+    if (!counters.must(!request.ended, "a dispatch ends once")) {
       return;
     }
-    order.ended = true;
-    HeldPart part = order.held;
+    request.ended = true;
+    HeldPart part = request.held;
     if (value != null && part.value == null && part.scan.reply != null) {
       part.value = value;
     }
@@ -133,7 +133,7 @@
     boolean closed = part.scan.reply == null || part.value != null;
     tell(
         new Event.DispatchEnded(
-            part.id, order.number, outcome, clock.now() - order.askedAt, closed, report));
+            part.id, request.number, outcome, clock.now() - request.askedAt, closed, report));
     forget(part);
   }
 
@@ -198,7 +198,7 @@
     counters.add("turns");
     long now = clock.now();
     try {
-      List<Action> actions = brain.on(now, taken);
+      List<Action> actions = policy.on(now, taken);
       log.turn(now, taken, actions);
       for (Action action : actions) {
         carryOut(action);
@@ -220,13 +220,13 @@
     for (HeldScan scan : List.copyOf(scans.values())) {
       Reply reply = scan.reply;
       finish(scan);
-      scan.parts.values().forEach(part -> List.copyOf(part.orders).forEach(this::cancel));
+      scan.parts.values().forEach(part -> List.copyOf(part.requests).forEach(this::cancel));
       reply.abandoned();
     }
     shards.flush();
     events.removeIf(
         event -> !(event instanceof Event.ScanTaken || event instanceof Event.PartTaken));
-    brain = new Brain(settings, ++seed);
+    policy = new RoutingPolicy(settings, ++seed);
     log.started(settings, seed);
     events.add(
         0,
@@ -240,7 +240,7 @@
     } else if (action instanceof Action.Cancel cancel) {
       HeldPart part = parts.get(cancel.part());
       if (part != null) {
-        cancel(part.orders.get(cancel.dispatch()));
+        cancel(part.requests.get(cancel.dispatch()));
       }
     } else if (action instanceof Action.Answer answer) {
       conclude(
@@ -285,26 +285,26 @@
         part != null && part.scan.reply != null, "only parts of an open scan are sent")) {
       return;
     }
-    Order order =
-        new Order(
+    DispatchRequest request =
+        new DispatchRequest(
             part,
-            part.orders.size(),
+            part.requests.size(),
             send.server(),
             part.scan.request.text(),
             send.stopAt(),
             clock.now());
-    part.orders.add(order);
+    part.requests.add(request);
     try {
-      order.ticket = shards.send(order);
+      request.handle = shards.send(request);
     } catch (RuntimeException | VirtualMachineError fault) {
-      order.ended = true;
+      request.ended = true;
       throw fault;
     }
   }
 
-  private void cancel(Order order) {
-    if (!order.ended) {
-      order.ticket.cancel();
+  private void cancel(DispatchRequest request) {
+    if (!request.ended) {
+      request.handle.cancel();
     }
   }
 
@@ -314,9 +314,9 @@
     scans.remove(scan.request.id());
     held -= 1 + scan.parts.size();
     for (HeldPart part : scan.parts.values()) {
-      for (Order order : List.copyOf(part.orders)) {
-        if (!order.ended) {
-          order.ticket.dropUnsent();
+      for (DispatchRequest request : List.copyOf(part.requests)) {
+        if (!request.ended) {
+          request.handle.dropUnsent();
         }
       }
       forget(part);
@@ -324,7 +324,7 @@
   }
 
   private void forget(HeldPart part) {
-    if (part.scan.reply == null && part.orders.stream().allMatch(order -> order.ended)) {
+    if (part.scan.reply == null && part.requests.stream().allMatch(request -> request.ended)) {
       parts.remove(part.id);
     }
   }
--- a/gatherer/src/main/java/tidebank/node/ShardPort.java
+++ b/gatherer/src/main/java/tidebank/node/ShardPort.java
@@ -10,7 +10,7 @@
   void listed(List<Member> members, boolean full);
 
   /** Takes a dispatch; it goes out with {@link #flush}. Its end is told to the turn. */
-  Order.Ticket send(Order order);
+  DispatchRequest.Handle send(DispatchRequest request);
 
   /** All sends of this turn are in: those to one server share calls. */
   void flush();
--- a/gatherer/src/main/java/tidebank/shard/Call.java
+++ b/gatherer/src/main/java/tidebank/shard/Call.java
@@ -11,7 +11,7 @@
   final Server server;
 
   /** The flights that have not ended. */
-  final List<Flight> flights = new ArrayList<>();
+  final List<InFlightDispatch> flights = new ArrayList<>();
 
   Connection connection;
 
--- a/gatherer/src/main/java/tidebank/shard/Connection.java
+++ b/gatherer/src/main/java/tidebank/shard/Connection.java
@@ -30,7 +30,7 @@
   private final ShardSide side;
   private final ArrayDeque<Call> waiting = new ArrayDeque<>();
   private final Set<Call> calls = new HashSet<>();
-  private final Map<String, Flight> out = new HashMap<>();
+  private final Map<String, InFlightDispatch> out = new HashMap<>();
   private final ArrayDeque<Probe> probes = new ArrayDeque<>();
   private final ChannelFutureListener written = this::written;
   private final Timers.Timer idle = Timers.timer(this::unused);
@@ -131,9 +131,9 @@
         continue;
       }
       writing = call;
-      for (Flight flight : call.flights) {
-        flight.stage = Flight.Stage.WRITING;
-        out.put(flight.order.part, flight);
+      for (InFlightDispatch inFlight : call.flights) {
+        inFlight.stage = InFlightDispatch.Stage.WRITING;
+        out.put(inFlight.request.part, inFlight);
       }
       lastUsed = now;
       channel.writeAndFlush(Frames.call(channel.alloc(), call.flights, now)).addListener(written);
@@ -152,8 +152,8 @@
       close();
       return;
     }
-    for (Flight flight : call.flights) {
-      flight.stage = Flight.Stage.OUT;
+    for (InFlightDispatch inFlight : call.flights) {
+      inFlight.stage = InFlightDispatch.Stage.OUT;
     }
     write();
   }
@@ -181,23 +181,23 @@
   }
 
   /** Tells the shard server that a part written to it is given up, where that is allowed. */
-  void giveUp(Flight flight) {
+  void giveUp(InFlightDispatch inFlight) {
     long now = side.clock.now();
     givenUp.values().removeIf(until -> until <= now);
-    givenUp.put(flight.order.part, now + side.slowestUs);
+    givenUp.put(inFlight.request.part, now + side.slowestUs);
     if (side.mayGiveUp && channel.isActive()) {
       lastUsed = side.clock.now();
       channel.writeAndFlush(
-          Frames.giveUp(channel.alloc(), flight.order.part), channel.voidPromise());
+          Frames.giveUp(channel.alloc(), inFlight.request.part), channel.voidPromise());
     }
   }
 
-  /** A flight has ended. */
-  void forget(Flight flight) {
-    out.remove(flight.order.part, flight);
-    if (flight.call.flights.isEmpty()) {
-      calls.remove(flight.call);
-      waiting.remove(flight.call);
+  /** A inFlight has ended. */
+  void forget(InFlightDispatch inFlight) {
+    out.remove(inFlight.request.part, inFlight);
+    if (inFlight.call.flights.isEmpty()) {
+      calls.remove(inFlight.call);
+      waiting.remove(inFlight.call);
       if (isIdle() && retired) {
         close();
       } else if (isIdle() && !closed) {
@@ -273,9 +273,9 @@
   private void release() {
     Frames.Answer answer = held;
     held = null;
-    Flight flight = answer == null ? null : out.get(answer.id());
-    if (flight != null) {
-      server.end(flight, answer.outcome(), answer.value(), answer.report());
+    InFlightDispatch inFlight = answer == null ? null : out.get(answer.id());
+    if (inFlight != null) {
+      server.end(inFlight, answer.outcome(), answer.value(), answer.report());
     }
   }
 
@@ -301,7 +301,7 @@
     }
     side.timers.clear(probeLate);
     boolean good = !text.equals("bad");
-    side.turn.probed(
+    side.driver.probed(
         server.id,
         good ? Outcome.COMPLETED : Outcome.ERROR,
         side.clock.now() - probe.askedAt(),
@@ -331,9 +331,9 @@
     if (!closed) {
       side.counters.fault("shard.spoilt", "server " + server.id + ": " + why);
       held = null;
-      for (Flight flight : List.copyOf(out.values())) {
-        if (flight.stage == Flight.Stage.OUT) {
-          server.end(flight, Outcome.SPOILT, null);
+      for (InFlightDispatch inFlight : List.copyOf(out.values())) {
+        if (inFlight.stage == InFlightDispatch.Stage.OUT) {
+          server.end(inFlight, Outcome.SPOILT, null);
         }
       }
       close();
@@ -363,13 +363,15 @@
     side.timers.clear(neverWhole);
     server.removed(this);
     for (Call call : new ArrayList<>(calls)) {
-      for (Flight flight : List.copyOf(call.flights)) {
+      for (InFlightDispatch inFlight : List.copyOf(call.flights)) {
         server.end(
-            flight, flight.stage == Flight.Stage.OUT ? Outcome.BROKEN : Outcome.UNREACHABLE, null);
+            inFlight,
+            inFlight.stage == InFlightDispatch.Stage.OUT ? Outcome.BROKEN : Outcome.UNREACHABLE,
+            null);
       }
     }
     for (Probe probe : probes) {
-      side.turn.probed(
+      side.driver.probed(
           server.id,
           up ? Outcome.BROKEN : Outcome.UNREACHABLE,
           side.clock.now() - probe.askedAt(),
@@ -388,7 +390,7 @@
   private void probeLate() {
     Probe late = probes.peek();
     if (late != null) {
-      side.turn.probed(server.id, Outcome.TIMED_OUT, side.clock.now() - late.askedAt(), Map.of());
+      side.driver.probed(server.id, Outcome.TIMED_OUT, side.clock.now() - late.askedAt(), Map.of());
       probes.clear();
       close();
     }
--- a/gatherer/src/main/java/tidebank/shard/Frames.java
+++ b/gatherer/src/main/java/tidebank/shard/Frames.java
@@ -33,22 +33,22 @@
   private Frames() {}
 
   /** A call of these parts, each to be waited for until its own time. */
-  static ByteBuf call(ByteBufAllocator allocator, List<Flight> flights, long now) {
+  static ByteBuf call(ByteBufAllocator allocator, List<InFlightDispatch> flights, long now) {
     ByteBuf frame = allocator.directBuffer(256);
     frame.writeByte(CALL);
-    for (Flight flight : flights) {
-      long waitMs = Math.max(1, (flight.order.stopAt - now) / 1000);
+    for (InFlightDispatch inFlight : flights) {
+      long waitMs = Math.max(1, (inFlight.request.stopAt - now) / 1000);
       ByteBufUtil.writeAscii(
           frame,
-          flight.order.part
+          inFlight.request.part
               + ' '
-              + flight.order.shard
+              + inFlight.request.shard
               + " d="
               + waitMs
               + ' '
-              + flight.order.text.length
+              + inFlight.request.text.length
               + '\n');
-      frame.writeBytes(flight.order.text);
+      frame.writeBytes(inFlight.request.text);
     }
     return frame;
   }
--- a/gatherer/src/main/java/tidebank/shard/Flight.java
+++ b/gatherer/src/main/java/tidebank/shard/InFlightDispatch.java
@@ -1,11 +1,11 @@
 package tidebank.shard;
 
 import tidebank.model.Outcome;
-import tidebank.node.Order;
+import tidebank.node.DispatchRequest;
 import tidebank.node.Timers;
 
 /** One dispatch on its way: waiting for a connection, being written, or out. */
-final class Flight extends Timers.Timer implements Order.Ticket {
+final class InFlightDispatch extends Timers.Timer implements DispatchRequest.Handle {
   enum Stage {
     WAITING,
     WRITING,
@@ -13,12 +13,12 @@
     ENDED
   }
 
-  final Order order;
+  final DispatchRequest request;
   final Call call;
   Stage stage = Stage.WAITING;
 
-  Flight(Order order, Call call) {
-    this.order = order;
+  InFlightDispatch(DispatchRequest request, Call call) {
+    this.request = request;
     this.call = call;
   }
 
--- a/gatherer/src/main/java/tidebank/shard/Server.java
+++ b/gatherer/src/main/java/tidebank/shard/Server.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import tidebank.model.Outcome;
-import tidebank.node.Order;
+import tidebank.node.DispatchRequest;
 import tidebank.node.Timers;
 
 /**
@@ -45,15 +45,15 @@
   }
 
   /** Takes a part into this turn's call. */
-  Flight gather(Order order) {
+  InFlightDispatch gather(DispatchRequest request) {
     if (gathering == null || gathering.flights.size() >= side.bundleMost()) {
       gathering = new Call(this);
       side.pending(gathering);
     }
-    Flight flight = new Flight(order, gathering);
-    gathering.flights.add(flight);
-    side.timers.set(flight, order.stopAt);
-    return flight;
+    InFlightDispatch inFlight = new InFlightDispatch(request, gathering);
+    gathering.flights.add(inFlight);
+    side.timers.set(inFlight, request.stopAt);
+    return inFlight;
   }
 
   void gathered() {
@@ -79,7 +79,7 @@
   void probe(byte letter) {
     Connection connection = withRoom();
     if (connection == null) {
-      side.turn.probed(id, Outcome.UNREACHABLE, 0, Map.of());
+      side.driver.probed(id, Outcome.UNREACHABLE, 0, Map.of());
       return;
     }
     connection.probe(letter);
@@ -103,28 +103,28 @@
   }
 
   void endAll(Call call, Outcome outcome) {
-    for (Flight flight : List.copyOf(call.flights)) {
-      end(flight, outcome, null);
+    for (InFlightDispatch inFlight : List.copyOf(call.flights)) {
+      end(inFlight, outcome, null);
     }
   }
 
-  void end(Flight flight, Outcome outcome, byte[] value) {
-    end(flight, outcome, value, Map.of());
+  void end(InFlightDispatch inFlight, Outcome outcome, byte[] value) {
+    end(inFlight, outcome, value, Map.of());
   }
 
-  void end(Flight flight, Outcome outcome, byte[] value, Map<String, Double> report) {
+  void end(InFlightDispatch inFlight, Outcome outcome, byte[] value, Map<String, Double> report) {
     // A write that fails at once may end its connection, and all on it, before it returns.
-    if (flight.stage == Flight.Stage.ENDED) {
+    if (inFlight.stage == InFlightDispatch.Stage.ENDED) {
       return;
     }
-    flight.stage = Flight.Stage.ENDED;
-    side.timers.clear(flight);
-    Call call = flight.call;
-    call.flights.remove(flight);
+    inFlight.stage = InFlightDispatch.Stage.ENDED;
+    side.timers.clear(inFlight);
+    Call call = inFlight.call;
+    call.flights.remove(inFlight);
     if (call.connection != null) {
-      call.connection.forget(flight);
+      call.connection.forget(inFlight);
     }
-    side.turn.dispatchEnded(flight.order, outcome, value, report);
+    side.driver.dispatchEnded(inFlight.request, outcome, value, report);
   }
 
   void removed(Connection connection) {
--- a/gatherer/src/main/java/tidebank/shard/ShardSide.java
+++ b/gatherer/src/main/java/tidebank/shard/ShardSide.java
@@ -15,14 +15,14 @@
 import tidebank.model.Event.ServerStatus;
 import tidebank.model.Outcome;
 import tidebank.node.Clock;
-import tidebank.node.Order;
+import tidebank.node.DispatchRequest;
+import tidebank.node.PolicyDriver;
 import tidebank.node.ShardPort;
 import tidebank.node.Timers;
-import tidebank.node.Turn;
 
 /** Carries out dispatches on connections to shard servers and tells their ends. */
 public final class ShardSide implements ShardPort {
-  final Turn turn;
+  final PolicyDriver driver;
   final Clock clock;
   final Timers timers;
   final Counters counters;
@@ -41,7 +41,7 @@
   public ShardSide(
       NodeConfig config,
       Bootstrap template,
-      Turn turn,
+      PolicyDriver driver,
       Clock clock,
       Timers timers,
       Counters counters) {
@@ -50,7 +50,7 @@
     this.mayGiveUp = config.settings().limits().cancel();
     this.slowestUs = config.settings().slowestUs();
     this.template = template;
-    this.turn = turn;
+    this.driver = driver;
     this.clock = clock;
     this.timers = timers;
     this.counters = counters;
@@ -130,10 +130,10 @@
   }
 
   @Override
-  public Order.Ticket send(Order order) {
+  public DispatchRequest.Handle send(DispatchRequest request) {
     return servers
-        .computeIfAbsent(order.server, absent -> new Server(order.server, this))
-        .gather(order);
+        .computeIfAbsent(request.server, absent -> new Server(request.server, this))
+        .gather(request);
   }
 
   @Override
@@ -160,7 +160,7 @@
   public void probe(String id) {
     Server server = servers.get(id);
     if (server == null) {
-      turn.probed(id, Outcome.UNREACHABLE, 0, Map.of());
+      driver.probed(id, Outcome.UNREACHABLE, 0, Map.of());
     } else {
       server.probe(transport.probeForLoad() ? Frames.PROBE_LOAD : Frames.PROBE);
     }
--- a/gatherer/src/main/java/tidebank/sim/WireHost.java
+++ b/gatherer/src/main/java/tidebank/sim/WireHost.java
@@ -16,7 +16,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import tidebank.Brain;
+import tidebank.RoutingPolicy;
 import tidebank.config.Json;
 import tidebank.config.Malformed;
 import tidebank.config.SettingsReader;
@@ -29,7 +29,7 @@
   private static final int PAGES = 16;
 
   private final ObjectMapper mapper = new ObjectMapper();
-  private final Map<Long, Brain> instances = new HashMap<>();
+  private final Map<Long, RoutingPolicy> instances = new HashMap<>();
   private final List<List<Listed>> sheets = new ArrayList<>(Collections.nCopies(PAGES, null));
 
   public void run(InputStream in, OutputStream out) throws IOException {
@@ -85,7 +85,8 @@
     if (kind.equals("Attach")) {
       JsonNode salt = Json.need(message, "salt");
       instances.put(
-          instance, new Brain(SettingsReader.read(Json.need(message, "config")), salt.longValue()));
+          instance,
+          new RoutingPolicy(SettingsReader.read(Json.need(message, "config")), salt.longValue()));
       told.put(instance, new ArrayList<>());
     } else if (kind.equals("Retire")) {
       instances.remove(instance);
--- a/gatherer/src/test/java/tidebank/CaptureTest.java
+++ b/gatherer/src/test/java/tidebank/CaptureTest.java
@@ -87,13 +87,13 @@
     assertThat(entries.get(0)).isEqualTo(new Entry.Started(new FakeHost().settings(), 7));
     assertThat(entries).hasSize(51);
     for (int i = 0; i < 50; i++) {
-      Entry.Turn turn = (Entry.Turn) entries.get(i + 1);
+      Entry.Iteration turn = (Entry.Iteration) entries.get(i + 1);
       assertThat(turn.nowUs()).isEqualTo(1_001_000 + 1000L * i);
       assertThat(turn.events()).isEqualTo(everyEvent(i));
       assertThat(turn.actions()).isEqualTo(everyAction(i));
     }
-    assertThat(((Entry.Turn) entries.get(1)).digest())
-        .isNotEqualTo(((Entry.Turn) entries.get(2)).digest());
+    assertThat(((Entry.Iteration) entries.get(1)).digest())
+        .isNotEqualTo(((Entry.Iteration) entries.get(2)).digest());
   }
 
   @Test
@@ -155,7 +155,7 @@
     recorder.close();
     assertThat(turns()).isEqualTo(100 - lost + 1);
     assertThat(missing()).isEqualTo(lost);
-    assertThat(((Entry.Turn) read().get(read().size() - 1)).events()).isEmpty();
+    assertThat(((Entry.Iteration) read().get(read().size() - 1)).events()).isEmpty();
   }
 
   @Test
@@ -181,7 +181,7 @@
   }
 
   private long turns() throws IOException {
-    return read().stream().filter(Entry.Turn.class::isInstance).count();
+    return read().stream().filter(Entry.Iteration.class::isInstance).count();
   }
 
   private long missing() throws IOException {
@@ -204,7 +204,7 @@
     recorder.turn(clock.addAndGet(1000), everyEvent(1), everyAction(1));
     recorder.close();
     assertThat(read().get(0)).isEqualTo(new Entry.Gap(1));
-    assertThat(((Entry.Turn) read().get(1)).events()).isEqualTo(everyEvent(1));
+    assertThat(((Entry.Iteration) read().get(1)).events()).isEqualTo(everyEvent(1));
   }
 
   @Test
--- a/gatherer/src/test/java/tidebank/FakeHost.java
+++ b/gatherer/src/test/java/tidebank/FakeHost.java
@@ -34,7 +34,7 @@
 
   long seed = 7;
   long tookMs = 100;
-  private Brain brain;
+  private RoutingPolicy policy;
   private long numbers;
   private long timerAt = Long.MAX_VALUE;
   private long token;
@@ -61,7 +61,7 @@
 
   /** Starts the instance with a list of sound servers s0, s1, ... one at each position. */
   FakeHost start() {
-    brain = new Brain(settings(), seed);
+    policy = new RoutingPolicy(settings(), seed);
     List<Listed> lines = new ArrayList<>();
     for (int i = 0; i < layout.positions(); i++) {
       lines.add(line("s" + i, i, ServerStatus.IN_SERVICE, 0));
@@ -118,7 +118,7 @@
 
   List<Action> tell(Event... events) {
     told.addAll(List.of(events));
-    List<Action> now = brain.on(nowMs * MS, List.copyOf(told));
+    List<Action> now = policy.on(nowMs * MS, List.copyOf(told));
     told.clear();
     for (Action action : now) {
       if (action instanceof Action.Send send) {
--- a/gatherer/src/test/java/tidebank/TurnTest.java
+++ b/gatherer/src/test/java/tidebank/PolicyDriverTest.java
@@ -24,17 +24,17 @@
 import tidebank.discovery.ListReader;
 import tidebank.model.Event.ListKind;
 import tidebank.node.Clock;
-import tidebank.node.Order;
+import tidebank.node.DispatchRequest;
+import tidebank.node.PolicyDriver;
 import tidebank.node.Reply;
 import tidebank.node.ScanRequest;
 import tidebank.node.ShardPort;
 import tidebank.node.Timers;
-import tidebank.node.Turn;
 import tidebank.shard.ShardSide;
 
 /** The turn and the shard side by themselves, on a loop of their own. */
 @Timeout(20)
-class TurnTest implements Reply {
+class PolicyDriverTest implements Reply {
   private final FakeSite site = new FakeSite();
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -44,13 +44,13 @@
   private final Timers timers = new Timers(loop, clock, counters);
   private final List<String> replies = new ArrayList<>();
   private NodeConfig config;
-  private Turn turn;
+  private PolicyDriver driver;
 
   @BeforeEach
   void begin() throws Exception {
     site.limits.put("connectTimeoutMs", 2000);
     config = NodeConfig.read(Map.of("NODE_CONFIG", site.configFile().toString()));
-    turn = new Turn(config.settings(), 7, clock, timers, loop, counters);
+    driver = new PolicyDriver(config.settings(), 7, clock, timers, loop, counters);
   }
 
   @AfterEach
@@ -82,7 +82,7 @@
     var known = ListReader.read(config.known()).members();
     onLoop(
         () -> {
-          turn.listSeen(ListKind.REMEMBERED, known);
+          driver.listSeen(ListKind.REMEMBERED, known);
           return null;
         });
   }
@@ -96,17 +96,17 @@
   @Test
   void aFailureInATurnAbandonsWhatIsHeldAndTheNextScanIsServed() throws Exception {
     boolean[] fails = {true};
-    turn.connect(
+    driver.connect(
         new ShardPort() {
           @Override
           public void listed(List<Member> members, boolean full) {}
 
           @Override
-          public Order.Ticket send(Order order) {
+          public DispatchRequest.Handle send(DispatchRequest request) {
             if (fails[0]) {
               throw new OutOfMemoryError("as the test wants it");
             }
-            turn.dispatchEnded(order, tidebank.model.Outcome.COMPLETED, new byte[0], Map.of());
+            driver.dispatchEnded(request, tidebank.model.Outcome.COMPLETED, new byte[0], Map.of());
             return null;
           }
 
@@ -133,7 +133,7 @@
               "",
               new byte[0],
               List.of(new ScanRequest.Range(0, 1, "")));
-      assertThat(onLoop(() -> turn.scanTaken(request, this))).isTrue();
+      assertThat(onLoop(() -> driver.scanTaken(request, this))).isTrue();
       counted(id.equals("a") ? "turns.failed" : "scans.whole", 1);
       fails[0] = false;
     }
@@ -146,11 +146,11 @@
         new ShardSide(
             config,
             new Bootstrap().group(group).channel(NioSocketChannel.class),
-            turn,
+            driver,
             clock,
             timers,
             counters);
-    turn.connect(shards, on -> {});
+    driver.connect(shards, on -> {});
     list();
     FakeShardServer server = site.servers.get(0);
     String[][] ends = {
--- a/gatherer/src/test/java/tidebank/BrainTest.java
+++ b/gatherer/src/test/java/tidebank/RoutingPolicyTest.java
@@ -23,7 +23,7 @@
 import tidebank.model.Settings;
 import tidebank.model.TableType;
 
-class BrainTest {
+class RoutingPolicyTest {
   private final FakeHost host = new FakeHost();
 
   /** Starts with a scan of four parts, of which these are refused as full. */
@@ -412,7 +412,7 @@
   }
 
   @Test
-  void whileSomeServersAreStrainedLightPartsStillGoToShardsThatCarryLittle() {
+  void whileSomeServersAreCongestedLightPartsStillGoToShardsThatCarryLittle() {
     host.start();
     host.scan("a", "whole", 0.25, 0.25, 0.25, 0.25);
     host.end(Outcome.FULL, "a0", "a1");
@@ -457,7 +457,7 @@
   }
 
   @Test
-  void inABigFleetStrainLeavesLightPartsOutThoughOurOwnAreFew() {
+  void inABigFleetCongestionLeavesLightPartsOutThoughOurOwnAreFew() {
     for (int instances : List.of(2, 60)) {
       FakeHost one = new FakeHost();
       one.instances = instances;
--- a/lab/src/main/java/tidebank/lab/capture/Replayed.java
+++ b/lab/src/main/java/tidebank/lab/capture/Replayed.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.zip.CRC32C;
-import tidebank.Brain;
+import tidebank.RoutingPolicy;
 import tidebank.capture.Digests;
 import tidebank.capture.Entry;
 import tidebank.capture.Segments;
@@ -61,7 +61,7 @@
 
   /** Takes each turn as it is replayed. */
   public interface Listener {
-    void turn(long number, Entry.Turn turn, List<Action> now);
+    void turn(long number, Entry.Iteration turn, List<Action> now);
   }
 
   private Replayed() {}
@@ -94,34 +94,34 @@
     List<String> torn = new ArrayList<>();
     CRC32C digest = new CRC32C();
     Divergence divergence = null;
-    Brain brain = null;
+    RoutingPolicy policy = null;
     long number = -1;
     for (Path file : segments(place)) {
       Segments.Read read = Segments.read(file);
       if (number >= 0 && read.number() != number + 1) {
         torn.add(file.getFileName() + ": segments before it are missing");
-        brain = null;
+        policy = null;
       }
       number = read.number();
       for (Entry entry : read.entries()) {
         if (entry instanceof Entry.Started started) {
           starts++;
-          brain = new Brain(started.settings(), started.seed());
+          policy = new RoutingPolicy(started.settings(), started.seed());
         } else if (entry instanceof Entry.Gap gap) {
           missing += gap.turns();
-          brain = null;
+          policy = null;
         } else if (entry instanceof Entry.Failed) {
           // A module that failed is half changed; the start that follows is where it goes on.
           failures++;
-          brain = null;
-        } else if (entry instanceof Entry.Turn turn) {
+          policy = null;
+        } else if (entry instanceof Entry.Iteration turn) {
           first = turns++ == 0 ? turn.nowUs() : first;
           last = turn.nowUs();
-          if (brain == null || divergence != null) {
+          if (policy == null || divergence != null) {
             skipped++;
             continue;
           }
-          List<Action> now = brain.on(turn.nowUs(), turn.events());
+          List<Action> now = policy.on(turn.nowUs(), turn.events());
           int found = Digests.of(now);
           for (int i = 0; i < 4; i++) {
             digest.update(found >>> 8 * i);
@@ -136,7 +136,7 @@
       }
       if (!read.torn().isEmpty()) {
         torn.add(file.getFileName() + ": " + read.torn());
-        brain = null;
+        policy = null;
       }
     }
     return new Result(
--- a/lab/src/main/java/tidebank/lab/chaos/LeaseRules.java
+++ b/lab/src/main/java/tidebank/lab/chaos/LeaseRules.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.TreeSet;
 import java.util.function.UnaryOperator;
-import tidebank.base.Fault;
+import tidebank.base.TidebankException;
 import tidebank.lab.chaos.History.Asked;
 import tidebank.lab.chaos.History.Read;
 import tidebank.lease.Answer;
@@ -144,7 +144,7 @@
   }
 
   private static UnaryOperator<Cell> effect(Command command, Answer answer, String duty) {
-    Fault.Told fault = answer.fault();
+    TidebankException.Details fault = answer.fault();
     if (command.kind() == Kind.LEAVE && fault == null) {
       return now -> now.session().equals(command.session()) ? now.let() : now;
     }
@@ -155,7 +155,7 @@
       case CLAIM ->
           fault == null
               ? now -> claimed(now, command, answer, duty)
-              : fault.is(Fault.DutyHeld.class)
+              : fault.is(TidebankException.DutyHeld.class)
                   ? now ->
                       now.session().equals(command.session()) || now.session().isEmpty()
                           ? null
@@ -171,7 +171,7 @@
                           && answer.revision() == now.revision() + 1
                       ? new Cell(now.token(), now.session(), now.revision() + 1, command.value())
                       : null
-              : fault.is(Fault.RevisionMoved.class)
+              : fault.is(TidebankException.RevisionMoved.class)
                   ? now -> now.by(command) && now.revision() != command.revision() ? now : null
                   : refused(command, fault);
       default -> null;
@@ -193,10 +193,10 @@
             : null;
   }
 
-  private static UnaryOperator<Cell> refused(Command command, Fault.Told fault) {
-    return fault.is(Fault.TokenOld.class)
+  private static UnaryOperator<Cell> refused(Command command, TidebankException.Details fault) {
+    return fault.is(TidebankException.TokenOld.class)
         ? now -> now.by(command) ? null : now
-        : fault.is(Fault.LeaseOver.class) ? now -> now.by(command) ? now : null : null;
+        : fault.is(TidebankException.LeaseOver.class) ? now -> now.by(command) ? now : null : null;
   }
 
   /**
--- a/lab/src/main/java/tidebank/lab/chaos/Play.java
+++ b/lab/src/main/java/tidebank/lab/chaos/Play.java
@@ -14,7 +14,7 @@
 import java.util.function.Consumer;
 import java.util.function.ToIntFunction;
 import java.util.stream.Stream;
-import tidebank.base.Fault;
+import tidebank.base.TidebankException;
 import tidebank.lab.chaos.Script.Step;
 import tidebank.lease.Answer;
 import tidebank.lease.Command;
@@ -373,7 +373,7 @@
   private void operate(Kind kind, String name) throws IOException {
     Answer answer = operator.operate(kind, name, kind == Command.Kind.MOVE ? "report" : "");
     if (answer.fault() != null) {
-      throw new Fault.Refused(answer.fault());
+      throw new TidebankException.Refused(answer.fault());
     }
   }
 
--- a/lab/src/main/java/tidebank/lab/chaos/RunFiles.java
+++ b/lab/src/main/java/tidebank/lab/chaos/RunFiles.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import tidebank.base.Fault;
+import tidebank.base.TidebankException;
 import tidebank.lab.chaos.History.Asked;
 import tidebank.lab.chaos.History.Event;
 import tidebank.lab.chaos.Play.Verdict;
@@ -70,7 +70,7 @@
   public static Verdict verdict(Path folder) throws IOException {
     Path file = folder.resolve("verdict.json");
     if (!Files.isRegularFile(file)) {
-      throw new Fault.RunUnknown(folder.toString());
+      throw new TidebankException.RunUnknown(folder.toString());
     }
     return JSON.readValue(file.toFile(), Verdict.class);
   }
--- a/lab/src/main/java/tidebank/lab/chaos/Script.java
+++ b/lab/src/main/java/tidebank/lab/chaos/Script.java
@@ -14,7 +14,7 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.regex.Pattern;
-import tidebank.base.Fault;
+import tidebank.base.TidebankException;
 import tidebank.config.Malformed;
 import tidebank.config.Toml;
 
@@ -199,7 +199,7 @@
     }
     Path file = Path.of(nameOrFile);
     if (!Files.isRegularFile(file)) {
-      throw new Fault.ScriptUnknown(nameOrFile, known());
+      throw new TidebankException.ScriptUnknown(nameOrFile, known());
     }
     return read(Toml.read(file), file.getFileName().toString().replace(".toml", ""));
   }
--- a/lab/src/main/java/tidebank/lab/trace/expr/Compiler.java
+++ b/lab/src/main/java/tidebank/lab/trace/expr/Compiler.java
@@ -100,9 +100,9 @@
   /** A fault on its way out of the visitor. */
   private static final class Found extends RuntimeException {
     private static final long serialVersionUID = 1L;
-    final ExpressionFault fault;
+    final ExpressionException fault;
 
-    Found(ExpressionFault fault) {
+    Found(ExpressionException fault) {
       super(null, null, false, false);
       this.fault = fault;
     }
@@ -115,7 +115,7 @@
    *     caller's to make
    */
   public static Value compile(String source, List<Column> columns, List<Quantiles> quantiles)
-      throws ExpressionFault {
+      throws ExpressionException {
     try {
       return new Compiler(columns, quantiles).visit(parse(source).expr());
     } catch (Found found) {
@@ -123,7 +123,7 @@
     }
   }
 
-  static ExpressionParser.WholeContext parse(String source) throws ExpressionFault {
+  static ExpressionParser.WholeContext parse(String source) throws ExpressionException {
     BaseErrorListener listener =
         new BaseErrorListener() {
           @Override
@@ -134,7 +134,7 @@
               int column,
               String text,
               RecognitionException cause) {
-            throw new Found(new ExpressionFault(line, column + 1, text));
+            throw new Found(new ExpressionException(line, column + 1, text));
           }
         };
     ExpressionLexer lexer = new ExpressionLexer(CharStreams.fromString(source));
@@ -148,7 +148,7 @@
     } catch (Found found) {
       throw found.fault;
     } catch (ParseCancellationException | StackOverflowError fault) {
-      throw new ExpressionFault(1, 1, "nested too deep");
+      throw new ExpressionException(1, 1, "nested too deep");
     }
   }
 
@@ -156,7 +156,7 @@
    * The texts that an expression can give by naming them, or null if it can give one it does not
    * name (from a column, or put together).
    */
-  public static Set<String> named(String source) throws ExpressionFault {
+  public static Set<String> named(String source) throws ExpressionException {
     Set<String> names = new HashSet<>();
     return named(parse(source).expr(), names) ? names : null;
   }
@@ -181,7 +181,8 @@
 
   private static Found fault(ParserRuleContext at, String text) {
     Token token = at.getStart();
-    return new Found(new ExpressionFault(token.getLine(), token.getCharPositionInLine() + 1, text));
+    return new Found(
+        new ExpressionException(token.getLine(), token.getCharPositionInLine() + 1, text));
   }
 
   private Value of(ExprContext expr) {
--- a/lab/src/main/java/tidebank/lab/trace/expr/ExpressionFault.java
+++ b/lab/src/main/java/tidebank/lab/trace/expr/ExpressionException.java
@@ -1,12 +1,12 @@
 package tidebank.lab.trace.expr;
 
 /** An expression that can't be used, with where in it: line and column from 1. */
-public final class ExpressionFault extends Exception {
+public final class ExpressionException extends Exception {
   private static final long serialVersionUID = 1L;
   private final int line;
   private final int column;
 
-  ExpressionFault(int line, int column, String text) {
+  ExpressionException(int line, int column, String text) {
     super("line " + line + ", column " + column + ": " + text);
     this.line = line;
     this.column = column;
--- a/lab/src/main/java/tidebank/lab/trace/layout/FixedLayout.java
+++ b/lab/src/main/java/tidebank/lab/trace/layout/FixedLayout.java
@@ -42,7 +42,7 @@
   }
 
   /** The request that this row stands for. */
-  abstract RawRow request(Values values) throws Fault;
+  abstract RawRow request(Values values) throws RowException;
 
   /**
    * How a single value of a column of the right count of columns looks, from 0 to 1; more than a
@@ -63,7 +63,7 @@
   }
 
   @Override
-  public Reader open(List<String> head) throws Fault {
+  public Reader open(List<String> head) throws RowException {
     int[] places = new int[columns.size()];
     if (head != null) {
       Map<String, Integer> at = new HashMap<>();
@@ -77,7 +77,7 @@
           place = place == null ? at.get(plain(alias)) : place;
         }
         if (place == null && column.needed()) {
-          throw Fault.reject("the header has no column " + column.name());
+          throw RowException.reject("the header has no column " + column.name());
         }
         places[i] = place == null ? -1 : place;
       }
@@ -109,7 +109,7 @@
       try {
         places = ((FixedReader) open(lines.get(0))).places;
         evidence.add("the header names its columns");
-      } catch (Fault fault) {
+      } catch (RowException fault) {
         return new Fit(0, List.of(fault.getMessage()));
       }
       rows = lines.subList(1, lines.size());
@@ -169,15 +169,15 @@
     }
 
     @Override
-    public long read(List<String> line, Consumer<RawRow> to) throws Fault {
+    public long read(List<String> line, Consumer<RawRow> to) throws RowException {
       for (int i = 0; i < places.length; i++) {
         // Some published files leave empty columns at the end away.
         if (places[i] >= line.size() && columns.get(i).needed()) {
-          throw Fault.reject("columns-missing");
+          throw RowException.reject("columns-missing");
         }
       }
       if (line.size() > most) {
-        throw Fault.reject("columns-too-many");
+        throw RowException.reject("columns-too-many");
       }
       to.accept(request(Values.of(columns, places, line, index)));
       return 1;
@@ -198,7 +198,7 @@
 
     static Values of(
         List<Column> columns, int[] places, List<String> line, Map<String, Integer> index)
-        throws Fault {
+        throws RowException {
       String[] texts = new String[columns.size()];
       double[] numbers = new double[columns.size()];
       for (int i = 0; i < texts.length; i++) {
@@ -208,12 +208,12 @@
         Column column = columns.get(i);
         if (text.isEmpty()) {
           if (column.needed()) {
-            throw Fault.reject("empty-" + column.name());
+            throw RowException.reject("empty-" + column.name());
           }
         } else if (column.kind() == Column.Kind.NUMBER) {
           Double number = parsed(text);
           if (number == null) {
-            throw Fault.reject("no-number-" + column.name());
+            throw RowException.reject("no-number-" + column.name());
           }
           numbers[i] = number;
         }
@@ -230,7 +230,7 @@
     }
 
     /** A whole number as it is written, beyond the 53 bits of a double. */
-    long whole(String column) throws Fault {
+    long whole(String column) throws RowException {
       String text = texts[index.get(column)];
       try {
         return Long.parseLong(text);
@@ -239,7 +239,7 @@
         if (Math.abs(number) < 9e15) {
           return Math.round(number);
         }
-        throw Fault.reject("no-number-" + column);
+        throw RowException.reject("no-number-" + column);
       }
     }
 
--- a/lab/src/main/java/tidebank/lab/trace/layout/Layout.java
+++ b/lab/src/main/java/tidebank/lab/trace/layout/Layout.java
@@ -23,9 +23,9 @@
    * A reader for one file.
    *
    * @param header the first line if {@link #header}, else null
-   * @throws Fault if the header is not of this layout
+   * @throws RowException if the header is not of this layout
    */
-  Reader open(List<String> header) throws Fault;
+  Reader open(List<String> header) throws RowException;
 
   /** How well the first lines of a file fit. */
   Fit fit(List<List<String>> lines);
@@ -43,7 +43,7 @@
      *
      * @return how many they are
      */
-    long read(List<String> line, Consumer<RawRow> to) throws Fault;
+    long read(List<String> line, Consumer<RawRow> to) throws RowException;
   }
 
   /**
--- a/lab/src/main/java/tidebank/lab/trace/layout/Layouts.java
+++ b/lab/src/main/java/tidebank/lab/trace/layout/Layouts.java
@@ -39,16 +39,16 @@
   }
 
   /** A time of Google's traces, of which two are none. */
-  private static long googleTime(FixedLayout.Values values) throws Fault {
+  private static long googleTime(FixedLayout.Values values) throws RowException {
     long time = values.whole("time");
     if (time == 0) {
-      throw Fault.leaveOut("before-the-trace");
+      throw RowException.leaveOut("before-the-trace");
     }
     if (time == Long.MAX_VALUE) {
-      throw Fault.leaveOut("after-the-trace");
+      throw RowException.leaveOut("after-the-trace");
     }
     if (time < 0) {
-      throw Fault.reject("negative-time");
+      throw RowException.reject("negative-time");
     }
     return time;
   }
@@ -101,10 +101,10 @@
     }
 
     @Override
-    RawRow request(Values values) throws Fault {
+    RawRow request(Values values) throws RowException {
       long time = googleTime(values);
       if (values.number("event_type") != SUBMIT) {
-        throw Fault.leaveOut("no-arrival");
+        throw RowException.leaveOut("no-arrival");
       }
       return values.row(time, values.text("job_id") + "/" + values.text("task_index"));
     }
@@ -157,11 +157,11 @@
     }
 
     @Override
-    RawRow request(Values values) throws Fault {
+    RawRow request(Values values) throws RowException {
       long time = googleTime(values);
       String type = values.text("type").toUpperCase(Locale.ROOT);
       if (!type.equals("SUBMIT") && !type.equals("0")) {
-        throw Fault.leaveOut("no-arrival");
+        throw RowException.leaveOut("no-arrival");
       }
       return values.row(time, values.text("collection_id") + "/" + values.text("instance_index"));
     }
@@ -209,7 +209,7 @@
     }
 
     @Override
-    RawRow request(Values values) throws Fault {
+    RawRow request(Values values) throws RowException {
       long start = started(values);
       return values.row(start, values.text("job_name") + "/" + values.text("task_name"));
     }
@@ -227,17 +227,17 @@
     }
   }
 
-  private static long started(FixedLayout.Values values) throws Fault {
+  private static long started(FixedLayout.Values values) throws RowException {
     double start = values.number("start_time");
     double end = values.number("end_time");
     if (start < 0) {
-      throw Fault.reject("negative-time");
+      throw RowException.reject("negative-time");
     }
     if (start == 0) {
-      throw Fault.leaveOut("never-started");
+      throw RowException.leaveOut("never-started");
     }
     if (end > 0 && end < start) {
-      throw Fault.reject("negative-duration");
+      throw RowException.reject("negative-duration");
     }
     return Math.round(start * SECOND_US);
   }
@@ -277,7 +277,7 @@
     }
 
     @Override
-    RawRow request(Values values) throws Fault {
+    RawRow request(Values values) throws RowException {
       return values.row(
           started(values), values.text("instance_name") + "/" + values.text("seq_no"));
     }
@@ -325,10 +325,10 @@
     }
 
     @Override
-    RawRow request(Values values) throws Fault {
+    RawRow request(Values values) throws RowException {
       double time = values.number("timestamp");
       if (time < 0) {
-        throw Fault.reject("negative-time");
+        throw RowException.reject("negative-time");
       }
       // Both ends of a call tell of it under one id; they differ in the sign of rt.
       return values.row(
@@ -392,14 +392,14 @@
       }
       try {
         open(lines.get(0));
-      } catch (Fault fault) {
+      } catch (RowException fault) {
         return new Fit(0, List.of(fault.getMessage()));
       }
       return new Fit(1, List.of("the header names owner, app, function and the minutes from 1 on"));
     }
 
     @Override
-    public Reader open(List<String> header) throws Fault {
+    public Reader open(List<String> header) throws RowException {
       List<String> head = header.stream().map(FixedLayout::plain).toList();
       int owner = head.indexOf("hashowner");
       int app = head.indexOf("hashapp");
@@ -407,7 +407,7 @@
       int trigger = head.indexOf("trigger");
       int first = head.indexOf("1");
       if (owner < 0 || app < 0 || function < 0 || first < 0) {
-        throw Fault.reject("the header has no HashOwner, HashApp, HashFunction and 1");
+        throw RowException.reject("the header has no HashOwner, HashApp, HashFunction and 1");
       }
       return new Reader() {
         @Override
@@ -416,16 +416,17 @@
         }
 
         @Override
-        public long read(List<String> line, Consumer<RawRow> to) throws Fault {
+        public long read(List<String> line, Consumer<RawRow> to) throws RowException {
           if (line.size() < first + 1 || line.size() > first + MINUTES) {
-            throw Fault.reject(line.size() < first + 1 ? "columns-missing" : "columns-too-many");
+            throw RowException.reject(
+                line.size() < first + 1 ? "columns-missing" : "columns-too-many");
           }
           long[] counts = new long[line.size() - first];
           for (int minute = 0; minute < counts.length; minute++) {
             String text = line.get(first + minute).trim();
             Double count = text.isEmpty() ? Double.valueOf(0) : FixedLayout.parsed(text);
             if (count == null || count < 0 || count != Math.rint(count)) {
-              throw Fault.reject(count == null ? "no-number-count" : "negative-count");
+              throw RowException.reject(count == null ? "no-number-count" : "negative-count");
             }
             counts[minute] = count.longValue();
           }
@@ -492,15 +493,15 @@
     }
 
     @Override
-    RawRow request(Values values) throws Fault {
+    RawRow request(Values values) throws RowException {
       double duration = values.number("duration");
       if (duration < 0) {
-        throw Fault.reject("negative-duration");
+        throw RowException.reject("negative-duration");
       }
       long begin = Math.round((values.number("end_timestamp") - duration) * SECOND_US);
       // An invocation that ran when the trace began has a start before it.
       if (begin < 0) {
-        throw Fault.leaveOut("before-the-trace");
+        throw RowException.leaveOut("before-the-trace");
       }
       return values.row(begin, "");
     }
@@ -558,7 +559,7 @@
     }
 
     @Override
-    public Reader open(List<String> header) throws Fault {
+    public Reader open(List<String> header) throws RowException {
       List<Column> columns = new ArrayList<>();
       Map<String, Integer> seen = new HashMap<>();
       for (String name : header) {
@@ -568,7 +569,7 @@
             text(plain.isEmpty() || count > 1 ? plain + "_" + columns.size() : plain, name));
       }
       if (columns.isEmpty()) {
-        throw Fault.reject("the header is empty");
+        throw RowException.reject("the header is empty");
       }
       return new Reader() {
         @Override
@@ -577,9 +578,9 @@
         }
 
         @Override
-        public long read(List<String> line, Consumer<RawRow> to) throws Fault {
+        public long read(List<String> line, Consumer<RawRow> to) throws RowException {
           if (line.size() > columns.size()) {
-            throw Fault.reject("columns-too-many");
+            throw RowException.reject("columns-too-many");
           }
           String[] texts = new String[columns.size()];
           double[] numbers = new double[columns.size()];
--- a/lab/src/main/java/tidebank/lab/trace/mapping/Mapping.java
+++ b/lab/src/main/java/tidebank/lab/trace/mapping/Mapping.java
@@ -18,14 +18,14 @@
 import tidebank.config.Toml;
 import tidebank.lab.trace.TraceRow;
 import tidebank.lab.trace.expr.Compiler;
-import tidebank.lab.trace.expr.ExpressionFault;
+import tidebank.lab.trace.expr.ExpressionException;
 import tidebank.lab.trace.expr.Quantiles;
 import tidebank.lab.trace.expr.Value;
 import tidebank.lab.trace.layout.Column;
-import tidebank.lab.trace.layout.Fault;
 import tidebank.lab.trace.layout.Layout;
 import tidebank.lab.trace.layout.Layouts;
 import tidebank.lab.trace.layout.RawRow;
+import tidebank.lab.trace.layout.RowException;
 
 /**
  * How a layout's rows become requests of ours: an expression for each value, read from TOML and
@@ -191,7 +191,7 @@
     }
     try {
       return layout.open(names);
-    } catch (Fault fault) {
+    } catch (RowException fault) {
       throw new Malformed(
           "the file is not of layout "
               + layout.name()
@@ -232,7 +232,7 @@
   private boolean namesItsTypes() {
     try {
       return Compiler.named(tableType.source) != null;
-    } catch (ExpressionFault fault) {
+    } catch (ExpressionException fault) {
       return false;
     }
   }
@@ -255,7 +255,7 @@
         return null;
       }
       return value;
-    } catch (ExpressionFault fault) {
+    } catch (ExpressionException fault) {
       file.fault(expression.key, fault.getMessage());
       return null;
     }
@@ -324,47 +324,47 @@
     }
 
     /** The arrival by the trace's clock, in microseconds. */
-    public long timeUs(RawRow row) throws Fault {
+    public long timeUs(RawRow row) throws RowException {
       if (timeOf == null) {
         return row.timeUs();
       }
       double time = timeOf.of(row) * timeUnitUs;
       if (Double.isNaN(time)) {
-        throw Fault.reject("no-number-time");
+        throw RowException.reject("no-number-time");
       }
       if (time < 0 || time > 9e17) {
-        throw Fault.reject("negative-time");
+        throw RowException.reject("negative-time");
       }
       return Math.round(time);
     }
 
     /** The request that a row stands for, at this time from the trace's start. */
-    public TraceRow map(RawRow row, long timeUs) throws Fault {
+    public TraceRow map(RawRow row, long timeUs) throws RowException {
       if (wanted != null && !wanted.of(row)) {
-        throw Fault.leaveOut("not-wanted");
+        throw RowException.leaveOut("not-wanted");
       }
       String type = typeOf.of(row);
       if (type == null || type.isEmpty()) {
-        throw Fault.reject("no-table-type");
+        throw RowException.reject("no-table-type");
       }
       // A request that may not run twice comes from a word somebody wrote for it, never from a
       // column's content.
       if (!typesNamed && nonReplayable.contains(type)) {
-        throw Fault.reject("non-replayable-not-named");
+        throw RowException.reject("non-replayable-not-named");
       }
       double partsWanted = partsOf.of(row);
       if (!(partsWanted >= 1)) {
-        throw Fault.reject(Double.isNaN(partsWanted) ? "no-parts" : "parts-below-1");
+        throw RowException.reject(Double.isNaN(partsWanted) ? "no-parts" : "parts-below-1");
       }
       int count = (int) Math.min(depots, Math.floor(partsWanted));
       double workMs = workOf.of(row);
       if (!(workMs >= 0) || workMs > WORK_MS_MOST) {
-        throw Fault.reject(
+        throw RowException.reject(
             Double.isNaN(workMs) ? "no-work" : workMs < 0 ? "negative-work" : "work-out-of-range");
       }
       double share = weightOf == null ? 1.0 / count : weightOf.of(row);
       if (!(share > 0 && share <= 1)) {
-        throw Fault.reject("weight-out-of-range");
+        throw RowException.reject("weight-out-of-range");
       }
       String who = accountOf.of(row);
       return new TraceRow(
@@ -378,18 +378,18 @@
           who == null ? "" : who);
     }
 
-    private int depot(RawRow row) throws Fault {
+    private int depot(RawRow row) throws RowException {
       if (depotOf instanceof Value.Num number) {
         double value = number.of(row);
         if (Double.isNaN(value)) {
-          throw Fault.reject("no-depot");
+          throw RowException.reject("no-depot");
         }
         // A number that the mapping reckoned is the depot itself, taken round the ring.
         return (int) Math.floorMod((long) Math.floor(value), (long) depots);
       }
       String name = ((Value.Txt) depotOf).of(row);
       if (name == null) {
-        throw Fault.reject("no-depot");
+        throw RowException.reject("no-depot");
       }
       return jump.getBucket(HASHER.hashCharsToLong(name), depots);
     }
--- a/lab/src/main/java/tidebank/lab/trace/order/SpillSort.java
+++ b/lab/src/main/java/tidebank/lab/trace/order/ExternalSort.java
@@ -25,7 +25,7 @@
  * at the end, in several passes where there are more runs than may be open at once. What fits in
  * memory never touches the disk.
  */
-public final class SpillSort implements Closeable {
+public final class ExternalSort implements Closeable {
   private static final int FAN_IN = 64;
   private static final int LEVEL = 1;
   private static final int BUFFER = 1 << 16;
@@ -51,7 +51,7 @@
   private long spilledBytes;
 
   /** With so many rows in memory, spilling into this folder, which is made when it is needed. */
-  public SpillSort(int memoryRows, Path folder) {
+  public ExternalSort(int memoryRows, Path folder) {
     this.memoryRows = Math.max(1, memoryRows);
     this.folder = folder;
   }
--- a/lab/src/main/java/tidebank/lab/trace/read/Importer.java
+++ b/lab/src/main/java/tidebank/lab/trace/read/Importer.java
@@ -10,15 +10,15 @@
 import java.util.function.LongConsumer;
 import tidebank.lab.trace.Tally;
 import tidebank.lab.trace.TraceRow;
-import tidebank.lab.trace.layout.Fault;
 import tidebank.lab.trace.layout.Layout;
 import tidebank.lab.trace.layout.RawRow;
+import tidebank.lab.trace.layout.RowException;
 import tidebank.lab.trace.mapping.Mapping;
+import tidebank.lab.trace.order.ExternalSort;
 import tidebank.lab.trace.order.Item;
 import tidebank.lab.trace.order.Lateness;
 import tidebank.lab.trace.order.Merge;
 import tidebank.lab.trace.order.Once;
-import tidebank.lab.trace.order.SpillSort;
 import tidebank.lab.trace.order.Unwrap;
 import tidebank.lab.trace.order.Window;
 import tidebank.lab.trace.store.TraceFile;
@@ -63,7 +63,7 @@
     Path folder = to.resolveSibling("." + to.getFileName() + ".spill");
     TraceMeta meta = TraceMeta.fresh(source.toString(), "", mapping.digest(), mapping.depots());
     try (Rejects rejects = new Rejects(rejectsTo);
-        SpillSort spill = new SpillSort(limits.spillRows(), folder)) {
+        ExternalSort spill = new ExternalSort(limits.spillRows(), folder)) {
       Pass pass = new Pass(rejects, spill);
       String digest;
       try (TraceFile.Writer writer = new TraceFile.Writer(first, meta)) {
@@ -123,8 +123,8 @@
   }
 
   /** Stragglers into the first file's rows; what is one event told twice shows only now. */
-  private static TraceMeta merge(Path first, SpillSort spill, Path to, TraceMeta meta, Tally tally)
-      throws IOException {
+  private static TraceMeta merge(
+      Path first, ExternalSort spill, Path to, TraceMeta meta, Tally tally) throws IOException {
     try (TraceFile.Reader inOrder = new TraceFile.Reader(first);
         TraceFile.Writer writer = new TraceFile.Writer(to, meta)) {
       long origin = inOrder.meta().originUs();
@@ -169,7 +169,7 @@
   private final class Pass implements Source.Lines {
     private final Tally tally = new Tally();
     private final Rejects rejects;
-    private final SpillSort spill;
+    private final ExternalSort spill;
     private final Once once = new Once();
     private final Unwrap clock = new Unwrap(mapping.wrapsAtUs());
     private TraceFile.Writer writer;
@@ -179,7 +179,7 @@
     private boolean headNext;
     private long lines;
 
-    Pass(Rejects rejects, SpillSort spill) {
+    Pass(Rejects rejects, ExternalSort spill) {
       this.rejects = rejects;
       this.spill = spill;
     }
@@ -235,7 +235,7 @@
       try {
         long requests = reader.read(fields, raw -> row(file, number, fields, raw));
         tally.expands(requests);
-      } catch (Fault fault) {
+      } catch (RowException fault) {
         account(file, number, fields, fault);
       }
       return true;
@@ -248,9 +248,9 @@
           long event =
               raw.identity().isEmpty() ? 0 : Hashing.xxh3_64().hashCharsToLong(raw.identity());
           if (window.take(new Item(row, event)) == Lateness.Way.REJECTED) {
-            account(file, number, fields, Fault.reject("too-late"));
+            account(file, number, fields, RowException.reject("too-late"));
           }
-        } catch (Fault fault) {
+        } catch (RowException fault) {
           account(file, number, fields, fault);
         }
       } catch (IOException fault) {
@@ -258,7 +258,7 @@
       }
     }
 
-    private void account(Path file, long number, List<String> fields, Fault fault)
+    private void account(Path file, long number, List<String> fields, RowException fault)
         throws IOException {
       if (fault.bad()) {
         tally.reject(fault.getMessage());
@@ -302,7 +302,7 @@
         }
         try {
           columns.read(fields, bound::learn);
-        } catch (Fault fault) {
+        } catch (RowException fault) {
           // The second pass accounts for it.
           return true;
         }
--- a/lab/src/test/java/tidebank/lab/ArchitectureTest.java
+++ b/lab/src/test/java/tidebank/lab/ArchitectureTest.java
@@ -26,7 +26,7 @@
   /** The classes that decide. A new one is added here. */
   private static final Set<String> DECIDE =
       Set.of(
-          "tidebank.Brain",
+          "tidebank.RoutingPolicy",
           "tidebank.capture.Codec",
           "tidebank.capture.Keeping",
           "tidebank.fleet.FleetReport",
@@ -164,7 +164,7 @@
                 JavaClass.Predicates.resideInAnyPackage("tidebank.lease..", "java..")
                     .or(
                         JavaClass.Predicates.belongToAnyOf(
-                            tidebank.base.Fault.class, tidebank.model.Chance.class))));
+                            tidebank.base.TidebankException.class, tidebank.model.Chance.class))));
   }
 
   @Test
@@ -195,7 +195,7 @@
     holds(
         classes()
             .that()
-            .haveFullyQualifiedName("tidebank.Brain")
+            .haveFullyQualifiedName("tidebank.RoutingPolicy")
             .or()
             .resideInAPackage("tidebank.model")
             .should()
--- a/lab/src/test/java/tidebank/lab/ErrorsTest.java
+++ b/lab/src/test/java/tidebank/lab/ErrorsTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
-import tidebank.base.Fault;
+import tidebank.base.TidebankException;
 
 /** The page of errors and the types say the same. */
 class ErrorsTest {
@@ -16,20 +16,21 @@
   @Test
   void everyConditionHasACodeOfItsOwnAnAdviceAndItsEntryOnThePage() throws Exception {
     String page = Files.readString(Path.of("../docs/errors.md"));
-    List<String> types = Fault.entries().stream().map(Fault.Entry::code).toList();
+    List<String> types =
+        TidebankException.entries().stream().map(TidebankException.Entry::code).toList();
     assertThat(types).doesNotHaveDuplicates().allMatch(code -> code.matches("TB-\\d{4}"));
     assertThat(HEAD.matcher(page).results().map(found -> found.group(1)).toList())
         .containsExactlyElementsOf(types.stream().sorted().toList());
-    for (Class<?> type : Fault.class.getPermittedSubclasses()) {
-      Fault.Entry entry = type.getAnnotation(Fault.Entry.class);
-      if (type != Fault.Refused.class) {
+    for (Class<?> type : TidebankException.class.getPermittedSubclasses()) {
+      TidebankException.Entry entry = type.getAnnotation(TidebankException.Entry.class);
+      if (type != TidebankException.Refused.class) {
         assertThat(entry.advice()).as(type.getSimpleName()).hasSizeGreaterThan(30);
         assertThat(page)
             .contains("## " + entry.code() + " " + type.getSimpleName() + "\n")
             .contains(entry.advice());
       }
     }
-    assertThat(Fault.entry("TB-1002")).isPresent();
-    assertThat(Fault.entry("TB-9999")).isEmpty();
+    assertThat(TidebankException.entry("TB-1002")).isPresent();
+    assertThat(TidebankException.entry("TB-9999")).isEmpty();
   }
 }
--- a/lab/src/test/java/tidebank/lab/ImportTest.java
+++ b/lab/src/test/java/tidebank/lab/ImportTest.java
@@ -95,7 +95,7 @@
   }
 
   @Property(tries = 40, seed = "17")
-  void aSpillGivesTheSameAsMemoryAndLosesNoRow(
+  void aSortOnDiskGivesTheSameAsMemoryAndLosesNoRow(
       @ForAll("lines") List<String> lines,
       @ForAll @IntRange(min = 1, max = 20) int window,
       @ForAll @IntRange(min = 1, max = 5) int memory)
@@ -214,7 +214,7 @@
   }
 
   @Test
-  void anEventToldTwiceCountsOnceAlsoIfOneOfThemWasSpilled() throws IOException {
+  void anEventToldTwiceCountsOnceAlsoIfOneOfThemWasSortedOnDisk() throws IOException {
     String line = "%d,,job,%d,,0,user,1,1,0.1,0.1,0.1,0\n";
     Path csv =
         file(
--- a/lab/src/test/java/tidebank/lab/LayoutsTest.java
+++ b/lab/src/test/java/tidebank/lab/LayoutsTest.java
@@ -6,17 +6,17 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import tidebank.lab.trace.layout.Fault;
 import tidebank.lab.trace.layout.Layout;
 import tidebank.lab.trace.layout.Layouts;
 import tidebank.lab.trace.layout.RawRow;
+import tidebank.lab.trace.layout.RowException;
 
 /** Each layout's oddities, as they are publicly known. */
 class LayoutsTest {
   private static final String GOOGLE_2011 =
       "%s,,3418309,0,4155527081,%s,user,3,9,0.125,0.07446,0.0004,0";
 
-  private static List<RawRow> read(String layout, String header, String line) throws Fault {
+  private static List<RawRow> read(String layout, String header, String line) throws RowException {
     List<RawRow> rows = new ArrayList<>();
     Layout.Reader reader =
         Layouts.named(layout).open(header == null ? null : List.of(header.split(",", -1)));
@@ -28,9 +28,9 @@
   private static void refused(
       boolean bad, String cause, String layout, String header, String line) {
     assertThatThrownBy(() -> read(layout, header, line))
-        .isInstanceOf(Fault.class)
+        .isInstanceOf(RowException.class)
         .hasMessage(cause)
-        .extracting(fault -> ((Fault) fault).bad())
+        .extracting(fault -> ((RowException) fault).bad())
         .isEqualTo(bad);
   }
 
--- a/lab/src/test/java/tidebank/lab/ReplayedTest.java
+++ b/lab/src/test/java/tidebank/lab/ReplayedTest.java
@@ -13,7 +13,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import tidebank.Brain;
+import tidebank.RoutingPolicy;
 import tidebank.capture.Recorder;
 import tidebank.capture.Segments;
 import tidebank.lab.capture.Replayed;
@@ -61,7 +61,7 @@
    * Plays a rough little day through a module and records it; returns how many turns there were.
    */
   private int day(Recorder recorder, long seed, int scans) {
-    Brain brain = new Brain(settings(), seed);
+    RoutingPolicy policy = new RoutingPolicy(settings(), seed);
     recorder.started(settings(), seed);
     SplittableRandom chance = new SplittableRandom(seed);
     List<Event> list = new ArrayList<>();
@@ -70,7 +70,7 @@
       lines.add(new Listed("s" + i, i, ServerStatus.IN_SERVICE, 0, 1));
     }
     list.add(new Event.ListSeen(ListKind.REMEMBERED, lines));
-    List<Action> todo = new ArrayList<>(turn(brain, recorder, list));
+    List<Action> todo = new ArrayList<>(turn(policy, recorder, list));
     Map<String, Integer> tries = new LinkedHashMap<>();
     int turns = 1;
     for (int scan = 0; scan < scans; scan++) {
@@ -104,14 +104,14 @@
       for (int shard = 0; shard < 4; shard++) {
         events.add(new Event.PartTaken(id + "." + shard, scan, shard, 0.25, ""));
       }
-      todo = turn(brain, recorder, events);
+      todo = turn(policy, recorder, events);
       turns++;
     }
     return turns;
   }
 
-  private List<Action> turn(Brain brain, Recorder recorder, List<Event> events) {
-    List<Action> actions = brain.on(now, events);
+  private List<Action> turn(RoutingPolicy policy, Recorder recorder, List<Event> events) {
+    List<Action> actions = policy.on(now, events);
     recorder.turn(now, events, actions);
     return actions;
   }
@@ -142,13 +142,13 @@
   void adecisionThatWentOtherwiseIsNamedWithBothSides() throws IOException {
     try (Recorder recorder = recorder(true, 1 << 20)) {
       recorder.started(settings(), 5);
-      Brain brain = new Brain(settings(), 5);
+      RoutingPolicy policy = new RoutingPolicy(settings(), 5);
       List<Event> list =
           List.of(
               new Event.ListSeen(
                   ListKind.REMEMBERED,
                   List.of(new Listed("s0", 0, ServerStatus.IN_SERVICE, 0, 1))));
-      recorder.turn(now, list, brain.on(now, list));
+      recorder.turn(now, list, policy.on(now, list));
       List<Event> scan =
           List.of(
               new Event.ScanTaken("a", 1, "part", "", now, now + 3000 * MS, false, "k"),
--- a/lab/src/test/java/tidebank/lab/chaos/LeaseRulesTest.java
+++ b/lab/src/test/java/tidebank/lab/chaos/LeaseRulesTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import tidebank.base.Fault;
+import tidebank.base.TidebankException;
 import tidebank.lab.chaos.History.Asked;
 import tidebank.lease.Answer;
 import tidebank.lease.Answer.Grant;
@@ -33,7 +33,7 @@
       String who,
       long token,
       long revision,
-      Fault fault,
+      TidebankException fault,
       Grant grant,
       long now) {
     Command command =
@@ -69,7 +69,8 @@
     add(call, back, Kind.PUBLISH, who, token, revision, null, new Grant(DUTY, token), revision + 1);
   }
 
-  private void refused(long call, long back, String who, long token, long revision, Fault fault) {
+  private void refused(
+      long call, long back, String who, long token, long revision, TidebankException fault) {
     add(call, back, Kind.PUBLISH, who, token, revision, fault, null, 0);
   }
 
@@ -90,7 +91,7 @@
     renew(300, 310, "a", 1);
     claim(1300, 1310, "b", 2);
     publish(1320, 1330, "b", 2, 1);
-    refused(1400, 1410, "a", 1, 1, new Fault.TokenOld(DUTY, 1, 2));
+    refused(1400, 1410, "a", 1, 1, new TidebankException.TokenOld(DUTY, 1, 2));
     renew(1500, 1510, "a", 0);
   }
 
@@ -146,7 +147,7 @@
   @Test
   void aRefusalWithoutAReasonIsFound() {
     claim(0, 10, "a", 1);
-    refused(20, 30, "a", 1, 0, new Fault.TokenOld(DUTY, 1, 1));
+    refused(20, 30, "a", 1, 0, new TidebankException.TokenOld(DUTY, 1, 1));
     assertThat(linear()).isFalse();
   }
 
@@ -206,7 +207,9 @@
     history.answered(command, first);
     history.answered(command, first);
     history.answered(
-        command, new Answer(new Fault.CallOld("a", 1, 2).told(), List.of(), List.of(), TERMS, 0));
+        command,
+        new Answer(
+            new TidebankException.CallOld("a", 1, 2).told(), List.of(), List.of(), TERMS, 0));
     assertThat(history.faults()).isEmpty();
     assertThat(history.asked()).singleElement().matches(one -> one.copies() == 2);
     history.answered(command, new Answer(null, List.of(new Grant(DUTY, 2)), List.of(), TERMS, 0));
--- a/lab/src/test/java/tidebank/lab/chaos/ScriptTest.java
+++ b/lab/src/test/java/tidebank/lab/chaos/ScriptTest.java
@@ -6,7 +6,7 @@
 import java.util.HashSet;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import tidebank.base.Fault;
+import tidebank.base.TidebankException;
 import tidebank.config.Malformed;
 import tidebank.config.Toml;
 
@@ -79,7 +79,7 @@
             "did you mean \"owner\"?",
             "x.toml:12: steps[2].asif: unknown key");
     assertThatThrownBy(() -> Script.read("no-such"))
-        .isInstanceOf(Fault.ScriptUnknown.class)
+        .isInstanceOf(TidebankException.ScriptUnknown.class)
         .hasMessageContaining("owner-stopped");
   }
 }
--- a/lab/src/test/java/tidebank/lab/fleet/DutiesTest.java
+++ b/lab/src/test/java/tidebank/lab/fleet/DutiesTest.java
@@ -207,7 +207,7 @@
     plain.terminate();
     assertThat(plain.waitFor(10_000)).isZero();
     assertThat(Files.readString(loaded))
-        .contains("tidebank.Brain")
+        .contains("tidebank.RoutingPolicy")
         .doesNotContain("tidebank.fleet.")
         .doesNotContain("tidebank.lease.");
   }
--- a/lab/src/test/java/tidebank/lab/fleet/StewardsTest.java
+++ b/lab/src/test/java/tidebank/lab/fleet/StewardsTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import tidebank.base.Fault;
+import tidebank.base.TidebankException;
 import tidebank.lease.Answer;
 import tidebank.lease.Command;
 import tidebank.lease.Command.Kind;
@@ -385,7 +385,7 @@
                 == null) {
           answered++;
         }
-      } catch (Fault.StewardsUnreached ended) {
+      } catch (TidebankException.StewardsUnreached ended) {
         // As it was to: the one steward there is can't decide any more.
       }
       assertThat(stewards.process(0).waitFor(15_000))
@@ -417,7 +417,7 @@
         assertThat(twin.process(0).lastLines()).contains("TB-1108").contains("what to do: ");
       }
       assertThatThrownBy(() -> new StewardClient(List.of("127.0.0.1:1"), 100).state())
-          .isInstanceOf(Fault.StewardsUnreached.class);
+          .isInstanceOf(TidebankException.StewardsUnreached.class);
     }
   }
 }
--- a/lab/src/test/java/tidebank/lease/LeaseModel.java
+++ b/lab/src/test/java/tidebank/lease/LeaseModel.java
@@ -6,7 +6,7 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 import java.util.stream.Collectors;
-import tidebank.base.Fault;
+import tidebank.base.TidebankException;
 import tidebank.lab.explore.Explorer;
 
 /**
@@ -457,9 +457,9 @@
     // without effect.
     boolean past =
         answer.fault() != null
-            && (answer.fault().is(Fault.CallOld.class)
-                || answer.fault().is(Fault.MemberUnknown.class)
-                || answer.fault().is(Fault.NameTaken.class));
+            && (answer.fault().is(TidebankException.CallOld.class)
+                || answer.fault().is(TidebankException.MemberUnknown.class)
+                || answer.fault().is(TidebankException.NameTaken.class));
     if (!past && !outcome.equals(ghosts.getOrDefault(call, outcome))) {
       wrong = call + " was answered differently when repeated";
     }
--- a/lab/src/test/java/tidebank/steward/SnapshotTest.java
+++ b/lab/src/test/java/tidebank/steward/SnapshotTest.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.zip.CRC32C;
 import org.junit.jupiter.api.Test;
-import tidebank.base.Fault;
+import tidebank.base.TidebankException;
 import tidebank.fleet.LeaseCodec;
 import tidebank.lease.Command;
 import tidebank.lease.Command.Kind;
@@ -84,12 +84,12 @@
       byte[] cut = Arrays.copyOf(whole, length);
       assertThatThrownBy(() -> LeaseMachine.unpacked("s", cut))
           .as("cut to " + length)
-          .isInstanceOf(Fault.SnapshotDamaged.class);
+          .isInstanceOf(TidebankException.SnapshotDamaged.class);
       byte[] turned = whole.clone();
       turned[length] ^= (byte) (1 << length % 8);
       assertThatThrownBy(() -> LeaseMachine.unpacked("s", turned))
           .as("turned at " + length)
-          .isInstanceOf(Fault.SnapshotDamaged.class);
+          .isInstanceOf(TidebankException.SnapshotDamaged.class);
     }
   }
 
--- a/steward/src/main/java/tidebank/steward/HttpSide.java
+++ b/steward/src/main/java/tidebank/steward/HttpSide.java
@@ -33,7 +33,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
 import java.util.concurrent.TimeUnit;
-import tidebank.base.Fault;
+import tidebank.base.TidebankException;
 import tidebank.fleet.LeaseCodec;
 import tidebank.lease.Answer;
 
@@ -97,7 +97,7 @@
             .bind(address)
             .awaitUninterruptibly();
     if (!binding.isSuccess()) {
-      throw new Fault.AddressTaken(Steward.text(address), binding.cause().getMessage());
+      throw new TidebankException.AddressTaken(Steward.text(address), binding.cause().getMessage());
     }
   }
 
@@ -129,7 +129,7 @@
       String path = request.uri();
       try {
         if (!request.decoderResult().isSuccess()) {
-          throw new Fault.CallMalformed("it is no HTTP/1.1");
+          throw new TidebankException.CallMalformed("it is no HTTP/1.1");
         }
         if (path.equals("/fleet/command") && request.method().equals(HttpMethod.POST)) {
           return steward.command(LeaseCodec.command(ByteBufUtil.getBytes(request.content())));
@@ -141,22 +141,22 @@
           return steward.history();
         } else if (path.equals("/health/ready") && request.method().equals(HttpMethod.GET)) {
           if (!steward.ready()) {
-            throw new Fault.NoMajority("no leader is known");
+            throw new TidebankException.NoMajority("no leader is known");
           }
           return CompletableFuture.completedFuture(
               LeaseCodec.bytes(Map.of("leader", steward.leader())));
         }
-        throw new Fault.PathUnknown(request.method().name(), path);
-      } catch (Fault fault) {
+        throw new TidebankException.PathUnknown(request.method().name(), path);
+      } catch (TidebankException fault) {
         return CompletableFuture.failedFuture(fault);
       }
     }
 
-    private CompletableFuture<byte[]> wanted(QueryStringDecoder query) throws Fault {
+    private CompletableFuture<byte[]> wanted(QueryStringDecoder query) throws TidebankException {
       String name = query.parameters().getOrDefault("name", List.of("")).get(0);
       String wait = query.parameters().getOrDefault("wait_ms", List.of("0")).get(0);
       if (name.isEmpty() || !wait.matches("\\d{1,5}") || Integer.parseInt(wait) > WAIT_MOST_MS) {
-        throw new Fault.CallMalformed(
+        throw new TidebankException.CallMalformed(
             "'name' is to be a member's, 'wait_ms' from 0 to " + WAIT_MOST_MS);
       }
       return steward.wanted(name, Integer.parseInt(wait));
@@ -190,21 +190,23 @@
   }
 
   /** What kept a call from being decided, as a condition of its own. */
-  static Fault fault(Throwable thrown) {
+  static TidebankException fault(Throwable thrown) {
     Throwable cause =
         thrown instanceof CompletionException && thrown.getCause() != null
             ? thrown.getCause()
             : thrown;
-    return cause instanceof Fault known ? known : new Fault.NoMajority(String.valueOf(cause));
+    return cause instanceof TidebankException known
+        ? known
+        : new TidebankException.NoMajority(String.valueOf(cause));
   }
 
   private static int status(Throwable thrown) {
-    Fault fault = fault(thrown);
-    return fault instanceof Fault.NotLeading
+    TidebankException fault = fault(thrown);
+    return fault instanceof TidebankException.NotLeading
         ? 421
-        : fault instanceof Fault.CallMalformed
+        : fault instanceof TidebankException.CallMalformed
             ? 400
-            : fault instanceof Fault.PathUnknown ? 404 : 503;
+            : fault instanceof TidebankException.PathUnknown ? 404 : 503;
   }
 
   /** What went wrong, in the form of an answer, so that a caller reads one form only. */
--- a/steward/src/main/java/tidebank/steward/LeaseMachine.java
+++ b/steward/src/main/java/tidebank/steward/LeaseMachine.java
@@ -33,7 +33,7 @@
 import org.apache.ratis.util.MD5FileUtil;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tidebank.base.Fault;
+import tidebank.base.TidebankException;
 import tidebank.fleet.LeaseCodec;
 import tidebank.lease.Answer;
 import tidebank.lease.Command;
@@ -125,17 +125,18 @@
   }
 
   /** The state of a snapshot, or the fault that says why there is none. */
-  static Kept unpacked(String name, byte[] bytes) throws Fault.SnapshotDamaged {
+  static Kept unpacked(String name, byte[] bytes) throws TidebankException.SnapshotDamaged {
     if (bytes.length < HEAD) {
-      throw new Fault.SnapshotDamaged(name, "it is " + bytes.length + " bytes short");
+      throw new TidebankException.SnapshotDamaged(name, "it is " + bytes.length + " bytes short");
     }
     ByteBuffer buffer = ByteBuffer.wrap(bytes);
     int version = buffer.getInt();
     if (version != VERSION && version != WITHOUT_HISTORY) {
-      throw new Fault.SnapshotDamaged(name, "its version is " + version + ", not " + VERSION);
+      throw new TidebankException.SnapshotDamaged(
+          name, "its version is " + version + ", not " + VERSION);
     }
     if (buffer.getLong() != check(bytes, HEAD)) {
-      throw new Fault.SnapshotDamaged(name, "its check does not fit its content");
+      throw new TidebankException.SnapshotDamaged(name, "its check does not fit its content");
     }
     try {
       byte[] json = Arrays.copyOfRange(bytes, HEAD, bytes.length);
@@ -143,7 +144,7 @@
           ? LeaseCodec.read(json, Kept.class)
           : new Kept(LeaseCodec.read(json, LeaseBook.State.class), Map.of());
     } catch (IOException fault) {
-      throw new Fault.SnapshotDamaged(name, fault.getMessage());
+      throw new TidebankException.SnapshotDamaged(name, fault.getMessage());
     }
   }
 
@@ -227,7 +228,7 @@
             stamped.term() == entry.getTerm()
                 ? book.apply(entry.getTerm(), stamped.at(), stamped.command())
                 : new Answer(
-                    new Fault.LeaderChanged(stamped.term(), entry.getTerm()).told(),
+                    new TidebankException.LeaderChanged(stamped.term(), entry.getTerm()).told(),
                     null,
                     null,
                     null,
--- a/steward/src/main/java/tidebank/steward/Steward.java
+++ b/steward/src/main/java/tidebank/steward/Steward.java
@@ -35,7 +35,7 @@
 import org.apache.ratis.util.TimeDuration;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tidebank.base.Fault;
+import tidebank.base.TidebankException;
 import tidebank.fleet.LeaseCodec;
 import tidebank.lease.Command;
 import tidebank.lease.LeaseBook;
@@ -59,7 +59,7 @@
   /** As many as there are connections at most: one that waits asks nothing else. */
   private final Set<Waiter> waiters = ConcurrentHashMap.newKeySet();
 
-  private final CompletableFuture<Fault> ended = new CompletableFuture<>();
+  private final CompletableFuture<TidebankException> ended = new CompletableFuture<>();
 
   private Steward(StewardFile file) throws IOException {
     this.file = file;
@@ -114,7 +114,7 @@
       Files.createDirectories(file.folder());
       Files.delete(Files.createTempFile(file.folder(), "write", ".try"));
     } catch (IOException fault) {
-      throw new Fault.FolderUnusable(file.folder().toString(), fault.toString());
+      throw new TidebankException.FolderUnusable(file.folder().toString(), fault.toString());
     }
     Steward steward = new Steward(file);
     try {
@@ -137,15 +137,16 @@
   /** What kept it from starting, as a condition of its own where it is a known one. */
   private static IOException named(StewardFile file, Exception fault) {
     for (Throwable cause = fault; cause != null; cause = cause.getCause()) {
-      if (cause instanceof Fault known) {
+      if (cause instanceof TidebankException known) {
         return known;
       }
       if (cause instanceof BindException) {
-        return new Fault.AddressTaken(file.listen().raft().toString(), cause.getMessage());
+        return new TidebankException.AddressTaken(
+            file.listen().raft().toString(), cause.getMessage());
       }
       if (cause instanceof OverlappingFileLockException
           || String.valueOf(cause.getMessage()).contains("lock")) {
-        return new Fault.FolderUnusable(
+        return new TidebankException.FolderUnusable(
             file.folder().toString(), String.valueOf(cause.getMessage()));
       }
     }
@@ -154,7 +155,10 @@
 
   // ---- calls
 
-  /** Has a command decided by most of the stewards; the answer's JSON, or a {@link Fault}. */
+  /**
+   * Has a command decided by most of the stewards; the answer's JSON, or a {@link
+   * TidebankException}.
+   */
   CompletableFuture<byte[]> command(Command command) {
     return submit(RaftClientRequest.writeRequestType(), LeaseCodec.bytes(command));
   }
@@ -174,10 +178,11 @@
   CompletableFuture<byte[]> wanted(String name, long waitMs) {
     try {
       if (!server.getDivision(GROUP).getInfo().isLeader()) {
-        return CompletableFuture.failedFuture(new Fault.NotLeading(file.name(), leader()));
+        return CompletableFuture.failedFuture(
+            new TidebankException.NotLeading(file.name(), leader()));
       }
     } catch (IOException fault) {
-      return CompletableFuture.failedFuture(new Fault.NoMajority(fault.toString()));
+      return CompletableFuture.failedFuture(new TidebankException.NoMajority(fault.toString()));
     }
     Waiter waiter =
         new Waiter(
@@ -216,7 +221,8 @@
     try {
       DivisionInfo info = server.getDivision(GROUP).getInfo();
       if (!info.isLeader()) {
-        return CompletableFuture.failedFuture(new Fault.NotLeading(file.name(), leader()));
+        return CompletableFuture.failedFuture(
+            new TidebankException.NotLeading(file.name(), leader()));
       }
       RaftClientRequest request =
           RaftClientRequest.newBuilder()
@@ -233,19 +239,20 @@
           .handle(this::answered)
           .thenCompose(answer -> answer);
     } catch (IOException fault) {
-      return CompletableFuture.failedFuture(new Fault.NoMajority(fault.toString()));
+      return CompletableFuture.failedFuture(new TidebankException.NoMajority(fault.toString()));
     }
   }
 
   private CompletableFuture<byte[]> answered(RaftClientReply reply, Throwable fault) {
     if (fault != null) {
-      return CompletableFuture.failedFuture(new Fault.NoMajority(String.valueOf(fault)));
+      return CompletableFuture.failedFuture(
+          new TidebankException.NoMajority(String.valueOf(fault)));
     }
     if (!reply.isSuccess()) {
       return CompletableFuture.failedFuture(
           reply.getNotLeaderException() != null
-              ? new Fault.NotLeading(file.name(), leader())
-              : new Fault.NoMajority(String.valueOf(reply.getException())));
+              ? new TidebankException.NotLeading(file.name(), leader())
+              : new TidebankException.NoMajority(String.valueOf(reply.getException())));
     }
     return CompletableFuture.completedFuture(reply.getMessage().getContent().toByteArray());
   }
@@ -305,7 +312,8 @@
     command(command)
         .whenComplete(
             (done, fault) -> {
-              if (fault != null && !(HttpSide.fault(fault) instanceof Fault.NotLeading)) {
+              if (fault != null
+                  && !(HttpSide.fault(fault) instanceof TidebankException.NotLeading)) {
                 LOG.warn(
                     "the plan of "
                         + file.name()
@@ -326,15 +334,16 @@
     while (root.getCause() != null) {
       root = root.getCause();
     }
-    Fault fault =
-        new Fault.FolderUnusable(file.folder().toString(), "its log can't be written: " + root);
+    TidebankException fault =
+        new TidebankException.FolderUnusable(
+            file.folder().toString(), "its log can't be written: " + root);
     if (ended.complete(fault)) {
       LOG.error(fault.told().lines().replace('\n', ' '));
     }
   }
 
   /** Done once it can't go on, with why. */
-  public CompletableFuture<Fault> ended() {
+  public CompletableFuture<TidebankException> ended() {
     return ended;
   }
 
--- a/steward/src/main/java/tidebank/steward/StewardClient.java
+++ b/steward/src/main/java/tidebank/steward/StewardClient.java
@@ -16,7 +16,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.UUID;
-import tidebank.base.Fault;
+import tidebank.base.TidebankException;
 import tidebank.fleet.LeaseCodec;
 import tidebank.lease.Answer;
 import tidebank.lease.Command;
@@ -101,8 +101,8 @@
             return response.body();
           }
           Answer answer = LeaseCodec.read(response.body(), Answer.class);
-          if (answer.fault() != null && answer.fault().again() == Fault.Again.NO) {
-            throw new Fault.Refused(answer.fault());
+          if (answer.fault() != null && answer.fault().again() == TidebankException.Retry.NO) {
+            throw new TidebankException.Refused(answer.fault());
           }
           tried.put(
               address,
@@ -112,14 +112,14 @@
               .firstValue("location")
               .map(uri -> URI.create(uri).getAuthority())
               .ifPresent(next::addFirst);
-        } catch (Fault.Refused fault) {
+        } catch (TidebankException.Refused fault) {
           throw fault;
         } catch (IOException fault) {
           tried.put(address, fault.toString());
         }
       }
       if (System.nanoTime() >= until) {
-        throw new Fault.StewardsUnreached(tried.toString());
+        throw new TidebankException.StewardsUnreached(tried.toString());
       }
       pause();
     }
--- a/steward/src/main/java/tidebank/steward/StewardMain.java
+++ b/steward/src/main/java/tidebank/steward/StewardMain.java
@@ -2,8 +2,8 @@
 
 import java.io.IOException;
 import java.nio.file.Path;
-import tidebank.base.Fault;
 import tidebank.base.Log;
+import tidebank.base.TidebankException;
 import tidebank.config.Malformed;
 
 /**
@@ -25,7 +25,7 @@
       System.exit(2);
     } catch (IOException fault) {
       System.err.println(
-          fault instanceof Fault known ? known.told().lines() : "tidebank: " + fault);
+          fault instanceof TidebankException known ? known.told().lines() : "tidebank: " + fault);
       System.exit(1);
     }
   }
@@ -44,7 +44,7 @@
                   Runtime.getRuntime().halt(0);
                 }));
     // SIGTERM ends the process from the hook; this comes back only where the steward can't go on.
-    Fault fault = steward.ended().join();
+    TidebankException fault = steward.ended().join();
     System.err.println(fault.told().lines());
     Runtime.getRuntime().halt(1);
     return 1;
