--- a/gatherer/src/main/java/tidebank/discovery/DiscoverySide.java
+++ b/gatherer/src/main/java/tidebank/discovery/DiscoverySide.java
@@ -57,6 +57,7 @@
   private final Counters counters;
   private final Timers.Timer late = Timers.timer(() -> lost("no answer in time"));
   private final Timers.Timer again = Timers.timer(() -> follow(true));
+  private final Timers.Timer renewal = Timers.timer(this::call);
   private final boolean unasked;
   private final ListCalls times;
   private final Chance chance;
@@ -67,6 +68,11 @@
   /** Whether the watch that is on has been answered at all. */
   private boolean confirmed;
 
+  /** When the latest call was made, and how long it may wait for a change; 0 for a whole list. */
+  private long calledAt;
+
+  private long waitUs;
+
   /**
    * The version that we have come to, known from before the start or from a watch that was lost;
    * below 0: none.
@@ -138,6 +144,7 @@
     following = false;
     timers.clear(late);
     timers.clear(again);
+    timers.clear(renewal);
     Link old = link;
     link = null;
     if (old != null && old.channel != null) {
@@ -147,9 +154,10 @@
 
   private void call() {
     boolean watch = version >= 0;
-    long wait = times.waitUs(confirmed);
-    timers.set(late, clock.now() + (watch ? wait : 0) + times.answerUs(confirmed));
-    String path = !watch ? PATH : PATH + "?after=" + version + "&wait_ms=" + wait / 1000;
+    calledAt = clock.now();
+    waitUs = watch ? times.waitUs(confirmed) : 0;
+    timers.set(late, calledAt + waitUs + times.answerUs(confirmed));
+    String path = !watch ? PATH : PATH + "?after=" + version + "&wait_ms=" + waitUs / 1000;
     if (link == null) {
       link = new Link(path);
       link.connect();
@@ -198,6 +206,7 @@
       astray("changes where the whole list was asked for");
       return;
     }
+    boolean news = list.version() != version;
     version = list.version();
     if (!confirmed || list.whole() || !list.members().isEmpty()) {
       confirmed = true;
@@ -209,7 +218,20 @@
       link = null;
       old.channel.close();
     }
-    call();
+    renew(news);
+  }
+
+  /**
+   * Makes the next call of the watch: at once, or after a pause where answers come without need.
+   */
+  private void renew(boolean news) {
+    timers.clear(late);
+    long pauseUs = times.renewalUs(news, clock.now() - calledAt, waitUs, chance.next());
+    if (pauseUs == 0) {
+      call();
+    } else {
+      timers.set(renewal, clock.now() + pauseUs);
+    }
   }
 
   /** The connection to discovery; it has one call out at a time. */
--- a/gatherer/src/main/java/tidebank/model/ListCalls.java
+++ b/gatherer/src/main/java/tidebank/model/ListCalls.java
@@ -40,14 +40,25 @@
   private static final double BACKOFF_LEAST = 1.0 / 24;
   private static final double FAILED_MOST = 10.0 / 12;
 
+  /** An answer before this share of its wait came early. */
+  private static final double HASTY = 1.0 / 2;
+
+  /** The longest pause between calls that discovery answers at once and without news. */
+  private static final double PAUSE_MOST = 1.0 / 2;
+
   /**
    * Where changes come unasked from an agent of our own, which counts what it has as told at once.
    */
   private static final double UNASKED = 1.0 / 24;
 
+  /** The share of the drain grace that such an agent's news may wait for the next call. */
+  private static final double PAUSE_UNASKED = 1.0 / 8;
+
   private final long boundUs;
   private final long watchUs;
+  private final long pauseMostUs;
   private int failures;
+  private int hastyAnswers;
 
   /**
    * Where the settings hold an instance to its list for less time than the protocol does, that is
@@ -58,6 +69,10 @@
     boundUs = Math.min(TOLD_US, askEvery);
     long fleet = settings.limits().listOnRequest() ? settings.instances() * FLEET_CALL_US : 0;
     watchUs = Math.max(Math.round(boundUs * WATCH), Math.min(askEvery, fleet));
+    pauseMostUs =
+        settings.limits().listOnRequest()
+            ? Math.round(boundUs * PAUSE_MOST)
+            : Math.round(settings.rules().drainGraceUs() * PAUSE_UNASKED);
   }
 
   /**
@@ -80,6 +95,24 @@
     failures = 0;
   }
 
+  /**
+   * How long to wait before the next call of a watch that was answered after {@code tookUs}, where
+   * it might have waited for {@code waitUs}; {@code chance} from 0 to under 1. Answers with news
+   * and answers that used up half of their wait are renewed at once. An answer that came earlier
+   * and told nothing new is followed by a pause, which doubles with each such answer in a row up to
+   * half of the bound, so that a change in the pause is still known within the bound. Where changes
+   * come unasked the pause is a small share of the drain grace.
+   */
+  public long renewalUs(boolean news, long tookUs, long waitUs, double chance) {
+    if (news || tookUs >= waitUs * HASTY) {
+      hastyAnswers = 0;
+      return 0;
+    }
+    double grown = boundUs * BACKOFF_LEAST * (1L << Math.min(hastyAnswers, Long.SIZE / 2));
+    hastyAnswers++;
+    return Math.round(Math.min(pauseMostUs, grown) * (1 + chance) / 2);
+  }
+
   /**
    * How long to wait after one more call that failed and took so long; {@code chance} from 0 to
    * under 1.
--- a/gatherer/src/test/java/tidebank/ListCallsTest.java
+++ b/gatherer/src/test/java/tidebank/ListCallsTest.java
@@ -197,4 +197,51 @@
       assertThat(calls.answerUs(false)).isGreaterThanOrEqualTo(4_000_000);
     }
   }
+
+  @Test
+  void answersWithNewsOrBehindTheirWaitAreRenewedAtOnce() {
+    ListCalls calls = listOnRequest();
+    long wait = calls.waitUs(true);
+    for (int i = 0; i < 10; i++) {
+      assertThat(calls.renewalUs(true, 0, wait, 0.99)).isZero();
+      assertThat(calls.renewalUs(false, wait, wait, 0.99)).isZero();
+      // A whole list has no wait that it could have used up.
+      assertThat(calls.renewalUs(false, 0, 0, 0.99)).isZero();
+    }
+  }
+
+  @Test
+  void earlyAnswersWithoutNewsAreSpacedOutButNoChangeWaitsBeyondTheBound() {
+    ListCalls calls = listOnRequest();
+    long wait = calls.waitUs(true);
+    long before = 0;
+    int asked = 0;
+    for (long at = 0; at < 60_000_000; asked++) {
+      long pause = calls.renewalUs(false, 1000, wait, 0);
+      assertThat(pause).isGreaterThanOrEqualTo(before);
+      before = pause;
+      at += 1000 + pause;
+    }
+    assertThat(asked).isLessThan(50);
+    assertThat(calls.renewalUs(false, 1000, wait, 0.999)).isBetween(2_500_000L, 3_000_000L);
+    assertThat(calls.renewalUs(true, 1000, wait, 0.999)).isZero();
+    assertThat(calls.renewalUs(false, 1000, wait, 0.999)).isLessThanOrEqualTo(250_000);
+  }
+
+  @Test
+  void newsOfAnAgentThatCountsItAsToldWaitsForAShareOfTheDrainGraceOnly() {
+    FakeHost host = new FakeHost();
+    host.rules = new Settings.Rules(0, 5_000_000, 240_000, 0, 0, 1, 0, 0, 0, 0);
+    host.limits = new Settings.Limits(4, true, true, false, true, 0, 100, false);
+    ListCalls calls = new ListCalls(host.settings());
+    for (int i = 0; i < 100; i++) {
+      assertThat(calls.renewalUs(false, 0, 2_500_000, 0.999)).isBetween(15_000L, 30_000L);
+    }
+  }
+
+  private static ListCalls listOnRequest() {
+    FakeHost host = new FakeHost();
+    host.limits = new Settings.Limits(4, true, true, false, true, 0, 100, true);
+    return new ListCalls(host.settings());
+  }
 }
