--- a/gatherer/src/main/java/tidebank/Main.java
+++ b/gatherer/src/main/java/tidebank/Main.java
@@ -9,6 +9,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import sun.misc.Signal;
+import sun.misc.SignalHandler;
 import tidebank.base.Log;
 import tidebank.config.Malformed;
 import tidebank.config.NodeConfig;
@@ -52,7 +53,7 @@
    */
   private static void serve(OperatorFile own) throws IOException {
     Semaphore reloads = new Semaphore(0);
-    Signal.handle(new Signal("HUP"), signal -> reloads.release());
+    SignalHandler before = Signal.handle(new Signal("HUP"), signal -> reloads.release());
     AtomicBoolean starting = new AtomicBoolean();
     CompletableFuture<Gatherer> started = new CompletableFuture<>();
     // A signal before anything listens ends the program at once; amid the start, when that is done
@@ -80,6 +81,10 @@
       started.completeExceptionally(fault);
       throw fault;
     }
+    if (before == SignalHandler.SIG_IGN) {
+      // A JVM leaves a signal ignored that its parent had it ignore, as nohup does.
+      LOG.warn("SIGHUP is ignored by the parent process: a new configuration needs a restart");
+    }
     LOG.info("serving");
     while (true) {
       reloads.acquireUninterruptibly();
