--- a/gatherer/src/main/java/tidebank/node/Timers.java
+++ b/gatherer/src/main/java/tidebank/node/Timers.java
@@ -13,6 +13,12 @@
 public final class Timers {
   private static final Logger LOG = LoggerFactory.getLogger(Timers.class);
 
+  /**
+   * By how much the earliest timer may move away from the wake-up before that is moved, too. Less
+   * is left to a wake-up that finds nothing: under load the earliest moves with every scan.
+   */
+  private static final long EARLY_MOST_US = 1_000_000;
+
   /** Something that is due at a time. It is set at most once at a time. */
   public abstract static class Timer {
     private long at;
@@ -80,10 +86,14 @@
     }
   }
 
-  /** Moves the wake-up only forward: one that comes too early finds nothing and sets the next. */
+  /**
+   * Moves the wake-up if it is too late, or so early that it would only interrupt an idle process.
+   * One that comes a little early finds nothing and sets the next.
+   */
   private void arm() {
     long first = waiting.isEmpty() ? Long.MAX_VALUE : waiting.first().at;
-    if (first < wakeAt) {
+    boolean isEarly = first != Long.MAX_VALUE && first - EARLY_MOST_US > wakeAt;
+    if (first < wakeAt || isEarly) {
       if (wakeUp != null) {
         wakeUp.cancel(false);
       }
