--- a/gatherer/src/test/java/tidebank/FakeSite.java
+++ b/gatherer/src/test/java/tidebank/FakeSite.java
@@ -231,6 +231,8 @@
           () -> {
             while (true) {
               Socket socket = mine.accept();
+              // Each write is a segment of its own, at once.
+              socket.setTcpNoDelay(true);
               accepted.incrementAndGet();
               sockets.add(socket);
               background(
