--- /dev/null
+++ b/gatherer/src/test/java/tidebank/MalformedInputTest.java
@@ -0,0 +1,384 @@
+package tidebank;
+
+import static java.nio.charset.StandardCharsets.ISO_8859_1;
+import static org.assertj.core.api.Assertions.assertThat;
+import static tidebank.FakeSite.FakeClient.post;
+import static tidebank.FakeSite.FakeClient.scan;
+import static tidebank.FakeSite.FakeShardServer.frame;
+
+import io.netty.buffer.PooledByteBufAllocator;
+import io.netty.buffer.PooledByteBufAllocatorMetric;
+import java.io.EOFException;
+import java.io.IOException;
+import java.lang.reflect.Field;
+import java.net.SocketException;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.ExecutorService;
+import java.util.regex.Matcher;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+import tidebank.FakeSite.FakeClient;
+import tidebank.FakeSite.FakeClient.Response;
+import tidebank.FakeSite.FakeShardServer;
+import tidebank.FakeSite.FakeShardServer.Frame;
+import tidebank.front.ClientSide;
+import tidebank.node.Gatherer;
+
+/**
+ * Malformed and abusive input of clients and shard servers: it is answered or closed, nothing is
+ * sent to a shard server for it, other connections are served on and what is buffered is bounded.
+ */
+@Timeout(30)
+class MalformedInputTest {
+  private static final String BODY =
+      "{\"ranges\":[{\"range\":0,\"portion\":1}],\"predicate\":\"p\"}";
+  private static final String SMUGGLED = scan("whole", "smuggled", 2900, 1);
+
+  private static final int BLOCK_BYTES = 65_536;
+
+  /** Far below what is sent: a pooled chunk is 512 KiB, a body 64 KiB. */
+  private static final long MOST_BYTES = 16 << 20;
+
+  private static final int LEAVERS = 20;
+  private static final int REQUESTS = 40;
+
+  private final FakeSite site = new FakeSite();
+
+  @AfterEach
+  void close() throws Exception {
+    site.close();
+  }
+
+  /** With a further header in the first head; a request that hides in its body stays as it is. */
+  private static String withHeader(String request, String header) {
+    return request.replaceFirst("\r\nX-Account: a", Matcher.quoteReplacement("\r\n" + header));
+  }
+
+  private static String chunked(String chunks) {
+    return post("/whole", "a", "2900m", "")
+            .replace("Content-Length: 0", "Transfer-Encoding: chunked")
+        + chunks;
+  }
+
+  private static String withLength(String length) {
+    return post("/whole", "a", "2900m", BODY + SMUGGLED)
+        .replaceAll("Content-Length: \\d+", "Content-Length: " + length);
+  }
+
+  private void nothingIsSent() {
+    for (FakeShardServer server : site.servers) {
+      assertThat(server.frames).noneMatch(frame -> frame.letter() == 'm');
+    }
+  }
+
+  /** The statuses up to the end of the connection, which is to come in time. */
+  private static List<Integer> statuses(FakeClient client) throws IOException {
+    List<Integer> statuses = new ArrayList<>();
+    try {
+      while (true) {
+        statuses.add(client.read().status());
+      }
+    } catch (EOFException | SocketException ended) {
+      return statuses;
+    }
+  }
+
+  // ---- requests that are no HTTP, or hide another
+
+  private static final String[] LENGTHS = {
+    "-1",
+    "+5",
+    "0x10",
+    "1e3",
+    "5 5",
+    "5, 6",
+    "5,5",
+    "9223372036854775807",
+    "9223372036854775808",
+    "18446744073709551621",
+    "99999999999999999999999999",
+    "",
+    "\u0000",
+    "5\u0000",
+    "5;x",
+    "4294967301",
+    "2147483648"
+  };
+
+  @Test
+  void aLengthThatIsNoneOrTooLargeIsRefusedAndNothingBehindItIsRead() throws Exception {
+    site.start();
+    for (String length : LENGTHS) {
+      try (FakeClient other = site.client();
+          FakeClient client = site.client()) {
+        client.send(withLength(length));
+        assertThat(statuses(client)).as(length).hasSize(1).isSubsetOf(400, 413);
+        assertThat(other.ready()).isEqualTo(200);
+        nothingIsSent();
+      }
+    }
+  }
+
+  private static final String[] CHUNK_SIZES = {
+    "-1",
+    "+5",
+    "g",
+    "0x5",
+    "7fffffffffffffff",
+    "8000000000000000",
+    "ffffffffffffffff",
+    "10000000000000005",
+    "80000000",
+    "ffffffff",
+    "100000005",
+    "",
+    " ",
+    "5 5",
+    "\u0000",
+    "5\u0000"
+  };
+
+  @Test
+  void aChunkSizeThatIsNoneOrTooLargeIsRefusedAndNothingBehindItIsRead() throws Exception {
+    site.start();
+    for (String size : CHUNK_SIZES) {
+      try (FakeClient other = site.client();
+          FakeClient client = site.client()) {
+        client.send(chunked(size + "\r\nhello\r\n0\r\n\r\n" + SMUGGLED));
+        assertThat(statuses(client)).as(size).hasSize(1).isSubsetOf(400, 413);
+        assertThat(other.ready()).isEqualTo(200);
+        nothingIsSent();
+      }
+    }
+  }
+
+  private static final String[] HEADERS = {
+    "Content-Length : 5",
+    " Content-Length: 5",
+    "Content-Length\u0000: 5",
+    "Content-Length:\r\n 5",
+    "Transfer-Encoding : chunked",
+    "Transfer-Encoding: chunked",
+    "Transfer-Encoding:\u000bchunked",
+    "Transfer-Encoding:\r\n chunked",
+    "Transfer-Encoding: xchunked",
+    "Transfer-Encoding: chunked, chunked",
+    "Transfer-Encoding: chunked, gzip",
+    "Transfer-Encoding: identity",
+    "Transfer-Encoding: chunked\u0000",
+    "Transfer-Encoding: gzip\r\nTransfer-Encoding: chunked",
+    "Content-Length: 0",
+    "CONTENT-LENGTH: 5",
+    "X: y\rTransfer-Encoding: chunked",
+    "X: y\nTransfer-Encoding: chunked",
+    "X\u0000: y",
+    "X: y\u0000z",
+    ": y",
+    "no colon"
+  };
+
+  @Test
+  void aSecondLengthOrAHeaderThatIsNoneIsRefusedAndNothingBehindItIsRead() throws Exception {
+    site.start();
+    for (String header : HEADERS) {
+      try (FakeClient other = site.client();
+          FakeClient client = site.client()) {
+        client.send(withHeader(post("/whole", "a", "2900m", "0\r\n\r\n" + SMUGGLED), header));
+        assertThat(statuses(client)).as(header).containsExactly(400);
+        assertThat(other.ready()).isEqualTo(200);
+        nothingIsSent();
+      }
+    }
+  }
+
+  // ---- more than may be sent
+
+  private static final String[] ENDLESS = {
+    "x",
+    "\r\n",
+    "\u0000",
+    "GET /",
+    "GET / HTTP/1.1\r\nX: y",
+    "GET / HTTP/1.1\r\nX: y\r\n",
+    "POST /whole HTTP/1.1\r\nContent-Length: 2000000000\r\n\r\n",
+    "POST /whole HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1;",
+    "POST /whole HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n7fffffff\r\n",
+    "POST /whole HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n",
+    "POST /whole HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nX: y\r\n"
+  };
+
+  /** What a client goes on with: its last line anew, or a letter. */
+  private static String more(String begin) {
+    String[] lines = begin.split("(?<=\n)");
+    String last = lines[lines.length - 1];
+    String chunk = "1\r\nx\r\n";
+    return begin.endsWith(chunk) ? chunk : last.endsWith("\n") && !last.isBlank() ? last : "x";
+  }
+
+  /** Sends a block again and again until the gatherer has cut the connection off. */
+  private static void flood(FakeClient client, String more) throws IOException {
+    byte[] block = more.repeat(BLOCK_BYTES / more.length()).getBytes(ISO_8859_1);
+    try {
+      while (true) {
+        client.socket.getOutputStream().write(block);
+      }
+    } catch (SocketException cutOff) {
+      assertThat(client.socket.isConnected()).isTrue();
+    }
+  }
+
+  private List<Thread> floods(List<FakeClient> clients) {
+    List<Thread> threads = new ArrayList<>();
+    for (int i = 0; i < ENDLESS.length; i++) {
+      FakeClient client = clients.get(i);
+      String begin = ENDLESS[i];
+      threads.add(
+          new Thread(
+              () -> {
+                try {
+                  flood(client.send(begin), more(begin));
+                } catch (IOException fault) {
+                  throw new java.io.UncheckedIOException(fault);
+                }
+              }));
+    }
+    threads.forEach(Thread::start);
+    return threads;
+  }
+
+  private PooledByteBufAllocatorMetric memory() throws Exception {
+    Field allocator = Gatherer.class.getDeclaredField("allocator");
+    allocator.setAccessible(true);
+    return ((PooledByteBufAllocator) allocator.get(site.gatherer())).metric();
+  }
+
+  @Test
+  void whatNeverEndsIsCutOffInTimeInBoundedMemoryWhileOthersAreServed() throws Exception {
+    site.start();
+    List<FakeClient> clients = new ArrayList<>();
+    try (FakeClient other = site.client()) {
+      assertThat(other.ready()).isEqualTo(200);
+      for (int i = 0; i < ENDLESS.length; i++) {
+        clients.add(site.client());
+      }
+      List<Thread> floods = floods(clients);
+      for (int i = 0; floods.stream().anyMatch(Thread::isAlive); i++) {
+        assertThat(other.ask(scan("whole", "o" + i, 2900, 1)).status()).isEqualTo(200);
+        assertThat(memory().usedDirectMemory()).isLessThan(MOST_BYTES);
+      }
+      for (FakeShardServer server : site.servers) {
+        assertThat(server.frames).allMatch(frame -> frame.part().startsWith("o"));
+      }
+    } finally {
+      for (FakeClient client : clients) {
+        client.close();
+      }
+    }
+  }
+
+  @Test
+  void clientsThatSendMuchAtOnceAndGoLeaveNothingBehind() throws Exception {
+    site.servers.forEach(server -> server.answers = false);
+    site.start();
+    try (FakeClient other = site.client()) {
+      assertThat(other.ready()).isEqualTo(200);
+      for (int round = 0; round < LEAVERS; round++) {
+        FakeClient leaver = site.client();
+        StringBuilder many = new StringBuilder();
+        for (int i = 0; i < REQUESTS; i++) {
+          many.append(scan("whole", "l" + round + "x" + i, 2900, 0.5, 0.5));
+        }
+        if (round % 2 == 0) {
+          leaver.socket.setSoLinger(true, 0);
+        }
+        try {
+          leaver.send(many.toString());
+        } catch (SocketException cutOff) {
+          assertThat(leaver.socket.isConnected()).isTrue();
+        }
+        leaver.close();
+        assertThat(other.ready()).isEqualTo(200);
+      }
+      while (connections() > 1) {
+        assertThat(other.ready()).isEqualTo(200);
+      }
+      // As many may be held as before: what leavers asked for is held no longer.
+      site.servers.forEach(server -> server.answers = true);
+      Response response = other.ask(scan("whole", "other", 2900, 1));
+      while (response.status() == 503) {
+        response = other.ask(scan("whole", "other", 2900, 1));
+      }
+      assertThat(response.body()).contains("value of other.0");
+    }
+  }
+
+  private int connections() throws Exception {
+    Field loop = Gatherer.class.getDeclaredField("loop");
+    Field clients = Gatherer.class.getDeclaredField("clients");
+    loop.setAccessible(true);
+    clients.setAccessible(true);
+    ClientSide side = (ClientSide) clients.get(site.gatherer());
+    return ((ExecutorService) loop.get(site.gatherer())).submit(side::open).get();
+  }
+
+  // ---- shard servers
+
+  private FakeShardServer onlyServer() {
+    site.servers.forEach(server -> server.health = "Gone");
+    FakeShardServer one = site.servers.get(1);
+    one.health = "Ready";
+    one.answers = false;
+    return one;
+  }
+
+  /** A frame of some length whose content never ends: cut off once it is over its bound. */
+  @ParameterizedTest
+  @ValueSource(ints = {60_000, 66_000, 1 << 24, Integer.MAX_VALUE})
+  void anAnswerThatNeverEndsFailsItsPartsInTimeAndInBoundedMemory(int length) throws Exception {
+    FakeShardServer server = onlyServer();
+    site.start();
+    try (FakeClient client = site.client()) {
+      client.send(scan("once", "a", 2900, 0.5, 0.5));
+      Frame frame = server.next();
+      server.next();
+      byte[] head = frame('q', frame.part() + " good 1 -\n");
+      java.nio.ByteBuffer.wrap(head).putInt(0, length);
+      frame.raw(head);
+      // A part of what it says, and no more.
+      frame.raw(new byte[Math.min(length, BLOCK_BYTES) / 2]);
+      assertThat(client.read().status()).isEqualTo(500);
+      assertThat(memory().usedDirectMemory()).isLessThan(MOST_BYTES);
+      server.answers = true;
+      assertThat(client.ask(scan("once", "b", 2900, 1)).body()).contains("value of b.0");
+      assertThat(server.accepted).as("a connection of its own").hasValue(2);
+    }
+  }
+
+  /** Small frames without an end that answer nothing which is out. */
+  @Test
+  void framesWithoutEndThatNobodyAskedForEndTheirConnection() throws Exception {
+    FakeShardServer server = onlyServer();
+    site.start();
+    try (FakeClient client = site.client()) {
+      for (byte[] odd :
+          List.of(frame('q', "z.0 good 1 -\nx"), frame('o', "good"), new byte[] {0, 0, 0, 0})) {
+        client.send(scan("once", "a", 2900, 1));
+        Frame frame = server.next();
+        org.assertj.core.api.Assertions.assertThatThrownBy(
+                () -> {
+                  while (true) {
+                    frame.raw(odd);
+                  }
+                })
+            .isInstanceOf(IOException.class);
+        assertThat(client.read().status()).isEqualTo(500);
+      }
+      server.answers = true;
+      assertThat(client.ask(scan("once", "b", 2900, 1)).body()).contains("value of b.0");
+    }
+  }
+}
