--- a/gatherer/src/main/java/tidebank/front/ClientConnection.java
+++ b/gatherer/src/main/java/tidebank/front/ClientConnection.java
@@ -185,6 +185,11 @@
     }
   }
 
+  /** Whether an interim response would stand in its place: no response is due before it. */
+  boolean mayContinue() {
+    return exchanges.isEmpty() && !ending;
+  }
+
   /** A body beyond the bound. */
   void oversized() {
     side.counters.add("front.rejected");
--- a/gatherer/src/main/java/tidebank/front/ClientSide.java
+++ b/gatherer/src/main/java/tidebank/front/ClientSide.java
@@ -6,9 +6,11 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.ChannelInitializer;
+import io.netty.channel.ChannelPipeline;
 import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpObjectAggregator;
 import io.netty.handler.codec.http.HttpResponseEncoder;
+import io.netty.handler.codec.http.HttpUtil;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
@@ -105,8 +107,21 @@
     }
   }
 
+  /**
+   * Bodies up to their bound. An expectation is met or passed over: a refusal of Netty's own would
+   * overtake responses that are due before it, and the body behind it would be read as a request.
+   */
   private HttpObjectAggregator bodies(ClientConnection connection) {
     return new HttpObjectAggregator(config.transport().bodyMost()) {
+      @Override
+      protected Object newContinueResponse(HttpMessage start, int most, ChannelPipeline pipeline) {
+        boolean met =
+            HttpUtil.is100ContinueExpected(start)
+                && !isContentLengthInvalid(start, most)
+                && connection.mayContinue();
+        return met ? super.newContinueResponse(start, most, pipeline) : null;
+      }
+
       @Override
       protected void handleOversizedMessage(ChannelHandlerContext context, HttpMessage message) {
         connection.oversized();
--- a/gatherer/src/test/java/tidebank/MalformedInputTest.java
+++ b/gatherer/src/test/java/tidebank/MalformedInputTest.java
@@ -195,6 +195,68 @@
     }
   }
 
+  @ParameterizedTest
+  @ValueSource(strings = {"100-continue", "something-else"})
+  void anExpectationBeforeABodyThatIsTooLargeLetsNothingBehindItBeReadAsARequest(String expectation)
+      throws Exception {
+    site.servers.forEach(server -> server.answers = false);
+    site.start();
+    try (FakeClient client = site.client()) {
+      client.send(scan("once", "first", 2900, 1));
+      Frame first = anyFrame();
+      String body = SMUGGLED + " ".repeat(70_000);
+      client.send(
+          withHeader(post("/whole", "a", "2900m", body), "Expect: " + expectation) + SMUGGLED);
+      try (FakeClient other = site.client()) {
+        assertThat(other.ready()).isEqualTo(200);
+        assertThat(other.ready()).isEqualTo(200);
+      }
+      first.answer("good", "first");
+      Response response = client.read();
+      assertThat(response.status()).as("responses keep their order").isEqualTo(200);
+      assertThat(response.body()).contains("\"first\"");
+      assertThat(statuses(client)).hasSize(1).allMatch(status -> status >= 400);
+      nothingIsSent();
+    }
+  }
+
+  @ParameterizedTest
+  @ValueSource(strings = {"100-continue", "something-else"})
+  void aBodyThatIsTooLargeForItsExpectationIsNoRequest(String expectation) throws Exception {
+    site.start();
+    try (FakeClient client = site.client()) {
+      String body = SMUGGLED + " ".repeat(70_000);
+      client.send(withHeader(post("/whole", "a", "2900m", body), "Expect: " + expectation));
+      assertThat(statuses(client)).hasSize(1).allMatch(status -> status >= 400);
+      nothingIsSent();
+    }
+  }
+
+  @Test
+  void anExpectationIsMetAndItsBodyTakenAsAnyOther() throws Exception {
+    site.start();
+    try (FakeClient client = site.client()) {
+      String request = withHeader(scan("whole", "expects", 2900, 1), "Expect: 100-continue");
+      int head = request.indexOf("\r\n\r\n") + 4;
+      client.send(request.substring(0, head));
+      byte[] interim = client.socket.getInputStream().readNBytes(25);
+      assertThat(new String(interim)).isEqualTo("HTTP/1.1 100 Continue\r\n\r\n");
+      assertThat(client.ask(request.substring(head)).body()).contains("value of expects.0");
+    }
+  }
+
+  private Frame anyFrame() {
+    while (true) {
+      for (FakeShardServer server : site.servers) {
+        Frame frame = server.frames.poll();
+        if (frame != null && frame.letter() == 'm') {
+          return frame;
+        }
+      }
+      Thread.onSpinWait();
+    }
+  }
+
   // ---- more than may be sent
 
   private static final String[] ENDLESS = {
