--- a/gatherer/src/test/java/tidebank/MalformedInputTest.java
+++ b/gatherer/src/test/java/tidebank/MalformedInputTest.java
@@ -13,13 +13,16 @@
 import java.lang.reflect.Field;
 import java.net.SocketException;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
+import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.ExecutorService;
 import java.util.regex.Matcher;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import tidebank.FakeSite.FakeClient;
 import tidebank.FakeSite.FakeClient.Response;
@@ -43,6 +46,10 @@
   /** Far below what is sent: a pooled chunk is 512 KiB, a body 64 KiB. */
   private static final long MOST_BYTES = 16 << 20;
 
+  /** A frame that has begun is to be whole within this. */
+  private static final int REST_WITHIN_MS = 200;
+
+  private static final String WHOLE = "a value that is whole";
   private static final int LEAVERS = 20;
   private static final int REQUESTS = 40;
 
@@ -443,4 +450,105 @@
       assertThat(client.ask(scan("once", "b", 2900, 1)).body()).contains("value of b.0");
     }
   }
+
+  /** How a connection ends on which half a frame was read. */
+  enum Close {
+    BY_THE_SERVER,
+    BEHIND_AN_UNREADABLE_FRAME,
+    AS_THE_REST_IS_LATE,
+    AS_THE_REST_NEVER_COMES
+  }
+
+  /** Behind the answer to one part, cut in its length, in its line or in its value. */
+  @ParameterizedTest
+  @EnumSource(Close.class)
+  void halfAFrameOnAConnectionThatClosesIsNoAnswerAndNothingIsSentAgain(Close close)
+      throws Exception {
+    site.limits.put("connectTimeoutMs", REST_WITHIN_MS);
+    FakeShardServer server = onlyServer();
+    site.start();
+    for (int cut : new int[] {2, 12, WHOLE.length() - 2}) {
+      server.answers = false;
+      try (FakeClient one = site.client();
+          FakeClient two = site.client()) {
+        one.send(scan("once", "a" + cut, 2900, 1));
+        Frame first = server.next();
+        two.send(scan("once", "b" + cut, 2900, 1));
+        Frame second = server.next();
+        assertThat(second.socket()).isSameAs(first.socket());
+        byte[] half = frame('q', second.part() + " good 1 -\n" + WHOLE);
+        int end = cut == WHOLE.length() - 2 ? half.length - 2 : cut;
+        closes(close, first, half, end);
+        // By the half behind it, the length of a whole answer may be as wrong.
+        assertThat(one.read().status()).isIn(200, 500);
+        Response response = two.read();
+        if (close == Close.AS_THE_REST_IS_LATE) {
+          assertThat(response.body()).contains(WHOLE);
+        } else {
+          assertThat(response.status()).isEqualTo(500);
+        }
+        if (close == Close.AS_THE_REST_NEVER_COMES) {
+          restBehindTheEnd(first, Arrays.copyOfRange(half, end, half.length));
+        }
+        assertThat(server.frames).noneMatch(frame -> frame.letter() == 'm');
+        server.answers = true;
+        assertThat(two.ask(scan("once", "c" + cut, 2900, 1)).body()).contains("value of c");
+        server.next();
+      }
+    }
+  }
+
+  private void closes(Close close, Frame first, byte[] half, int end) throws Exception {
+    CountDownLatch go = standStill();
+    first.answer("good", "first");
+    if (close == Close.BEHIND_AN_UNREADABLE_FRAME) {
+      first.raw(frame('x', "y"));
+    }
+    first.raw(Arrays.copyOfRange(half, 0, end));
+    if (close == Close.BY_THE_SERVER) {
+      first.socket().close();
+    } else if (close == Close.AS_THE_REST_IS_LATE) {
+      go.countDown();
+      // Once the half is read, the loop stands still past the time for the rest, which comes then.
+      try (FakeClient other = site.client()) {
+        assertThat(other.ready()).isEqualTo(200);
+        assertThat(other.ready()).isEqualTo(200);
+      }
+      go = standStill();
+      long late = System.nanoTime() + 2_000_000L * REST_WITHIN_MS;
+      while (System.nanoTime() < late) {
+        Thread.onSpinWait();
+      }
+      first.raw(Arrays.copyOfRange(half, end, half.length));
+    }
+    go.countDown();
+  }
+
+  private static void restBehindTheEnd(Frame first, byte[] rest) {
+    try {
+      first.raw(rest);
+    } catch (IOException reset) {
+      assertThat(reset).isInstanceOf(SocketException.class);
+    }
+  }
+
+  /** Has the event loop stand still until what it returns is counted down. */
+  private CountDownLatch standStill() throws Exception {
+    Field loop = Gatherer.class.getDeclaredField("loop");
+    loop.setAccessible(true);
+    CountDownLatch stands = new CountDownLatch(1);
+    CountDownLatch go = new CountDownLatch(1);
+    ((ExecutorService) loop.get(site.gatherer()))
+        .execute(
+            () -> {
+              stands.countDown();
+              try {
+                go.await();
+              } catch (InterruptedException fault) {
+                Thread.currentThread().interrupt();
+              }
+            });
+    stands.await();
+    return go;
+  }
 }
