--- a/gatherer/src/main/java/tidebank/RoutingPolicy.java
+++ b/gatherer/src/main/java/tidebank/RoutingPolicy.java
@@ -91,6 +91,8 @@
    */
   private double lag;
 
+  private long lagAt;
+
   private final long margin;
 
   /** How many of our parts a home may hold before a part goes elsewhere. */
@@ -179,7 +181,7 @@
         close(scan, Verdict.LEFT);
       }
     } else if (event instanceof Event.TimerDue due && due.token() == timers) {
-      lag = Math.max(lag, now - armedAt);
+      learnLag(now - armedAt);
       armedAt = Long.MAX_VALUE;
     } else if (event instanceof Event.Ending ending) {
       endAt = ending.at();
@@ -213,8 +215,7 @@
   }
 
   private void takeScan(Event.ScanTaken event) {
-    long late = now - event.askedAt();
-    lag = Math.max(late, lag + (late - lag) * LEARN_FAST);
+    learnLag(now - event.askedAt());
     long left = event.limitAt() - now;
     TableType type =
         settings
@@ -230,6 +231,14 @@
     taken.add(now, settings.rules().ratioSpanUs());
   }
 
+  /**
+   * The longest wait counts, and is forgotten with time: few scans come to one of many gatherers.
+   */
+  private void learnLag(long late) {
+    lag = Math.max(late, lag * Math.exp((lagAt - now) / (double) EVIDENCE_US));
+    lagAt = now;
+  }
+
   /**
    * How long before its time an answer is given, so that its last byte is out by then. Bounded, as
    * a lone stall of our own process is no reason to give up the scans that come after it.
@@ -450,7 +459,8 @@
   private void select(Scan scan) {
     scan.selected = true;
     List<Part> ranked = scan.parts;
-    if (ranked.isEmpty() || scan.limitAt - now <= margin) {
+    // Not even a quick answer would be back in time: nothing is sent for it.
+    if (ranked.isEmpty() || scan.limitAt - now <= early(scan) + service) {
       giveUp(scan);
       return;
     }
--- a/gatherer/src/main/java/tidebank/front/ClientConnection.java
+++ b/gatherer/src/main/java/tidebank/front/ClientConnection.java
@@ -50,6 +50,11 @@
 
   private Channel channel;
   private long connectedAt;
+
+  /** The pass that accepted it, and since when its first bytes may have waited then. */
+  private long acceptedInPass;
+
+  private long acceptedSince;
   private long headAt;
   private long restsSince;
   private boolean asked;
@@ -99,6 +104,8 @@
   public void handlerAdded(ChannelHandlerContext context) {
     channel = context.channel();
     connectedAt = side.clock.now();
+    acceptedInPass = side.driver.pass();
+    acceptedSince = side.driver.arrivedSince();
   }
 
   @Override
@@ -116,7 +123,7 @@
    */
   void begun() {
     if (headAt == 0 && !lingering) {
-      headAt = side.clock.now();
+      headAt = arrivedSince();
       if (asked) {
         side.asked(this);
         waitFor();
@@ -124,6 +131,15 @@
     }
   }
 
+  /**
+   * Since when bytes that are read now may have waited: a connection may have been established, and
+   * its first request sent, before the pass that accepted it.
+   */
+  private long arrivedSince() {
+    boolean justAccepted = !asked && side.driver.pass() <= acceptedInPass + 1;
+    return justAccepted ? acceptedSince : side.driver.arrivedSince();
+  }
+
   @Override
   public void channelRead(ChannelHandlerContext context, Object message) {
     try {
@@ -139,10 +155,6 @@
       } else if (!ending && message instanceof FullHttpRequest request) {
         begun();
         side.timers.clear(slow);
-        if (!asked) {
-          asked = true;
-          side.asked(this);
-        }
         long at = headAt;
         headAt = 0;
         took(request, at);
@@ -156,8 +168,13 @@
     Exchange exchange = new Exchange(this);
     exchanges.add(exchange);
     ending = !HttpUtil.isKeepAlive(request);
+    long wholeAt = arrivedSince();
+    if (!asked) {
+      asked = true;
+      side.asked(this);
+    }
     try {
-      answer(exchange, request, at);
+      answer(exchange, request, at, wholeAt);
     } catch (RuntimeException | VirtualMachineError fault) {
       side.counters.add("front.failed");
       LOG.error("a request failed", fault);
@@ -167,7 +184,7 @@
     }
   }
 
-  private void answer(Exchange exchange, FullHttpRequest request, long at) {
+  private void answer(Exchange exchange, FullHttpRequest request, long at, long wholeAt) {
     // A transfer coding that is left here is none that Netty has read.
     if (request.decoderResult().isFailure()
         || request.headers().contains(HttpHeaderNames.TRANSFER_ENCODING)) {
@@ -181,7 +198,7 @@
     } else if (!request.method().equals(HttpMethod.POST)) {
       reject(exchange, HttpResponseStatus.METHOD_NOT_ALLOWED, "scans come by POST");
     } else {
-      scan(exchange, request, path, at);
+      scan(exchange, request, path, at, wholeAt);
     }
   }
 
@@ -223,10 +240,11 @@
     }
   }
 
-  private void scan(Exchange exchange, FullHttpRequest request, String path, long at) {
+  private void scan(
+      Exchange exchange, FullHttpRequest request, String path, long at, long wholeAt) {
     ScanRequest scan;
     try {
-      scan = side.reader.read(request, path.substring(1).split("/", 2)[0], at);
+      scan = side.reader.read(request, path.substring(1).split("/", 2)[0], at, wholeAt);
     } catch (Rejected fault) {
       side.counters.add("front.rejected");
       reject(exchange, HttpResponseStatus.valueOf(fault.status), fault.getMessage());
--- a/gatherer/src/main/java/tidebank/front/ScanReader.java
+++ b/gatherer/src/main/java/tidebank/front/ScanReader.java
@@ -51,8 +51,12 @@
     this.settings = settings;
   }
 
-  /** Reads the scan of a request whose head was read at this moment. */
-  ScanRequest read(FullHttpRequest request, String type, long headAt) throws Rejected {
+  /**
+   * Reads the scan of a request whose head came at {@code headAt}, from when its client's time
+   * runs, and whose last byte came at {@code wholeAt}, from when its service counts.
+   */
+  ScanRequest read(FullHttpRequest request, String type, long headAt, long wholeAt)
+      throws Rejected {
     if (!settings.tableTypes().containsKey(type)) {
       throw new Rejected(404, "unknown table type");
     }
@@ -77,7 +81,7 @@
         id,
         type,
         request.headers().get("X-Account", ""),
-        headAt,
+        wholeAt,
         limitAt,
         request.headers().get("X-Repeat", "").equals("1"),
         request.headers().get("X-Session-Key", ""),
--- a/gatherer/src/main/java/tidebank/node/PolicyDriver.java
+++ b/gatherer/src/main/java/tidebank/node/PolicyDriver.java
@@ -32,6 +32,7 @@
   private final Timers timers;
   private final EventLoop loop;
   private final Counters counters;
+  private final ReadPasses passes;
   private final Runnable run = this::run;
   private final Map<String, HeldScan> scans = new HashMap<>();
   private final Map<String, HeldPart> parts = new HashMap<>();
@@ -57,6 +58,7 @@
     this.loop = loop;
     this.counters = counters;
     this.policy = new RoutingPolicy(settings, seed);
+    this.passes = new ReadPasses(settings.tickUs());
   }
 
   /** Has every turn told from now on, which is before the first. */
@@ -181,10 +183,30 @@
     return !list.isEmpty();
   }
 
+  /**
+   * The earliest moment at which bytes that are read now may have arrived, by {@link ReadPasses}
+   * and by how late a timer is: for so long the process as a whole stood still.
+   */
+  public long arrivedSince() {
+    beginPass();
+    return Math.min(passes.arrivedSince(), clock.now() - timers.latenessUs());
+  }
+
+  /** The number of the loop's present pass over what there is to read. */
+  public long pass() {
+    beginPass();
+    return passes.number();
+  }
+
   private void tell(Event event) {
     events.add(event);
+    beginPass();
+  }
+
+  private void beginPass() {
     if (!scheduled) {
       scheduled = true;
+      passes.active(clock.now());
       loop.execute(run);
     }
   }
@@ -193,6 +215,14 @@
 
   private void run() {
     scheduled = false;
+    if (!events.isEmpty()) {
+      decide();
+    }
+    passes.ended(clock.now());
+    checkIdle();
+  }
+
+  private void decide() {
     List<Event> taken = events;
     events = new ArrayList<>();
     counters.add("turns");
@@ -210,7 +240,6 @@
       log.failed(now, taken, fault);
       startOver();
     }
-    checkIdle();
   }
 
   /**
--- a/gatherer/src/test/java/tidebank/CrossingsTest.java
+++ b/gatherer/src/test/java/tidebank/CrossingsTest.java
@@ -37,6 +37,11 @@
     site.close();
   }
 
+  /** What a client says of the time that it has left, and for how long the loop stands still. */
+  private static final int TIME_LEFT_MS = 1500;
+
+  private static final long STANDSTILL_MS = 1000;
+
   private void silence() {
     site.servers.forEach(server -> server.answers = false);
   }
@@ -214,6 +219,30 @@
     }
   }
 
+  @Test
+  void theTimeOfARequestThatCameWhileTheLoopStoodStillRunsFromThenOn() throws Exception {
+    silence();
+    FakeShardServer server = only();
+    site.start();
+    try (FakeClient first = site.client();
+        FakeClient client = site.client()) {
+      assertThat(client.ready()).isEqualTo(200);
+      // Its end is due amid the standstill, by which the gatherer learns of that.
+      first.send(scan("whole", "a", 200, 1));
+      server.next();
+      CountDownLatch go = standStill();
+      long sent = System.nanoTime();
+      client.send(scan("whole", "b", TIME_LEFT_MS, 1));
+      while (System.nanoTime() - sent < STANDSTILL_MS * 1_000_000) {
+        Thread.onSpinWait();
+      }
+      go.countDown();
+      assertThat(client.read().status()).isEqualTo(503);
+      assertThat((System.nanoTime() - sent) / 1_000_000)
+          .isLessThan(TIME_LEFT_MS + STANDSTILL_MS / 2);
+    }
+  }
+
   // ---- closing over bytes that were not read
 
   @Test
--- a/gatherer/src/test/java/tidebank/RoutingPolicyTest.java
+++ b/gatherer/src/test/java/tidebank/RoutingPolicyTest.java
@@ -118,6 +118,37 @@
     assertThat(host.verdicts()).contains(new Action.Answer("r", false));
   }
 
+  @Test
+  void aStallOfTheProcessIsForgottenWithTimeThoughNoScanComesMeanwhile() {
+    host.start();
+    host.scan("a", "part", 0.6, 0.4);
+    host.nowMs += 3000;
+    host.pass(0);
+    host.pass(30_000);
+    host.all.clear();
+    host.scan("q", "part", 0.6, 0.4);
+    host.end(Outcome.COMPLETED, "q0");
+    host.pass(980);
+    assertThat(host.verdicts()).isEmpty();
+    host.pass(20);
+    assertThat(host.verdicts()).containsExactly(new Action.Answer("q", false));
+  }
+
+  @Test
+  void aScanWithLessTimeLeftThanAQuickAnswerTakesIsThrottledAtOnceAndNothingIsSentForIt() {
+    host.start();
+    for (String id : List.of("a", "b", "c")) {
+      host.scan(id, "whole", 1);
+      host.pass(100);
+      host.end(Outcome.COMPLETED, id + "0");
+    }
+    host.all.clear();
+    assertThat(sent(host.scanWithin(90, "q", "whole", 1))).isEmpty();
+    assertThat(host.verdicts()).hasSize(1).allMatch(Action.Throttle.class::isInstance);
+    host.all.clear();
+    assertThat(sent(host.scanWithin(300, "r", "whole", 1))).containsExactly("r0");
+  }
+
   @Test
   void aScanWhosePartsNeverReturnIsAnsweredInPartAtTheTargetTime() {
     host.start();
