--- a/lab/src/main/java/tidebank/lab/standin/DiscoveryStandIn.java
+++ b/lab/src/main/java/tidebank/lab/standin/DiscoveryStandIn.java
@@ -9,6 +9,7 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
+import io.netty.channel.ChannelPipeline;
 import io.netty.channel.EventLoop;
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
@@ -24,11 +25,14 @@
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
+import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
+import java.util.function.BiConsumer;
 import tidebank.node.Clock;
 
 /**
@@ -46,13 +50,15 @@
     Gone
   }
 
-  private record Line(ShardStandIn server, int cell, Health health, long bornMs) {}
+  private record Line(ListedServer server, int cell, Health health, long bornMs) {}
 
   private record Watch(int gatherer, Channel channel, long after, ScheduledFuture<?> end) {}
 
   private static final ObjectMapper JSON = new ObjectMapper();
 
+  /** What was told to whom, for an audit; null where nobody audits. */
   private final Ledger ledger;
+
   private final Clock clock;
   private final EventLoop loop;
   private final Map<Integer, Line> lines = new TreeMap<>();
@@ -61,11 +67,21 @@
   private final List<Channel> listeners = new ArrayList<>();
   private final Map<Channel, Integer> connections = new LinkedHashMap<>();
   private final InetSocketAddress[] addresses;
+  private BiConsumer<Integer, ChannelPipeline> observer = (gatherer, pipeline) -> {};
   private long version = 1;
   private long calls;
 
+  /**
+   * Lists these servers, all in service.
+   *
+   * @param ledger takes what was told to whom; may be null, then nothing is kept of it
+   */
   public DiscoveryStandIn(
-      List<ShardStandIn> servers, int gatherers, Ledger ledger, Clock clock, EventLoop loop) {
+      List<? extends ListedServer> servers,
+      int gatherers,
+      Ledger ledger,
+      Clock clock,
+      EventLoop loop) {
     this.ledger = ledger;
     this.clock = clock;
     this.loop = loop;
@@ -75,6 +91,11 @@
     }
   }
 
+  /** Hands the pipeline of each connection, once it is whole, to this; set before {@link #open}. */
+  public void observe(BiConsumer<Integer, ChannelPipeline> wanted) {
+    observer = wanted;
+  }
+
   public void open() {
     for (int gatherer = 0; gatherer < addresses.length; gatherer++) {
       int who = gatherer;
@@ -93,6 +114,7 @@
                               new HttpServerCodec(),
                               new HttpObjectAggregator(1 << 16),
                               new Calls(who));
+                      observer.accept(who, channel.pipeline());
                     }
                   })
               .bind(
@@ -128,15 +150,24 @@
           if (changes.size() > CHANGES_KEPT) {
             changes.pollFirstEntry();
           }
-          List<Watch> due = List.copyOf(watches);
-          watches.clear();
-          for (Watch watch : due) {
-            watch.end.cancel(false);
-            since(watch.gatherer, watch.channel, watch.after);
-          }
+          answerWatches();
         });
   }
 
+  /** Answers each watch now, as if the time for which it may wait were over. */
+  public void endWaits() {
+    loop.execute(this::answerWatches);
+  }
+
+  private void answerWatches() {
+    List<Watch> due = List.copyOf(watches);
+    watches.clear();
+    for (Watch watch : due) {
+      watch.end.cancel(false);
+      since(watch.gatherer, watch.channel, watch.after);
+    }
+  }
+
   /** Goes down: connections end, new ones are refused; up again by {@link #open}. */
   public void down() {
     loop.submit(
@@ -186,16 +217,24 @@
           .put("share", 1.0)
           .put("born_ms", line.bornMs);
     }
+    if (ledger != null) {
+      keep(gatherer, whole, some);
+    }
+    respond(to, HttpResponseStatus.OK, body.toString());
+  }
+
+  /** Keeps what a gatherer is told; the time is linear in the lines of the list. */
+  private void keep(int gatherer, boolean whole, List<Line> some) {
+    Set<Line> told = new HashSet<>(some);
     long now = clock.now();
     for (Map.Entry<Integer, Line> entry : lines.entrySet()) {
-      boolean named = some.contains(entry.getValue());
+      boolean named = told.contains(entry.getValue());
       if (named || whole) {
         ledger.add(
             new Ledger.Told(
                 gatherer, entry.getKey(), named && entry.getValue().health == Health.Ready, now));
       }
     }
-    respond(to, HttpResponseStatus.OK, body.toString());
   }
 
   private static void respond(Channel to, HttpResponseStatus status, String body) {
--- a/lab/src/main/java/tidebank/lab/standin/ShardStandIn.java
+++ b/lab/src/main/java/tidebank/lab/standin/ShardStandIn.java
@@ -35,7 +35,7 @@
  * each gatherer, so that what comes is known by who sent it. All of its state belongs to one event
  * loop.
  */
-public final class ShardStandIn {
+public final class ShardStandIn implements ListedServer {
   private static final int FRAME_MOST = 1 << 20;
   private static final long WORK_ABSENT_US = 20_000;
 
@@ -78,6 +78,7 @@
     addresses = new InetSocketAddress[gatherers];
   }
 
+  @Override
   public String name() {
     return "s" + number;
   }
@@ -118,6 +119,7 @@
     }
   }
 
+  @Override
   public InetSocketAddress address(int gatherer) {
     return addresses[gatherer];
   }
