--- /dev/null
+++ b/lab/src/main/java/tidebank/lab/scale/Driver.java
@@ -0,0 +1,35 @@
+package tidebank.lab.scale;
+
+/** What a cost is taken to grow with. */
+public enum Driver {
+  SERVERS("shard server"),
+  GATHERERS("gatherer"),
+  /** Each shard server in the list of each gatherer. */
+  LIST_ENTRIES("list entry");
+
+  private final String label;
+
+  Driver(String label) {
+    this.label = label;
+  }
+
+  /** Its name in tables, in the singular. */
+  public String label() {
+    return label;
+  }
+
+  /** How many there are in a fleet of this size. */
+  public double count(Size size) {
+    return switch (this) {
+      case SERVERS -> size.servers();
+      case GATHERERS -> size.gatherers();
+      case LIST_ENTRIES -> (double) size.gatherers() * size.servers();
+    };
+  }
+
+  /** The multiple of a fleet, both its counts grown alike, at which there are so many. */
+  double multiple(double count, Size of) {
+    double ratio = count / count(of);
+    return this == LIST_ENTRIES ? Math.sqrt(ratio) : ratio;
+  }
+}
--- /dev/null
+++ b/lab/src/main/java/tidebank/lab/scale/HollowFleet.java
@@ -0,0 +1,57 @@
+package tidebank.lab.scale;
+
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.List;
+import tidebank.lab.scale.Observed.ProcessorTime;
+
+/** Hollow gatherers on one event loop, with discovery on another. */
+final class HollowFleet implements AutoCloseable {
+  private final Size size;
+  private final long seed;
+  private final DiscoveryRig discovery;
+  private final EventLoopThread thread = new EventLoopThread();
+  private final List<HollowGatherer> gatherers = new ArrayList<>();
+
+  /** Opens discovery; no gatherer is there yet. */
+  HollowFleet(Size size, long seed) {
+    this.size = size;
+    this.seed = seed;
+    discovery = new DiscoveryRig(size, seed);
+  }
+
+  DiscoveryRig discovery() {
+    return discovery;
+  }
+
+  /** Makes all gatherers and has them begin at once. */
+  void begin() throws IOException {
+    for (int i = 0; i < size.gatherers(); i++) {
+      gatherers.add(
+          new HollowGatherer(
+              GathererFiles.config(size, i, discovery.address(i), seed), thread.loop()));
+    }
+    gatherers.forEach(HollowGatherer::begin);
+  }
+
+  HollowGatherer gatherer(int number) {
+    return gatherers.get(number);
+  }
+
+  /** What the two event loops have taken so far. */
+  ProcessorTime processorTime() {
+    return new ProcessorTime(thread.processorTimeUs(), discovery.processorTimeUs());
+  }
+
+  /** How many calls to discovery came to nothing. */
+  long callsFailed() {
+    return gatherers.stream().mapToLong(HollowGatherer::callsFailed).sum();
+  }
+
+  @Override
+  public void close() {
+    gatherers.forEach(HollowGatherer::close);
+    thread.close();
+    discovery.close();
+  }
+}
--- /dev/null
+++ b/lab/src/main/java/tidebank/lab/scale/HollowServer.java
@@ -0,0 +1,20 @@
+package tidebank.lab.scale;
+
+import java.net.InetSocketAddress;
+import tidebank.lab.standin.ListedServer;
+
+/** A shard server that is listed and nothing else: no process, no listener. */
+record HollowServer(int number) implements ListedServer {
+  /** A hollow gatherer connects to no shard server; a real one does only for scans. */
+  private static final InetSocketAddress NOWHERE = new InetSocketAddress("127.0.0.1", 10_001);
+
+  @Override
+  public String name() {
+    return "s" + number;
+  }
+
+  @Override
+  public InetSocketAddress address(int gatherer) {
+    return NOWHERE;
+  }
+}
--- /dev/null
+++ b/lab/src/main/java/tidebank/lab/scale/RecordingShardPort.java
@@ -0,0 +1,60 @@
+package tidebank.lab.scale;
+
+import java.util.List;
+import tidebank.node.DispatchRequest;
+import tidebank.node.ShardPort;
+
+/**
+ * The side of shard servers without a socket: it counts what it is told of the list. A hollow
+ * gatherer holds no scans, so whatever would need a connection is a fault of the run.
+ */
+final class RecordingShardPort implements ShardPort {
+  private long wholeLists;
+  private long changes;
+  private long entries;
+
+  @Override
+  public void listed(List<Member> members, boolean full) {
+    if (full) {
+      wholeLists++;
+    } else {
+      changes++;
+    }
+    entries += members.size();
+  }
+
+  @Override
+  public DispatchRequest.Handle send(DispatchRequest request) {
+    throw new IllegalStateException("a hollow gatherer sent a dispatch");
+  }
+
+  @Override
+  public void flush() {
+    // Nothing waits to be sent.
+  }
+
+  @Override
+  public void retire(String server) {
+    // There are no connections.
+  }
+
+  @Override
+  public void probe(String server) {
+    throw new IllegalStateException("a hollow gatherer sent a probe");
+  }
+
+  /** Whole lists taken, the empty one it begins with included. */
+  long wholeLists() {
+    return wholeLists;
+  }
+
+  /** Answers taken that told of changes. */
+  long changes() {
+    return changes;
+  }
+
+  /** Entries of all lists and changes taken. */
+  long entries() {
+    return entries;
+  }
+}
--- /dev/null
+++ b/lab/src/main/java/tidebank/lab/scale/Role.java
@@ -0,0 +1,34 @@
+package tidebank.lab.scale;
+
+import java.util.Arrays;
+import java.util.List;
+
+/** A part of the fleet whose cost has a table of its own on the capacity page. */
+public enum Role {
+  GATHERER("gatherer: decisions and discovery client", true),
+  DISCOVERY("discovery, as the stand-in shows it", true),
+  FRONT("the gatherer's front", false),
+  SHARD_CONNECTIONS("the gatherer's shard connections", false),
+  AGENT("the gatherer's agent for duties", false),
+  STEWARD_LEADER("steward that leads", false),
+  STEWARD_FOLLOWER("steward that follows", false),
+  SHARD_SERVER("shard server's side of connections and probes", false),
+  OPERATOR_COMMANDS("operator's commands", false);
+
+  private final String label;
+  private final boolean measured;
+
+  Role(String label, boolean measured) {
+    this.label = label;
+    this.measured = measured;
+  }
+
+  public String label() {
+    return label;
+  }
+
+  /** The roles that no run measures yet. */
+  public static List<Role> notMeasured() {
+    return Arrays.stream(values()).filter(role -> !role.measured).toList();
+  }
+}
