--- a/cli/src/main/java/tidebank/cli/Tidebank.java
+++ b/cli/src/main/java/tidebank/cli/Tidebank.java
@@ -35,6 +35,7 @@
       FleetCommands.StewardCommand.class,
       FleetCommands.class,
       ChaosCommands.class,
+      ScaleCommands.class,
       GenerateCompletion.class
     })
 public final class Tidebank implements Callable<Integer> {
--- a/lab/src/main/java/tidebank/lab/scale/CapacityTables.java
+++ b/lab/src/main/java/tidebank/lab/scale/CapacityTables.java
@@ -109,12 +109,11 @@
   }
 
   private static String measured(Fit fit) {
-    String label = fit.driver().label().replaceFirst("y$", "ie") + "s";
     return number(fit.countLow())
         + " to "
         + number(fit.countHigh())
         + " "
-        + label
+        + fit.driver().plural()
         + ", "
         + fit.points()
         + " points";
--- a/lab/src/main/java/tidebank/lab/scale/Driver.java
+++ b/lab/src/main/java/tidebank/lab/scale/Driver.java
@@ -2,15 +2,17 @@
 
 /** What a cost is taken to grow with. */
 public enum Driver {
-  SERVERS("shard server"),
-  GATHERERS("gatherer"),
+  SERVERS("shard server", "shard servers"),
+  GATHERERS("gatherer", "gatherers"),
   /** Each shard server in the list of each gatherer. */
-  LIST_ENTRIES("list entry");
+  LIST_ENTRIES("list entry", "list entries");
 
   private final String label;
+  private final String plural;
 
-  Driver(String label) {
+  Driver(String label, String plural) {
     this.label = label;
+    this.plural = plural;
   }
 
   /** Its name in tables, in the singular. */
@@ -18,6 +20,11 @@
     return label;
   }
 
+  /** Its name in tables, in the plural. */
+  String plural() {
+    return plural;
+  }
+
   /** How many there are in a fleet of this size. */
   public double count(Size size) {
     return switch (this) {
