--- a/cli/src/main/java/tidebank/cli/CaptureCommands.java
+++ b/cli/src/main/java/tidebank/cli/CaptureCommands.java
@@ -49,13 +49,13 @@
       description =
           "Tells what a capture holds: segments, turns, events by kind, what is missing or torn.",
       mixinStandardHelpOptions = true)
-  static final class Info extends TraceCommands.Told {
+  static final class Info extends ResultCommand {
     @Parameters(paramLabel = "CAPTURE", description = "a folder of segments, or one segment")
     Path place;
 
     @Override
     public Integer call() throws IOException {
-      ObjectNode told = TraceCommands.JSON.createObjectNode();
+      ObjectNode told = ResultCommand.JSON.createObjectNode();
       ArrayNode segments = told.putArray("segments");
       Map<String, Long> events = new TreeMap<>();
       long turns = 0;
@@ -132,7 +132,7 @@
       name = "show",
       description = "Shows turns, filtered by a scan, a server or a kind of event.",
       mixinStandardHelpOptions = true)
-  static final class Show extends TraceCommands.Told {
+  static final class Show extends ResultCommand {
     @Parameters(paramLabel = "CAPTURE")
     Path place;
 
@@ -157,7 +157,7 @@
 
     @Override
     public Integer call() throws IOException {
-      ArrayNode list = TraceCommands.JSON.createArrayNode();
+      ArrayNode list = ResultCommand.JSON.createArrayNode();
       long[] shown = {0};
       long[] first = {-1};
       Replayed.replay(
@@ -193,7 +193,7 @@
             }
           });
       if (json) {
-        out().println(TraceCommands.JSON.writeValueAsString(list));
+        out().println(ResultCommand.JSON.writeValueAsString(list));
       }
       out().flush();
       return Tidebank.DONE;
@@ -209,7 +209,7 @@
         "",
         "Exit code 1: a turn went otherwise than it was recorded, or none could be replayed."
       })
-  static final class Replay extends TraceCommands.Told {
+  static final class Replay extends ResultCommand {
     @Parameters(paramLabel = "CAPTURE", description = "a folder of segments, or one segment")
     Path place;
 
@@ -221,7 +221,7 @@
       double seconds = (result.lastUs() - result.firstUs()) / 1e6;
       if (json) {
         ObjectNode told =
-            TraceCommands.JSON
+            ResultCommand.JSON
                 .createObjectNode()
                 .put("turns", result.turns())
                 .put("same", result.same())
--- a/gatherer/src/test/java/tidebank/AcceptBacklogTest.java
+++ b/gatherer/src/test/java/tidebank/AcceptBacklogTest.java
@@ -20,7 +20,6 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
-import java.util.concurrent.Executor;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.AfterEach;
@@ -95,30 +94,10 @@
 
   // ---- a gatherer in this process
 
-  /** Has the event loop stand still until what it returns is counted down. */
-  private CountDownLatch standStill() throws Exception {
-    Field loop = Gatherer.class.getDeclaredField("loop");
-    loop.setAccessible(true);
-    CountDownLatch stands = new CountDownLatch(1);
-    CountDownLatch go = new CountDownLatch(1);
-    ((Executor) loop.get(site.gatherer()))
-        .execute(
-            () -> {
-              stands.countDown();
-              try {
-                go.await();
-              } catch (InterruptedException fault) {
-                Thread.currentThread().interrupt();
-              }
-            });
-    stands.await();
-    return go;
-  }
-
   @Test
   void whatIsInTheBacklogAsAShutdownBeginsIsAnswered() throws Exception {
     site.start();
-    CountDownLatch go = standStill();
+    CountDownLatch go = site.stallEventLoop();
     connectAll(site.gatherer().address());
     CompletableFuture<Void> stopped = site.gatherer().stop();
     go.countDown();
@@ -163,14 +142,14 @@
   @ValueSource(ints = {0, 1, 2, 3})
   void whatIsInTheBacklogAsTheListenerClosesIsAnsweredOrNeverSent(int passes) throws Exception {
     site.start();
-    CountDownLatch go = standStill();
+    CountDownLatch go = site.stallEventLoop();
     CompletableFuture<Void> stopped = site.gatherer().stop();
     if (passes > 0) {
       listener().pipeline().addFirst(new StandsStillAfterAccepting(passes));
     } else {
       // The shutdown begins, and then the loop stands still before it accepts anything.
       go.countDown();
-      go = standStill();
+      go = site.stallEventLoop();
     }
     connectAll(site.gatherer().address());
     if (passes == 0) {
--- a/gatherer/src/test/java/tidebank/CrossingsTest.java
+++ b/gatherer/src/test/java/tidebank/CrossingsTest.java
@@ -11,7 +11,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
-import java.util.concurrent.Executor;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -22,7 +21,6 @@
 import tidebank.FakeSite.FakeClient;
 import tidebank.FakeSite.FakeShardServer;
 import tidebank.FakeSite.FakeShardServer.Frame;
-import tidebank.node.Gatherer;
 
 /**
  * Two things that happen at one moment, forced over loopback from both sides.
@@ -54,29 +52,6 @@
     return one;
   }
 
-  /**
-   * Has the event loop stand still until what it returns is counted down; it does so when this
-   * returns.
-   */
-  private CountDownLatch standStill() throws Exception {
-    java.lang.reflect.Field loop = Gatherer.class.getDeclaredField("loop");
-    loop.setAccessible(true);
-    CountDownLatch stands = new CountDownLatch(1);
-    CountDownLatch go = new CountDownLatch(1);
-    ((Executor) loop.get(site.gatherer()))
-        .execute(
-            () -> {
-              stands.countDown();
-              try {
-                go.await();
-              } catch (InterruptedException fault) {
-                Thread.currentThread().interrupt();
-              }
-            });
-    stands.await();
-    return go;
-  }
-
   private FakeClient program() throws Exception {
     site.program(
         Map.of(
@@ -142,7 +117,7 @@
         leavers.add(site.client());
         assertThat(leavers.get(i).ready()).isEqualTo(200);
       }
-      CountDownLatch go = standStill();
+      CountDownLatch go = site.stallEventLoop();
       for (FakeClient leaver : leavers) {
         end.end(leaver.send(scan("whole", "gone" + leavers.indexOf(leaver), 2900, 0.5, 0.5)));
       }
@@ -187,7 +162,7 @@
     FakeClient leaver = site.client();
     leaver.send(scan("once", "a", 2900, 1));
     Frame frame = server.next();
-    CountDownLatch go = standStill();
+    CountDownLatch go = site.stallEventLoop();
     end.end(leaver);
     frame.answer("good", "in one pass");
     go.countDown();
@@ -208,7 +183,7 @@
         FakeClient first = site.client()) {
       // By this answer both are accepted, and the time for their first requests runs.
       assertThat(asks.ready()).isEqualTo(200);
-      CountDownLatch go = standStill();
+      CountDownLatch go = site.stallEventLoop();
       first.send(scan("whole", "a", 29_000, 0.5, 0.5));
       long late = System.nanoTime() + 2_700_000_000L;
       while (System.nanoTime() < late) {
@@ -230,7 +205,7 @@
       // Its end is due amid the standstill, by which the gatherer learns of that.
       first.send(scan("whole", "a", 200, 1));
       server.next();
-      CountDownLatch go = standStill();
+      CountDownLatch go = site.stallEventLoop();
       long sent = System.nanoTime();
       client.send(scan("whole", "b", TIME_LEFT_MS, 1));
       while (System.nanoTime() - sent < STANDSTILL_MS * 1_000_000) {
@@ -254,7 +229,7 @@
     try (FakeClient client = new FakeClient(site.gatherer().address(), 4096)) {
       client.send(scan("whole", "a", 2900, 1).replace("Host: x", "Host: x\r\nConnection: close"));
       Frame frame = server.next();
-      CountDownLatch go = standStill();
+      CountDownLatch go = site.stallEventLoop();
       // More than is read in one pass, and it goes on while the answer is under way.
       client.send("x".repeat(300_000));
       Thread more =
--- a/gatherer/src/test/java/tidebank/FakeSite.java
+++ b/gatherer/src/test/java/tidebank/FakeSite.java
@@ -9,6 +9,7 @@
 import java.io.InputStream;
 import java.io.InputStreamReader;
 import java.io.UncheckedIOException;
+import java.lang.reflect.Field;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
@@ -26,6 +27,8 @@
 import java.util.TreeMap;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.Executor;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
@@ -188,6 +191,29 @@
     return process;
   }
 
+  /**
+   * Has the gatherer's event loop stand still until what it returns is counted down; it does so
+   * when this returns.
+   */
+  CountDownLatch stallEventLoop() throws Exception {
+    Field loop = Gatherer.class.getDeclaredField("loop");
+    loop.setAccessible(true);
+    CountDownLatch stands = new CountDownLatch(1);
+    CountDownLatch go = new CountDownLatch(1);
+    ((Executor) loop.get(gatherer))
+        .execute(
+            () -> {
+              stands.countDown();
+              try {
+                go.await();
+              } catch (InterruptedException fault) {
+                Thread.currentThread().interrupt();
+              }
+            });
+    stands.await();
+    return go;
+  }
+
   Gatherer gatherer() {
     return gatherer;
   }
--- a/gatherer/src/test/java/tidebank/MalformedInputTest.java
+++ b/gatherer/src/test/java/tidebank/MalformedInputTest.java
@@ -518,7 +518,7 @@
   }
 
   private void closes(Close close, Frame first, byte[] half, int end) throws Exception {
-    CountDownLatch go = standStill();
+    CountDownLatch go = site.stallEventLoop();
     first.answer("good", "first");
     if (close == Close.BEHIND_AN_UNREADABLE_FRAME) {
       first.raw(frame('x', "y"));
@@ -533,7 +533,7 @@
         assertThat(other.ready()).isEqualTo(200);
         assertThat(other.ready()).isEqualTo(200);
       }
-      go = standStill();
+      go = site.stallEventLoop();
       long late = System.nanoTime() + 2_000_000L * REST_WITHIN_MS;
       while (System.nanoTime() < late) {
         Thread.onSpinWait();
@@ -550,24 +550,4 @@
       assertThat(reset).isInstanceOf(SocketException.class);
     }
   }
-
-  /** Has the event loop stand still until what it returns is counted down. */
-  private CountDownLatch standStill() throws Exception {
-    Field loop = Gatherer.class.getDeclaredField("loop");
-    loop.setAccessible(true);
-    CountDownLatch stands = new CountDownLatch(1);
-    CountDownLatch go = new CountDownLatch(1);
-    ((ExecutorService) loop.get(site.gatherer()))
-        .execute(
-            () -> {
-              stands.countDown();
-              try {
-                go.await();
-              } catch (InterruptedException fault) {
-                Thread.currentThread().interrupt();
-              }
-            });
-    stands.await();
-    return go;
-  }
 }
