--- a/gatherer/src/main/java/tidebank/node/PolicyDriver.java
+++ b/gatherer/src/main/java/tidebank/node/PolicyDriver.java
@@ -185,11 +185,11 @@
 
   /**
    * The earliest moment at which bytes that are read now may have arrived, by {@link ReadPasses}
-   * and by how late a timer is: for so long the process as a whole stood still.
+   * and by how much a timer is overdue: for so long the process as a whole stood still.
    */
   public long arrivedSince() {
     beginPass();
-    return Math.min(passes.arrivedSince(), clock.now() - timers.latenessUs());
+    return Math.min(passes.arrivedSince(), clock.now() - timers.overdueUs());
   }
 
   /** The number of the loop's present pass over what there is to read. */
--- a/gatherer/src/main/java/tidebank/node/Timers.java
+++ b/gatherer/src/main/java/tidebank/node/Timers.java
@@ -79,6 +79,11 @@
     return Math.max(due, now - firedAt <= firedLateUs ? firedLateUs : 0);
   }
 
+  /** By how much the earliest timer is overdue; the loop reads before it has timers fire. */
+  public long overdueUs() {
+    return waiting.isEmpty() ? 0 : Math.max(0, clock.now() - waiting.first().at);
+  }
+
   public void clear(Timer timer) {
     if (timer.set) {
       waiting.remove(timer);
--- a/gatherer/src/test/java/tidebank/CrossingsTest.java
+++ b/gatherer/src/test/java/tidebank/CrossingsTest.java
@@ -218,6 +218,29 @@
     }
   }
 
+  @Test
+  void aRequestThatComesAfterAStandstillHasAllOfItsTime() throws Exception {
+    silence();
+    FakeShardServer server = only();
+    site.start();
+    try (FakeClient first = site.client();
+        FakeClient client = site.client()) {
+      assertThat(client.ready()).isEqualTo(200);
+      first.send(scan("whole", "a", 200, 1));
+      server.next();
+      CountDownLatch go = site.stallEventLoop();
+      long stoodFrom = System.nanoTime();
+      while (System.nanoTime() - stoodFrom < STANDSTILL_MS * 1_000_000) {
+        Thread.onSpinWait();
+      }
+      go.countDown();
+      // By this answer the loop has met what came meanwhile, and its late timers have fired.
+      assertThat(first.read().status()).isEqualTo(503);
+      server.answers = true;
+      assertThat(client.ask(scan("whole", "b", TIME_LEFT_MS / 2, 1)).status()).isEqualTo(200);
+    }
+  }
+
   // ---- closing over bytes that were not read
 
   @Test
