--- a/cli/src/main/java/tidebank/cli/ChaosCommands.java
+++ b/cli/src/main/java/tidebank/cli/ChaosCommands.java
@@ -255,19 +255,15 @@
       name = "show",
       description = "Shows what came of a run, from its folder.",
       mixinStandardHelpOptions = true)
-  static final class Show implements Callable<Integer> {
-    @Spec private CommandSpec spec;
+  static final class Show extends ResultCommand {
 
     @Parameters(paramLabel = "RUN", description = "the run's folder")
     private Path run;
 
-    @Option(names = "--json", description = "prints the verdict as JSON")
-    private boolean json;
-
     @Override
     public Integer call() throws IOException {
       Play.Verdict verdict = RunFiles.verdict(run);
-      PrintWriter out = spec.commandLine().getOut();
+      PrintWriter out = out();
       if (json) {
         out.println(
             new ObjectMapper().writerWithDefaultPrettyPrinter().writeValueAsString(verdict));
--- a/cli/src/main/java/tidebank/cli/ScaleCommands.java
+++ b/cli/src/main/java/tidebank/cli/ScaleCommands.java
@@ -51,8 +51,7 @@
           "Measures all sizes of a profile on loopback. What was measured is in the folder at any"
               + " time, also after Ctrl-C.",
       mixinStandardHelpOptions = true)
-  static final class Run implements Callable<Integer> {
-    @Spec private CommandSpec spec;
+  static final class Run extends ResultCommand {
 
     @Parameters(paramLabel = "PROFILE", description = "such as deploy/scale/small.toml")
     private Path profile;
@@ -64,9 +63,6 @@
         description = "folder of the results, in place of those that are there")
     private Path out;
 
-    @Option(names = "--json", description = "prints what was done as JSON")
-    private boolean json;
-
     private int points;
 
     @Override
@@ -101,19 +97,15 @@
       name = "fit",
       description = "Fits a straight line to each quantity of a run and writes fits.json.",
       mixinStandardHelpOptions = true)
-  static final class FitCommand implements Callable<Integer> {
-    @Spec private CommandSpec spec;
+  static final class FitCommand extends ResultCommand {
 
     @Parameters(paramLabel = "DIR", description = "folder of a run's results")
     private Path folder;
 
-    @Option(names = "--json", description = "prints the lines as JSON")
-    private boolean json;
-
     @Override
     public Integer call() throws IOException {
       List<Fit> fits = new ScaleFolder(folder).fit();
-      PrintWriter out = spec.commandLine().getOut();
+      PrintWriter out = out();
       if (json) {
         out.println(new ObjectMapper().writeValueAsString(fits));
       } else {
@@ -143,8 +135,7 @@
       description =
           "Writes the tables of a run's results between the markers of the capacity page.",
       mixinStandardHelpOptions = true)
-  static final class PageCommand implements Callable<Integer> {
-    @Spec private CommandSpec spec;
+  static final class PageCommand extends ResultCommand {
 
     @Parameters(paramLabel = "DIR", description = "folder of a run's results, fitted")
     private Path folder;
@@ -163,9 +154,6 @@
         description = "the page; default ${DEFAULT-VALUE}")
     private Path file;
 
-    @Option(names = "--json", description = "prints what was done as JSON")
-    private boolean json;
-
     @Override
     public Integer call() throws IOException {
       ScaleFolder results = new ScaleFolder(folder);
