--- a/lab/src/test/java/tidebank/lab/ArchitectureTest.java
+++ b/lab/src/test/java/tidebank/lab/ArchitectureTest.java
@@ -32,6 +32,7 @@
           "tidebank.fleet.FleetReport",
           "tidebank.fleet.Retention",
           "tidebank.node.Readiness",
+          "tidebank.node.ReadPasses",
           "tidebank.node.ShutdownPlan",
           "tidebank.lab.account.Account",
           "tidebank.lab.chaos.Drawn",
