--- a/lab/src/test/java/tidebank/lab/fleet/StewardsTest.java
+++ b/lab/src/test/java/tidebank/lab/fleet/StewardsTest.java
@@ -387,6 +387,11 @@
         }
       } catch (TidebankException.StewardsUnreached ended) {
         // As it was to: the one steward there is can't decide any more.
+      } catch (TidebankException.Refused refused) {
+        // A call that comes between the failed write and the exit is answered with the cause.
+        assertThat(refused.told().is(TidebankException.FolderUnusable.class))
+            .as(refused.getMessage())
+            .isTrue();
       }
       assertThat(stewards.process(0).waitFor(15_000))
           .as(stewards.process(0).lastLines())
