--- /dev/null
+++ b/lab/src/test/java/tidebank/steward/LeaseFixturesTest.java
@@ -0,0 +1,399 @@
+package tidebank.steward;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.Comparator;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.zip.CRC32C;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
+import tidebank.fleet.LeaseCodec;
+import tidebank.lease.Answer;
+import tidebank.lease.Command;
+import tidebank.lease.Command.Kind;
+import tidebank.lease.LeaseBook;
+import tidebank.lease.Terms;
+import tidebank.steward.LeaseMachine.Kept;
+import tidebank.steward.LeaseMachine.Stamped;
+import tidebank.steward.StewardClient.Past;
+
+/**
+ * Commands, results, state, log records and snapshots as an earlier release wrote them: read, and
+ * written again to the same bytes. The fixtures are written anew by {@code mvn -o -pl MODULE -am
+ * test -Dtest=LeaseFixturesTest -Dsurefire.failIfNoSpecifiedTests=false -Dtidebank.fixtures=write},
+ * with the module that this class is in.
+ */
+class LeaseFixturesTest {
+  private static final Path SOURCES = Path.of("src/test/resources/fixtures/control");
+  private static final Terms TERMS = new Terms(1_000_000, 0.05, 10, 100);
+  private static final int SNAPSHOT_HEADER = Integer.BYTES + Long.BYTES;
+
+  /** Keys with sentences for people, which may be worded anew. */
+  private static final Set<String> SENTENCES = Set.of("what", "advice");
+
+  private static byte[] fixture(String name) throws IOException {
+    try (var in = LeaseFixturesTest.class.getResourceAsStream("/fixtures/control/" + name)) {
+      assertThat(in).as(name).isNotNull();
+      return in.readAllBytes();
+    }
+  }
+
+  private static List<byte[]> lines(String name) throws IOException {
+    return new String(fixture(name), StandardCharsets.UTF_8)
+        .lines()
+        .map(line -> line.getBytes(StandardCharsets.UTF_8))
+        .toList();
+  }
+
+  private static <T> List<T> readAndWriteAgain(String name, Class<T> type) throws IOException {
+    List<T> values = new ArrayList<>();
+    for (byte[] line : lines(name)) {
+      T value = LeaseCodec.read(line, type);
+      assertThat(LeaseCodec.bytes(value))
+          .as(new String(line, StandardCharsets.UTF_8))
+          .isEqualTo(line);
+      values.add(value);
+    }
+    return values;
+  }
+
+  /** As JSON without the sentences of a fault; keys keep their order. */
+  private static String withoutSentences(byte[] json) throws IOException {
+    JsonNode root = new ObjectMapper().readTree(json);
+    root.findParents("advice").forEach(fault -> ((ObjectNode) fault).remove(SENTENCES));
+    return root.toString();
+  }
+
+  // ---- the script that the fixtures were made by
+
+  private static List<Stamped> script() {
+    List<Stamped> records = new ArrayList<>();
+    Map<String, Long> numbers = new TreeMap<>();
+    Command.Plan plan = new Command.Plan(TERMS, List.of("probe/a", "report", "retention"));
+    record(records, numbers, 1, 0, Kind.PLAN, "plan of s0", "", "", 0, 0, "", plan);
+    member(records, numbers, 10, Kind.JOIN, "g0", "", 0, 0, "");
+    member(records, numbers, 20, Kind.CLAIM, "g0", "probe/a", 0, 0, "");
+    member(records, numbers, 30, Kind.CLAIM, "g0", "report", 0, 0, "");
+    member(records, numbers, 40, Kind.JOIN, "g1", "", 0, 0, "");
+    member(records, numbers, 50, Kind.CLAIM, "g1", "report", 0, 0, "");
+    member(records, numbers, 60, Kind.PUBLISH, "g0", "report", 1, 0, "report-1-by-1.json");
+    member(records, numbers, 70, Kind.PUBLISH, "g0", "report", 9, 1, "report-2-by-9.json");
+    record(records, numbers, 1, 80, Kind.MOVE, "operator", "g1", "retention", 0, 0, "", null);
+    member(records, numbers, 90, Kind.CLAIM, "g1", "retention", 0, 0, "");
+    member(records, numbers, 100, Kind.JOIN, "g2", "", 0, 0, "");
+    record(records, numbers, 1, 110, Kind.DRAIN, "operator", "g2", "", 0, 0, "", null);
+    record(records, numbers, 1, 120, Kind.MOVE, "operator-2", "", "nothing", 0, 0, "", null);
+    member(records, numbers, 130, Kind.JOIN, "g3", "", 0, 0, "");
+    member(records, numbers, 140, Kind.LEAVE, "g3", "", 0, 0, "");
+    record(records, numbers, 1, 150, Kind.RETIRE, "operator", "g3", "", 0, 0, "", null);
+    member(records, numbers, 160, Kind.RELEASE, "g0", "probe/a", 1, 0, "");
+    record(records, numbers, 1, 170, Kind.ADMIT, "operator", "g2", "", 0, 0, "", null);
+    member(records, numbers, 180, Kind.RENEW, "g0", "", 0, 0, "");
+    record(records, numbers, 1, 190, Kind.DRAIN, "operator", "g2", "", 0, 0, "", null);
+    return records;
+  }
+
+  private static void member(
+      List<Stamped> records,
+      Map<String, Long> numbers,
+      long atMs,
+      Kind kind,
+      String name,
+      String duty,
+      long token,
+      long revision,
+      String value) {
+    record(
+        records,
+        numbers,
+        1,
+        atMs,
+        kind,
+        "session of " + name,
+        name,
+        duty,
+        token,
+        revision,
+        value,
+        null);
+  }
+
+  private static void record(
+      List<Stamped> records,
+      Map<String, Long> numbers,
+      long term,
+      long atMs,
+      Kind kind,
+      String session,
+      String name,
+      String duty,
+      long token,
+      long revision,
+      String value,
+      Command.Plan plan) {
+    long number = numbers.merge(session, 1L, Long::sum);
+    records.add(
+        new Stamped(
+            term,
+            atMs * 1000,
+            1_700_000_000_000L + atMs,
+            new Command(kind, session, number, name, duty, token, revision, value, plan)));
+  }
+
+  /** What a state machine makes of log records, as the coordinator applies them. */
+  private static final class Applied {
+    private final LeaseBook book = new LeaseBook(TERMS);
+    private final DutyHistory history = new DutyHistory(Map.of());
+    private final List<Answer> answers = new ArrayList<>();
+
+    Applied(List<Stamped> records) {
+      for (Stamped record : records) {
+        LeaseBook.State before = book.state();
+        answers.add(book.apply(record.term(), record.at(), record.command()));
+        history.applied(before, book.state(), record.wallMs());
+      }
+    }
+
+    Kept kept() {
+      return new Kept(book.state(), history.all());
+    }
+  }
+
+  private static byte[] snapshotOfVersion1(LeaseBook.State state) {
+    byte[] json = LeaseCodec.bytes(state);
+    CRC32C crc = new CRC32C();
+    crc.update(json);
+    return ByteBuffer.allocate(SNAPSHOT_HEADER + json.length)
+        .putInt(1)
+        .putLong(crc.getValue())
+        .put(json)
+        .array();
+  }
+
+  private static byte[] jsonLines(List<?> values) {
+    ByteArrayOutputStream all = new ByteArrayOutputStream();
+    for (Object value : values) {
+      all.writeBytes(LeaseCodec.bytes(value));
+      all.write('\n');
+    }
+    return all.toByteArray();
+  }
+
+  @Test
+  @EnabledIfSystemProperty(named = "tidebank.fixtures", matches = "write")
+  void writeFixtures() throws IOException {
+    List<Stamped> records = script();
+    Applied applied = new Applied(records);
+    Files.createDirectories(SOURCES);
+    Files.write(SOURCES.resolve("log-records.jsonl"), jsonLines(records));
+    Files.write(
+        SOURCES.resolve("commands.jsonl"),
+        jsonLines(records.stream().map(Stamped::command).toList()));
+    Files.write(SOURCES.resolve("results.jsonl"), jsonLines(applied.answers));
+    Files.write(SOURCES.resolve("state.json"), LeaseCodec.bytes(applied.book.state()));
+    Files.write(SOURCES.resolve("history.json"), LeaseCodec.bytes(applied.history.all()));
+    Files.write(SOURCES.resolve("snapshot-version-2.bin"), LeaseMachine.packed(applied.kept()));
+    Files.write(
+        SOURCES.resolve("snapshot-version-1.bin"), snapshotOfVersion1(applied.book.state()));
+  }
+
+  // ---- the protocol
+
+  @Test
+  void everyKindOfCommandIsReadAndWrittenToTheSameBytes() throws IOException {
+    List<Command> commands = readAndWriteAgain("commands.jsonl", Command.class);
+    Set<String> words = new HashSet<>();
+    for (byte[] line : lines("commands.jsonl")) {
+      words.add(new ObjectMapper().readTree(line).path("kind").asText());
+    }
+    assertThat(words)
+        .containsExactlyInAnyOrder(
+            "JOIN", "RENEW", "LEAVE", "CLAIM", "RELEASE", "PUBLISH", "MOVE", "DRAIN", "ADMIT",
+            "RETIRE", "PLAN");
+    assertThat(commands.stream().map(Command::kind).distinct().toList())
+        .containsExactlyInAnyOrder(Kind.values());
+    assertThat(commands.get(0).plan().duties()).containsExactly("probe/a", "report", "retention");
+    assertThat(commands.get(0).plan().terms()).isEqualTo(TERMS);
+    Command publish = commands.get(6);
+    assertThat(publish)
+        .isEqualTo(
+            new Command(
+                Kind.PUBLISH,
+                "session of g0",
+                4,
+                "g0",
+                "report",
+                1,
+                0,
+                "report-1-by-1.json",
+                null));
+  }
+
+  @Test
+  void aCommandFromOutsideMayLeaveOutWhatItsKindDoesNotNeed() throws Exception {
+    Command command =
+        LeaseCodec.command(
+            "{\"kind\":\"CLAIM\",\"session\":\"x\",\"number\":3,\"name\":\"g9\",\"duty\":\"report\"}"
+                .getBytes(StandardCharsets.UTF_8));
+    assertThat(new String(LeaseCodec.bytes(command), StandardCharsets.UTF_8))
+        .isEqualTo(
+            "{\"kind\":\"CLAIM\",\"session\":\"x\",\"number\":3,\"name\":\"g9\","
+                + "\"duty\":\"report\",\"token\":0,\"revision\":0,\"value\":\"\",\"plan\":null}");
+  }
+
+  @Test
+  void resultsAreReadAndWrittenToTheSameBytes() throws IOException {
+    List<Answer> answers = readAndWriteAgain("results.jsonl", Answer.class);
+    assertThat(answers.get(3).grants())
+        .containsExactly(new Answer.Grant("probe/a", 1), new Answer.Grant("report", 1));
+    assertThat(answers.get(1).wanted()).containsExactly("probe/a", "report", "retention");
+    assertThat(answers.get(1).terms()).isEqualTo(TERMS);
+    assertThat(answers.get(6).revision()).isEqualTo(1);
+    assertThat(
+            answers.stream()
+                .filter(answer -> answer.fault() != null)
+                .map(answer -> answer.fault().code())
+                .toList())
+        .containsExactly("TB-1002", "TB-1004", "TB-1001");
+  }
+
+  @Test
+  void theStateIsReadAndWrittenToTheSameBytes() throws IOException {
+    LeaseBook.State state = readAndWriteAgain("state.json", LeaseBook.State.class).get(0);
+    assertThat(state.term()).isEqualTo(1);
+    assertThat(state.now()).isEqualTo(190_000);
+    assertThat(state.tokenFloor()).isZero();
+    assertThat(state.members().stream().map(LeaseBook.Member::name).toList())
+        .containsExactly("g0", "g1", "g2", "g3");
+    LeaseBook.Member member = state.members().get(2);
+    assertThat(member.draining()).isTrue();
+    assertThat(member.retired()).isFalse();
+    assertThat(member.session()).isEqualTo("session of g2");
+    assertThat(member.aliveUntil()).isEqualTo(1_100_000);
+    assertThat(member.calmAt()).isEqualTo(100_000);
+    assertThat(member.strikes()).isZero();
+    assertThat(member.number()).isEqualTo(1);
+    assertThat(member.answer().fault()).isNull();
+    assertThat(state.members().get(3).retired()).isTrue();
+    LeaseBook.Duty report = state.duties().get(1);
+    assertThat(report)
+        .isEqualTo(
+            new LeaseBook.Duty(
+                "report",
+                1,
+                "g0",
+                "session of g0",
+                1_180_000,
+                "g0",
+                "",
+                1,
+                1,
+                "report-1-by-1.json"));
+    assertThat(state.duties().get(2).pinned()).isEqualTo("g1");
+    assertThat(state.operators().stream().map(LeaseBook.Operator::session).toList())
+        .containsExactly("plan of s0", "operator-2", "operator");
+    assertThat(state.operators().get(1).answer().fault().code()).isEqualTo("TB-1001");
+  }
+
+  @Test
+  void theHistoryIsReadAndWrittenToTheSameBytes() throws IOException {
+    JsonNode json = new ObjectMapper().readTree(fixture("history.json"));
+    assertThat(json.fieldNames()).toIterable().containsExactly("probe/a", "report", "retention");
+    TreeMap<String, List<Past>> history = new TreeMap<>();
+    json.fieldNames()
+        .forEachRemaining(
+            duty -> {
+              try {
+                history.put(
+                    duty,
+                    Arrays.asList(
+                        LeaseCodec.read(
+                            json.get(duty).toString().getBytes(StandardCharsets.UTF_8),
+                            Past[].class)));
+              } catch (IOException fault) {
+                throw new AssertionError(fault);
+              }
+            });
+    assertThat(LeaseCodec.bytes(history)).isEqualTo(fixture("history.json"));
+    assertThat(history.get("probe/a"))
+        .containsExactly(
+            new Past(1_700_000_000_020L, 1, "g0", "granted"),
+            new Past(1_700_000_000_160L, 1, "g0", "let go"));
+    assertThat(history.get("retention"))
+        .containsExactly(
+            new Past(1_700_000_000_080L, 0, "g1", "moved to"),
+            new Past(1_700_000_000_090L, 1, "g1", "granted"));
+  }
+
+  // ---- the log and snapshots
+
+  @Test
+  void logRecordsAreReadWrittenToTheSameBytesAndLeadToTheSameResults() throws IOException {
+    List<Stamped> records = readAndWriteAgain("log-records.jsonl", Stamped.class);
+    assertThat(records.get(1).term()).isEqualTo(1);
+    assertThat(records.get(1).at()).isEqualTo(10_000);
+    assertThat(records.get(1).wallMs()).isEqualTo(1_700_000_000_010L);
+    Applied applied = new Applied(records);
+    List<byte[]> results = lines("results.jsonl");
+    for (int i = 0; i < results.size(); i++) {
+      assertThat(withoutSentences(LeaseCodec.bytes(applied.answers.get(i))))
+          .isEqualTo(withoutSentences(results.get(i)));
+    }
+    assertThat(withoutSentences(LeaseCodec.bytes(applied.book.state())))
+        .isEqualTo(withoutSentences(fixture("state.json")));
+    assertThat(LeaseCodec.bytes(applied.history.all())).isEqualTo(fixture("history.json"));
+  }
+
+  @Test
+  void aSnapshotIsReadAndWrittenToTheSameBytes() throws Exception {
+    byte[] bytes = fixture("snapshot-version-2.bin");
+    Kept kept = LeaseMachine.unpacked("s", bytes);
+    assertThat(LeaseMachine.packed(kept)).isEqualTo(bytes);
+    assertThat(LeaseCodec.bytes(kept.state())).isEqualTo(fixture("state.json"));
+    assertThat(LeaseCodec.bytes(new TreeMap<>(kept.history()))).isEqualTo(fixture("history.json"));
+  }
+
+  @Test
+  void aSnapshotOfTheVersionBeforeIsReadAndWrittenAsThisOneWithoutHistory() throws Exception {
+    byte[] bytes = fixture("snapshot-version-1.bin");
+    Kept kept = LeaseMachine.unpacked("s", bytes);
+    assertThat(kept.history()).isEmpty();
+    assertThat(snapshotOfVersion1(kept.state())).isEqualTo(bytes);
+    byte[] written = LeaseMachine.packed(kept);
+    assertThat(ByteBuffer.wrap(written).getInt()).isEqualTo(2);
+    String state = new String(fixture("state.json"), StandardCharsets.UTF_8);
+    assertThat(
+            new String(
+                written, SNAPSHOT_HEADER, written.length - SNAPSHOT_HEADER, StandardCharsets.UTF_8))
+        .isEqualTo("{\"state\":" + state + ",\"history\":{}}");
+  }
+
+  @Test
+  void everyFixtureIsSmall() throws IOException {
+    List<Path> large = new ArrayList<>();
+    try (var files = Files.walk(SOURCES)) {
+      for (Path file :
+          files.filter(Files::isRegularFile).sorted(Comparator.naturalOrder()).toList()) {
+        if (Files.size(file) > 60 * 1024) {
+          large.add(file);
+        }
+      }
+    }
+    assertThat(large).isEmpty();
+  }
+}
