--- /dev/null
+++ b/gatherer/src/test/java/tidebank/policy/DirectHost.java
@@ -0,0 +1,199 @@
+package tidebank.policy;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import tidebank.RoutingPolicy;
+import tidebank.config.SettingsReader;
+import tidebank.model.Action;
+import tidebank.model.Event;
+import tidebank.model.Event.ListKind;
+import tidebank.model.Event.Listed;
+import tidebank.model.Event.ServerStatus;
+import tidebank.model.Outcome;
+
+/**
+ * Hands batches to the decisions without the simulator's codec, so that they may hold what its wire
+ * has no words for: the end of an instance, discovery that moved, an answer that is none, and a
+ * query that waited before it was read. Otherwise batches and replies are worded as on that wire.
+ */
+final class DirectHost {
+  private final ObjectMapper mapper = new ObjectMapper();
+  private final Map<Integer, RoutingPolicy> routers = new LinkedHashMap<>();
+  private final Map<Integer, List<Listed>> pages = new LinkedHashMap<>();
+
+  /** The reply to one batch, both as lines without their ends. */
+  String answer(String line) throws IOException {
+    JsonNode batch = mapper.readTree(line);
+    long now = micros(batch.get("simTimeMs"));
+    Map<Integer, List<Event>> told = new LinkedHashMap<>();
+    for (JsonNode message : batch.get("msgs")) {
+      int router = message.path("who").asInt();
+      switch (message.get("kind").textValue()) {
+        case "Sheet" -> pages.put(message.get("page").intValue(), page(message.get("items")));
+        case "Attach" -> {
+          routers.put(
+              router,
+              new RoutingPolicy(
+                  SettingsReader.read(message.get("config")), message.get("salt").longValue()));
+          told.put(router, new ArrayList<>());
+        }
+        case "Retire" -> {
+          routers.remove(router);
+          told.remove(router);
+        }
+        default ->
+            told.computeIfAbsent(router, absent -> new ArrayList<>()).add(event(message, now));
+      }
+    }
+    List<String> output = new ArrayList<>();
+    told.forEach(
+        (router, events) ->
+            routers.get(router).on(now, events).forEach(a -> output.add(text(router, a))));
+    return "{\"output\":[" + String.join(",", output) + "]}";
+  }
+
+  private static long micros(JsonNode ms) {
+    return Math.round(ms.asDouble() * 1000);
+  }
+
+  private static List<Listed> page(JsonNode items) {
+    List<Listed> entries = new ArrayList<>();
+    for (JsonNode item : items) {
+      ServerStatus status =
+          switch (item.get("status").textValue()) {
+            case "in_service" -> ServerStatus.IN_SERVICE;
+            case "terminating" -> ServerStatus.DRAINING;
+            default -> ServerStatus.GONE;
+          };
+      entries.add(
+          new Listed(
+              item.get("server").textValue(),
+              item.get("slotNo").intValue(),
+              status,
+              micros(item.get("lastStartMs")),
+              item.get("rating").doubleValue()));
+    }
+    return entries;
+  }
+
+  private Event event(JsonNode message, long now) {
+    String handle = message.path("handle").asText();
+    return switch (message.get("kind").textValue()) {
+      case "Announce" -> list(message);
+      case "Knock" -> query(message, handle, now);
+      case "Returned" ->
+          new Event.DispatchEnded(
+              handle,
+              message.get("try").intValue(),
+              outcome(message.get("disposition").textValue()),
+              micros(message.get("costTimeMs")),
+              message.path("ended").asBoolean(),
+              Map.of());
+      case "Lapsed" -> new Event.ScanLapsed(handle);
+      case "DeadlineHit" -> new Event.TimerDue(message.get("label").longValue());
+      case "Ending" -> new Event.Ending(micros(message.get("atMs")));
+      default ->
+          new Event.Probed(
+              message.get("server").textValue(),
+              outcome(message.get("disposition").textValue()),
+              micros(message.get("costTimeMs")),
+              Map.of());
+    };
+  }
+
+  private Event list(JsonNode message) {
+    ListKind kind =
+        switch (message.get("mode").textValue()) {
+          case "incr" -> ListKind.CHANGES;
+          case "total" -> ListKind.FULL;
+          case "warm_copy" -> ListKind.REMEMBERED;
+          case "lost" -> ListKind.LOST;
+          default -> ListKind.MOVED;
+        };
+    boolean none = kind == ListKind.LOST || kind == ListKind.MOVED;
+    return new Event.ListSeen(kind, none ? List.of() : pages.get(message.get("page").intValue()));
+  }
+
+  private static Event query(JsonNode message, String handle, long now) {
+    int shard = message.get("slab").intValue();
+    long number = message.get("jobNo").longValue();
+    String key = message.path("subject").asText();
+    if (shard >= 0) {
+      return new Event.PartTaken(handle, number, shard, message.get("measure").doubleValue(), key);
+    }
+    return new Event.ScanTaken(
+        handle,
+        number,
+        message.get("lane").textValue(),
+        "",
+        message.has("askedAtMs") ? micros(message.get("askedAtMs")) : now,
+        micros(message.get("notAfterMs")),
+        message.path("resent").asBoolean(),
+        key);
+  }
+
+  private static Outcome outcome(String disposition) {
+    return switch (disposition) {
+      case "success" -> Outcome.COMPLETED;
+      case "failure" -> Outcome.ERROR;
+      case "overloaded" -> Outcome.FULL;
+      case "timed_out" -> Outcome.TIMED_OUT;
+      case "unreachable" -> Outcome.UNREACHABLE;
+      case "broken" -> Outcome.BROKEN;
+      case "spoilt" -> Outcome.SPOILT;
+      case "withdrawn" -> Outcome.CANCELLED;
+      case "void" -> Outcome.NEVER_SENT;
+      default -> throw new IllegalArgumentException(disposition);
+    };
+  }
+
+  private static String text(int router, Action action) {
+    if (action instanceof Action.Send send) {
+      return text("Assign", router, send.part())
+          + quoted("server", send.server())
+          + ",\"stopAtMs\":"
+          + send.stopAt() / 1000.0
+          + "}";
+    } else if (action instanceof Action.Cancel cancel) {
+      return text("CallOff", router, cancel.part()) + ",\"try\":" + cancel.dispatch() + "}";
+    } else if (action instanceof Action.Answer answer) {
+      return text("WrapUp", router, answer.scan()) + ",\"complete\":" + answer.whole() + "}";
+    } else if (action instanceof Action.Throttle throttle) {
+      return text("Busy", router, throttle.scan())
+          + ",\"holdOffMs\":"
+          + throttle.holdOffUs() / 1000.0
+          + "}";
+    } else if (action instanceof Action.Abandon abandon) {
+      return text("ReportFailure", router, abandon.scan()) + "}";
+    } else if (action instanceof Action.SetTimer timer) {
+      return text("SetTimer", router, null)
+          + ",\"waitMs\":"
+          + timer.waitUs() / 1000.0
+          + ",\"label\":"
+          + timer.token()
+          + "}";
+    } else if (action instanceof Action.Close close) {
+      return text("Disconnect", router, null) + quoted("server", close.server()) + "}";
+    } else if (action instanceof Action.Follow follow) {
+      return text("Follow", router, null) + ",\"complete\":" + follow.on() + "}";
+    }
+    throw new IllegalArgumentException("no words for " + action);
+  }
+
+  private static String text(String kind, int router, String handle) {
+    return "{\"kind\":\""
+        + kind
+        + "\",\"who\":"
+        + router
+        + (handle == null ? "" : quoted("handle", handle));
+  }
+
+  private static String quoted(String field, String value) {
+    return ",\"" + field + "\":\"" + value + "\"";
+  }
+}
--- /dev/null
+++ b/gatherer/src/test/java/tidebank/policy/PolicyReplayTest.java
@@ -0,0 +1,306 @@
+package tidebank.policy;
+
+import static java.nio.charset.StandardCharsets.UTF_8;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.io.ByteArrayInputStream;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.io.InputStream;
+import java.io.OutputStream;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.util.ArrayList;
+import java.util.HexFormat;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import java.util.zip.Deflater;
+import java.util.zip.GZIPInputStream;
+import java.util.zip.GZIPOutputStream;
+import org.junit.jupiter.api.DynamicTest;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.TestFactory;
+import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
+import tidebank.sim.WireHost;
+
+/**
+ * The decisions stay as they are to the byte: stored streams of events are answered with the stored
+ * actions, and long streams in a closed loop with actions of the stored digest.
+ *
+ * <p>The fixtures are written anew, after a change of the decisions that is meant, by {@code mvn -o
+ * -q -pl gatherer test -Dtest=PolicyReplayTest#writeTheFixtures -DargLine=-Dpolicy.fixtures=write}.
+ */
+class PolicyReplayTest {
+  private static final String FOLDER = "fixtures/policy/";
+  private static final int STORED_MESSAGES = 4_500;
+  private static final int LONG_MESSAGES = 40_000;
+  private static final int LONG_SEEDS = 2;
+  private static final Map<String, SimulatedFleet.Site> SITES = new LinkedHashMap<>();
+
+  static {
+    site("hedging", "hedging=1 cancel=1 holdoff=1 ranks=1 each=2 perS=6");
+    site(
+        "budget",
+        "cancel=1 ask=1 holdoff=1 free=3 ratio=0.1 span=5000 positions=5 width=3 sizes=1 perS=5");
+    site("single", "bundle=4 call=8 attempts=3 positions=4 width=4 perS=4 work=80");
+    site(
+        "sparse",
+        "instances=40 ranks=1 hedging=1 cancel=1 ask=1 positions=3 width=2 each=3 perS=8 work=90"
+            + " faultMs=1500");
+    site(
+        "overload",
+        "hosted=3 instances=3 hedging=1 free=5 ratio=0.2 span=3000 positions=3 width=2 perS=9");
+    site(
+        "direct",
+        "direct=1 ask=1 hedging=1 cancel=1 holdoff=1 bundle=2 call=4 positions=4 width=2 each=2"
+            + " perS=6");
+  }
+
+  private static void site(String name, String figures) {
+    SITES.put(name, SimulatedFleet.Site.of(figures));
+  }
+
+  /** Batches that a closed loop gave out, and the replies to them, as lines. */
+  private record Recording(byte[] in, byte[] out) {}
+
+  @TestFactory
+  List<DynamicTest> aStoredStreamIsAnsweredByteForByte() {
+    List<DynamicTest> tests = new ArrayList<>();
+    SITES.forEach(
+        (name, site) ->
+            tests.add(
+                DynamicTest.dynamicTest(
+                    name,
+                    () -> {
+                      byte[] in = stored(name + ".in.gz");
+                      byte[] out = site.on("direct") ? direct(in) : wire(in);
+                      assertThat(new String(out, UTF_8).lines())
+                          .containsExactlyElementsOf(
+                              new String(stored(name + ".out.gz"), UTF_8).lines().toList());
+                      assertThat(out).isEqualTo(stored(name + ".out.gz"));
+                    })));
+    return tests;
+  }
+
+  @TestFactory
+  List<DynamicTest> aLongStreamIsAnsweredWithActionsOfTheStoredDigest() throws IOException {
+    List<DynamicTest> tests = new ArrayList<>();
+    for (String line : new String(resource("digests.txt"), UTF_8).lines().toList()) {
+      String[] words = line.split(" ");
+      tests.add(
+          DynamicTest.dynamicTest(
+              words[0] + " " + words[1],
+              () ->
+                  assertThat(digest(SITES.get(words[0]), Long.parseLong(words[1])))
+                      .isEqualTo(words[2])));
+    }
+    assertThat(tests).hasSize(SITES.size() * LONG_SEEDS);
+    return tests;
+  }
+
+  @Test
+  void theStoredStreamsHoldAllKindsOfActionsAndOutcomes() throws IOException {
+    StringBuilder in = new StringBuilder();
+    StringBuilder out = new StringBuilder();
+    for (String name : SITES.keySet()) {
+      in.append(new String(stored(name + ".in.gz"), UTF_8));
+      out.append(new String(stored(name + ".out.gz"), UTF_8));
+    }
+    assertThat(words(out, "\"kind\":\"(\\w+)\"").keySet())
+        .containsExactlyInAnyOrder(
+            "Assign",
+            "Busy",
+            "CallOff",
+            "Disconnect",
+            "Follow",
+            "ReportFailure",
+            "SetTimer",
+            "WrapUp");
+    assertThat(words(out, "\"complete\":(\\w+)").keySet()).containsExactly("false", "true");
+    assertThat(words(in, "\"disposition\":\"(\\w+)\"").keySet())
+        .containsExactlyInAnyOrder(
+            "broken",
+            "failure",
+            "overloaded",
+            "spoilt",
+            "success",
+            "timed_out",
+            "unreachable",
+            "withdrawn");
+    assertThat(words(in, "\"mode\":\"(\\w+)\"").keySet())
+        .containsExactlyInAnyOrder("incr", "lost", "moved", "total", "warm_copy");
+  }
+
+  @Test
+  @EnabledIfSystemProperty(named = "policy.fixtures", matches = "write")
+  void writeTheFixtures() throws IOException {
+    Path folder = Files.createDirectories(Path.of("src/test/resources", FOLDER));
+    StringBuilder digests = new StringBuilder();
+    for (Map.Entry<String, SimulatedFleet.Site> entry : SITES.entrySet()) {
+      Recording recording = record(entry.getValue(), 1, STORED_MESSAGES);
+      Files.write(folder.resolve(entry.getKey() + ".in.gz"), packed(recording.in));
+      Files.write(folder.resolve(entry.getKey() + ".out.gz"), packed(recording.out));
+      System.out.println(entry.getKey() + " " + words(text(recording.out), "\"kind\":\"(\\w+)\""));
+      System.out.println(words(text(recording.in), "\"(?:kind|disposition)\":\"(\\w+)\""));
+      for (long seed = 2; seed < 2 + LONG_SEEDS; seed++) {
+        String digest = digest(entry.getValue(), seed);
+        digests.append(entry.getKey() + " " + seed + " " + digest + "\n");
+      }
+    }
+    Files.writeString(folder.resolve("digests.txt"), digests);
+  }
+
+  private static CharSequence text(byte[] bytes) {
+    return new String(bytes, UTF_8);
+  }
+
+  private static Map<String, Integer> words(CharSequence text, String pattern) {
+    Map<String, Integer> counts = new TreeMap<>();
+    Matcher matcher = Pattern.compile(pattern).matcher(text);
+    while (matcher.find()) {
+      counts.merge(matcher.group(1), 1, Integer::sum);
+    }
+    return counts;
+  }
+
+  private static String digest(SimulatedFleet.Site site, long seed) throws IOException {
+    try {
+      byte[] out = record(site, seed, LONG_MESSAGES).out;
+      return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(out));
+    } catch (NoSuchAlgorithmException absent) {
+      throw new IllegalStateException(absent);
+    }
+  }
+
+  private static Recording record(SimulatedFleet.Site site, long seed, int messages)
+      throws IOException {
+    SimulatedFleet fleet = new SimulatedFleet(site, seed);
+    ByteArrayOutputStream in = new ByteArrayOutputStream();
+    ByteArrayOutputStream out = new ByteArrayOutputStream();
+    if (site.on("direct")) {
+      DirectHost host = new DirectHost();
+      while (fleet.messages() < messages) {
+        String batch = fleet.nextBatch();
+        in.writeBytes((batch + "\n").getBytes(UTF_8));
+        String reply = host.answer(batch);
+        out.writeBytes((reply + "\n").getBytes(UTF_8));
+        fleet.reply(reply);
+      }
+    } else {
+      ByteArrayOutputStream reply = new ByteArrayOutputStream();
+      new WireHost().run(new Loop(fleet, messages, in, out, reply), reply);
+      out.writeBytes(reply.toByteArray());
+    }
+    return new Recording(in.toByteArray(), out.toByteArray());
+  }
+
+  private static byte[] wire(byte[] in) throws IOException {
+    ByteArrayOutputStream out = new ByteArrayOutputStream();
+    new WireHost().run(new ByteArrayInputStream(in), out);
+    return out.toByteArray();
+  }
+
+  private static byte[] direct(byte[] in) throws IOException {
+    DirectHost host = new DirectHost();
+    StringBuilder out = new StringBuilder();
+    for (String line : new String(in, UTF_8).lines().toList()) {
+      out.append(host.answer(line)).append('\n');
+    }
+    return out.toString().getBytes(UTF_8);
+  }
+
+  private static byte[] resource(String name) throws IOException {
+    try (InputStream stream =
+        PolicyReplayTest.class.getClassLoader().getResourceAsStream(FOLDER + name)) {
+      return stream == null ? new byte[0] : stream.readAllBytes();
+    }
+  }
+
+  private static byte[] stored(String name) throws IOException {
+    try (InputStream stream = new GZIPInputStream(new ByteArrayInputStream(resource(name)))) {
+      return stream.readAllBytes();
+    }
+  }
+
+  private static byte[] packed(byte[] bytes) throws IOException {
+    ByteArrayOutputStream packed = new ByteArrayOutputStream();
+    try (OutputStream stream =
+        new GZIPOutputStream(packed) {
+          {
+            def.setLevel(Deflater.BEST_COMPRESSION);
+          }
+        }) {
+      stream.write(bytes);
+    }
+    return packed.toByteArray();
+  }
+
+  /**
+   * The input of a host that reads one line, writes one and flushes it: each line is made only when
+   * it is asked for, from the reply to the line before.
+   */
+  private static final class Loop extends InputStream {
+    private final SimulatedFleet fleet;
+    private final int messages;
+    private final ByteArrayOutputStream in;
+    private final ByteArrayOutputStream out;
+    private final ByteArrayOutputStream reply;
+    private byte[] line = {};
+    private int at;
+
+    Loop(
+        SimulatedFleet fleet,
+        int messages,
+        ByteArrayOutputStream in,
+        ByteArrayOutputStream out,
+        ByteArrayOutputStream reply) {
+      this.fleet = fleet;
+      this.messages = messages;
+      this.in = in;
+      this.out = out;
+      this.reply = reply;
+    }
+
+    private boolean advance() {
+      if (reply.size() > 0) {
+        fleet.reply(reply.toString(UTF_8));
+        out.writeBytes(reply.toByteArray());
+        reply.reset();
+      }
+      if (fleet.messages() >= messages) {
+        return false;
+      }
+      line = (fleet.nextBatch() + "\n").getBytes(UTF_8);
+      in.writeBytes(line);
+      at = 0;
+      return true;
+    }
+
+    @Override
+    public int available() {
+      return line.length - at;
+    }
+
+    @Override
+    public int read() {
+      return at < line.length || advance() ? line[at++] : -1;
+    }
+
+    @Override
+    public int read(byte[] into, int offset, int length) {
+      if (at == line.length && !advance()) {
+        return -1;
+      }
+      int count = Math.min(length, line.length - at);
+      System.arraycopy(line, at, into, offset, count);
+      at += count;
+      return count;
+    }
+  }
+}
