--- /dev/null
+++ b/gatherer/src/test/java/tidebank/ClientHttpFixtureTest.java
@@ -0,0 +1,199 @@
+package tidebank;
+
+import static java.nio.charset.StandardCharsets.ISO_8859_1;
+import static java.nio.charset.StandardCharsets.UTF_8;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import com.fasterxml.jackson.databind.SerializationFeature;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.io.InputStream;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.EnumSource;
+import tidebank.FakeSite.FakeClient;
+import tidebank.FakeSite.FakeShardServer;
+import tidebank.FakeSite.FakeShardServer.Frame;
+
+/**
+ * Replays recorded requests of clients and compares the responses byte for byte, with their status
+ * lines and headers. A connection that a response says to close has to end behind it.
+ *
+ * <p>In {@code exchanges.json}, {@code ${x*70000}} in a request stands for that many letters x;
+ * bytes are written as the letters of ISO 8859-1; {@code before} are requests on connections of
+ * their own that stay open. To record the responses anew: {@code mvn -o -pl gatherer test
+ * -Dtest=ClientHttpFixtureTest -Dfixtures.record=true}
+ */
+@Timeout(60)
+class ClientHttpFixtureTest {
+  private static final Path FILE = Path.of("src/test/resources/fixtures/http/exchanges.json");
+  private static final ObjectMapper JSON =
+      new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
+  private static final Pattern REPEATED = Pattern.compile("\\$\\{(.)\\*(\\d+)}");
+  private static final int CLIENT_LIMIT = 64;
+
+  /** What the servers behind the clients' side do. */
+  enum Setup {
+    /** Each shard server answers at once. */
+    ANSWERING,
+    /** Only the request for shard 0 is answered. */
+    FIRST_SHARD_ONLY,
+    /** No shard server answers. */
+    SILENT,
+    /** All shard servers are about to stop, and responses may say when to come back. */
+    RETRY_AFTER,
+    /** All shard servers are about to stop. */
+    THROTTLED,
+    /** No list of shard servers is known. */
+    UNLISTED,
+    /** As much is pending as the settings allow. */
+    FULL,
+    /** The budget of clients' connections is used up. */
+    CROWDED
+  }
+
+  private final FakeSite site = new FakeSite();
+  private final List<FakeClient> others = new ArrayList<>();
+
+  @AfterEach
+  void close() throws Exception {
+    for (FakeClient other : others) {
+      other.close();
+    }
+    site.close();
+  }
+
+  @ParameterizedTest
+  @EnumSource(Setup.class)
+  void recordedRequestsGetTheirRecordedResponses(Setup setup) throws Exception {
+    start(setup);
+    ArrayNode exchanges = (ArrayNode) JSON.readTree(FILE.toFile());
+    int replayed = 0;
+    for (JsonNode exchange : exchanges) {
+      if (exchange.path("setup").asText().equals(setup.name().toLowerCase(Locale.ROOT))) {
+        String response = replay(setup, exchange);
+        if (Boolean.getBoolean("fixtures.record")) {
+          ((ObjectNode) exchange).put("response", response);
+        }
+        assertThat(response)
+            .as(exchange.path("name").asText())
+            .isEqualTo(exchange.path("response").asText());
+        replayed++;
+      }
+    }
+    assertThat(replayed).isPositive();
+    if (Boolean.getBoolean("fixtures.record")) {
+      Files.write(FILE, (JSON.writeValueAsString(exchanges) + "\n").getBytes(UTF_8));
+    }
+  }
+
+  private void start(Setup setup) throws Exception {
+    if (setup != Setup.ANSWERING) {
+      site.servers.forEach(server -> server.answers = false);
+    }
+    switch (setup) {
+      case RETRY_AFTER -> {
+        site.limits.putAll(Map.of("retryAfter", true, "maxRetryAfterMs", 300));
+        site.servers.forEach(server -> server.health = "Terminating");
+      }
+      case THROTTLED -> site.servers.forEach(server -> server.health = "Terminating");
+      case UNLISTED -> {
+        site.known = false;
+        site.discovery.instead = "";
+      }
+      case FULL -> site.limits.put("mostHeld", 5);
+      case CROWDED -> site.sockets = 2 * CLIENT_LIMIT;
+      default -> {}
+    }
+    site.start();
+    if (setup == Setup.CROWDED) {
+      for (int i = 0; i < CLIENT_LIMIT; i++) {
+        others.add(site.client().send("GET /health/live HTTP/1.1\r\n"));
+      }
+    }
+  }
+
+  private String replay(Setup setup, JsonNode exchange) throws Exception {
+    site.servers.forEach(server -> server.frames.clear());
+    for (JsonNode before : exchange.path("before")) {
+      others.add(site.client().send(expand(before.asText())));
+      nextRequest();
+    }
+    try (FakeClient client = site.client()) {
+      byte[] request = expand(exchange.path("request").asText()).getBytes(ISO_8859_1);
+      client.socket.getOutputStream().write(request);
+      if (setup == Setup.FIRST_SHARD_ONLY) {
+        answerFirstShard();
+      }
+      InputStream in = client.socket.getInputStream();
+      ByteArrayOutputStream responses = new ByteArrayOutputStream();
+      boolean closes = false;
+      for (int i = 0; i < exchange.path("responses").asInt(1); i++) {
+        closes = readResponse(in, responses);
+      }
+      if (closes) {
+        in.transferTo(responses);
+      }
+      return responses.toString(ISO_8859_1);
+    }
+  }
+
+  private static String expand(String request) {
+    return REPEATED
+        .matcher(request)
+        .replaceAll(
+            found ->
+                Matcher.quoteReplacement(found.group(1).repeat(Integer.parseInt(found.group(2)))));
+  }
+
+  /** Reads one response and returns whether it says that its connection closes. */
+  private static boolean readResponse(InputStream in, ByteArrayOutputStream all)
+      throws IOException {
+    StringBuilder head = new StringBuilder();
+    while (head.indexOf("\r\n\r\n") < 0) {
+      int next = in.read();
+      assertThat(next).as("the connection ended behind: " + head).isNotNegative();
+      head.append((char) next);
+    }
+    all.writeBytes(head.toString().getBytes(ISO_8859_1));
+    Matcher length = Pattern.compile("(?i)\r\ncontent-length: (\\d+)\r\n").matcher(head);
+    if (length.find()) {
+      all.writeBytes(in.readNBytes(Integer.parseInt(length.group(1))));
+    }
+    return Pattern.compile("(?i)\r\nconnection: close\r\n").matcher(head).find();
+  }
+
+  private void answerFirstShard() throws Exception {
+    for (Frame frame = nextRequest(); ; frame = nextRequest()) {
+      if (frame.part().endsWith(".0")) {
+        frame.answer("good", "quote \" back \\ line \n \u00e9 \u20ac");
+        return;
+      }
+    }
+  }
+
+  private Frame nextRequest() {
+    while (true) {
+      for (FakeShardServer server : site.servers) {
+        Frame frame = server.frames.poll();
+        if (frame != null && frame.letter() == 'm') {
+          return frame;
+        }
+      }
+      Thread.onSpinWait();
+    }
+  }
+}
