--- /dev/null
+++ b/gatherer/src/test/java/tidebank/config/ConfigFixtureTest.java
@@ -0,0 +1,235 @@
+package tidebank.config;
+
+import static java.nio.charset.StandardCharsets.UTF_8;
+
+import java.net.InetSocketAddress;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.stream.Collectors;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import tidebank.capture.Recorder;
+import tidebank.fixtures.StoredCases;
+import tidebank.fleet.FleetAgent;
+import tidebank.model.Repeat;
+import tidebank.model.Settings;
+import tidebank.model.TableType;
+
+/** Configurations are read as they were, and faults named as they were. */
+class ConfigFixtureTest {
+  private static final Map<Repeat, String> SEMANTICS =
+      Map.of(
+          Repeat.REPLAYABLE,
+          "read_like",
+          Repeat.KEYED,
+          "idempotency_key",
+          Repeat.NON_REPLAYABLE,
+          "other");
+
+  @TempDir Path folder;
+
+  /** Fields in the words of the file, in order. */
+  private static final class Fields {
+    private final Map<String, Object> values = new LinkedHashMap<>();
+
+    Fields put(String name, Object value) {
+      values.put(name, value);
+      return this;
+    }
+
+    String lines() {
+      return values.entrySet().stream()
+          .map(entry -> entry.getKey() + "=" + entry.getValue() + "\n")
+          .collect(Collectors.joining());
+    }
+  }
+
+  private NodeConfig read(byte[] text, Map<String, String> env) throws Exception {
+    Path file = Files.write(folder.resolve("node.json"), text);
+    Map<String, String> all = new TreeMap<>(env);
+    all.put("NODE_CONFIG", file.toString());
+    return NodeConfig.read(all);
+  }
+
+  private static String address(InetSocketAddress address) {
+    return address.getAddress().getHostAddress() + ":" + address.getPort();
+  }
+
+  private static void type(Fields fields, String key, TableType type) {
+    fields
+        .put(key + ".name", type.name())
+        .put(key + ".semantics", SEMANTICS.get(type.repeat()))
+        .put(key + ".windowUs", type.windowUs())
+        .put(key + ".onTimeUs", type.targetUs())
+        .put(key + ".deadlineUs", type.timeoutUs())
+        .put(key + ".lateWorth", type.lateBenefit())
+        .put(key + ".floorByClass", type.floor())
+        .put(key + ".classNeed", type.need())
+        .put(key + ".secondStep", type.secondStep());
+  }
+
+  private static void settings(Fields fields, Settings settings) {
+    fields
+        .put("instances", settings.instances())
+        .put("rank", settings.rank())
+        .put("tickUs", settings.tickUs())
+        .put("tenants", settings.allowances())
+        .put("overShareWorth", settings.overShareBenefit())
+        .put("slowestUs", settings.slowestUs())
+        .put("shortestOnTimeUs", settings.shortestTargetUs());
+    settings.tableTypes().forEach((name, type) -> type(fields, "services." + name, type));
+    Settings.Layout layout = settings.layout();
+    fields
+        .put("slices", layout.shards())
+        .put("positions", layout.positions())
+        .put("width", layout.width())
+        .put("bundleMax", layout.bundleMax())
+        .put("callUs", layout.callUs());
+    Settings.Limits limits = settings.limits();
+    fields
+        .put("maxAttempts", limits.maxDispatches())
+        .put("secondCopies", limits.secondCopies())
+        .put("cancel", limits.cancel())
+        .put("mayProbe", limits.probes())
+        .put("retryAfter", limits.holdOff())
+        .put("maxRetryAfterUs", limits.maxHoldOffUs())
+        .put("mostHeld", limits.mostHeld())
+        .put("discoveryAsk", limits.listOnRequest());
+    Settings.Rules rules = settings.rules();
+    fields
+        .put("answerSlackUs", rules.answerSlackUs())
+        .put("askEveryUs", rules.askEveryUs())
+        .put("stopSendingWithinUs", rules.drainGraceUs())
+        .put("coldFrom", rules.coldFrom())
+        .put("coldUs", rules.coldUs())
+        .put("fallMultiple", rules.fallMultiple())
+        .put("tipAfterUs", rules.tipAfterUs())
+        .put("freeResends", rules.freeResends())
+        .put("extraRatio", rules.extraRatio())
+        .put("ratioSpanUs", rules.ratioSpanUs());
+  }
+
+  private static String describe(NodeConfig config) {
+    Fields fields =
+        new Fields()
+            .put("name", config.name())
+            .put("listen", address(config.listen()))
+            .put("discovery", address(config.discovery()))
+            .put("seed", Long.toHexString(config.seed()))
+            .put("known", config.known());
+    settings(fields, config.settings());
+    NodeConfig.Budgets budgets = config.budgets();
+    fields
+        .put("budget.clients", budgets.clients())
+        .put("budget.clientsMost", budgets.clientsMost())
+        .put("budget.resting", budgets.resting())
+        .put("budget.servers", budgets.servers())
+        .put("budget.serverMost", budgets.serverMost())
+        .put("budget.pipelineMost", budgets.pipelineMost())
+        .put("budget.readLeast", budgets.readLeast())
+        .put("budget.readFirst", budgets.readFirst())
+        .put("budget.readMost", budgets.readMost())
+        .put("budget.writeLow", budgets.writeLow())
+        .put("budget.writeHigh", budgets.writeHigh());
+    NodeConfig.Transport transport = config.transport();
+    return fields
+        .put("connectTimeoutUs", transport.connectTimeoutUs())
+        .put("keepaliveUs", transport.keepaliveUs())
+        .put("maxStreams", transport.maxStreams())
+        .put("reportOnProbe", transport.probeForLoad())
+        .put("bodyMost", transport.bodyMost())
+        .put("requestWithinUs", transport.requestWithinUs())
+        .put("restLeastUs", transport.restLeastUs())
+        .lines();
+  }
+
+  private static String describe(OperatorFile file) {
+    Fields fields =
+        new Fields()
+            .put("log.level", file.log().least())
+            .put("log.form", file.log().form())
+            .put("log.lines_a_second", file.log().linesASecond())
+            .put("report.counters_every_us", file.countersEveryUs());
+    Recorder.Plan capture = file.capture();
+    if (capture != null) {
+      fields
+          .put("capture.folder", capture.folder())
+          .put("capture.wholeActions", capture.wholeActions())
+          .put("capture.ring_turns", capture.ringTurns())
+          .put("capture.segment_bytes", capture.segmentBytes())
+          .put("capture.budget_bytes", capture.budgetBytes())
+          .put("capture.force", capture.force());
+    }
+    FleetAgent.Plan fleet = file.fleet();
+    if (fleet != null) {
+      fields
+          .put("fleet.stewards", fleet.stewards())
+          .put("fleet.folder", fleet.folder())
+          .put("fleet.every_us", fleet.everyUs())
+          .put("fleet.keep_us", fleet.keep().ageUs())
+          .put("fleet.keep_bytes", fleet.keep().bytes());
+    }
+    return fields.lines();
+  }
+
+  @Test
+  void everyFieldOfAFullConfigurationIsReadAsStored() throws Exception {
+    byte[] full = StoredCases.text("config/node-full.json").getBytes(UTF_8);
+    StoredCases.isText("config/node-full.txt", describe(read(full, Map.of())));
+  }
+
+  @Test
+  void whatALeastConfigurationLeavesOutHasTheStoredDefaults() throws Exception {
+    byte[] least = StoredCases.text("config/node-least.json").getBytes(UTF_8);
+    Map<String, String> env =
+        Map.of("NODE_NAME", "n7", "NODE_LISTEN", "0.0.0.0:80", "NODE_DISCOVERY", "10.1.2.3:4");
+    StoredCases.isText("config/node-least.txt", describe(read(least, env)));
+  }
+
+  /** Each input is a replacement in the full configuration. */
+  @Test
+  void faultsOfAConfigurationHaveTheStoredMessages() throws Exception {
+    String full = StoredCases.text("config/node-full.json");
+    StoredCases.readAsStored(
+        "config/node-faults.txt",
+        input -> {
+          String[] change = new String(input, UTF_8).split(" => ", -1);
+          if (!full.contains(change[0])) {
+            return "no such text";
+          }
+          try {
+            read(full.replace(change[0], change[1]).getBytes(UTF_8), Map.of());
+            return "no fault";
+          } catch (Malformed fault) {
+            // A layout shows itself by the names of its fields, which are free.
+            return fault
+                .getMessage()
+                .replace(folder.toString(), "FOLDER")
+                .replaceAll("Layout\\[.*]", "LAYOUT");
+          }
+        });
+  }
+
+  @Test
+  void everyFieldOfAnOperatorsFileIsReadAsStored() throws Exception {
+    String full = StoredCases.text("config/operator-full.toml");
+    StoredCases.isText(
+        "config/operator-full.txt", describe(OperatorFile.read(Toml.read("own.toml", full))));
+  }
+
+  @Test
+  void operatorsFilesAreReadAsStored() throws Exception {
+    StoredCases.readAsStored(
+        "config/operator-files.txt",
+        input -> {
+          try {
+            return describe(OperatorFile.read(Toml.read("own.toml", new String(input, UTF_8))));
+          } catch (Malformed fault) {
+            return "fault: " + fault.getMessage();
+          }
+        });
+  }
+}
--- /dev/null
+++ b/gatherer/src/test/java/tidebank/shard/FramesFixtureTest.java
@@ -0,0 +1,90 @@
+package tidebank.shard;
+
+import static java.nio.charset.StandardCharsets.UTF_8;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.ByteBufUtil;
+import io.netty.buffer.Unpooled;
+import io.netty.buffer.UnpooledByteBufAllocator;
+import io.netty.channel.embedded.EmbeddedChannel;
+import io.netty.handler.codec.LengthFieldPrepender;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import org.junit.jupiter.api.Test;
+import tidebank.config.Malformed;
+import tidebank.fixtures.StoredCases;
+import tidebank.model.Outcome;
+import tidebank.node.SampleRequests;
+
+/** Frames are written and read byte for byte as they were. */
+class FramesFixtureTest {
+  private static final UnpooledByteBufAllocator ALLOCATOR = UnpooledByteBufAllocator.DEFAULT;
+  private static final Map<Outcome, String> ENDS =
+      Map.of(Outcome.COMPLETED, "good", Outcome.ERROR, "bad", Outcome.FULL, "later");
+
+  private static InFlightDispatch dispatch(String scan, int shard, String text, long stopAt) {
+    return new InFlightDispatch(
+        SampleRequests.request(scan, shard, text.getBytes(UTF_8), stopAt), null);
+  }
+
+  private static String onTheWire(ByteBuf frame) {
+    EmbeddedChannel channel =
+        new EmbeddedChannel(new LengthFieldPrepender(FrameReader.LENGTH_BYTES));
+    channel.writeOutbound(frame);
+    ByteBuf all = Unpooled.buffer();
+    for (ByteBuf part = channel.readOutbound(); part != null; part = channel.readOutbound()) {
+      all.writeBytes(part);
+      part.release();
+    }
+    return StoredCases.escape(ByteBufUtil.getBytes(all));
+  }
+
+  @Test
+  void writtenFramesAreTheStoredOnes() throws Exception {
+    long now = 1_700_000_000_000_000L;
+    List<InFlightDispatch> one = List.of(dispatch("9b1f03aa", 3, "{\"a\":1}", now + 250_999));
+    List<InFlightDispatch> several =
+        List.of(
+            dispatch("9b1f03aa", 0, "{\"predicate\":\"c41e77d0\"}", now + 1_000_000),
+            dispatch("scan-2", 17, "", now + 999),
+            dispatch("scan.3", 1, "text\nof lines ä€", now - 5_000_000));
+    StoredCases.isText(
+        "frames/written.txt",
+        String.join(
+            "\n",
+            onTheWire(Frames.call(ALLOCATOR, one, now)),
+            onTheWire(Frames.call(ALLOCATOR, several, now)),
+            onTheWire(Frames.giveUp(ALLOCATOR, "9b1f03aa.3")),
+            onTheWire(Frames.probe(ALLOCATOR, Frames.PROBE)),
+            onTheWire(Frames.probe(ALLOCATOR, Frames.PROBE_LOAD)),
+            ""));
+  }
+
+  @Test
+  void answersAreReadAsStored() throws Exception {
+    StoredCases.readAsStored(
+        "frames/answers.txt",
+        input -> {
+          try {
+            Frames.Answer answer = Frames.answer(Unpooled.wrappedBuffer(input));
+            return "id="
+                + answer.id()
+                + " end="
+                + ENDS.get(answer.outcome())
+                + " report="
+                + new TreeMap<>(answer.report())
+                + " value="
+                + (answer.value() == null ? "none" : new String(answer.value(), UTF_8));
+          } catch (Malformed fault) {
+            return "fault: " + fault.getMessage();
+          }
+        });
+  }
+
+  @Test
+  void loadReportsAreReadAsStored() throws Exception {
+    StoredCases.readAsStored(
+        "frames/reports.txt", input -> Frames.report(new String(input, UTF_8)).toString());
+  }
+}
