--- a/cli/src/test/java/tidebank/cli/FleetJsonFixturesTest.java
+++ b/cli/src/test/java/tidebank/cli/FleetJsonFixturesTest.java
@@ -12,9 +12,9 @@
 import java.util.List;
 import java.util.SortedSet;
 import java.util.TreeSet;
+import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
 import org.junit.jupiter.api.io.TempDir;
 import tidebank.lab.fleet.Stewards;
 import tidebank.lease.Command;
@@ -24,7 +24,7 @@
 /**
  * The JSON that {@code fleet status|members|duties|history --json} prints: the set of its paths is
  * as an earlier release printed it. The fixture is written anew by {@code mvn -o -pl cli -am test
- * -Dtest=FleetJsonFixturesTest -Dsurefire.failIfNoSpecifiedTests=false -Dtidebank.fixtures=write}.
+ * -Dtest=FleetJsonFixturesTest -Dsurefire.failIfNoSpecifiedTests=false -Dtests.excluded=}.
  */
 @Timeout(90)
 class FleetJsonFixturesTest {
@@ -90,7 +90,7 @@
   }
 
   @Test
-  @EnabledIfSystemProperty(named = "tidebank.fixtures", matches = "write")
+  @Tag("fixture-writer")
   void writeFixture() throws Exception {
     Files.createDirectories(FIXTURE.getParent());
     Files.write(FIXTURE, allPaths());
--- a/gatherer/src/test/java/tidebank/policy/PolicyReplayTest.java
+++ b/gatherer/src/test/java/tidebank/policy/PolicyReplayTest.java
@@ -24,9 +24,9 @@
 import java.util.zip.GZIPInputStream;
 import java.util.zip.GZIPOutputStream;
 import org.junit.jupiter.api.DynamicTest;
+import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
-import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
 import tidebank.sim.WireHost;
 
 /**
@@ -34,7 +34,7 @@
  * actions, and long streams in a closed loop with actions of the stored digest.
  *
  * <p>The fixtures are written anew, after a change of the decisions that is meant, by {@code mvn -o
- * -q -pl gatherer test -Dtest=PolicyReplayTest#writeTheFixtures -DargLine=-Dpolicy.fixtures=write}.
+ * -q -pl gatherer test -Dtest=PolicyReplayTest#writeTheFixtures -Dtests.excluded=}.
  */
 class PolicyReplayTest {
   private static final String FOLDER = "fixtures/policy/";
@@ -138,7 +138,7 @@
   }
 
   @Test
-  @EnabledIfSystemProperty(named = "policy.fixtures", matches = "write")
+  @Tag("fixture-writer")
   void writeTheFixtures() throws IOException {
     Path folder = Files.createDirectories(Path.of("src/test/resources", FOLDER));
     StringBuilder digests = new StringBuilder();
--- a/lab/src/test/java/tidebank/fleet/SharedFolderFixturesTest.java
+++ b/lab/src/test/java/tidebank/fleet/SharedFolderFixturesTest.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 import java.util.SortedMap;
 import java.util.TreeMap;
+import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
 import org.junit.jupiter.api.io.TempDir;
 import tidebank.fleet.FleetReport.Told;
 import tidebank.fleet.Retention.Bounds;
@@ -21,8 +21,8 @@
  * The shared folder as an earlier release wrote it: counters of members, reports and removal lists
  * are read, and written again under the same names to the same bytes. The fixtures are written anew
  * by {@code mvn -o -pl MODULE -am test -Dtest=SharedFolderFixturesTest
- * -Dsurefire.failIfNoSpecifiedTests=false -Dtidebank.fixtures=write}, with the module that this
- * class is in.
+ * -Dsurefire.failIfNoSpecifiedTests=false -Dtests.excluded=}, with the module that this class is
+ * in.
  */
 class SharedFolderFixturesTest {
   private static final Path FIXTURES = Path.of("src/test/resources/fixtures/control/shared-folder");
@@ -83,7 +83,7 @@
   }
 
   @Test
-  @EnabledIfSystemProperty(named = "tidebank.fixtures", matches = "write")
+  @Tag("fixture-writer")
   void writeFixtures() throws IOException {
     writeAll(Files.createDirectories(FIXTURES));
   }
--- a/lab/src/test/java/tidebank/steward/CoordinatorFixturesTest.java
+++ b/lab/src/test/java/tidebank/steward/CoordinatorFixturesTest.java
@@ -27,9 +27,9 @@
 import java.util.zip.ZipEntry;
 import java.util.zip.ZipInputStream;
 import java.util.zip.ZipOutputStream;
+import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
 import org.junit.jupiter.api.io.TempDir;
 import tidebank.lab.fleet.Stewards;
 
@@ -37,8 +37,8 @@
  * A coordinator's data directory and its HTTP interface as of an earlier release: a process starts
  * on the stored log and snapshot and answers as that release did. The fixtures are written anew by
  * {@code mvn -o -pl MODULE -am test -Dtest=CoordinatorFixturesTest
- * -Dsurefire.failIfNoSpecifiedTests=false -Dtidebank.fixtures=write}, with the module that this
- * class is in.
+ * -Dsurefire.failIfNoSpecifiedTests=false -Dtests.excluded=}, with the module that this class is
+ * in.
  */
 @Timeout(120)
 class CoordinatorFixturesTest {
@@ -220,7 +220,7 @@
   }
 
   @Test
-  @EnabledIfSystemProperty(named = "tidebank.fixtures", matches = "write")
+  @Tag("fixture-writer")
   void writeHttpFixture() throws Exception {
     StringBuilder lines = new StringBuilder();
     try (Stewards stewards = new Stewards(folder, 1, SETTINGS)) {
@@ -359,7 +359,7 @@
   }
 
   @Test
-  @EnabledIfSystemProperty(named = "tidebank.fixtures", matches = "write")
+  @Tag("fixture-writer")
   void writeDataDirectoryFixture() throws Exception {
     Files.createDirectories(SOURCES);
     try (Stewards stewards = new Stewards(folder, 1, SETTINGS)) {
--- a/lab/src/test/java/tidebank/steward/LeaseFixturesTest.java
+++ b/lab/src/test/java/tidebank/steward/LeaseFixturesTest.java
@@ -20,8 +20,8 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.zip.CRC32C;
+import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
 import tidebank.fleet.LeaseCodec;
 import tidebank.lease.Answer;
 import tidebank.lease.Command;
@@ -35,8 +35,8 @@
 /**
  * Commands, results, state, log records and snapshots as an earlier release wrote them: read, and
  * written again to the same bytes. The fixtures are written anew by {@code mvn -o -pl MODULE -am
- * test -Dtest=LeaseFixturesTest -Dsurefire.failIfNoSpecifiedTests=false -Dtidebank.fixtures=write},
- * with the module that this class is in.
+ * test -Dtest=LeaseFixturesTest -Dsurefire.failIfNoSpecifiedTests=false -Dtests.excluded=}, with
+ * the module that this class is in.
  */
 class LeaseFixturesTest {
   private static final Path SOURCES = Path.of("src/test/resources/fixtures/control");
@@ -195,7 +195,7 @@
   }
 
   @Test
-  @EnabledIfSystemProperty(named = "tidebank.fixtures", matches = "write")
+  @Tag("fixture-writer")
   void writeFixtures() throws IOException {
     List<Stamped> records = script();
     Applied applied = new Applied(records);
