--- a/gatherer/src/test/java/tidebank/FakeHost.java
+++ b/gatherer/src/test/java/tidebank/FakeHost.java
@@ -15,7 +15,7 @@
 import tidebank.model.TableType;
 
 /** One instance, a clock in milliseconds, timers that fire, and what the module asked for. */
-final class FakeHost {
+public final class FakeHost {
   static final long MS = 1000;
 
   final Map<String, TableType> types = new LinkedHashMap<>();
@@ -40,7 +40,7 @@
   private long token;
   private final List<Event> told = new ArrayList<>();
 
-  FakeHost() {
+  public FakeHost() {
     type("whole", Repeat.REPLAYABLE, 1, 0.1, 0);
     type("part", Repeat.REPLAYABLE, 0.5, 0.1, 0);
     type("once", Repeat.NON_REPLAYABLE, 1, 0.3, 0);
@@ -55,7 +55,7 @@
         name, new TableType(name, repeat, 2000 * MS, 1000 * MS, 3000 * MS, late, floor, 1, second));
   }
 
-  Settings settings() {
+  public Settings settings() {
     return new Settings(instances, rank, 5 * MS, types, Map.of(), 0.1, layout, limits, rules);
   }
 
