--- /dev/null
+++ b/gatherer/src/test/java/tidebank/capture/BusyRun.java
@@ -0,0 +1,278 @@
+package tidebank.capture;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.PriorityQueue;
+import java.util.Set;
+import java.util.SplittableRandom;
+import java.util.function.Supplier;
+import tidebank.RoutingPolicy;
+import tidebank.model.Action;
+import tidebank.model.Event;
+import tidebank.model.Event.ListKind;
+import tidebank.model.Event.Listed;
+import tidebank.model.Event.ServerStatus;
+import tidebank.model.Outcome;
+import tidebank.model.Settings;
+
+/**
+ * Plays an overloaded, faulty cluster to a routing policy and records every turn: attempts that are
+ * slow, refused, lost and late, cancellations, clients that leave, shard servers that drain, go,
+ * come back cold, endpoint lists that get lost, and the end of the instance.
+ */
+final class BusyRun {
+  private static final long MS = 1000;
+  private static final int SERVERS = 6;
+  private static final int SHARDS = 8;
+  private static final List<String> TYPES = List.of("whole", "part", "keyed", "once", "steps");
+
+  private record Due(long at, long order, Supplier<Event> event) {}
+
+  private record Scan(String id, long number, String type, int parts) {}
+
+  private final RoutingPolicy policy;
+  private final SplittableRandom random;
+  private final Recorder recorder;
+  private final PriorityQueue<Due> due =
+      new PriorityQueue<>(
+          (a, b) ->
+              a.at() != b.at() ? Long.compare(a.at(), b.at()) : Long.compare(a.order(), b.order()));
+  private final Map<String, Integer> attempts = new HashMap<>();
+  private final Set<String> inFlight = new HashSet<>();
+  private final Map<String, Scan> open = new HashMap<>();
+  private final Map<String, Integer> answered = new HashMap<>();
+  private final Set<String> drained = new HashSet<>();
+  private long now = 1_000_000;
+  private long order;
+  private long scans;
+  private boolean ending;
+
+  BusyRun(Settings settings, long policySeed, long seed, Recorder recorder) {
+    policy = new RoutingPolicy(settings, policySeed);
+    random = new SplittableRandom(seed);
+    this.recorder = recorder;
+    recorder.started(settings, policySeed);
+  }
+
+  /** Plays so many turns; the last tenth of them after the instance was told to end. */
+  void run(int turns) {
+    at(0, () -> new Event.ListSeen(ListKind.REMEMBERED, all()));
+    at(MS, () -> new Event.ListSeen(ListKind.FULL, all()));
+    scanLater();
+    at(300 * MS, this::listChange);
+    at(400 * MS, this::probed);
+    for (int turn = 0; turn < turns && !due.isEmpty(); turn++) {
+      if (turn == turns - turns / 10) {
+        ending = true;
+        long deadline = now + 3000 * MS;
+        at(0, () -> new Event.Ending(deadline));
+      }
+      now = Math.max(now, due.peek().at());
+      List<Event> events = new ArrayList<>();
+      while (!due.isEmpty() && due.peek().at() <= now) {
+        Event event = due.poll().event().get();
+        if (event != null) {
+          events.add(event);
+        }
+      }
+      List<Action> actions = policy.on(now, events);
+      recorder.turn(now, events, actions);
+      actions.forEach(this::carryOut);
+    }
+  }
+
+  private void at(long waitUs, Supplier<Event> event) {
+    due.add(new Due(now + waitUs, order++, event));
+  }
+
+  private static Listed listed(int server, ServerStatus status, long startedAt) {
+    return new Listed("s" + server, server, status, startedAt, 1 + server % 2 * 0.5);
+  }
+
+  private List<Listed> all() {
+    List<Listed> lines = new ArrayList<>();
+    for (int i = 0; i < SERVERS; i++) {
+      ServerStatus status =
+          drained.contains("s" + i) ? ServerStatus.DRAINING : ServerStatus.IN_SERVICE;
+      lines.add(listed(i, status, 0));
+    }
+    return lines;
+  }
+
+  private void scanLater() {
+    // Calm and rushes in turn.
+    boolean rush = now / (400 * MS) % 3 == 1;
+    at(1 + random.nextInt(rush ? 3_000 : 40_000), this::scan);
+  }
+
+  private Event scan() {
+    scanLater();
+    long number = ++scans;
+    Scan scan =
+        new Scan(
+            "q" + number, number, TYPES.get(random.nextInt(TYPES.size())), 1 + random.nextInt(4));
+    open.put(scan.id(), scan);
+    int first = random.nextInt(SHARDS);
+    for (int i = 0; i < scan.parts(); i++) {
+      String part = scan.id() + "." + i;
+      int shard = (first + i) % SHARDS;
+      at(
+          0,
+          () ->
+              new Event.PartTaken(
+                  part,
+                  number,
+                  shard,
+                  1.0 / scan.parts(),
+                  scan.type().equals("keyed") ? "k" + number % 7 : ""));
+    }
+    if (random.nextInt(25) == 0) {
+      at(random.nextInt(400_000), () -> open.remove(scan.id()) == null ? null : lapsed(scan));
+    }
+    return new Event.ScanTaken(
+        scan.id(),
+        number,
+        scan.type(),
+        random.nextInt(3) == 0 ? "caf\u00e9" : "anyone",
+        now - random.nextInt(2_000),
+        now + 1_500 * MS + random.nextInt(1_500_000),
+        random.nextInt(6) == 0,
+        "k" + number % 7);
+  }
+
+  private static Event lapsed(Scan scan) {
+    return new Event.ScanLapsed(scan.id());
+  }
+
+  private Event listChange() {
+    at(200 * MS + random.nextInt(900_000), this::listChange);
+    int server = random.nextInt(SERVERS);
+    switch (random.nextInt(6)) {
+      case 0 -> {
+        at(100 * MS, () -> new Event.ListSeen(ListKind.FULL, all()));
+        return new Event.ListSeen(ListKind.LOST, List.of());
+      }
+      case 1 -> {
+        at(50 * MS, () -> new Event.ListSeen(ListKind.FULL, all()));
+        return new Event.ListSeen(ListKind.MOVED, List.of());
+      }
+      case 2 -> {
+        return new Event.ListSeen(ListKind.FULL, all());
+      }
+      default -> {
+        drained.add("s" + server);
+        at(
+            150 * MS,
+            () ->
+                new Event.ListSeen(
+                    ListKind.CHANGES, List.of(listed(server, ServerStatus.GONE, 0))));
+        at(
+            300 * MS,
+            () -> {
+              drained.remove("s" + server);
+              return new Event.ListSeen(
+                  ListKind.CHANGES, List.of(listed(server, ServerStatus.IN_SERVICE, now)));
+            });
+        return new Event.ListSeen(
+            ListKind.CHANGES, List.of(listed(server, ServerStatus.DRAINING, 0)));
+      }
+    }
+  }
+
+  private Event probed() {
+    at(100 * MS + random.nextInt(600_000), this::probed);
+    boolean well = random.nextInt(3) > 0;
+    return new Event.Probed(
+        "s" + random.nextInt(SERVERS),
+        well ? Outcome.COMPLETED : Outcome.UNREACHABLE,
+        2 * MS,
+        well ? Map.of("util", 0.61) : Map.of());
+  }
+
+  private void carryOut(Action action) {
+    if (action instanceof Action.Send send) {
+      int attempt = attempts.merge(send.part(), 1, Integer::sum) - 1;
+      inFlight.add(send.part() + '#' + attempt);
+      plan(send, attempt);
+    } else if (action instanceof Action.Cancel cancel) {
+      at(random.nextInt(300), () -> ended(cancel.part(), cancel.dispatch(), Outcome.CANCELLED, 0));
+    } else if (action instanceof Action.Answer answer) {
+      open.remove(answer.scan());
+    } else if (action instanceof Action.Throttle throttle) {
+      open.remove(throttle.scan());
+    } else if (action instanceof Action.Abandon abandon) {
+      open.remove(abandon.scan());
+    } else if (action instanceof Action.SetTimer timer) {
+      at(Math.max(0, timer.waitUs()), () -> new Event.TimerDue(timer.token()));
+    } else if (action instanceof Action.Follow follow && follow.on()) {
+      at(5 * MS, () -> new Event.ListSeen(ListKind.FULL, all()));
+    }
+  }
+
+  private void plan(Action.Send send, int attempt) {
+    int server = send.server().charAt(1) - '0';
+    boolean slow = server == now / 2_000_000 % SERVERS;
+    boolean sick = server == now / 3_000_000 % (2 * SERVERS);
+    long work = 2 * MS + random.nextInt(30_000) + (slow ? 400 * MS : 0);
+    Outcome outcome =
+        switch (random.nextInt(sick ? 12 : 60)) {
+          case 0 -> Outcome.ERROR;
+          case 1 -> Outcome.FULL;
+          case 2 -> Outcome.UNREACHABLE;
+          case 3 -> Outcome.BROKEN;
+          case 4 -> Outcome.SPOILT;
+          case 5 -> Outcome.NEVER_SENT;
+          case 6, 7 -> Outcome.TIMED_OUT;
+          default -> Outcome.COMPLETED;
+        };
+    long left = Math.max(0, send.stopAt() - now);
+    // Some run into a limit of their connection long before the deadline.
+    long took =
+        switch (outcome) {
+          case COMPLETED -> work;
+          case TIMED_OUT -> 60 * MS;
+          default -> random.nextInt(3_000);
+        };
+    Outcome end = took >= left ? Outcome.TIMED_OUT : outcome;
+    at(Math.min(took, left), () -> ended(send.part(), attempt, end, Math.min(took, left)));
+  }
+
+  private Event ended(String part, int attempt, Outcome outcome, long took) {
+    if (!inFlight.remove(part + '#' + attempt)) {
+      return null;
+    }
+    String id = part.substring(0, part.indexOf('.'));
+    if (outcome == Outcome.COMPLETED) {
+      secondStep(id);
+    }
+    return new Event.DispatchEnded(
+        part,
+        attempt,
+        outcome,
+        took,
+        !open.containsKey(id),
+        outcome == Outcome.COMPLETED && !ending ? Map.of("util", 0.61) : Map.of());
+  }
+
+  private void secondStep(String id) {
+    Scan scan = open.get(id);
+    if (scan == null
+        || !scan.type().equals("steps")
+        || answered.merge(id, 1, Integer::sum) != scan.parts()) {
+      return;
+    }
+    for (int i = 0; i < 2; i++) {
+      String part = id + ".x" + i;
+      int shard = random.nextInt(SHARDS);
+      at(
+          0,
+          () ->
+              open.containsKey(id)
+                  ? new Event.PartTaken(part, scan.number(), shard, 0.5, "")
+                  : null);
+    }
+  }
+}
--- /dev/null
+++ b/gatherer/src/test/java/tidebank/capture/CaptureFixtures.java
@@ -0,0 +1,170 @@
+package tidebank.capture;
+
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
+import tidebank.model.Action;
+import tidebank.model.Event;
+import tidebank.model.Event.ListKind;
+import tidebank.model.Event.Listed;
+import tidebank.model.Event.ServerStatus;
+import tidebank.model.Outcome;
+import tidebank.model.Repeat;
+import tidebank.model.Settings;
+import tidebank.model.TableType;
+
+/**
+ * What the stored captures under src/test/resources/fixtures/capture hold, and the writer of them.
+ * To write them anew, which only a new version of the format calls for: {@code mvn -o test -pl
+ * gatherer -am -Dtest=CaptureFixtures -Dtidebank.fixtures=write
+ * -Dsurefire.failIfNoSpecifiedTests=false}.
+ */
+class CaptureFixtures {
+  static final Path ROOT = Path.of("src/test/resources/fixtures/capture");
+  static final long SEED = 0x8c1f30d27a5be964L;
+  private static final int RING = 1 << 20;
+  private static final long SEGMENT_BYTES = 20_000;
+  private static final long BUDGET_BYTES = 1L << 30;
+
+  static Settings settings() {
+    Map<String, TableType> types = new LinkedHashMap<>();
+    types.put(
+        "whole", new TableType("whole", Repeat.REPLAYABLE, 0, 1_000_000, 3_000_000, 0.1, 1, 1, 0));
+    types.put(
+        "part", new TableType("part", Repeat.REPLAYABLE, 0, 800_000, 2_500_000, 0.25, 0.5, 0.9, 0));
+    types.put(
+        "keyed", new TableType("keyed", Repeat.KEYED, 2_000_000, 900_000, 3_000_000, 0.3, 1, 1, 0));
+    types.put(
+        "once",
+        new TableType("once", Repeat.NON_REPLAYABLE, 1_500_000, 700_000, 2_000_000, 0.4, 1, 1, 0));
+    types.put(
+        "steps",
+        new TableType("steps", Repeat.REPLAYABLE, 0, 1_200_000, 3_500_000, 0.2, 0.6, 1, 2));
+    Map<String, Double> allowances = new LinkedHashMap<>();
+    allowances.put("anyone", 12.5);
+    allowances.put("caf\u00e9", 3.0);
+    return new Settings(
+        3,
+        1,
+        5_000,
+        types,
+        allowances,
+        0.15,
+        new Settings.Layout(8, 6, 2, 3, 400),
+        new Settings.Limits(3, true, true, true, true, 500_000, 100, true),
+        new Settings.Rules(
+            20_000, 10_000_000, 1_000_000, 0.2, 10_000_000, 2.5, 1_000_000, 4, 0.12, 15_000_000));
+  }
+
+  /** One entry of each kind, and in them one of each kind of event, action and outcome. */
+  static List<Entry> everyKind() {
+    List<Event> outcomes =
+        List.of(Outcome.values()).stream()
+            .<Event>map(
+                outcome ->
+                    new Event.DispatchEnded(
+                        "a.0",
+                        outcome.ordinal(),
+                        outcome,
+                        1234,
+                        outcome.ordinal() % 2 == 0,
+                        Map.of("util", 0.5)))
+            .toList();
+    List<Event> lists =
+        List.of(ListKind.values()).stream()
+            .<Event>map(
+                kind ->
+                    new Event.ListSeen(
+                        kind,
+                        List.of(ServerStatus.values()).stream()
+                            .map(status -> new Listed("s" + status.ordinal(), 3, status, 17, 1.5))
+                            .toList()))
+            .toList();
+    List<Event> others =
+        List.of(
+            new Event.ListSeen(ListKind.LOST, List.of()),
+            new Event.ScanTaken("a", 1, "whole", "caf\u00e9", 4_000_000, 5_000_000, true, null),
+            new Event.ScanTaken("b", -2, "once", "", 4_100_000, 4_500_000, false, "k"),
+            new Event.PartTaken("a.0", 1, 0, 0.25, ""),
+            new Event.ScanLapsed("a"),
+            new Event.Ending(9_000_000),
+            new Event.TimerDue(Long.MAX_VALUE),
+            new Event.TimerDue(Long.MIN_VALUE),
+            new Event.Probed("s1", Outcome.TIMED_OUT, 7, Map.of()));
+    List<Action> actions =
+        List.of(
+            new Action.Send("a.0", "s1", 4_900_000),
+            new Action.Cancel("a.0", 2),
+            new Action.Answer("a", true),
+            new Action.Answer("b", false),
+            new Action.Throttle("a", 500),
+            new Action.Abandon("a"),
+            new Action.SetTimer(5000, -3),
+            new Action.Probe("s1"),
+            new Action.Close("s2"),
+            new Action.Follow(true),
+            new Action.Follow(false),
+            new Action.Note("noted"));
+    return List.of(
+        new Entry.Started(settings(), SEED),
+        new Entry.Iteration(4_200_000, others, 0x1234_5678, actions),
+        new Entry.Iteration(4_200_500, outcomes, -5, List.of()),
+        new Entry.Iteration(4_100_000, lists, 0, null),
+        new Entry.Failed(4_300_000, others, "java.lang.IllegalStateException: as it was"),
+        new Entry.Gap(300),
+        new Entry.Started(settings(), -1));
+  }
+
+  @Test
+  @EnabledIfSystemProperty(named = "tidebank.fixtures", matches = "write")
+  void write() throws IOException {
+    Path every = Files.createDirectories(ROOT.resolve("every-kind"));
+    Files.deleteIfExists(every.resolve("capture-00000003.tbc"));
+    try (Segments.Writer writer = new Segments.Writer(every, 3)) {
+      for (List<Entry> block : List.of(everyKind().subList(0, 4), everyKind().subList(4, 7))) {
+        Codec.Encoder encoder = new Codec.Encoder();
+        block.forEach(encoder::add);
+        writer.block(encoder.bytes());
+      }
+    }
+    String block = new String(plain(everyKind().get(0)), StandardCharsets.UTF_8);
+    Files.writeString(every.resolve("settings.json"), settingsJson(block));
+    record("digest", false, 150, 11);
+    record("whole", true, 150, 12);
+    record("busy", false, 4000, 13);
+  }
+
+  private static byte[] plain(Entry entry) {
+    Codec.Encoder encoder = new Codec.Encoder();
+    encoder.add(entry);
+    return encoder.bytes();
+  }
+
+  /** The settings in a block that begins with a start. */
+  static String settingsJson(String block) {
+    return block.substring(block.indexOf('{'), block.lastIndexOf("}}") + 2);
+  }
+
+  private static void record(String name, boolean whole, int turns, long seed) throws IOException {
+    Path folder = ROOT.resolve(name);
+    if (Files.isDirectory(folder)) {
+      for (Path old : Segments.in(folder)) {
+        Files.delete(old);
+      }
+    }
+    Recorder.Plan plan = new Recorder.Plan(folder, whole, RING, SEGMENT_BYTES, BUDGET_BYTES, false);
+    // A clock that stands still: blocks end by their size, not by the speed of the machine.
+    Recorder recorder = new Recorder(plan, () -> 0);
+    new BusyRun(settings(), SEED, seed, recorder).run(turns);
+    recorder.close(60_000);
+    if (recorder.lost() > 0) {
+      throw new IllegalStateException(recorder.lost() + " turns found no room");
+    }
+  }
+}
--- /dev/null
+++ b/lab/src/test/java/tidebank/lab/capture/StoredCaptureReplayTest.java
@@ -0,0 +1,27 @@
+package tidebank.lab.capture;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.nio.file.Path;
+import java.util.List;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** Captures that an earlier build stored replay to the decisions of then. */
+class StoredCaptureReplayTest {
+  private static final Path CAPTURES = Path.of("../gatherer/src/test/resources/fixtures/capture");
+
+  @ParameterizedTest
+  @CsvSource({"digest, 150, bddd1296", "whole, 150, 113b3e21", "busy, 4000, e9e356d4"})
+  void everyTurnIsDecidedAsItWas(String name, long turns, String digest) throws Exception {
+    Replayed.Result result = Replayed.replay(CAPTURES.resolve(name), (number, turn, actions) -> {});
+
+    assertThat(result.turns()).isEqualTo(turns);
+    assertThat(result.same()).isEqualTo(turns);
+    assertThat(result.skipped()).isZero();
+    assertThat(result.starts()).isEqualTo(1);
+    assertThat(result.torn()).isEqualTo(List.of());
+    assertThat(result.divergence()).isNull();
+    assertThat(result.digest()).isEqualTo(digest);
+  }
+}
--- /dev/null
+++ b/lab/src/test/java/tidebank/lab/scale/StoredScaleResultsTest.java
@@ -0,0 +1,53 @@
+package tidebank.lab.scale;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.nio.file.Files;
+import java.nio.file.Path;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/** Results that an earlier build stored are read, and written to the same bytes. */
+class StoredScaleResultsTest {
+  private static final Path STORED = Path.of("src/test/resources/fixtures/scale/small");
+
+  @TempDir private Path folder;
+
+  private void assertSameBytes(String file) throws Exception {
+    assertThat(folder.resolve(file)).hasSameBinaryContentAs(STORED.resolve(file));
+  }
+
+  @Test
+  void theRunIsReadByItsNames() throws Exception {
+    RunFacts run = new ScaleFolder(STORED).run();
+
+    assertThat(run)
+        .isEqualTo(
+            new RunFacts(
+                "small.toml",
+                39,
+                3,
+                100,
+                new Size(8, 200),
+                new Machine(
+                    2, 25274589184L, 6108151808L, "Linux", "amd64", "17.0.15+6-Debian-1deb12u1")));
+  }
+
+  @Test
+  void runPointsAndFitsAreWrittenToTheBytesTheyWereReadFrom() throws Exception {
+    ScaleFolder stored = new ScaleFolder(STORED);
+    ScaleFolder written = new ScaleFolder(folder);
+
+    try (Points points = written.begin(stored.run())) {
+      points.add(stored.points());
+    }
+    written.fit();
+
+    assertSameBytes("run.json");
+    assertSameBytes("points.csv");
+    assertSameBytes("fits.json");
+    assertThat(written.fits()).isEqualTo(stored.fits()).hasSizeGreaterThan(10);
+    assertThat(Files.readAllLines(STORED.resolve("points.csv")))
+        .hasSize(1 + stored.points().size());
+  }
+}
