--- a/cli/src/test/java/tidebank/cli/StoredDataTest.java
+++ b/cli/src/test/java/tidebank/cli/StoredDataTest.java
@@ -18,7 +18,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
+import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -30,7 +30,7 @@
 
 /**
  * Captures, traces and results that an earlier build stored, as the commands show them. What is
- * expected lies beside as files; {@code -Dtidebank.fixtures=write} writes those anew.
+ * expected lies beside as files; {@code -Dtests.excluded=} writes those anew.
  */
 @Timeout(120)
 class StoredDataTest {
@@ -258,7 +258,7 @@
   }
 
   @Test
-  @EnabledIfSystemProperty(named = "tidebank.fixtures", matches = "write")
+  @Tag("fixture-writer")
   void writeRuns(@TempDir Path folder) throws IOException {
     for (String name : new String[] {"first", "second"}) {
       Path to = Path.of(RUNS + name);
--- a/gatherer/src/test/java/tidebank/capture/CaptureFixtures.java
+++ b/gatherer/src/test/java/tidebank/capture/CaptureFixtures.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
+import org.junit.jupiter.api.Tag;
 import tidebank.model.Action;
 import tidebank.model.Event;
 import tidebank.model.Event.ListKind;
@@ -22,7 +22,7 @@
 /**
  * What the stored captures under src/test/resources/fixtures/capture hold, and the writer of them.
  * To write them anew, which only a new version of the format calls for: {@code mvn -o test -pl
- * gatherer -am -Dtest=CaptureFixtures -Dtidebank.fixtures=write
+ * gatherer -am -Dtest=CaptureFixtures -Dtests.excluded=
  * -Dsurefire.failIfNoSpecifiedTests=false}.
  */
 class CaptureFixtures {
@@ -122,7 +122,7 @@
   }
 
   @Test
-  @EnabledIfSystemProperty(named = "tidebank.fixtures", matches = "write")
+  @Tag("fixture-writer")
   void write() throws IOException {
     Path every = Files.createDirectories(ROOT.resolve("every-kind"));
     Files.deleteIfExists(every.resolve("capture-00000003.tbc"));
