--- a/cli/src/main/java/tidebank/cli/Archive.java
+++ b/cli/src/main/java/tidebank/cli/Archive.java
@@ -29,7 +29,7 @@
       names = {"-o", "--out"},
       description = "the archive (default: ${DEFAULT-VALUE})",
       paramLabel = "FILE",
-      defaultValue = "gatherer/target/tidebank.jsa")
+      defaultValue = "router/target/tidebank.jsa")
   Path out;
 
   @Override
--- a/cli/src/main/java/tidebank/cli/Serve.java
+++ b/cli/src/main/java/tidebank/cli/Serve.java
@@ -47,7 +47,7 @@
   }
 
   static int run(List<String> more) throws IOException {
-    File jar = new File(System.getProperty("tidebank.home", "."), "gatherer/target/tidebank.jar");
+    File jar = new File(System.getProperty("tidebank.home", "."), "router/target/tidebank.jar");
     List<String> command =
         new ArrayList<>(
             List.of(
--- a/cli/src/test/java/tidebank/cli/TidebankTest.java
+++ b/cli/src/test/java/tidebank/cli/TidebankTest.java
@@ -208,7 +208,7 @@
 
   @Test
   void theArchiveSparesAGathererTheReadingOfItsClasses() throws Exception {
-    Path jar = Path.of("../gatherer/target/tidebank.jar");
+    Path jar = Path.of("../router/target/tidebank.jar");
     Path archive = folder.resolve("tidebank.jsa");
     String home = System.setProperty("tidebank.home", "..");
     try {
--- a/lab/src/main/java/tidebank/lab/replay/GathererProcess.java
+++ b/testbed/src/main/java/tidebank/lab/replay/GathererProcess.java
@@ -105,7 +105,7 @@
     List<String> command = new ArrayList<>(FLAGS);
     command.addAll(jvm);
     String home = System.getProperty("tidebank.home", "");
-    File jar = new File(home, "gatherer/target/tidebank.jar");
+    File jar = new File(home, "router/target/tidebank.jar");
     if (!home.isEmpty() && jar.isFile() && launcher.isEmpty()) {
       command.addAll(List.of("-jar", jar.getPath(), "serve"));
     } else {
