--- a/cli/src/main/java/tidebank/cli/Archive.java
+++ b/cli/src/main/java/tidebank/cli/Archive.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import tidebank.lab.replay.Replay;
-import tidebank.lab.site.Site;
+import tidebank.testbed.replay.Replay;
+import tidebank.testbed.deployment.Site;
 
 /**
  * Part of the build: an archive of the classes that serving loads, as the JVM leaves it behind. A
--- a/cli/src/main/java/tidebank/cli/CaptureCommands.java
+++ b/cli/src/main/java/tidebank/cli/CaptureCommands.java
@@ -19,7 +19,7 @@
 import picocli.CommandLine.Spec;
 import tidebank.capture.Entry;
 import tidebank.capture.Segments;
-import tidebank.lab.capture.Replayed;
+import tidebank.testbed.capture.Replayed;
 import tidebank.model.Action;
 import tidebank.model.Event;
 
--- a/cli/src/main/java/tidebank/cli/ChaosCommands.java
+++ b/cli/src/main/java/tidebank/cli/ChaosCommands.java
@@ -28,12 +28,12 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import tidebank.lab.chaos.Drawn;
-import tidebank.lab.chaos.Gaps;
-import tidebank.lab.chaos.Play;
-import tidebank.lab.chaos.RunFiles;
-import tidebank.lab.chaos.Script;
-import tidebank.lab.fleet.Load;
+import tidebank.testbed.chaos.Drawn;
+import tidebank.testbed.chaos.Gaps;
+import tidebank.testbed.chaos.Play;
+import tidebank.testbed.chaos.RunFiles;
+import tidebank.testbed.chaos.Script;
+import tidebank.testbed.fleet.Load;
 
 /** A fleet of processes under faults, by script or by seed. */
 @Command(
--- a/cli/src/main/java/tidebank/cli/Demo.java
+++ b/cli/src/main/java/tidebank/cli/Demo.java
@@ -10,11 +10,11 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
-import tidebank.lab.replay.Incident;
-import tidebank.lab.replay.Incident.Kind;
-import tidebank.lab.replay.Replay;
-import tidebank.lab.site.Site;
-import tidebank.lab.trace.TraceRow;
+import tidebank.testbed.replay.Incident;
+import tidebank.testbed.replay.Incident.Kind;
+import tidebank.testbed.replay.Replay;
+import tidebank.testbed.deployment.Site;
+import tidebank.testbed.trace.TraceRow;
 
 /** The whole product on one machine in a few seconds, without any configuration. */
 @Command(
--- a/cli/src/main/java/tidebank/cli/FleetCommands.java
+++ b/cli/src/main/java/tidebank/cli/FleetCommands.java
@@ -24,8 +24,8 @@
 import tidebank.lease.Answer;
 import tidebank.lease.Command.Kind;
 import tidebank.lease.LeaseBook;
-import tidebank.steward.StewardClient;
-import tidebank.steward.StewardMain;
+import tidebank.coordinator.StewardClient;
+import tidebank.coordinator.StewardMain;
 
 /** The fleet's duties, as its operators see and steer them. */
 @Command(
--- a/cli/src/main/java/tidebank/cli/FleetDemo.java
+++ b/cli/src/main/java/tidebank/cli/FleetDemo.java
@@ -11,11 +11,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
-import tidebank.lab.fleet.Members;
-import tidebank.lab.fleet.Stewards;
-import tidebank.lab.replay.GathererProcess;
+import tidebank.testbed.fleet.Members;
+import tidebank.testbed.fleet.Stewards;
+import tidebank.testbed.replay.GathererProcess;
 import tidebank.lease.LeaseBook;
-import tidebank.steward.StewardClient;
+import tidebank.coordinator.StewardClient;
 
 /** An owner stopped and woken again, before one's eyes. */
 @Command(
--- a/cli/src/main/java/tidebank/cli/Playing.java
+++ b/cli/src/main/java/tidebank/cli/Playing.java
@@ -13,11 +13,11 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicInteger;
 import sun.misc.Signal;
-import tidebank.lab.account.Account;
-import tidebank.lab.account.RuleAudit;
-import tidebank.lab.replay.Replay;
-import tidebank.lab.report.RunFolder;
-import tidebank.lab.trace.TraceRow;
+import tidebank.testbed.account.Account;
+import tidebank.testbed.account.RuleAudit;
+import tidebank.testbed.replay.Replay;
+import tidebank.testbed.report.RunFolder;
+import tidebank.testbed.trace.TraceRow;
 
 /** Plays rows, keeps what came of it and tells it. */
 final class Playing {
--- a/cli/src/main/java/tidebank/cli/ScaleCommands.java
+++ b/cli/src/main/java/tidebank/cli/ScaleCommands.java
@@ -15,14 +15,14 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import tidebank.lab.scale.CapacityPage;
-import tidebank.lab.scale.Fit;
-import tidebank.lab.scale.Point;
-import tidebank.lab.scale.Points;
-import tidebank.lab.scale.Profile;
-import tidebank.lab.scale.ScaleFolder;
-import tidebank.lab.scale.ScaleRun;
-import tidebank.lab.scale.Target;
+import tidebank.testbed.scale.CapacityPage;
+import tidebank.testbed.scale.Fit;
+import tidebank.testbed.scale.Point;
+import tidebank.testbed.scale.Points;
+import tidebank.testbed.scale.Profile;
+import tidebank.testbed.scale.ScaleFolder;
+import tidebank.testbed.scale.ScaleRun;
+import tidebank.testbed.scale.Target;
 
 /** How cost grows with the fleet: measured on a ladder of sizes, fitted, and put into a page. */
 @Command(
--- a/cli/src/main/java/tidebank/cli/TraceCompareCommand.java
+++ b/cli/src/main/java/tidebank/cli/TraceCompareCommand.java
@@ -5,7 +5,7 @@
 import java.util.Locale;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
-import tidebank.lab.report.Comparison;
+import tidebank.testbed.report.Comparison;
 
 /** Compares reports of service. */
 @Command(
--- a/cli/src/main/java/tidebank/cli/TraceImportCommand.java
+++ b/cli/src/main/java/tidebank/cli/TraceImportCommand.java
@@ -10,10 +10,10 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import tidebank.config.Malformed;
-import tidebank.lab.trace.mapping.Mapping;
-import tidebank.lab.trace.read.Importer;
-import tidebank.lab.trace.read.Sniffer;
-import tidebank.lab.trace.read.Source;
+import tidebank.testbed.trace.mapping.Mapping;
+import tidebank.testbed.trace.read.Importer;
+import tidebank.testbed.trace.read.Sniffer;
+import tidebank.testbed.trace.read.Source;
 
 /** Imports CSV into the normal form. */
 @Command(
--- a/cli/src/main/java/tidebank/cli/TraceLayoutsCommand.java
+++ b/cli/src/main/java/tidebank/cli/TraceLayoutsCommand.java
@@ -5,9 +5,9 @@
 import java.io.IOException;
 import java.util.Locale;
 import picocli.CommandLine.Command;
-import tidebank.lab.trace.layout.Column;
-import tidebank.lab.trace.layout.Layout;
-import tidebank.lab.trace.layout.Layouts;
+import tidebank.testbed.trace.layout.Column;
+import tidebank.testbed.trace.layout.Layout;
+import tidebank.testbed.trace.layout.Layouts;
 
 /** Lists the known layouts. */
 @Command(
--- a/cli/src/main/java/tidebank/cli/TraceMappingCommand.java
+++ b/cli/src/main/java/tidebank/cli/TraceMappingCommand.java
@@ -6,8 +6,8 @@
 import picocli.CommandLine.Parameters;
 import tidebank.config.Malformed;
 import tidebank.config.Toml;
-import tidebank.lab.trace.layout.Layout;
-import tidebank.lab.trace.layout.Layouts;
+import tidebank.testbed.trace.layout.Layout;
+import tidebank.testbed.trace.layout.Layouts;
 
 /** Prints the default mapping of a layout. */
 @Command(
--- a/cli/src/main/java/tidebank/cli/TraceOutput.java
+++ b/cli/src/main/java/tidebank/cli/TraceOutput.java
@@ -8,11 +8,11 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import tidebank.lab.trace.TraceRow;
-import tidebank.lab.trace.order.Item;
-import tidebank.lab.trace.stats.TraceStats;
-import tidebank.lab.trace.store.TraceFile;
-import tidebank.lab.trace.store.TraceMeta;
+import tidebank.testbed.trace.TraceRow;
+import tidebank.testbed.trace.order.Item;
+import tidebank.testbed.trace.stats.TraceStats;
+import tidebank.testbed.trace.store.TraceFile;
+import tidebank.testbed.trace.store.TraceMeta;
 
 /** Statistics of traces, computed as they are written and printed for people. */
 final class TraceOutput {
--- a/cli/src/main/java/tidebank/cli/TraceReplayCommand.java
+++ b/cli/src/main/java/tidebank/cli/TraceReplayCommand.java
@@ -8,11 +8,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import tidebank.lab.replay.Incident;
-import tidebank.lab.replay.Replay;
-import tidebank.lab.site.Site;
-import tidebank.lab.trace.shape.Rows;
-import tidebank.lab.trace.shape.Shapes;
+import tidebank.testbed.replay.Incident;
+import tidebank.testbed.replay.Replay;
+import tidebank.testbed.deployment.Site;
+import tidebank.testbed.trace.shape.Rows;
+import tidebank.testbed.trace.shape.Shapes;
 
 /** Replays a trace through real gatherers. */
 @Command(
--- a/cli/src/main/java/tidebank/cli/TraceShapeCommand.java
+++ b/cli/src/main/java/tidebank/cli/TraceShapeCommand.java
@@ -8,11 +8,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import tidebank.lab.trace.shape.Rows;
-import tidebank.lab.trace.shape.Shapes;
-import tidebank.lab.trace.stats.TraceStats;
-import tidebank.lab.trace.store.TraceFile;
-import tidebank.lab.trace.store.TraceMeta;
+import tidebank.testbed.trace.shape.Rows;
+import tidebank.testbed.trace.shape.Shapes;
+import tidebank.testbed.trace.stats.TraceStats;
+import tidebank.testbed.trace.store.TraceFile;
+import tidebank.testbed.trace.store.TraceMeta;
 
 /** Shapes a trace into another. */
 @Command(
--- a/cli/src/main/java/tidebank/cli/TraceShowCommand.java
+++ b/cli/src/main/java/tidebank/cli/TraceShowCommand.java
@@ -8,9 +8,9 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import tidebank.lab.trace.TraceRow;
-import tidebank.lab.trace.store.TraceFile;
-import tidebank.lab.trace.store.TraceMeta;
+import tidebank.testbed.trace.TraceRow;
+import tidebank.testbed.trace.store.TraceFile;
+import tidebank.testbed.trace.store.TraceMeta;
 
 /** Prints rows of a trace. */
 @Command(
--- a/cli/src/main/java/tidebank/cli/TraceSniffCommand.java
+++ b/cli/src/main/java/tidebank/cli/TraceSniffCommand.java
@@ -8,8 +8,8 @@
 import java.util.Locale;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
-import tidebank.lab.trace.read.Sniffer;
-import tidebank.lab.trace.read.Source;
+import tidebank.testbed.trace.read.Sniffer;
+import tidebank.testbed.trace.read.Source;
 
 /** Names the likeliest layout of a file. */
 @Command(
--- a/cli/src/main/java/tidebank/cli/TraceStatsCommand.java
+++ b/cli/src/main/java/tidebank/cli/TraceStatsCommand.java
@@ -9,9 +9,9 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import tidebank.lab.report.StatsPage;
-import tidebank.lab.trace.shape.Rows;
-import tidebank.lab.trace.stats.TraceStats;
+import tidebank.testbed.report.StatsPage;
+import tidebank.testbed.trace.shape.Rows;
+import tidebank.testbed.trace.stats.TraceStats;
 
 /** Prints the statistics of a trace. */
 @Command(
--- a/cli/src/main/java/tidebank/cli/TraceSynthCommand.java
+++ b/cli/src/main/java/tidebank/cli/TraceSynthCommand.java
@@ -9,12 +9,12 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import tidebank.lab.trace.TraceRow;
-import tidebank.lab.trace.shape.Rows;
-import tidebank.lab.trace.stats.TraceStats;
-import tidebank.lab.trace.store.TraceFile;
-import tidebank.lab.trace.store.TraceMeta;
-import tidebank.lab.trace.synth.Synthesis;
+import tidebank.testbed.trace.TraceRow;
+import tidebank.testbed.trace.shape.Rows;
+import tidebank.testbed.trace.stats.TraceStats;
+import tidebank.testbed.trace.store.TraceFile;
+import tidebank.testbed.trace.store.TraceMeta;
+import tidebank.testbed.trace.synth.Synthesis;
 
 /** Makes a trace after the statistics of another. */
 @Command(
--- a/cli/src/test/java/tidebank/cli/FleetJsonFixturesTest.java
+++ b/cli/src/test/java/tidebank/cli/FleetJsonFixturesTest.java
@@ -16,10 +16,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import tidebank.lab.fleet.Stewards;
+import tidebank.testbed.fleet.Stewards;
 import tidebank.lease.Command;
 import tidebank.lease.Command.Kind;
-import tidebank.steward.StewardClient;
+import tidebank.coordinator.StewardClient;
 
 /**
  * The JSON that {@code fleet status|members|duties|history --json} prints: the set of its paths is
--- a/cli/src/test/java/tidebank/cli/TidebankTest.java
+++ b/cli/src/test/java/tidebank/cli/TidebankTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.api.io.TempDir;
 import picocli.AutoComplete;
 import picocli.CommandLine;
-import tidebank.lab.fleet.Stewards;
+import tidebank.testbed.fleet.Stewards;
 import tidebank.lease.Command.Kind;
-import tidebank.steward.StewardClient;
+import tidebank.coordinator.StewardClient;
 
 /** The command line as its users meet it: results, messages and exit codes. */
 @Timeout(90)
--- a/coordinator/src/main/java/tidebank/steward/DutyHistory.java
+++ b/coordinator/src/main/java/tidebank/coordinator/DutyHistory.java
@@ -1,4 +1,4 @@
-package tidebank.steward;
+package tidebank.coordinator;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 import tidebank.lease.LeaseBook;
 import tidebank.lease.LeaseBook.Duty;
-import tidebank.steward.StewardClient.Past;
+import tidebank.coordinator.StewardClient.Past;
 
 /**
  * What became of each duty, the last of it, for people. Kept beside the rules, which know nothing
--- a/coordinator/src/main/java/tidebank/steward/HttpSide.java
+++ b/coordinator/src/main/java/tidebank/coordinator/HttpSide.java
@@ -1,4 +1,4 @@
-package tidebank.steward;
+package tidebank.coordinator;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBufUtil;
--- a/coordinator/src/main/java/tidebank/steward/StewardFile.java
+++ b/coordinator/src/main/java/tidebank/coordinator/StewardFile.java
@@ -1,4 +1,4 @@
-package tidebank.steward;
+package tidebank.coordinator;
 
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
--- a/router/src/main/java/tidebank/Main.java
+++ b/router/src/main/java/tidebank/Main.java
@@ -14,8 +14,8 @@
 import tidebank.config.Malformed;
 import tidebank.config.NodeConfig;
 import tidebank.config.OperatorFile;
-import tidebank.node.Gatherer;
-import tidebank.sim.WireHost;
+import tidebank.runtime.Gatherer;
+import tidebank.simulation.WireHost;
 
 /** The command line: picks the front that drives the decisions. */
 public final class Main {
--- a/router/src/main/java/tidebank/shard/Call.java
+++ b/router/src/main/java/tidebank/backend/Call.java
@@ -1,4 +1,4 @@
-package tidebank.shard;
+package tidebank.backend;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/router/src/main/java/tidebank/shard/Connection.java
+++ b/router/src/main/java/tidebank/backend/Connection.java
@@ -1,4 +1,4 @@
-package tidebank.shard;
+package tidebank.backend;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -16,7 +16,7 @@
 import java.util.Set;
 import tidebank.config.Malformed;
 import tidebank.model.Outcome;
-import tidebank.node.Timers;
+import tidebank.runtime.Timers;
 
 /**
  * One connection to a shard server. At most one frame with parts is in Netty's hands before it is
--- a/router/src/main/java/tidebank/shard/FrameReader.java
+++ b/router/src/main/java/tidebank/backend/FrameReader.java
@@ -1,4 +1,4 @@
-package tidebank.shard;
+package tidebank.backend;
 
 import io.netty.handler.codec.LengthFieldBasedFrameDecoder;
 
--- a/router/src/main/java/tidebank/shard/Frames.java
+++ b/router/src/main/java/tidebank/backend/Frames.java
@@ -1,4 +1,4 @@
-package tidebank.shard;
+package tidebank.backend;
 
 import static java.nio.charset.StandardCharsets.US_ASCII;
 import static java.nio.charset.StandardCharsets.UTF_8;
--- a/router/src/main/java/tidebank/shard/InFlightDispatch.java
+++ b/router/src/main/java/tidebank/backend/InFlightDispatch.java
@@ -1,8 +1,8 @@
-package tidebank.shard;
+package tidebank.backend;
 
 import tidebank.model.Outcome;
-import tidebank.node.DispatchRequest;
-import tidebank.node.Timers;
+import tidebank.runtime.DispatchRequest;
+import tidebank.runtime.Timers;
 
 /** One dispatch on its way: waiting for a connection, being written, or out. */
 final class InFlightDispatch extends Timers.Timer implements DispatchRequest.Handle {
--- a/router/src/main/java/tidebank/shard/Server.java
+++ b/router/src/main/java/tidebank/backend/Server.java
@@ -1,12 +1,12 @@
-package tidebank.shard;
+package tidebank.backend;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import tidebank.model.Outcome;
-import tidebank.node.DispatchRequest;
-import tidebank.node.Timers;
+import tidebank.runtime.DispatchRequest;
+import tidebank.runtime.Timers;
 
 /**
  * What is kept for one shard server: its address, its connections, this turn's calls and its drain.
--- a/router/src/main/java/tidebank/shard/ShardSide.java
+++ b/router/src/main/java/tidebank/backend/ShardSide.java
@@ -1,4 +1,4 @@
-package tidebank.shard;
+package tidebank.backend;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
@@ -14,11 +14,11 @@
 import tidebank.config.NodeConfig;
 import tidebank.model.Event.ServerStatus;
 import tidebank.model.Outcome;
-import tidebank.node.Clock;
-import tidebank.node.DispatchRequest;
-import tidebank.node.PolicyDriver;
-import tidebank.node.ShardPort;
-import tidebank.node.Timers;
+import tidebank.runtime.Clock;
+import tidebank.runtime.DispatchRequest;
+import tidebank.runtime.PolicyDriver;
+import tidebank.runtime.ShardPort;
+import tidebank.runtime.Timers;
 
 /** Carries out dispatches on connections to shard servers and tells their ends. */
 public final class ShardSide implements ShardPort {
--- a/router/src/main/java/tidebank/shard/package-info.java
+++ b/router/src/main/java/tidebank/backend/package-info.java
@@ -1,2 +1,2 @@
 /** Shard servers: frames, connections and the ends of dispatches. */
-package tidebank.shard;
+package tidebank.backend;
--- a/router/src/main/java/tidebank/discovery/DiscoverySide.java
+++ b/router/src/main/java/tidebank/discovery/DiscoverySide.java
@@ -30,10 +30,10 @@
 import tidebank.model.Chance;
 import tidebank.model.Event.ListKind;
 import tidebank.model.ListCalls;
-import tidebank.node.Clock;
-import tidebank.node.ListPort;
-import tidebank.node.PolicyDriver;
-import tidebank.node.Timers;
+import tidebank.runtime.Clock;
+import tidebank.runtime.ListPort;
+import tidebank.runtime.PolicyDriver;
+import tidebank.runtime.Timers;
 
 /**
  * Watches discovery on one connection: calls that wait for changes, each renewed at once. A watch
--- a/router/src/main/java/tidebank/discovery/ListReader.java
+++ b/router/src/main/java/tidebank/discovery/ListReader.java
@@ -10,8 +10,8 @@
 import tidebank.config.NodeConfig;
 import tidebank.model.Event.Listed;
 import tidebank.model.Event.ServerStatus;
-import tidebank.node.Clock;
-import tidebank.node.ShardPort.Member;
+import tidebank.runtime.Clock;
+import tidebank.runtime.ShardPort.Member;
 
 /** Reads discovery's lists; a list with any fault is no list. */
 public final class ListReader {
--- a/router/src/main/java/tidebank/front/ClientConnection.java
+++ b/router/src/main/java/tidebank/frontend/ClientConnection.java
@@ -1,4 +1,4 @@
-package tidebank.front;
+package tidebank.frontend;
 
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.channel.Channel;
@@ -19,7 +19,7 @@
 import java.util.ArrayDeque;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tidebank.node.Timers;
+import tidebank.runtime.Timers;
 
 /**
  * One client's connection. Requests that come before earlier ones are answered are answered in
--- a/router/src/main/java/tidebank/front/ClientSide.java
+++ b/router/src/main/java/tidebank/frontend/ClientSide.java
@@ -1,4 +1,4 @@
-package tidebank.front;
+package tidebank.frontend;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -18,9 +18,9 @@
 import java.util.function.BooleanSupplier;
 import tidebank.base.Counters;
 import tidebank.config.NodeConfig;
-import tidebank.node.Clock;
-import tidebank.node.PolicyDriver;
-import tidebank.node.Timers;
+import tidebank.runtime.Clock;
+import tidebank.runtime.PolicyDriver;
+import tidebank.runtime.Timers;
 
 /** Listens for clients and keeps their connections within their budget. */
 public final class ClientSide {
--- a/router/src/main/java/tidebank/front/Exchange.java
+++ b/router/src/main/java/tidebank/frontend/Exchange.java
@@ -1,4 +1,4 @@
-package tidebank.front;
+package tidebank.frontend;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -17,8 +17,8 @@
 import java.util.Locale;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tidebank.node.Reply;
-import tidebank.node.ScanRequest;
+import tidebank.runtime.Reply;
+import tidebank.runtime.ScanRequest;
 
 /** One request on a client's connection and, once it is there, its response. */
 final class Exchange implements Reply {
--- a/router/src/main/java/tidebank/front/Listener.java
+++ b/router/src/main/java/tidebank/frontend/Listener.java
@@ -1,4 +1,4 @@
-package tidebank.front;
+package tidebank.frontend;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -9,8 +9,8 @@
 import io.netty.channel.nio.AbstractNioChannel;
 import java.net.InetSocketAddress;
 import tidebank.base.Counters;
-import tidebank.node.Clock;
-import tidebank.node.Timers;
+import tidebank.runtime.Clock;
+import tidebank.runtime.Timers;
 
 /**
  * The listening socket. It accepts unless its owner has no room, or the system could not accept a
--- a/router/src/main/java/tidebank/front/RequestRouter.java
+++ b/router/src/main/java/tidebank/frontend/RequestRouter.java
@@ -1,11 +1,11 @@
-package tidebank.front;
+package tidebank.frontend;
 
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpResponseStatus;
-import tidebank.front.ScanReader.Rejected;
-import tidebank.node.ScanRequest;
+import tidebank.frontend.ScanReader.Rejected;
+import tidebank.runtime.ScanRequest;
 
 /** Answers whole requests by their path, or hands their scans to the turn. */
 final class RequestRouter {
--- a/router/src/main/java/tidebank/front/RequestTrace.java
+++ b/router/src/main/java/tidebank/frontend/RequestTrace.java
@@ -1,10 +1,10 @@
-package tidebank.front;
+package tidebank.frontend;
 
 import io.netty.channel.Channel;
 import java.util.Locale;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tidebank.node.ScanRequest;
+import tidebank.runtime.ScanRequest;
 
 /**
  * The log of one client connection: its requests by their ids, with the times that tell why one
--- a/router/src/main/java/tidebank/front/ScanReader.java
+++ b/router/src/main/java/tidebank/frontend/ScanReader.java
@@ -1,4 +1,4 @@
-package tidebank.front;
+package tidebank.frontend;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
@@ -18,8 +18,8 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import tidebank.model.Settings;
-import tidebank.node.ScanRequest;
-import tidebank.node.ScanRequest.Range;
+import tidebank.runtime.ScanRequest;
+import tidebank.runtime.ScanRequest.Range;
 
 /** Reads and checks a scan. */
 final class ScanReader {
--- a/router/src/main/java/tidebank/front/StrictRequestDecoder.java
+++ b/router/src/main/java/tidebank/frontend/StrictRequestDecoder.java
@@ -1,4 +1,4 @@
-package tidebank.front;
+package tidebank.frontend;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
--- a/router/src/main/java/tidebank/front/package-info.java
+++ b/router/src/main/java/tidebank/frontend/package-info.java
@@ -1,2 +1,2 @@
 /** The clients' side: HTTP in, one answer for each scan out. */
-package tidebank.front;
+package tidebank.frontend;
--- a/router/src/main/java/tidebank/node/Clock.java
+++ b/router/src/main/java/tidebank/runtime/Clock.java
@@ -1,4 +1,4 @@
-package tidebank.node;
+package tidebank.runtime;
 
 /**
  * Whole microseconds that never go back. They start as Unix time, so that Unix times need no
--- a/router/src/main/java/tidebank/node/DispatchRequest.java
+++ b/router/src/main/java/tidebank/runtime/DispatchRequest.java
@@ -1,4 +1,4 @@
-package tidebank.node;
+package tidebank.runtime;
 
 /**
  * One dispatch, from the module's word to its one end. The shard side carries it out, the turn
--- a/router/src/main/java/tidebank/node/Gatherer.java
+++ b/router/src/main/java/tidebank/runtime/Gatherer.java
@@ -1,4 +1,4 @@
-package tidebank.node;
+package tidebank.runtime;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
@@ -30,9 +30,9 @@
 import tidebank.discovery.DiscoverySide;
 import tidebank.discovery.ListReader;
 import tidebank.fleet.FleetAgent;
-import tidebank.front.ClientSide;
+import tidebank.frontend.ClientSide;
 import tidebank.model.Event.ListKind;
-import tidebank.shard.ShardSide;
+import tidebank.backend.ShardSide;
 
 /**
  * A gatherer on sockets, to be embedded: {@link #start} it, ask whether it is ready, {@link #stop}
--- a/router/src/main/java/tidebank/node/HeldScan.java
+++ b/router/src/main/java/tidebank/runtime/HeldScan.java
@@ -1,10 +1,10 @@
-package tidebank.node;
+package tidebank.runtime;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import tidebank.node.Reply.Value;
+import tidebank.runtime.Reply.Value;
 
 /**
  * What the turn keeps for one scan, beside the module's state: the text, the values, who waits for
--- a/router/src/main/java/tidebank/node/ListPort.java
+++ b/router/src/main/java/tidebank/runtime/ListPort.java
@@ -1,4 +1,4 @@
-package tidebank.node;
+package tidebank.runtime;
 
 /** What the turn asks of the side that speaks to discovery. */
 public interface ListPort {
--- a/router/src/main/java/tidebank/node/PolicyDriver.java
+++ b/router/src/main/java/tidebank/runtime/PolicyDriver.java
@@ -1,4 +1,4 @@
-package tidebank.node;
+package tidebank.runtime;
 
 import io.netty.channel.EventLoop;
 import java.util.ArrayList;
@@ -18,8 +18,8 @@
 import tidebank.model.Event.ServerStatus;
 import tidebank.model.Outcome;
 import tidebank.model.Settings;
-import tidebank.node.HeldScan.HeldPart;
-import tidebank.node.ShardPort.Member;
+import tidebank.runtime.HeldScan.HeldPart;
+import tidebank.runtime.ShardPort.Member;
 
 /**
  * Gathers what one pass of the event loop brings, calls the module once and carries out what it
--- a/router/src/main/java/tidebank/node/ReadPasses.java
+++ b/router/src/main/java/tidebank/runtime/ReadPasses.java
@@ -1,4 +1,4 @@
-package tidebank.node;
+package tidebank.runtime;
 
 /**
  * Estimates since when bytes may have waited to be read. The event loop polls its sockets, reads
--- a/router/src/main/java/tidebank/node/Readiness.java
+++ b/router/src/main/java/tidebank/runtime/Readiness.java
@@ -1,4 +1,4 @@
-package tidebank.node;
+package tidebank.runtime;
 
 /**
  * When a gatherer tells its front that it can serve. It can once it knows of shard servers. Where
--- a/router/src/main/java/tidebank/node/ShardPort.java
+++ b/router/src/main/java/tidebank/runtime/ShardPort.java
@@ -1,4 +1,4 @@
-package tidebank.node;
+package tidebank.runtime;
 
 import java.net.InetSocketAddress;
 import java.util.List;
--- a/router/src/main/java/tidebank/node/StallReport.java
+++ b/router/src/main/java/tidebank/runtime/StallReport.java
@@ -1,4 +1,4 @@
-package tidebank.node;
+package tidebank.runtime;
 
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
--- a/router/src/main/java/tidebank/node/Timers.java
+++ b/router/src/main/java/tidebank/runtime/Timers.java
@@ -1,4 +1,4 @@
-package tidebank.node;
+package tidebank.runtime;
 
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.ScheduledFuture;
--- a/router/src/main/java/tidebank/node/package-info.java
+++ b/router/src/main/java/tidebank/runtime/package-info.java
@@ -1,4 +1,4 @@
 /**
  * The gatherer as a library: life cycle, clock, wake-ups and the turn that drives the decisions.
  */
-package tidebank.node;
+package tidebank.runtime;
--- a/router/src/main/java/tidebank/sim/WireHost.java
+++ b/router/src/main/java/tidebank/simulation/WireHost.java
@@ -1,4 +1,4 @@
-package tidebank.sim;
+package tidebank.simulation;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonProcessingException;
--- a/router/src/main/java/tidebank/sim/package-info.java
+++ b/router/src/main/java/tidebank/simulation/package-info.java
@@ -2,4 +2,4 @@
  * The simulator's wire: framing, codecs and the host that spreads a batch over the instances. No
  * decisions.
  */
-package tidebank.sim;
+package tidebank.simulation;
--- a/router/src/test/java/tidebank/CounterNamesFixtureTest.java
+++ b/router/src/test/java/tidebank/CounterNamesFixtureTest.java
@@ -26,13 +26,13 @@
 import tidebank.discovery.ListReader;
 import tidebank.model.Event.ListKind;
 import tidebank.model.Outcome;
-import tidebank.node.Clock;
-import tidebank.node.DispatchRequest;
-import tidebank.node.PolicyDriver;
-import tidebank.node.Reply;
-import tidebank.node.ScanRequest;
-import tidebank.node.ShardPort;
-import tidebank.node.Timers;
+import tidebank.runtime.Clock;
+import tidebank.runtime.DispatchRequest;
+import tidebank.runtime.PolicyDriver;
+import tidebank.runtime.Reply;
+import tidebank.runtime.ScanRequest;
+import tidebank.runtime.ShardPort;
+import tidebank.runtime.Timers;
 
 /**
  * The names of the counters that operators and the fleet's reports read: that of each constant in
--- a/router/src/test/java/tidebank/DiscoveryCallsFixtureTest.java
+++ b/router/src/test/java/tidebank/DiscoveryCallsFixtureTest.java
@@ -16,7 +16,7 @@
 import tidebank.FakeSite.FakeDiscovery;
 import tidebank.config.NodeConfig;
 import tidebank.fixtures.StoredCases;
-import tidebank.node.Gatherer;
+import tidebank.runtime.Gatherer;
 
 /** What is sent to discovery is byte for byte what it was. */
 @Timeout(30)
--- a/router/src/test/java/tidebank/FakeSite.java
+++ b/router/src/test/java/tidebank/FakeSite.java
@@ -40,8 +40,8 @@
 import tidebank.model.Action;
 import tidebank.model.Event;
 import tidebank.model.Settings;
-import tidebank.node.Gatherer;
-import tidebank.node.PolicyDriver;
+import tidebank.runtime.Gatherer;
+import tidebank.runtime.PolicyDriver;
 
 /**
  * Small stand-ins on loopback ports of the system's choice: discovery, shard servers, a client; and
--- a/router/src/test/java/tidebank/MalformedInputTest.java
+++ b/router/src/test/java/tidebank/MalformedInputTest.java
@@ -28,8 +28,8 @@
 import tidebank.FakeSite.FakeClient.Response;
 import tidebank.FakeSite.FakeShardServer;
 import tidebank.FakeSite.FakeShardServer.Frame;
-import tidebank.front.ClientSide;
-import tidebank.node.Gatherer;
+import tidebank.frontend.ClientSide;
+import tidebank.runtime.Gatherer;
 
 /**
  * Malformed and abusive input of clients and shard servers: it is answered or closed, nothing is
--- a/router/src/test/java/tidebank/PolicyDriverTest.java
+++ b/router/src/test/java/tidebank/PolicyDriverTest.java
@@ -23,14 +23,14 @@
 import tidebank.config.NodeConfig;
 import tidebank.discovery.ListReader;
 import tidebank.model.Event.ListKind;
-import tidebank.node.Clock;
-import tidebank.node.DispatchRequest;
-import tidebank.node.PolicyDriver;
-import tidebank.node.Reply;
-import tidebank.node.ScanRequest;
-import tidebank.node.ShardPort;
-import tidebank.node.Timers;
-import tidebank.shard.ShardSide;
+import tidebank.runtime.Clock;
+import tidebank.runtime.DispatchRequest;
+import tidebank.runtime.PolicyDriver;
+import tidebank.runtime.Reply;
+import tidebank.runtime.ScanRequest;
+import tidebank.runtime.ShardPort;
+import tidebank.runtime.Timers;
+import tidebank.backend.ShardSide;
 
 /** The turn and the shard side by themselves, on a loop of their own. */
 @Timeout(20)
--- a/router/src/test/java/tidebank/RequestFragmentationTest.java
+++ b/router/src/test/java/tidebank/RequestFragmentationTest.java
@@ -35,8 +35,8 @@
 import tidebank.FakeSite.FakeClient;
 import tidebank.FakeSite.FakeShardServer;
 import tidebank.FakeSite.FakeShardServer.Frame;
-import tidebank.front.ClientSide;
-import tidebank.node.Gatherer;
+import tidebank.frontend.ClientSide;
+import tidebank.runtime.Gatherer;
 
 /**
  * Fragmentation of what peers send: client requests, frames of shard servers, discovery's
--- a/router/src/test/java/tidebank/WireHostTest.java
+++ b/router/src/test/java/tidebank/WireHostTest.java
@@ -8,7 +8,7 @@
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
-import tidebank.sim.WireHost;
+import tidebank.simulation.WireHost;
 
 class WireHostTest {
   private static final String SHEET =
--- a/router/src/test/java/tidebank/shard/FramesFixtureTest.java
+++ b/router/src/test/java/tidebank/backend/FramesFixtureTest.java
@@ -1,4 +1,4 @@
-package tidebank.shard;
+package tidebank.backend;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
@@ -15,7 +15,7 @@
 import tidebank.config.Malformed;
 import tidebank.fixtures.StoredCases;
 import tidebank.model.Outcome;
-import tidebank.node.SampleRequests;
+import tidebank.runtime.SampleRequests;
 
 /** Frames are written and read byte for byte as they were. */
 class FramesFixtureTest {
--- a/router/src/test/java/tidebank/policy/PolicyReplayTest.java
+++ b/router/src/test/java/tidebank/policy/PolicyReplayTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
-import tidebank.sim.WireHost;
+import tidebank.simulation.WireHost;
 
 /**
  * The decisions stay as they are to the byte: stored streams of events are answered with the stored
--- a/router/src/test/java/tidebank/node/ShutdownPlanTest.java
+++ b/router/src/test/java/tidebank/runtime/ShutdownPlanTest.java
@@ -1,4 +1,4 @@
-package tidebank.node;
+package tidebank.runtime;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/testbed/src/main/java/tidebank/lab/account/Account.java
+++ b/testbed/src/main/java/tidebank/testbed/account/Account.java
@@ -1,4 +1,4 @@
-package tidebank.lab.account;
+package tidebank.testbed.account;
 
 import java.util.Map;
 import java.util.TreeMap;
--- a/testbed/src/main/java/tidebank/lab/account/ScanRecord.java
+++ b/testbed/src/main/java/tidebank/testbed/account/ScanRecord.java
@@ -1,4 +1,4 @@
-package tidebank.lab.account;
+package tidebank.testbed.account;
 
 /**
  * How one scan of a client went, all its tries together.
--- a/testbed/src/main/java/tidebank/lab/capture/Replayed.java
+++ b/testbed/src/main/java/tidebank/testbed/capture/Replayed.java
@@ -1,4 +1,4 @@
-package tidebank.lab.capture;
+package tidebank.testbed.capture;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/testbed/src/main/java/tidebank/lab/chaos/Drawn.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/Drawn.java
@@ -1,12 +1,12 @@
-package tidebank.lab.chaos;
+package tidebank.testbed.chaos;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import tidebank.lab.chaos.Script.Await;
-import tidebank.lab.chaos.Script.Do;
-import tidebank.lab.chaos.Script.Step;
+import tidebank.testbed.chaos.Script.Await;
+import tidebank.testbed.chaos.Script.Do;
+import tidebank.testbed.chaos.Script.Step;
 import tidebank.model.Chance;
 
 /** Scripts drawn from a seed: the same seed, the same script. */
--- a/testbed/src/main/java/tidebank/lab/chaos/Gaps.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/Gaps.java
@@ -1,4 +1,4 @@
-package tidebank.lab.chaos;
+package tidebank.testbed.chaos;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -6,8 +6,8 @@
 import java.util.TreeMap;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import tidebank.lab.chaos.History.Asked;
-import tidebank.lab.chaos.History.Event;
+import tidebank.testbed.chaos.History.Asked;
+import tidebank.testbed.chaos.History.Event;
 import tidebank.lease.Command.Kind;
 
 /** How long a duty was without anybody who could act for it, by what had happened to its owner. */
--- a/testbed/src/main/java/tidebank/lab/chaos/History.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/History.java
@@ -1,4 +1,4 @@
-package tidebank.lab.chaos;
+package tidebank.testbed.chaos;
 
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/testbed/src/main/java/tidebank/lab/chaos/LeaseRules.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/LeaseRules.java
@@ -1,12 +1,12 @@
-package tidebank.lab.chaos;
+package tidebank.testbed.chaos;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeSet;
 import java.util.function.UnaryOperator;
 import tidebank.base.TidebankException;
-import tidebank.lab.chaos.History.Asked;
-import tidebank.lab.chaos.History.Read;
+import tidebank.testbed.chaos.History.Asked;
+import tidebank.testbed.chaos.History.Read;
 import tidebank.lease.Answer;
 import tidebank.lease.Command;
 import tidebank.lease.Command.Kind;
--- a/testbed/src/main/java/tidebank/lab/chaos/Linear.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/Linear.java
@@ -1,4 +1,4 @@
-package tidebank.lab.chaos;
+package tidebank.testbed.chaos;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/testbed/src/main/java/tidebank/lab/chaos/Play.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/Play.java
@@ -1,4 +1,4 @@
-package tidebank.lab.chaos;
+package tidebank.testbed.chaos;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -15,13 +15,13 @@
 import java.util.function.ToIntFunction;
 import java.util.stream.Stream;
 import tidebank.base.TidebankException;
-import tidebank.lab.chaos.Script.Step;
+import tidebank.testbed.chaos.Script.Step;
 import tidebank.lease.Answer;
 import tidebank.lease.Command;
 import tidebank.lease.Command.Kind;
 import tidebank.lease.LeaseBook;
 import tidebank.lease.Terms;
-import tidebank.steward.StewardClient;
+import tidebank.coordinator.StewardClient;
 
 /**
  * Plays a script on a fleet of its own and judges what was seen. Every step waits for something,
--- a/testbed/src/main/java/tidebank/lab/chaos/Relays.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/Relays.java
@@ -1,4 +1,4 @@
-package tidebank.lab.chaos;
+package tidebank.testbed.chaos;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
--- a/testbed/src/main/java/tidebank/lab/chaos/Rig.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/Rig.java
@@ -1,4 +1,4 @@
-package tidebank.lab.chaos;
+package tidebank.testbed.chaos;
 
 import java.io.BufferedWriter;
 import java.io.IOException;
@@ -25,10 +25,10 @@
 import java.util.stream.Stream;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tidebank.lab.fleet.Members;
-import tidebank.lab.fleet.Stewards;
-import tidebank.lab.process.Guarded;
-import tidebank.lab.replay.GathererProcess;
+import tidebank.testbed.fleet.Members;
+import tidebank.testbed.fleet.Stewards;
+import tidebank.testbed.process.Guarded;
+import tidebank.testbed.replay.GathererProcess;
 
 /**
  * Stewards and gatherers as processes, with a relay before every address of a steward, so that
@@ -122,7 +122,7 @@
     List<String> launcher =
         clock == 1
             ? List.of()
-            : List.of("-Dtidebank.chaos.rate=" + clock, "tidebank.lab.chaos.Skewed");
+            : List.of("-Dtidebank.chaos.rate=" + clock, "tidebank.testbed.chaos.Skewed");
     BufferedWriter log =
         Files.newBufferedWriter(
             folder.resolve("logs").resolve(name + ".log"),
--- a/testbed/src/main/java/tidebank/lab/chaos/RunFiles.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/RunFiles.java
@@ -1,4 +1,4 @@
-package tidebank.lab.chaos;
+package tidebank.testbed.chaos;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.BufferedWriter;
@@ -12,9 +12,9 @@
 import java.util.Map;
 import java.util.Set;
 import tidebank.base.TidebankException;
-import tidebank.lab.chaos.History.Asked;
-import tidebank.lab.chaos.History.Event;
-import tidebank.lab.chaos.Play.Verdict;
+import tidebank.testbed.chaos.History.Asked;
+import tidebank.testbed.chaos.History.Event;
+import tidebank.testbed.chaos.Play.Verdict;
 import tidebank.lease.Command.Kind;
 
 /**
--- a/testbed/src/main/java/tidebank/lab/chaos/Skewed.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/Skewed.java
@@ -1,4 +1,4 @@
-package tidebank.lab.chaos;
+package tidebank.testbed.chaos;
 
 import java.io.ByteArrayInputStream;
 import java.io.File;
@@ -77,7 +77,7 @@
                 boolean clock = owner.equals("java/lang/System") && called.equals("nanoTime");
                 super.visitMethodInsn(
                     opcode,
-                    clock ? "tidebank/lab/chaos/SkewedClock" : owner,
+                    clock ? "tidebank/testbed/chaos/SkewedClock" : owner,
                     called,
                     type,
                     ofInterface);
--- a/testbed/src/main/java/tidebank/lab/chaos/SkewedClock.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/SkewedClock.java
@@ -1,4 +1,4 @@
-package tidebank.lab.chaos;
+package tidebank.testbed.chaos;
 
 /**
  * A monotonic clock that runs at another rate than the machine's; stands in for it in processes
--- a/testbed/src/main/java/tidebank/lab/columns/ZstdCodecs.java
+++ b/testbed/src/main/java/tidebank/testbed/columns/ZstdCodecs.java
@@ -1,4 +1,4 @@
-package tidebank.lab.columns;
+package tidebank.testbed.columns;
 
 import com.github.luben.zstd.Zstd;
 import java.io.IOException;
--- a/testbed/src/main/java/tidebank/lab/site/Site.java
+++ b/testbed/src/main/java/tidebank/testbed/deployment/Site.java
@@ -1,4 +1,4 @@
-package tidebank.lab.site;
+package tidebank.testbed.deployment;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
--- a/testbed/src/main/java/tidebank/lab/standin/DiscoveryStandIn.java
+++ b/testbed/src/main/java/tidebank/testbed/emulator/DiscoveryStandIn.java
@@ -1,4 +1,4 @@
-package tidebank.lab.standin;
+package tidebank.testbed.emulator;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -33,7 +33,7 @@
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiConsumer;
-import tidebank.node.Clock;
+import tidebank.runtime.Clock;
 
 /**
  * Discovery's stand-in on loopback, with an address of its own for each gatherer. All of it belongs
--- a/testbed/src/main/java/tidebank/lab/standin/Ledger.java
+++ b/testbed/src/main/java/tidebank/testbed/emulator/Ledger.java
@@ -1,8 +1,8 @@
-package tidebank.lab.standin;
+package tidebank.testbed.emulator;
 
 import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
-import tidebank.lab.account.RuleAudit;
+import tidebank.testbed.account.RuleAudit;
 
 /** What the stand-ins saw, handed from their threads to the one that audits. */
 public final class Ledger {
--- a/testbed/src/main/java/tidebank/lab/standin/ServerModel.java
+++ b/testbed/src/main/java/tidebank/testbed/emulator/ServerModel.java
@@ -1,4 +1,4 @@
-package tidebank.lab.standin;
+package tidebank.testbed.emulator;
 
 import java.util.List;
 
--- a/testbed/src/main/java/tidebank/lab/standin/ShardStandIn.java
+++ b/testbed/src/main/java/tidebank/testbed/emulator/ShardStandIn.java
@@ -1,4 +1,4 @@
-package tidebank.lab.standin;
+package tidebank.testbed.emulator;
 
 import static java.nio.charset.StandardCharsets.US_ASCII;
 import static java.nio.charset.StandardCharsets.UTF_8;
@@ -26,9 +26,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import tidebank.lab.account.RuleAudit;
-import tidebank.lab.site.Site;
-import tidebank.node.Clock;
+import tidebank.testbed.account.RuleAudit;
+import tidebank.testbed.deployment.Site;
+import tidebank.runtime.Clock;
 
 /**
  * A shard server's stand-in on loopback, from the protocol page. It has a listener of its own for
--- a/testbed/src/main/java/tidebank/lab/standin/Values.java
+++ b/testbed/src/main/java/tidebank/testbed/emulator/Values.java
@@ -1,4 +1,4 @@
-package tidebank.lab.standin;
+package tidebank.testbed.emulator;
 
 import com.dynatrace.hash4j.hashing.Hashing;
 import java.util.HexFormat;
--- a/testbed/src/main/java/tidebank/lab/explore/Explorer.java
+++ b/testbed/src/main/java/tidebank/testbed/explore/Explorer.java
@@ -1,4 +1,4 @@
-package tidebank.lab.explore;
+package tidebank.testbed.explore;
 
 import com.dynatrace.hash4j.hashing.Hashing;
 import java.util.ArrayList;
--- a/testbed/src/main/java/tidebank/lab/fleet/Load.java
+++ b/testbed/src/main/java/tidebank/testbed/fleet/Load.java
@@ -1,4 +1,4 @@
-package tidebank.lab.fleet;
+package tidebank.testbed.fleet;
 
 import java.io.IOException;
 import java.net.URI;
@@ -20,7 +20,7 @@
 import tidebank.fleet.LeaseCodec;
 import tidebank.lease.Answer;
 import tidebank.lease.Command;
-import tidebank.steward.StewardClient;
+import tidebank.coordinator.StewardClient;
 
 /**
  * What stewards bear: agents that each join, and then renew as fast as they are answered, one call
--- a/testbed/src/main/java/tidebank/lab/fleet/Members.java
+++ b/testbed/src/main/java/tidebank/testbed/fleet/Members.java
@@ -1,11 +1,11 @@
-package tidebank.lab.fleet;
+package tidebank.testbed.fleet;
 
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.function.Consumer;
-import tidebank.lab.replay.GathererProcess;
+import tidebank.testbed.replay.GathererProcess;
 
 /**
  * Gatherers in processes of their own that know of no shard server, and so throttle and count what
--- a/testbed/src/main/java/tidebank/lab/fleet/Stewards.java
+++ b/testbed/src/main/java/tidebank/testbed/fleet/Stewards.java
@@ -1,4 +1,4 @@
-package tidebank.lab.fleet;
+package tidebank.testbed.fleet;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.function.Consumer;
-import tidebank.lab.process.Guarded;
+import tidebank.testbed.process.Guarded;
 
 /**
  * Stewards in processes of their own, as operators start them, on loopback ports of the system's
@@ -130,7 +130,7 @@
     List<String> arguments = new ArrayList<>(FLAGS);
     arguments.addAll(List.of("-cp", System.getProperty("java.class.path")));
     arguments.addAll(launcher);
-    arguments.addAll(List.of("tidebank.steward.StewardMain", "--config", config.toString()));
+    arguments.addAll(List.of("tidebank.coordinator.StewardMain", "--config", config.toString()));
     processes.set(
         steward, Guarded.java("s" + steward, arguments, Map.of(), told, () -> {}, fileBytes));
   }
--- a/testbed/src/main/java/tidebank/lab/process/Guarded.java
+++ b/testbed/src/main/java/tidebank/testbed/process/Guarded.java
@@ -1,4 +1,4 @@
-package tidebank.lab.process;
+package tidebank.testbed.process;
 
 import java.io.BufferedReader;
 import java.io.IOException;
--- a/testbed/src/main/java/tidebank/lab/replay/ClientRules.java
+++ b/testbed/src/main/java/tidebank/testbed/replay/ClientRules.java
@@ -1,4 +1,4 @@
-package tidebank.lab.replay;
+package tidebank.testbed.replay;
 
 import java.nio.charset.StandardCharsets;
 import java.util.zip.CRC32;
--- a/testbed/src/main/java/tidebank/lab/replay/Clients.java
+++ b/testbed/src/main/java/tidebank/testbed/replay/Clients.java
@@ -1,4 +1,4 @@
-package tidebank.lab.replay;
+package tidebank.testbed.replay;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -42,14 +42,14 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
-import tidebank.lab.account.Account;
-import tidebank.lab.account.RuleAudit;
-import tidebank.lab.account.ScanRecord;
-import tidebank.lab.replay.ClientRules.Came;
-import tidebank.lab.site.Site;
-import tidebank.lab.standin.Values;
-import tidebank.lab.trace.TraceRow;
-import tidebank.node.Clock;
+import tidebank.testbed.account.Account;
+import tidebank.testbed.account.RuleAudit;
+import tidebank.testbed.account.ScanRecord;
+import tidebank.testbed.replay.ClientRules.Came;
+import tidebank.testbed.deployment.Site;
+import tidebank.testbed.emulator.Values;
+import tidebank.testbed.trace.TraceRow;
+import tidebank.runtime.Clock;
 
 /**
  * The clients of a replay: an open loop, in which arrivals never wait for answers. A scan is sent
--- a/testbed/src/main/java/tidebank/lab/replay/GathererProcess.java
+++ b/testbed/src/main/java/tidebank/testbed/replay/GathererProcess.java
@@ -1,4 +1,4 @@
-package tidebank.lab.replay;
+package tidebank.testbed.replay;
 
 import java.io.File;
 import java.io.IOException;
@@ -17,7 +17,7 @@
 import java.util.function.Consumer;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import tidebank.lab.process.Guarded;
+import tidebank.testbed.process.Guarded;
 
 /** A gatherer in a process of its own, started as operators start one, that ends with this one. */
 public final class GathererProcess implements AutoCloseable {
--- a/testbed/src/main/java/tidebank/lab/replay/Incident.java
+++ b/testbed/src/main/java/tidebank/testbed/replay/Incident.java
@@ -1,4 +1,4 @@
-package tidebank.lab.replay;
+package tidebank.testbed.replay;
 
 /**
  * Something that happens to a server or a gatherer in a replay.
--- a/testbed/src/main/java/tidebank/lab/replay/Replay.java
+++ b/testbed/src/main/java/tidebank/testbed/replay/Replay.java
@@ -1,4 +1,4 @@
-package tidebank.lab.replay;
+package tidebank.testbed.replay;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -23,18 +23,18 @@
 import org.HdrHistogram.Histogram;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tidebank.lab.account.Account;
-import tidebank.lab.account.RuleAudit;
-import tidebank.lab.account.ScanRecord;
-import tidebank.lab.site.Site;
-import tidebank.lab.standin.DiscoveryStandIn;
-import tidebank.lab.standin.DiscoveryStandIn.Health;
-import tidebank.lab.standin.Ledger;
-import tidebank.lab.standin.ServerModel;
-import tidebank.lab.standin.ShardStandIn;
-import tidebank.lab.standin.SlotsModel;
-import tidebank.lab.trace.TraceRow;
-import tidebank.node.Clock;
+import tidebank.testbed.account.Account;
+import tidebank.testbed.account.RuleAudit;
+import tidebank.testbed.account.ScanRecord;
+import tidebank.testbed.deployment.Site;
+import tidebank.testbed.emulator.DiscoveryStandIn;
+import tidebank.testbed.emulator.DiscoveryStandIn.Health;
+import tidebank.testbed.emulator.Ledger;
+import tidebank.testbed.emulator.ServerModel;
+import tidebank.testbed.emulator.ShardStandIn;
+import tidebank.testbed.emulator.SlotsModel;
+import tidebank.testbed.trace.TraceRow;
+import tidebank.runtime.Clock;
 
 /**
  * Plays rows through real gatherer processes on loopback, between clients, shard servers and
--- a/testbed/src/main/java/tidebank/lab/report/Charts.java
+++ b/testbed/src/main/java/tidebank/testbed/report/Charts.java
@@ -1,4 +1,4 @@
-package tidebank.lab.report;
+package tidebank.testbed.report;
 
 import java.awt.Color;
 import java.io.ByteArrayOutputStream;
--- a/testbed/src/main/java/tidebank/lab/report/Comparison.java
+++ b/testbed/src/main/java/tidebank/testbed/report/Comparison.java
@@ -1,4 +1,4 @@
-package tidebank.lab.report;
+package tidebank.testbed.report;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -18,7 +18,7 @@
 import org.apache.parquet.hadoop.api.ReadSupport;
 import org.apache.parquet.hadoop.example.GroupReadSupport;
 import org.apache.parquet.io.LocalInputFile;
-import tidebank.lab.columns.ZstdCodecs;
+import tidebank.testbed.columns.ZstdCodecs;
 
 /**
  * Two runs side by side. How much of a difference may be noise is found by drawing stretches of ten
--- a/testbed/src/main/java/tidebank/lab/report/RunFolder.java
+++ b/testbed/src/main/java/tidebank/testbed/report/RunFolder.java
@@ -1,4 +1,4 @@
-package tidebank.lab.report;
+package tidebank.testbed.report;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.SerializationFeature;
@@ -23,10 +23,10 @@
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
 import org.HdrHistogram.HistogramLogWriter;
-import tidebank.lab.account.Account;
-import tidebank.lab.account.RuleAudit;
-import tidebank.lab.account.ScanRecord;
-import tidebank.lab.replay.Replay;
+import tidebank.testbed.account.Account;
+import tidebank.testbed.account.RuleAudit;
+import tidebank.testbed.account.ScanRecord;
+import tidebank.testbed.replay.Replay;
 
 /**
  * A replay's results in a folder of their own: manifest, rows, histograms, report as JSON and as a
--- a/testbed/src/main/java/tidebank/lab/report/StatsPage.java
+++ b/testbed/src/main/java/tidebank/testbed/report/StatsPage.java
@@ -1,11 +1,11 @@
-package tidebank.lab.report;
+package tidebank.testbed.report;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
-import tidebank.lab.trace.stats.TraceStats;
+import tidebank.testbed.trace.stats.TraceStats;
 
 /** What traces are like, as a page with charts. */
 public final class StatsPage {
--- a/testbed/src/main/java/tidebank/lab/report/Table.java
+++ b/testbed/src/main/java/tidebank/testbed/report/Table.java
@@ -1,4 +1,4 @@
-package tidebank.lab.report;
+package tidebank.testbed.report;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -19,7 +19,7 @@
 import org.apache.parquet.schema.MessageType;
 import org.apache.parquet.schema.PrimitiveType.PrimitiveTypeName;
 import org.apache.parquet.schema.Types;
-import tidebank.lab.columns.ZstdCodecs;
+import tidebank.testbed.columns.ZstdCodecs;
 
 /**
  * A Parquet file of plain columns: Long, Integer, Double, Boolean or String, told by the first
--- a/testbed/src/main/java/tidebank/lab/scale/ByteCounter.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/ByteCounter.java
@@ -1,4 +1,4 @@
-package tidebank.lab.scale;
+package tidebank.testbed.scale;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelDuplexHandler;
--- a/testbed/src/main/java/tidebank/lab/scale/DiscoveryRig.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/DiscoveryRig.java
@@ -1,4 +1,4 @@
-package tidebank.lab.scale;
+package tidebank.testbed.scale;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Set;
 import java.util.stream.IntStream;
-import tidebank.lab.standin.DiscoveryStandIn;
-import tidebank.node.Clock;
+import tidebank.testbed.emulator.DiscoveryStandIn;
+import tidebank.runtime.Clock;
 
 /**
  * Discovery's stand-in with a list of hollow shard servers, and a record of each call to it. It
--- a/testbed/src/main/java/tidebank/lab/scale/Driver.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/Driver.java
@@ -1,4 +1,4 @@
-package tidebank.lab.scale;
+package tidebank.testbed.scale;
 
 /** What a cost is taken to grow with. */
 public enum Driver {
--- a/testbed/src/main/java/tidebank/lab/scale/EventLoopThread.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/EventLoopThread.java
@@ -1,4 +1,4 @@
-package tidebank.lab.scale;
+package tidebank.testbed.scale;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
--- a/testbed/src/main/java/tidebank/lab/scale/Exchange.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/Exchange.java
@@ -1,4 +1,4 @@
-package tidebank.lab.scale;
+package tidebank.testbed.scale;
 
 /**
  * One call to discovery and its answer, as they were on the wire.
--- a/testbed/src/main/java/tidebank/lab/scale/ExchangeKind.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/ExchangeKind.java
@@ -1,4 +1,4 @@
-package tidebank.lab.scale;
+package tidebank.testbed.scale;
 
 /** What discovery answered a call with. */
 enum ExchangeKind {
--- a/testbed/src/main/java/tidebank/lab/scale/ExchangeRecorder.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/ExchangeRecorder.java
@@ -1,4 +1,4 @@
-package tidebank.lab.scale;
+package tidebank.testbed.scale;
 
 import io.netty.channel.ChannelDuplexHandler;
 import io.netty.channel.ChannelHandlerContext;
--- a/testbed/src/main/java/tidebank/lab/scale/Exchanges.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/Exchanges.java
@@ -1,4 +1,4 @@
-package tidebank.lab.scale;
+package tidebank.testbed.scale;
 
 import java.io.IOException;
 import java.util.ArrayList;
--- a/testbed/src/main/java/tidebank/lab/scale/Fit.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/Fit.java
@@ -1,4 +1,4 @@
-package tidebank.lab.scale;
+package tidebank.testbed.scale;
 
 /**
  * A straight line through points: {@code slope x count + constant}.
--- a/testbed/src/main/java/tidebank/lab/scale/GathererFiles.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/GathererFiles.java
@@ -1,4 +1,4 @@
-package tidebank.lab.scale;
+package tidebank.testbed.scale;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -6,7 +6,7 @@
 import java.nio.file.Path;
 import java.util.Map;
 import tidebank.config.NodeConfig;
-import tidebank.lab.site.Site;
+import tidebank.testbed.deployment.Site;
 
 /** The configuration of the gatherers of a scale run; a hollow and a real one read the same. */
 final class GathererFiles {
--- a/testbed/src/main/java/tidebank/lab/scale/HollowFleet.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/HollowFleet.java
@@ -1,9 +1,9 @@
-package tidebank.lab.scale;
+package tidebank.testbed.scale;
 
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import tidebank.lab.scale.Observed.ProcessorTime;
+import tidebank.testbed.scale.Observed.ProcessorTime;
 
 /** Hollow gatherers on one event loop, with discovery on another. */
 final class HollowFleet implements AutoCloseable {
--- a/testbed/src/main/java/tidebank/lab/scale/HollowGatherer.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/HollowGatherer.java
@@ -1,4 +1,4 @@
-package tidebank.lab.scale;
+package tidebank.testbed.scale;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelOption;
@@ -9,9 +9,9 @@
 import tidebank.config.NodeConfig;
 import tidebank.discovery.DiscoverySide;
 import tidebank.model.Event.ListKind;
-import tidebank.node.Clock;
-import tidebank.node.PolicyDriver;
-import tidebank.node.Timers;
+import tidebank.runtime.Clock;
+import tidebank.runtime.PolicyDriver;
+import tidebank.runtime.Timers;
 
 /**
  * A gatherer without sockets to clients and shard servers. Its decisions, its timers and its client
--- a/testbed/src/main/java/tidebank/lab/scale/HollowServer.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/HollowServer.java
@@ -1,7 +1,7 @@
-package tidebank.lab.scale;
+package tidebank.testbed.scale;
 
 import java.net.InetSocketAddress;
-import tidebank.lab.standin.ListedServer;
+import tidebank.testbed.emulator.ListedServer;
 
 /** A shard server that is listed and nothing else: no process, no listener. */
 record HollowServer(int number) implements ListedServer {
--- a/testbed/src/main/java/tidebank/lab/scale/ListChanges.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/ListChanges.java
@@ -1,8 +1,8 @@
-package tidebank.lab.scale;
+package tidebank.testbed.scale;
 
 import java.util.SplittableRandom;
-import tidebank.lab.standin.DiscoveryStandIn;
-import tidebank.lab.standin.DiscoveryStandIn.Health;
+import tidebank.testbed.emulator.DiscoveryStandIn;
+import tidebank.testbed.emulator.DiscoveryStandIn.Health;
 
 /**
  * The changes of the list, drawn from a seed: a server drains, and with the next change is back.
--- a/testbed/src/main/java/tidebank/lab/scale/Machine.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/Machine.java
@@ -1,4 +1,4 @@
-package tidebank.lab.scale;
+package tidebank.testbed.scale;
 
 import com.sun.management.OperatingSystemMXBean;
 import java.lang.management.ManagementFactory;
--- a/testbed/src/main/java/tidebank/lab/scale/Measurement.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/Measurement.java
@@ -1,9 +1,9 @@
-package tidebank.lab.scale;
+package tidebank.testbed.scale;
 
 import java.io.IOException;
 import java.util.List;
-import tidebank.lab.scale.Observed.Descriptors;
-import tidebank.lab.scale.Observed.ProcessorTime;
+import tidebank.testbed.scale.Observed.Descriptors;
+import tidebank.testbed.scale.Observed.ProcessorTime;
 
 /** Measures a fleet of hollow gatherers of one size: started, told of changes, left idle. */
 final class Measurement {
--- a/testbed/src/main/java/tidebank/lab/scale/Point.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/Point.java
@@ -1,4 +1,4 @@
-package tidebank.lab.scale;
+package tidebank.testbed.scale;
 
 /**
  * One measured value.
--- a/testbed/src/main/java/tidebank/lab/scale/Points.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/Points.java
@@ -1,4 +1,4 @@
-package tidebank.lab.scale;
+package tidebank.testbed.scale;
 
 import de.siegmar.fastcsv.reader.CsvReader;
 import de.siegmar.fastcsv.reader.NamedCsvRecord;
--- a/testbed/src/main/java/tidebank/lab/scale/RecordingShardPort.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/RecordingShardPort.java
@@ -1,8 +1,8 @@
-package tidebank.lab.scale;
+package tidebank.testbed.scale;
 
 import java.util.List;
-import tidebank.node.DispatchRequest;
-import tidebank.node.ShardPort;
+import tidebank.runtime.DispatchRequest;
+import tidebank.runtime.ShardPort;
 
 /**
  * The side of shard servers without a socket: it counts what it is told of the list. A hollow
--- a/testbed/src/main/java/tidebank/lab/scale/RunFacts.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/RunFacts.java
@@ -1,4 +1,4 @@
-package tidebank.lab.scale;
+package tidebank.testbed.scale;
 
 /**
  * What a run was: its profile's figures and the machine.
--- a/testbed/src/main/java/tidebank/lab/scale/ScaleFolder.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/ScaleFolder.java
@@ -1,4 +1,4 @@
-package tidebank.lab.scale;
+package tidebank.testbed.scale;
 
 import com.fasterxml.jackson.core.type.TypeReference;
 import com.fasterxml.jackson.databind.ObjectMapper;
--- a/testbed/src/main/java/tidebank/lab/scale/Size.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/Size.java
@@ -1,4 +1,4 @@
-package tidebank.lab.scale;
+package tidebank.testbed.scale;
 
 /** A fleet's size. */
 public record Size(int gatherers, int servers) {
--- a/testbed/src/main/java/tidebank/lab/trace/TraceRow.java
+++ b/testbed/src/main/java/tidebank/testbed/trace/TraceRow.java
@@ -1,4 +1,4 @@
-package tidebank.lab.trace;
+package tidebank.testbed.trace;
 
 import java.util.Comparator;
 
--- a/testbed/src/main/java/tidebank/lab/trace/expr/Compiler.java
+++ b/testbed/src/main/java/tidebank/testbed/trace/expr/Compiler.java
@@ -1,4 +1,4 @@
-package tidebank.lab.trace.expr;
+package tidebank.testbed.trace.expr;
 
 import com.dynatrace.hash4j.hashing.Hasher64;
 import com.dynatrace.hash4j.hashing.Hashing;
@@ -24,23 +24,23 @@
 import org.antlr.v4.runtime.Token;
 import org.antlr.v4.runtime.misc.ParseCancellationException;
 import tidebank.config.Toml;
-import tidebank.lab.trace.expr.ExpressionParser.ArithmeticContext;
-import tidebank.lab.trace.expr.ExpressionParser.CallContext;
-import tidebank.lab.trace.expr.ExpressionParser.ChoiceContext;
-import tidebank.lab.trace.expr.ExpressionParser.ColumnContext;
-import tidebank.lab.trace.expr.ExpressionParser.ComparisonContext;
-import tidebank.lab.trace.expr.ExpressionParser.ExprContext;
-import tidebank.lab.trace.expr.ExpressionParser.InnerContext;
-import tidebank.lab.trace.expr.ExpressionParser.LogicContext;
-import tidebank.lab.trace.expr.ExpressionParser.MinusContext;
-import tidebank.lab.trace.expr.ExpressionParser.NotContext;
-import tidebank.lab.trace.expr.ExpressionParser.NumberContext;
-import tidebank.lab.trace.expr.ExpressionParser.TextContext;
-import tidebank.lab.trace.expr.Value.Bool;
-import tidebank.lab.trace.expr.Value.Num;
-import tidebank.lab.trace.expr.Value.Txt;
-import tidebank.lab.trace.layout.Column;
-import tidebank.lab.trace.layout.RawRow;
+import tidebank.testbed.trace.expr.ExpressionParser.ArithmeticContext;
+import tidebank.testbed.trace.expr.ExpressionParser.CallContext;
+import tidebank.testbed.trace.expr.ExpressionParser.ChoiceContext;
+import tidebank.testbed.trace.expr.ExpressionParser.ColumnContext;
+import tidebank.testbed.trace.expr.ExpressionParser.ComparisonContext;
+import tidebank.testbed.trace.expr.ExpressionParser.ExprContext;
+import tidebank.testbed.trace.expr.ExpressionParser.InnerContext;
+import tidebank.testbed.trace.expr.ExpressionParser.LogicContext;
+import tidebank.testbed.trace.expr.ExpressionParser.MinusContext;
+import tidebank.testbed.trace.expr.ExpressionParser.NotContext;
+import tidebank.testbed.trace.expr.ExpressionParser.NumberContext;
+import tidebank.testbed.trace.expr.ExpressionParser.TextContext;
+import tidebank.testbed.trace.expr.Value.Bool;
+import tidebank.testbed.trace.expr.Value.Num;
+import tidebank.testbed.trace.expr.Value.Txt;
+import tidebank.testbed.trace.layout.Column;
+import tidebank.testbed.trace.layout.RawRow;
 
 /**
  * Reads an expression, checks its types against a layout's columns before a row is read, and makes
--- a/testbed/src/main/java/tidebank/lab/trace/expr/ExpressionException.java
+++ b/testbed/src/main/java/tidebank/testbed/trace/expr/ExpressionException.java
@@ -1,4 +1,4 @@
-package tidebank.lab.trace.expr;
+package tidebank.testbed.trace.expr;
 
 /** An expression that can't be used, with where in it: line and column from 1. */
 public final class ExpressionException extends Exception {
--- a/testbed/src/main/java/tidebank/lab/trace/expr/Quantiles.java
+++ b/testbed/src/main/java/tidebank/testbed/trace/expr/Quantiles.java
@@ -1,11 +1,11 @@
-package tidebank.lab.trace.expr;
+package tidebank.testbed.trace.expr;
 
 import com.dynatrace.hash4j.hashing.Hasher64;
 import com.dynatrace.hash4j.hashing.Hashing;
 import java.util.Arrays;
 import java.util.Comparator;
 import java.util.PriorityQueue;
-import tidebank.lab.trace.layout.RawRow;
+import tidebank.testbed.trace.layout.RawRow;
 
 /**
  * Buckets of equal share, learned in a pass of their own before the rows are mapped. Of any number
--- a/testbed/src/main/java/tidebank/lab/trace/expr/Value.java
+++ b/testbed/src/main/java/tidebank/testbed/trace/expr/Value.java
@@ -1,6 +1,6 @@
-package tidebank.lab.trace.expr;
+package tidebank.testbed.trace.expr;
 
-import tidebank.lab.trace.layout.RawRow;
+import tidebank.testbed.trace.layout.RawRow;
 
 /**
  * An expression made ready for rows: typed, with no look-up by name left in it. A missing number is
--- a/testbed/src/main/java/tidebank/lab/trace/layout/FixedLayout.java
+++ b/testbed/src/main/java/tidebank/testbed/trace/layout/FixedLayout.java
@@ -1,4 +1,4 @@
-package tidebank.lab.trace.layout;
+package tidebank.testbed.trace.layout;
 
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/testbed/src/main/java/tidebank/lab/trace/layout/Layout.java
+++ b/testbed/src/main/java/tidebank/testbed/trace/layout/Layout.java
@@ -1,4 +1,4 @@
-package tidebank.lab.trace.layout;
+package tidebank.testbed.trace.layout;
 
 import java.util.List;
 import java.util.function.Consumer;
--- a/testbed/src/main/java/tidebank/lab/trace/layout/Layouts.java
+++ b/testbed/src/main/java/tidebank/testbed/trace/layout/Layouts.java
@@ -1,7 +1,7 @@
-package tidebank.lab.trace.layout;
+package tidebank.testbed.trace.layout;
 
-import static tidebank.lab.trace.layout.Column.number;
-import static tidebank.lab.trace.layout.Column.text;
+import static tidebank.testbed.trace.layout.Column.number;
+import static tidebank.testbed.trace.layout.Column.text;
 
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/testbed/src/main/java/tidebank/lab/trace/layout/RawRow.java
+++ b/testbed/src/main/java/tidebank/testbed/trace/layout/RawRow.java
@@ -1,4 +1,4 @@
-package tidebank.lab.trace.layout;
+package tidebank.testbed.trace.layout;
 
 /**
  * One request as its layout tells it: when, which, and the values by the layout's columns.
--- a/testbed/src/main/java/tidebank/lab/trace/layout/RowException.java
+++ b/testbed/src/main/java/tidebank/testbed/trace/layout/RowException.java
@@ -1,4 +1,4 @@
-package tidebank.lab.trace.layout;
+package tidebank.testbed.trace.layout;
 
 /**
  * Why a line is no request: rejected (it is bad), or left out (it is good, but tells of something
--- a/testbed/src/main/java/tidebank/lab/trace/mapping/Mapping.java
+++ b/testbed/src/main/java/tidebank/testbed/trace/mapping/Mapping.java
@@ -1,4 +1,4 @@
-package tidebank.lab.trace.mapping;
+package tidebank.testbed.trace.mapping;
 
 import com.dynatrace.hash4j.consistent.ConsistentBucketHasher;
 import com.dynatrace.hash4j.consistent.ConsistentHashing;
@@ -16,16 +16,16 @@
 import java.util.Set;
 import tidebank.config.Malformed;
 import tidebank.config.Toml;
-import tidebank.lab.trace.TraceRow;
-import tidebank.lab.trace.expr.Compiler;
-import tidebank.lab.trace.expr.ExpressionException;
-import tidebank.lab.trace.expr.Quantiles;
-import tidebank.lab.trace.expr.Value;
-import tidebank.lab.trace.layout.Column;
-import tidebank.lab.trace.layout.Layout;
-import tidebank.lab.trace.layout.Layouts;
-import tidebank.lab.trace.layout.RawRow;
-import tidebank.lab.trace.layout.RowException;
+import tidebank.testbed.trace.TraceRow;
+import tidebank.testbed.trace.expr.Compiler;
+import tidebank.testbed.trace.expr.ExpressionException;
+import tidebank.testbed.trace.expr.Quantiles;
+import tidebank.testbed.trace.expr.Value;
+import tidebank.testbed.trace.layout.Column;
+import tidebank.testbed.trace.layout.Layout;
+import tidebank.testbed.trace.layout.Layouts;
+import tidebank.testbed.trace.layout.RawRow;
+import tidebank.testbed.trace.layout.RowException;
 
 /**
  * How a layout's rows become requests of ours: an expression for each value, read from TOML and
--- a/testbed/src/main/java/tidebank/lab/trace/order/ExternalSort.java
+++ b/testbed/src/main/java/tidebank/testbed/trace/order/ExternalSort.java
@@ -1,4 +1,4 @@
-package tidebank.lab.trace.order;
+package tidebank.testbed.trace.order;
 
 import com.github.luben.zstd.ZstdInputStream;
 import com.github.luben.zstd.ZstdOutputStream;
@@ -17,7 +17,7 @@
 import java.util.List;
 import java.util.NoSuchElementException;
 import java.util.PriorityQueue;
-import tidebank.lab.trace.TraceRow;
+import tidebank.testbed.trace.TraceRow;
 
 /**
  * Sorts any number of rows in bounded memory: runs are made by replacement selection (twice as long
--- a/testbed/src/main/java/tidebank/lab/trace/order/Item.java
+++ b/testbed/src/main/java/tidebank/testbed/trace/order/Item.java
@@ -1,7 +1,7 @@
-package tidebank.lab.trace.order;
+package tidebank.testbed.trace.order;
 
 import java.util.Comparator;
-import tidebank.lab.trace.TraceRow;
+import tidebank.testbed.trace.TraceRow;
 
 /**
  * A row on its way into order, with the hash of what event it is (0: its layout has no identities).
--- a/testbed/src/main/java/tidebank/lab/trace/order/Lateness.java
+++ b/testbed/src/main/java/tidebank/testbed/trace/order/Lateness.java
@@ -1,4 +1,4 @@
-package tidebank.lab.trace.order;
+package tidebank.testbed.trace.order;
 
 /**
  * Decides what becomes of a row by how far it is behind the newest one seen. Pure: times come in.
--- a/testbed/src/main/java/tidebank/lab/trace/order/Once.java
+++ b/testbed/src/main/java/tidebank/testbed/trace/order/Once.java
@@ -1,4 +1,4 @@
-package tidebank.lab.trace.order;
+package tidebank.testbed.trace.order;
 
 import java.util.HashSet;
 import java.util.Set;
--- a/testbed/src/main/java/tidebank/lab/trace/order/Unwrap.java
+++ b/testbed/src/main/java/tidebank/testbed/trace/order/Unwrap.java
@@ -1,4 +1,4 @@
-package tidebank.lab.trace.order;
+package tidebank.testbed.trace.order;
 
 /**
  * Makes one clock out of a counter that wraps. A step back by more than half the period is a wrap,
--- a/testbed/src/main/java/tidebank/lab/trace/order/Window.java
+++ b/testbed/src/main/java/tidebank/testbed/trace/order/Window.java
@@ -1,4 +1,4 @@
-package tidebank.lab.trace.order;
+package tidebank.testbed.trace.order;
 
 import java.io.IOException;
 import java.util.PriorityQueue;
--- a/testbed/src/main/java/tidebank/lab/trace/read/Importer.java
+++ b/testbed/src/main/java/tidebank/testbed/trace/read/Importer.java
@@ -1,4 +1,4 @@
-package tidebank.lab.trace.read;
+package tidebank.testbed.trace.read;
 
 import com.dynatrace.hash4j.hashing.Hashing;
 import java.io.IOException;
@@ -8,21 +8,21 @@
 import java.util.Iterator;
 import java.util.List;
 import java.util.function.LongConsumer;
-import tidebank.lab.trace.Tally;
-import tidebank.lab.trace.TraceRow;
-import tidebank.lab.trace.layout.Layout;
-import tidebank.lab.trace.layout.RawRow;
-import tidebank.lab.trace.layout.RowException;
-import tidebank.lab.trace.mapping.Mapping;
-import tidebank.lab.trace.order.ExternalSort;
-import tidebank.lab.trace.order.Item;
-import tidebank.lab.trace.order.Lateness;
-import tidebank.lab.trace.order.Merge;
-import tidebank.lab.trace.order.Once;
-import tidebank.lab.trace.order.Unwrap;
-import tidebank.lab.trace.order.Window;
-import tidebank.lab.trace.store.TraceFile;
-import tidebank.lab.trace.store.TraceMeta;
+import tidebank.testbed.trace.Tally;
+import tidebank.testbed.trace.TraceRow;
+import tidebank.testbed.trace.layout.Layout;
+import tidebank.testbed.trace.layout.RawRow;
+import tidebank.testbed.trace.layout.RowException;
+import tidebank.testbed.trace.mapping.Mapping;
+import tidebank.testbed.trace.order.ExternalSort;
+import tidebank.testbed.trace.order.Item;
+import tidebank.testbed.trace.order.Lateness;
+import tidebank.testbed.trace.order.Merge;
+import tidebank.testbed.trace.order.Once;
+import tidebank.testbed.trace.order.Unwrap;
+import tidebank.testbed.trace.order.Window;
+import tidebank.testbed.trace.store.TraceFile;
+import tidebank.testbed.trace.store.TraceMeta;
 
 /**
  * From files of CSV to the normal form. Rows that are nearly in order pass a bounded window and are
--- a/testbed/src/main/java/tidebank/lab/trace/read/Rejects.java
+++ b/testbed/src/main/java/tidebank/testbed/trace/read/Rejects.java
@@ -1,4 +1,4 @@
-package tidebank.lab.trace.read;
+package tidebank.testbed.trace.read;
 
 import de.siegmar.fastcsv.writer.CsvWriter;
 import java.io.Closeable;
--- a/testbed/src/main/java/tidebank/lab/trace/read/Sniffer.java
+++ b/testbed/src/main/java/tidebank/testbed/trace/read/Sniffer.java
@@ -1,11 +1,11 @@
-package tidebank.lab.trace.read;
+package tidebank.testbed.trace.read;
 
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
-import tidebank.lab.trace.layout.Layout;
-import tidebank.lab.trace.layout.Layouts;
+import tidebank.testbed.trace.layout.Layout;
+import tidebank.testbed.trace.layout.Layouts;
 
 /** Names the likeliest layout of a file, with its evidence. */
 public final class Sniffer {
--- a/testbed/src/main/java/tidebank/lab/trace/read/Source.java
+++ b/testbed/src/main/java/tidebank/testbed/trace/read/Source.java
@@ -1,4 +1,4 @@
-package tidebank.lab.trace.read;
+package tidebank.testbed.trace.read;
 
 import com.github.luben.zstd.ZstdInputStream;
 import de.siegmar.fastcsv.reader.CsvReader;
--- a/testbed/src/main/java/tidebank/lab/trace/shape/Rows.java
+++ b/testbed/src/main/java/tidebank/testbed/trace/shape/Rows.java
@@ -1,4 +1,4 @@
-package tidebank.lab.trace.shape;
+package tidebank.testbed.trace.shape;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -8,8 +8,8 @@
 import java.util.NoSuchElementException;
 import java.util.function.Function;
 import java.util.function.Predicate;
-import tidebank.lab.trace.TraceRow;
-import tidebank.lab.trace.store.TraceFile;
+import tidebank.testbed.trace.TraceRow;
+import tidebank.testbed.trace.store.TraceFile;
 
 /**
  * Rows that can be opened again and again, at any window, in order of time: a file, or a shape of
--- a/testbed/src/main/java/tidebank/lab/trace/shape/Shapes.java
+++ b/testbed/src/main/java/tidebank/testbed/trace/shape/Shapes.java
@@ -1,12 +1,12 @@
-package tidebank.lab.trace.shape;
+package tidebank.testbed.trace.shape;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Iterator;
 import java.util.List;
 import java.util.zip.CRC32;
-import tidebank.lab.trace.TraceRow;
-import tidebank.lab.trace.order.Merge;
+import tidebank.testbed.trace.TraceRow;
+import tidebank.testbed.trace.order.Merge;
 
 /**
  * Shapes of traces. What each keeps: a time warp keeps counts, burstiness by count and keys, and
--- a/testbed/src/main/java/tidebank/lab/trace/stats/TraceStats.java
+++ b/testbed/src/main/java/tidebank/testbed/trace/stats/TraceStats.java
@@ -1,4 +1,4 @@
-package tidebank.lab.trace.stats;
+package tidebank.testbed.trace.stats;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
-import tidebank.lab.trace.TraceRow;
+import tidebank.testbed.trace.TraceRow;
 
 /**
  * What a trace is like: how fast, how bursty, how skewed, how large. Pure; rows come in order.
--- a/testbed/src/main/java/tidebank/lab/trace/store/Damaged.java
+++ b/testbed/src/main/java/tidebank/testbed/trace/store/Damaged.java
@@ -1,4 +1,4 @@
-package tidebank.lab.trace.store;
+package tidebank.testbed.trace.store;
 
 import java.io.IOException;
 
--- a/testbed/src/main/java/tidebank/lab/trace/store/RowDigest.java
+++ b/testbed/src/main/java/tidebank/testbed/trace/store/RowDigest.java
@@ -1,9 +1,9 @@
-package tidebank.lab.trace.store;
+package tidebank.testbed.trace.store;
 
 import com.dynatrace.hash4j.hashing.HashStream64;
 import com.dynatrace.hash4j.hashing.Hashing;
 import java.util.HexFormat;
-import tidebank.lab.trace.order.Item;
+import tidebank.testbed.trace.order.Item;
 
 /** A digest over rows in their order. */
 final class RowDigest {
--- a/testbed/src/main/java/tidebank/lab/trace/store/TraceFile.java
+++ b/testbed/src/main/java/tidebank/testbed/trace/store/TraceFile.java
@@ -1,4 +1,4 @@
-package tidebank.lab.trace.store;
+package tidebank.testbed.trace.store;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -39,9 +39,9 @@
 import org.apache.parquet.schema.MessageType;
 import org.apache.parquet.schema.PrimitiveType.PrimitiveTypeName;
 import org.apache.parquet.schema.Types;
-import tidebank.lab.columns.ZstdCodecs;
-import tidebank.lab.trace.TraceRow;
-import tidebank.lab.trace.order.Item;
+import tidebank.testbed.columns.ZstdCodecs;
+import tidebank.testbed.trace.TraceRow;
+import tidebank.testbed.trace.order.Item;
 
 /**
  * The normal form on disk: Parquet, rows in order of time, pages with checksums, and a description
--- a/testbed/src/main/java/tidebank/lab/trace/synth/Arrivals.java
+++ b/testbed/src/main/java/tidebank/testbed/trace/synth/Arrivals.java
@@ -1,4 +1,4 @@
-package tidebank.lab.trace.synth;
+package tidebank.testbed.trace.synth;
 
 import java.util.Arrays;
 import java.util.SplittableRandom;
--- a/testbed/src/main/java/tidebank/lab/trace/synth/Synthesis.java
+++ b/testbed/src/main/java/tidebank/testbed/trace/synth/Synthesis.java
@@ -1,4 +1,4 @@
-package tidebank.lab.trace.synth;
+package tidebank.testbed.trace.synth;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -11,8 +11,8 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
-import tidebank.lab.trace.TraceRow;
-import tidebank.lab.trace.stats.TraceStats;
+import tidebank.testbed.trace.TraceRow;
+import tidebank.testbed.trace.stats.TraceStats;
 
 /**
  * Fits arrivals, popularity, table types and sizes to a trace, and makes rows of any length that
--- a/testbed/src/test/java/tidebank/steward/CoordinatorFixturesTest.java
+++ b/testbed/src/test/java/tidebank/coordinator/CoordinatorFixturesTest.java
@@ -1,4 +1,4 @@
-package tidebank.steward;
+package tidebank.coordinator;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -31,7 +31,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import tidebank.lab.fleet.Stewards;
+import tidebank.testbed.fleet.Stewards;
 
 /**
  * A coordinator's data directory and its HTTP interface as of an earlier release: a process starts
--- a/testbed/src/test/java/tidebank/steward/LeaseFixturesTest.java
+++ b/testbed/src/test/java/tidebank/coordinator/LeaseFixturesTest.java
@@ -1,4 +1,4 @@
-package tidebank.steward;
+package tidebank.coordinator;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -28,9 +28,9 @@
 import tidebank.lease.Command.Kind;
 import tidebank.lease.LeaseBook;
 import tidebank.lease.Terms;
-import tidebank.steward.LeaseMachine.Kept;
-import tidebank.steward.LeaseMachine.Stamped;
-import tidebank.steward.StewardClient.Past;
+import tidebank.coordinator.LeaseMachine.Kept;
+import tidebank.coordinator.LeaseMachine.Stamped;
+import tidebank.coordinator.StewardClient.Past;
 
 /**
  * Commands, results, state, log records and snapshots as an earlier release wrote them: read, and
--- a/testbed/src/test/java/tidebank/steward/SnapshotTest.java
+++ b/testbed/src/test/java/tidebank/coordinator/SnapshotTest.java
@@ -1,4 +1,4 @@
-package tidebank.steward;
+package tidebank.coordinator;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -15,8 +15,8 @@
 import tidebank.lease.Command.Kind;
 import tidebank.lease.LeaseBook;
 import tidebank.lease.Terms;
-import tidebank.steward.LeaseMachine.Kept;
-import tidebank.steward.StewardClient.Past;
+import tidebank.coordinator.LeaseMachine.Kept;
+import tidebank.coordinator.StewardClient.Past;
 
 /**
  * A snapshot whole, cut, spoilt and of an older version; and what became of duties, which stands in
--- a/testbed/src/test/java/tidebank/lease/LeaseModel.java
+++ b/testbed/src/test/java/tidebank/lease/LeaseModel.java
@@ -7,7 +7,7 @@
 import java.util.function.BiConsumer;
 import java.util.stream.Collectors;
 import tidebank.base.TidebankException;
-import tidebank.lab.explore.Explorer;
+import tidebank.testbed.explore.Explorer;
 
 /**
  * Three members, two duties, stewards whose log is taken for granted (a library's), and a network
--- a/testbed/src/test/java/tidebank/lab/AccountTest.java
+++ b/testbed/src/test/java/tidebank/testbed/AccountTest.java
@@ -1,4 +1,4 @@
-package tidebank.lab;
+package tidebank.testbed;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.within;
@@ -6,14 +6,14 @@
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import tidebank.lab.account.Account;
-import tidebank.lab.account.RuleAudit;
-import tidebank.lab.account.RuleAudit.Reply;
-import tidebank.lab.account.RuleAudit.Run;
-import tidebank.lab.account.ScanRecord;
-import tidebank.lab.account.ScanRecord.End;
-import tidebank.lab.replay.ClientRules;
-import tidebank.lab.replay.ClientRules.Came;
+import tidebank.testbed.account.Account;
+import tidebank.testbed.account.RuleAudit;
+import tidebank.testbed.account.RuleAudit.Reply;
+import tidebank.testbed.account.RuleAudit.Run;
+import tidebank.testbed.account.ScanRecord;
+import tidebank.testbed.account.ScanRecord.End;
+import tidebank.testbed.replay.ClientRules;
+import tidebank.testbed.replay.ClientRules.Came;
 import tidebank.model.Repeat;
 
 /**
--- a/testbed/src/test/java/tidebank/lab/ArchitectureTest.java
+++ b/testbed/src/test/java/tidebank/testbed/ArchitectureTest.java
@@ -1,4 +1,4 @@
-package tidebank.lab;
+package tidebank.testbed;
 
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.classes;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
@@ -31,29 +31,29 @@
           "tidebank.capture.Keeping",
           "tidebank.fleet.FleetReport",
           "tidebank.fleet.Retention",
-          "tidebank.node.Readiness",
-          "tidebank.node.ReadPasses",
-          "tidebank.node.ShutdownPlan",
-          "tidebank.lab.account.Account",
-          "tidebank.lab.chaos.Drawn",
-          "tidebank.lab.chaos.Gaps",
-          "tidebank.lab.chaos.LeaseRules",
-          "tidebank.lab.chaos.Linear",
-          "tidebank.lab.account.RuleAudit",
-          "tidebank.lab.replay.ClientRules",
-          "tidebank.lab.scale.Budgets",
-          "tidebank.lab.scale.CapacityTables",
-          "tidebank.lab.scale.Fits",
-          "tidebank.lab.scale.MemoryNeed",
-          "tidebank.lab.scale.Quantities",
-          "tidebank.lab.standin.SlotsModel",
-          "tidebank.lab.trace.Tally",
-          "tidebank.lab.trace.order.Lateness",
-          "tidebank.lab.trace.order.Merge",
-          "tidebank.lab.trace.order.Once",
-          "tidebank.lab.trace.order.Unwrap",
-          "tidebank.lab.trace.stats.TraceStats",
-          "tidebank.lab.trace.synth.Arrivals");
+          "tidebank.runtime.Readiness",
+          "tidebank.runtime.ReadPasses",
+          "tidebank.runtime.ShutdownPlan",
+          "tidebank.testbed.account.Account",
+          "tidebank.testbed.chaos.Drawn",
+          "tidebank.testbed.chaos.Gaps",
+          "tidebank.testbed.chaos.LeaseRules",
+          "tidebank.testbed.chaos.Linear",
+          "tidebank.testbed.account.RuleAudit",
+          "tidebank.testbed.replay.ClientRules",
+          "tidebank.testbed.scale.Budgets",
+          "tidebank.testbed.scale.CapacityTables",
+          "tidebank.testbed.scale.Fits",
+          "tidebank.testbed.scale.MemoryNeed",
+          "tidebank.testbed.scale.Quantities",
+          "tidebank.testbed.emulator.SlotsModel",
+          "tidebank.testbed.trace.Tally",
+          "tidebank.testbed.trace.order.Lateness",
+          "tidebank.testbed.trace.order.Merge",
+          "tidebank.testbed.trace.order.Once",
+          "tidebank.testbed.trace.order.Unwrap",
+          "tidebank.testbed.trace.stats.TraceStats",
+          "tidebank.testbed.trace.synth.Arrivals");
 
   private static final DescribedPredicate<JavaClass> DECIDING =
       new DescribedPredicate<>("decide") {
@@ -65,8 +65,8 @@
           return DECIDE.contains(outer)
               || one.getPackageName().equals("tidebank.model")
               || one.getPackageName().equals("tidebank.lease")
-              || one.getPackageName().equals("tidebank.lab.trace.expr")
-              || one.getPackageName().equals("tidebank.lab.trace.shape") && !outer.endsWith("Rows");
+              || one.getPackageName().equals("tidebank.testbed.trace.expr")
+              || one.getPackageName().equals("tidebank.testbed.trace.shape") && !outer.endsWith("Rows");
         }
       };
 
@@ -125,13 +125,13 @@
     holds(
         noClasses()
             .that()
-            .resideOutsideOfPackages("tidebank.lab..", "tidebank.cli..", "tidebank.steward..")
+            .resideOutsideOfPackages("tidebank.testbed..", "tidebank.cli..", "tidebank.coordinator..")
             .should()
             .dependOnClassesThat()
             .resideInAnyPackage(
-                "tidebank.lab..",
+                "tidebank.testbed..",
                 "tidebank.cli..",
-                "tidebank.steward..",
+                "tidebank.coordinator..",
                 "org.apache..",
                 "org.knowm..",
                 "com.dynatrace..",
@@ -143,11 +143,11 @@
     holds(
         classes()
             .that()
-            .resideInAPackage("tidebank.steward..")
+            .resideInAPackage("tidebank.coordinator..")
             .should()
             .onlyDependOnClassesThat(
                 JavaClass.Predicates.resideInAnyPackage(
-                        "tidebank.steward..",
+                        "tidebank.coordinator..",
                         "tidebank.base..",
                         "tidebank.config..",
                         "tidebank.lease..",
@@ -188,7 +188,7 @@
                   "tidebank.base..",
                   "tidebank.config..",
                   "tidebank.model..",
-                  "tidebank.node..",
+                  "tidebank.runtime..",
                   "java..",
                   "io.netty..",
                   "com.fasterxml..",
@@ -211,6 +211,6 @@
 
   @Test
   void packagesOfTheLabHaveNoCircles() {
-    holds(slices().matching("tidebank.lab.(**)").should().beFreeOfCycles());
+    holds(slices().matching("tidebank.testbed.(**)").should().beFreeOfCycles());
   }
 }
--- a/testbed/src/test/java/tidebank/lab/ErrorsTest.java
+++ b/testbed/src/test/java/tidebank/testbed/ErrorsTest.java
@@ -1,4 +1,4 @@
-package tidebank.lab;
+package tidebank.testbed;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/testbed/src/test/java/tidebank/lab/ExpressionTest.java
+++ b/testbed/src/test/java/tidebank/testbed/ExpressionTest.java
@@ -1,4 +1,4 @@
-package tidebank.lab;
+package tidebank.testbed;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -9,12 +9,12 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import tidebank.config.Malformed;
-import tidebank.lab.trace.expr.Compiler;
-import tidebank.lab.trace.expr.Quantiles;
-import tidebank.lab.trace.expr.Value;
-import tidebank.lab.trace.layout.Column;
-import tidebank.lab.trace.layout.RawRow;
-import tidebank.lab.trace.mapping.Mapping;
+import tidebank.testbed.trace.expr.Compiler;
+import tidebank.testbed.trace.expr.Quantiles;
+import tidebank.testbed.trace.expr.Value;
+import tidebank.testbed.trace.layout.Column;
+import tidebank.testbed.trace.layout.RawRow;
+import tidebank.testbed.trace.mapping.Mapping;
 
 /** The language of mappings: what it gives, and what it says of what is wrong. */
 class ExpressionTest {
--- a/testbed/src/test/java/tidebank/lab/ImportTest.java
+++ b/testbed/src/test/java/tidebank/testbed/ImportTest.java
@@ -1,4 +1,4 @@
-package tidebank.lab;
+package tidebank.testbed;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -24,14 +24,14 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import tidebank.lab.trace.TraceRow;
-import tidebank.lab.trace.layout.Layouts;
-import tidebank.lab.trace.mapping.Mapping;
-import tidebank.lab.trace.read.Importer;
-import tidebank.lab.trace.read.Sniffer;
-import tidebank.lab.trace.read.Source;
-import tidebank.lab.trace.store.Damaged;
-import tidebank.lab.trace.store.TraceFile;
+import tidebank.testbed.trace.TraceRow;
+import tidebank.testbed.trace.layout.Layouts;
+import tidebank.testbed.trace.mapping.Mapping;
+import tidebank.testbed.trace.read.Importer;
+import tidebank.testbed.trace.read.Sniffer;
+import tidebank.testbed.trace.read.Source;
+import tidebank.testbed.trace.store.Damaged;
+import tidebank.testbed.trace.store.TraceFile;
 
 /**
  * From CSV to the normal form: nothing is lost, nothing depends on the order of rows, damage is
--- a/testbed/src/test/java/tidebank/lab/LayoutsTest.java
+++ b/testbed/src/test/java/tidebank/testbed/LayoutsTest.java
@@ -1,4 +1,4 @@
-package tidebank.lab;
+package tidebank.testbed;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -6,10 +6,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import tidebank.lab.trace.layout.Layout;
-import tidebank.lab.trace.layout.Layouts;
-import tidebank.lab.trace.layout.RawRow;
-import tidebank.lab.trace.layout.RowException;
+import tidebank.testbed.trace.layout.Layout;
+import tidebank.testbed.trace.layout.Layouts;
+import tidebank.testbed.trace.layout.RawRow;
+import tidebank.testbed.trace.layout.RowException;
 
 /** Each layout's oddities, as they are publicly known. */
 class LayoutsTest {
--- a/testbed/src/test/java/tidebank/lab/ReplayTest.java
+++ b/testbed/src/test/java/tidebank/testbed/ReplayTest.java
@@ -1,4 +1,4 @@
-package tidebank.lab;
+package tidebank.testbed;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -13,14 +13,14 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import tidebank.config.Malformed;
-import tidebank.lab.account.ScanRecord;
-import tidebank.lab.replay.Incident;
-import tidebank.lab.replay.Incident.Kind;
-import tidebank.lab.replay.Replay;
-import tidebank.lab.report.Comparison;
-import tidebank.lab.report.RunFolder;
-import tidebank.lab.site.Site;
-import tidebank.lab.trace.TraceRow;
+import tidebank.testbed.account.ScanRecord;
+import tidebank.testbed.replay.Incident;
+import tidebank.testbed.replay.Incident.Kind;
+import tidebank.testbed.replay.Replay;
+import tidebank.testbed.report.Comparison;
+import tidebank.testbed.report.RunFolder;
+import tidebank.testbed.deployment.Site;
+import tidebank.testbed.trace.TraceRow;
 
 /**
  * Real gatherer processes between stand-ins: what goes well, what breaks, and that nothing is left
--- a/testbed/src/test/java/tidebank/lab/ReplayedTest.java
+++ b/testbed/src/test/java/tidebank/testbed/ReplayedTest.java
@@ -1,4 +1,4 @@
-package tidebank.lab;
+package tidebank.testbed;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -16,7 +16,7 @@
 import tidebank.RoutingPolicy;
 import tidebank.capture.Recorder;
 import tidebank.capture.Segments;
-import tidebank.lab.capture.Replayed;
+import tidebank.testbed.capture.Replayed;
 import tidebank.model.Action;
 import tidebank.model.Event;
 import tidebank.model.Event.ListKind;
--- a/testbed/src/test/java/tidebank/lab/ShapesTest.java
+++ b/testbed/src/test/java/tidebank/testbed/ShapesTest.java
@@ -1,4 +1,4 @@
-package tidebank.lab;
+package tidebank.testbed;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.within;
@@ -12,12 +12,12 @@
 import net.jqwik.api.constraints.DoubleRange;
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
-import tidebank.lab.trace.TraceRow;
-import tidebank.lab.trace.shape.Rows;
-import tidebank.lab.trace.shape.Shapes;
-import tidebank.lab.trace.stats.TraceStats;
-import tidebank.lab.trace.synth.Arrivals;
-import tidebank.lab.trace.synth.Synthesis;
+import tidebank.testbed.trace.TraceRow;
+import tidebank.testbed.trace.shape.Rows;
+import tidebank.testbed.trace.shape.Shapes;
+import tidebank.testbed.trace.stats.TraceStats;
+import tidebank.testbed.trace.synth.Arrivals;
+import tidebank.testbed.trace.synth.Synthesis;
 
 /** Shapes keep what they say they keep; what is made after a trace is like it. */
 class ShapesTest {
--- a/testbed/src/test/java/tidebank/lab/bench/ExpressionBench.java
+++ b/testbed/src/test/java/tidebank/testbed/bench/ExpressionBench.java
@@ -1,4 +1,4 @@
-package tidebank.lab.bench;
+package tidebank.testbed.bench;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -15,13 +15,13 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
-import tidebank.lab.trace.expr.Compiler;
-import tidebank.lab.trace.expr.ExpressionBaseVisitor;
-import tidebank.lab.trace.expr.ExpressionLexer;
-import tidebank.lab.trace.expr.ExpressionParser;
-import tidebank.lab.trace.expr.Value;
-import tidebank.lab.trace.layout.Column;
-import tidebank.lab.trace.layout.RawRow;
+import tidebank.testbed.trace.expr.Compiler;
+import tidebank.testbed.trace.expr.ExpressionBaseVisitor;
+import tidebank.testbed.trace.expr.ExpressionLexer;
+import tidebank.testbed.trace.expr.ExpressionParser;
+import tidebank.testbed.trace.expr.Value;
+import tidebank.testbed.trace.layout.Column;
+import tidebank.testbed.trace.layout.RawRow;
 
 /** Expressions made ready against walking the parse tree with boxed values, over the same rows. */
 @State(Scope.Benchmark)
--- a/testbed/src/test/java/tidebank/lab/bench/StewardBench.java
+++ b/testbed/src/test/java/tidebank/testbed/bench/StewardBench.java
@@ -1,4 +1,4 @@
-package tidebank.lab.bench;
+package tidebank.testbed.bench;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -8,13 +8,13 @@
 import java.util.List;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.atomic.AtomicBoolean;
-import tidebank.lab.fleet.Members;
-import tidebank.lab.fleet.Stewards;
-import tidebank.lab.replay.GathererProcess;
+import tidebank.testbed.fleet.Members;
+import tidebank.testbed.fleet.Stewards;
+import tidebank.testbed.replay.GathererProcess;
 import tidebank.lease.Command;
 import tidebank.lease.Command.Kind;
 import tidebank.lease.LeaseBook;
-import tidebank.steward.StewardClient;
+import tidebank.coordinator.StewardClient;
 
 /**
  * Figures for the results page, by hand: renewals a second of 100 members against 1, 3 and 5
--- a/testbed/src/test/java/tidebank/lab/capture/StoredCaptureReplayTest.java
+++ b/testbed/src/test/java/tidebank/testbed/capture/StoredCaptureReplayTest.java
@@ -1,4 +1,4 @@
-package tidebank.lab.capture;
+package tidebank.testbed.capture;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/testbed/src/test/java/tidebank/lab/chaos/LeaseRulesTest.java
+++ b/testbed/src/test/java/tidebank/testbed/chaos/LeaseRulesTest.java
@@ -1,4 +1,4 @@
-package tidebank.lab.chaos;
+package tidebank.testbed.chaos;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import tidebank.base.TidebankException;
-import tidebank.lab.chaos.History.Asked;
+import tidebank.testbed.chaos.History.Asked;
 import tidebank.lease.Answer;
 import tidebank.lease.Answer.Grant;
 import tidebank.lease.Command;
--- a/testbed/src/test/java/tidebank/lab/chaos/ScriptTest.java
+++ b/testbed/src/test/java/tidebank/testbed/chaos/ScriptTest.java
@@ -1,4 +1,4 @@
-package tidebank.lab.chaos;
+package tidebank.testbed.chaos;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
--- a/testbed/src/test/java/tidebank/lab/fleet/DutiesTest.java
+++ b/testbed/src/test/java/tidebank/testbed/fleet/DutiesTest.java
@@ -1,8 +1,8 @@
-package tidebank.lab.fleet;
+package tidebank.testbed.fleet;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static tidebank.lab.fleet.Until.PATIENCE_MS;
-import static tidebank.lab.fleet.Until.until;
+import static tidebank.testbed.fleet.Until.PATIENCE_MS;
+import static tidebank.testbed.fleet.Until.until;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
@@ -22,10 +22,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import tidebank.fleet.FleetReport;
-import tidebank.lab.replay.GathererProcess;
+import tidebank.testbed.replay.GathererProcess;
 import tidebank.lease.Command.Kind;
 import tidebank.lease.LeaseBook;
-import tidebank.steward.StewardClient;
+import tidebank.coordinator.StewardClient;
 
 /**
  * Gatherers and a steward as processes; owners of the report are stopped, woken, killed and ended
--- a/testbed/src/test/java/tidebank/lab/fleet/StewardsTest.java
+++ b/testbed/src/test/java/tidebank/testbed/fleet/StewardsTest.java
@@ -1,9 +1,9 @@
-package tidebank.lab.fleet;
+package tidebank.testbed.fleet;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
-import static tidebank.lab.fleet.Until.PATIENCE_MS;
-import static tidebank.lab.fleet.Until.until;
+import static tidebank.testbed.fleet.Until.PATIENCE_MS;
+import static tidebank.testbed.fleet.Until.until;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -31,7 +31,7 @@
 import tidebank.lease.Command.Kind;
 import tidebank.lease.Holder;
 import tidebank.lease.LeaseBook;
-import tidebank.steward.StewardClient;
+import tidebank.coordinator.StewardClient;
 
 /** Stewards as processes, killed, stopped and woken, emptied and damaged between calls. */
 @Timeout(120)
--- a/testbed/src/test/java/tidebank/lab/fleet/Until.java
+++ b/testbed/src/test/java/tidebank/testbed/fleet/Until.java
@@ -1,4 +1,4 @@
-package tidebank.lab.fleet;
+package tidebank.testbed.fleet;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/testbed/src/test/java/tidebank/lab/replay/ClientRulesTest.java
+++ b/testbed/src/test/java/tidebank/testbed/replay/ClientRulesTest.java
@@ -1,4 +1,4 @@
-package tidebank.lab.replay;
+package tidebank.testbed.replay;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/testbed/src/test/java/tidebank/lab/scale/HollowGathererTest.java
+++ b/testbed/src/test/java/tidebank/testbed/scale/HollowGathererTest.java
@@ -1,4 +1,4 @@
-package tidebank.lab.scale;
+package tidebank.testbed.scale;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.within;
@@ -12,9 +12,9 @@
 import java.util.concurrent.TimeUnit;
 import org.assertj.core.data.Percentage;
 import org.junit.jupiter.api.Test;
-import tidebank.lab.scale.Observed.Descriptors;
-import tidebank.lab.scale.Observed.ProcessorTime;
-import tidebank.node.Gatherer;
+import tidebank.testbed.scale.Observed.Descriptors;
+import tidebank.testbed.scale.Observed.ProcessorTime;
+import tidebank.runtime.Gatherer;
 
 /**
  * Hollow gatherers stand for real ones, and what they cost grows as it should: counted bytes and
--- a/testbed/src/test/java/tidebank/lab/scale/ProfileTest.java
+++ b/testbed/src/test/java/tidebank/testbed/scale/ProfileTest.java
@@ -1,4 +1,4 @@
-package tidebank.lab.scale;
+package tidebank.testbed.scale;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
--- a/testbed/src/test/java/tidebank/lab/trace/store/StoredTraceTest.java
+++ b/testbed/src/test/java/tidebank/testbed/trace/store/StoredTraceTest.java
@@ -1,4 +1,4 @@
-package tidebank.lab.trace.store;
+package tidebank.testbed.trace.store;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -8,8 +8,8 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import tidebank.lab.trace.TraceRow;
-import tidebank.lab.trace.order.Item;
+import tidebank.testbed.trace.TraceRow;
+import tidebank.testbed.trace.order.Item;
 
 /**
  * A trace that an earlier build stored is read, checked and written to the same bytes. It was made
--- a/testbed/src/test/java/tidebank/lab/trace/store/TimeIndexTest.java
+++ b/testbed/src/test/java/tidebank/testbed/trace/store/TimeIndexTest.java
@@ -1,4 +1,4 @@
-package tidebank.lab.trace.store;
+package tidebank.testbed.trace.store;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -13,8 +13,8 @@
 import org.apache.parquet.io.SeekableInputStream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import tidebank.lab.trace.TraceRow;
-import tidebank.lab.trace.order.Item;
+import tidebank.testbed.trace.TraceRow;
+import tidebank.testbed.trace.order.Item;
 
 /** A window in the middle opens without the rest being read. */
 class TimeIndexTest {
