--- a/cli/src/main/java/tidebank/cli/Archive.java
+++ b/cli/src/main/java/tidebank/cli/Archive.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import tidebank.testbed.replay.Replay;
-import tidebank.testbed.deployment.Site;
+import tidebank.testbed.deployment.Deployment;
 
 /**
  * Part of the build: an archive of the classes that serving loads, as the JVM leaves it behind. A
@@ -39,7 +39,7 @@
     Files.createDirectories(target.getParent());
     Files.deleteIfExists(fresh);
     Replay.Plan plan =
-        new Replay.Plan(Site.standard(), 1, 8, 1, List.of())
+        new Replay.Plan(Deployment.standard(), 1, 8, 1, List.of())
             .withJvmFlags("-Djava.net.preferIPv4Stack=true", "-XX:ArchiveClassesAtExit=" + fresh);
     new Replay(plan, record -> {}, sent -> {}).run(Demo.rows(1, SECONDS).iterator());
     if (!Files.exists(fresh)) {
--- a/cli/src/main/java/tidebank/cli/CaptureCommands.java
+++ b/cli/src/main/java/tidebank/cli/CaptureCommands.java
@@ -17,9 +17,9 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import tidebank.capture.Entry;
-import tidebank.capture.Segments;
-import tidebank.testbed.capture.Replayed;
+import tidebank.capture.CaptureRecord;
+import tidebank.capture.CaptureSegments;
+import tidebank.testbed.capture.CaptureReplay;
 import tidebank.model.Action;
 import tidebank.model.Event;
 
@@ -64,8 +64,8 @@
       long first = 0;
       long last = 0;
       boolean whole = true;
-      for (Path file : Replayed.segments(place)) {
-        Segments.Read read = Segments.read(file);
+      for (Path file : CaptureReplay.segments(place)) {
+        CaptureSegments.Read read = CaptureSegments.read(file);
         bytes += Files.size(file);
         whole &= read.torn().isEmpty();
         segments
@@ -75,13 +75,13 @@
             .put("blocks", read.blocks())
             .put("entries", read.entries().size())
             .put("torn", read.torn());
-        for (Entry entry : read.entries()) {
-          if (entry instanceof Entry.Iteration turn) {
+        for (CaptureRecord entry : read.entries()) {
+          if (entry instanceof CaptureRecord.Iteration turn) {
             first = turns++ == 0 ? turn.nowUs() : first;
             last = turn.nowUs();
             turn.events()
                 .forEach(event -> events.merge(event.getClass().getSimpleName(), 1L, Long::sum));
-          } else if (entry instanceof Entry.Gap gap) {
+          } else if (entry instanceof CaptureRecord.Gap gap) {
             missing += gap.turns();
           }
         }
@@ -160,7 +160,7 @@
       ArrayNode list = ResultCommand.JSON.createArrayNode();
       long[] shown = {0};
       long[] first = {-1};
-      Replayed.replay(
+      CaptureReplay.replay(
           place,
           (number, turn, now) -> {
             first[0] = first[0] < 0 ? turn.nowUs() : first[0];
@@ -216,7 +216,7 @@
     @Override
     public Integer call() throws IOException {
       long begin = System.nanoTime();
-      Replayed.Result result = Replayed.replay(place, (number, turn, now) -> {});
+      CaptureReplay.Result result = CaptureReplay.replay(place, (number, turn, now) -> {});
       double took = (System.nanoTime() - begin) / 1e9;
       double seconds = (result.lastUs() - result.firstUs()) / 1e6;
       if (json) {
--- a/cli/src/main/java/tidebank/cli/ChaosCommands.java
+++ b/cli/src/main/java/tidebank/cli/ChaosCommands.java
@@ -28,12 +28,12 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import tidebank.testbed.chaos.Drawn;
-import tidebank.testbed.chaos.Gaps;
-import tidebank.testbed.chaos.Play;
-import tidebank.testbed.chaos.RunFiles;
+import tidebank.testbed.chaos.RandomScript;
+import tidebank.testbed.chaos.UnownedIntervals;
+import tidebank.testbed.chaos.ScriptRunner;
+import tidebank.testbed.chaos.RunArtifacts;
 import tidebank.testbed.chaos.Script;
-import tidebank.testbed.fleet.Load;
+import tidebank.testbed.fleet.CoordinatorLoad;
 
 /** A fleet of processes under faults, by script or by seed. */
 @Command(
@@ -119,7 +119,7 @@
         jobs.add(new Job(Script.read(name), 0));
       }
       if (seed != null) {
-        jobs.add(new Job(Drawn.script(seed), seed));
+        jobs.add(new Job(RandomScript.script(seed), seed));
       }
       if (seeds != null) {
         Matcher range = RANGE.matcher(seeds);
@@ -130,7 +130,7 @@
               spec.commandLine(), "--seeds: found " + seeds + ", wanted a range such as 1..200");
         }
         LongStream.rangeClosed(Long.parseLong(range.group(1)), Long.parseLong(range.group(2)))
-            .forEach(one -> jobs.add(new Job(Drawn.script(one), one)));
+            .forEach(one -> jobs.add(new Job(RandomScript.script(one), one)));
       }
       if (jobs.isEmpty()) {
         throw new ParameterException(
@@ -149,9 +149,9 @@
       int broken = 0;
       Map<String, List<Long>> gaps = new TreeMap<>();
       try {
-        List<Future<Play.Verdict>> runs =
+        List<Future<ScriptRunner.Verdict>> runs =
             jobs.stream().map(job -> pool.submit(() -> one(job, jobs.size() == 1))).toList();
-        for (Future<Play.Verdict> run : runs) {
+        for (Future<ScriptRunner.Verdict> run : runs) {
           broken += run.get().held() ? 0 : 1;
           run.get()
               .gaps()
@@ -168,7 +168,7 @@
         pool.shutdownNow();
       }
       if (!json && !gaps.isEmpty()) {
-        say("without an owner of the report, after " + Gaps.said(gaps));
+        say("without an owner of the report, after " + UnownedIntervals.said(gaps));
       }
       if (!json && jobs.size() > 1) {
         say(jobs.size() - broken + " of " + jobs.size() + " runs held");
@@ -182,10 +182,10 @@
       to.flush();
     }
 
-    private Play.Verdict one(Job job, boolean alone) throws IOException {
+    private ScriptRunner.Verdict one(Job job, boolean alone) throws IOException {
       Path folder = folder(job.script().name());
-      Play.Verdict verdict =
-          new Play(
+      ScriptRunner.Verdict verdict =
+          new ScriptRunner(
                   job.script(),
                   job.seed(),
                   folder,
@@ -199,7 +199,7 @@
       if (verdict.held() && !keep) {
         delete(folder);
       } else if (!json) {
-        say("  " + folder + "; again: " + RunFiles.again(verdict, folder));
+        say("  " + folder + "; again: " + RunArtifacts.again(verdict, folder));
       }
       return verdict;
     }
@@ -222,7 +222,7 @@
     }
   }
 
-  private static String line(Play.Verdict verdict) {
+  private static String line(ScriptRunner.Verdict verdict) {
     return String.format(
         "%-20s %s in %.1f s; %d commands, %d reports, %d of %d scans counted%s",
         verdict.script(),
@@ -262,7 +262,7 @@
 
     @Override
     public Integer call() throws IOException {
-      Play.Verdict verdict = RunFiles.verdict(run);
+      ScriptRunner.Verdict verdict = RunArtifacts.verdict(run);
       PrintWriter out = out();
       if (json) {
         out.println(
@@ -274,7 +274,7 @@
           List.of("report.html", "timeline.svg", "history.jsonl", "script.toml", "logs")) {
         out.println("  " + run.resolve(name));
       }
-      out.println("again: " + RunFiles.again(verdict, run));
+      out.println("again: " + RunArtifacts.again(verdict, run));
       return Tidebank.DONE;
     }
   }
@@ -329,7 +329,7 @@
                 spec.commandLine(), "wanted 1, 3 or 5 stewards and 1 to 5000 agents");
           }
           Path folder = Files.createTempDirectory("tidebank-load");
-          Load.Result one = Load.run(folder, count, many, commands, seconds);
+          CoordinatorLoad.Result one = CoordinatorLoad.run(folder, count, many, commands, seconds);
           out.printf(
               "%8d  %6d  %8d  %10d  %8.0f  %9.2f  %6.2f  %9d  %10d  %7d%n",
               one.stewards(),
--- a/cli/src/main/java/tidebank/cli/Demo.java
+++ b/cli/src/main/java/tidebank/cli/Demo.java
@@ -13,7 +13,7 @@
 import tidebank.testbed.replay.Incident;
 import tidebank.testbed.replay.Incident.Kind;
 import tidebank.testbed.replay.Replay;
-import tidebank.testbed.deployment.Site;
+import tidebank.testbed.deployment.Deployment;
 import tidebank.testbed.trace.TraceRow;
 
 /** The whole product on one machine in a few seconds, without any configuration. */
@@ -71,7 +71,7 @@
     }
     List<TraceRow> rows = rows(seed, SECONDS);
     return Playing.play(
-        new Replay.Plan(Site.standard(), 2, 8, seed, incidents),
+        new Replay.Plan(Deployment.standard(), 2, 8, seed, incidents),
         rows.iterator(),
         rows.size(),
         "demo",
--- a/cli/src/main/java/tidebank/cli/FleetCommands.java
+++ b/cli/src/main/java/tidebank/cli/FleetCommands.java
@@ -20,12 +20,12 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import tidebank.base.TidebankException;
-import tidebank.lease.Answer;
-import tidebank.lease.Command.Kind;
-import tidebank.lease.LeaseBook;
-import tidebank.coordinator.StewardClient;
-import tidebank.coordinator.StewardMain;
+import tidebank.errors.TidebankException;
+import tidebank.lease.CommandResult;
+import tidebank.lease.LeaseCommand.Kind;
+import tidebank.lease.LeaseTable;
+import tidebank.coordinator.CoordinatorClient;
+import tidebank.coordinator.CoordinatorMain;
 
 /** The fleet's duties, as its operators see and steer them. */
 @Command(
@@ -36,7 +36,7 @@
     subcommands = {
       FleetCommands.Status.class,
       FleetCommands.Members.class,
-      FleetCommands.Duties.class,
+      FleetCommands.Tasks.class,
       FleetCommands.History.class,
       FleetCommands.Move.class,
       FleetCommands.Drain.class,
@@ -60,7 +60,7 @@
       mixinStandardHelpOptions = true,
       exitCodeListHeading = "%nExit codes:%n",
       exitCodeList = {"0:ended by SIGTERM", "1:it could not start", "2:wrong arguments or file"})
-  static final class StewardCommand implements Callable<Integer> {
+  static final class CoordinatorCommand implements Callable<Integer> {
     @Option(
         names = "--config",
         required = true,
@@ -70,7 +70,7 @@
 
     @Override
     public Integer call() throws IOException {
-      return StewardMain.serve(config);
+      return CoordinatorMain.serve(config);
     }
   }
 
@@ -104,8 +104,8 @@
       return spec.commandLine();
     }
 
-    protected StewardClient client() {
-      return new StewardClient(stewards, patienceMs);
+    protected CoordinatorClient client() {
+      return new CoordinatorClient(stewards, patienceMs);
     }
 
     protected int show(Object whole, List<String> head, Stream<List<String>> rows)
@@ -130,9 +130,9 @@
     }
 
     protected int operate(Kind kind, String name, String duty, String done) throws IOException {
-      Answer answer = client().operate(kind, name, duty);
+      CommandResult answer = client().operate(kind, name, duty);
       if (answer.fault() != null) {
-        throw new TidebankException.Refused(answer.fault());
+        throw new TidebankException.RequestRejected(answer.fault());
       }
       out().println(json ? "{\"done\":true}" : done);
       return Tidebank.DONE;
@@ -142,7 +142,7 @@
       return text.isEmpty() ? "-" : text;
     }
 
-    protected static String member(LeaseBook.State state, LeaseBook.Member member) {
+    protected static String member(LeaseTable.State state, LeaseTable.Member member) {
       return member.retired()
           ? "retired"
           : member.aliveUntil() <= state.now()
@@ -153,7 +153,7 @@
     }
 
     /** The owner at the moment of the last command that the stewards decided, or a dash. */
-    protected static String owner(LeaseBook.State state, LeaseBook.Duty duty) {
+    protected static String owner(LeaseTable.State state, LeaseTable.TaskLease duty) {
       return duty.owner().isEmpty() || duty.until() <= state.now() ? "-" : duty.owner();
     }
   }
@@ -179,13 +179,13 @@
   static final class Status extends Shown {
     @Override
     int once() throws IOException {
-      LeaseBook.State state = client().state();
+      LeaseTable.State state = client().state();
       Map<String, Integer> members = new TreeMap<>();
       state.members().forEach(member -> members.merge(member(state, member), 1, Integer::sum));
       List<String> without =
           state.duties().stream()
               .filter(duty -> owner(state, duty).equals("-"))
-              .map(LeaseBook.Duty::name)
+              .map(LeaseTable.TaskLease::name)
               .toList();
       Map<String, Object> whole =
           Map.of(
@@ -216,7 +216,7 @@
   static final class Members extends Shown {
     @Override
     int once() throws IOException {
-      LeaseBook.State state = client().state();
+      LeaseTable.State state = client().state();
       return show(
           state.members(),
           List.of("member", "is", "duties"),
@@ -230,7 +230,7 @@
                               ", ",
                               state.duties().stream()
                                   .filter(duty -> owner(state, duty).equals(member.name()))
-                                  .map(LeaseBook.Duty::name)
+                                  .map(LeaseTable.TaskLease::name)
                                   .toList()))));
     }
   }
@@ -239,10 +239,10 @@
       name = "duties",
       description = "Lists the duties with their owners and what is published.",
       mixinStandardHelpOptions = true)
-  static final class Duties extends Shown {
+  static final class Tasks extends Shown {
     @Override
     int once() throws IOException {
-      LeaseBook.State state = client().state();
+      LeaseTable.State state = client().state();
       return show(
           state.duties(),
           List.of("duty", "owner", "token", "meant for", "pinned to", "revision", "published"),
@@ -270,9 +270,9 @@
 
     @Override
     int once() throws IOException {
-      List<StewardClient.Past> past = client().history().get(duty);
+      List<CoordinatorClient.AuditEntry> past = client().history().get(duty);
       if (past == null) {
-        throw new TidebankException.DutyUnknown(duty);
+        throw new TidebankException.TaskNotFound(duty);
       }
       return show(
           past,
--- a/cli/src/main/java/tidebank/cli/FleetDemo.java
+++ b/cli/src/main/java/tidebank/cli/FleetDemo.java
@@ -11,11 +11,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
-import tidebank.testbed.fleet.Members;
-import tidebank.testbed.fleet.Stewards;
-import tidebank.testbed.replay.GathererProcess;
-import tidebank.lease.LeaseBook;
-import tidebank.coordinator.StewardClient;
+import tidebank.testbed.fleet.RouterProcesses;
+import tidebank.testbed.fleet.CoordinatorProcesses;
+import tidebank.testbed.replay.RouterProcess;
+import tidebank.lease.LeaseTable;
+import tidebank.coordinator.CoordinatorClient;
 
 /** An owner stopped and woken again, before one's eyes. */
 @Command(
@@ -44,24 +44,24 @@
   public Integer call() throws IOException {
     began = System.nanoTime();
     Path folder = Files.createTempDirectory("tidebank-fleet");
-    List<GathererProcess> gatherers = new ArrayList<>();
-    try (Stewards stewards = new Stewards(folder, 3, SETTINGS)) {
-      StewardClient client = new StewardClient(stewards.addresses(), PATIENCE_MS);
+    List<RouterProcess> gatherers = new ArrayList<>();
+    try (CoordinatorProcesses stewards = new CoordinatorProcesses(folder, 3, SETTINGS)) {
+      CoordinatorClient client = new CoordinatorClient(stewards.addresses(), PATIENCE_MS);
       for (int i = 0; i < 3; i++) {
-        gatherers.add(Members.start(folder, "g" + i, stewards.addresses(), EVERY_MS, List.of()));
+        gatherers.add(RouterProcesses.start(folder, "g" + i, stewards.addresses(), EVERY_MS, List.of()));
       }
       say("three stewards and three gatherers started; their files are in " + folder);
-      LeaseBook.Duty first = until(client, duty -> duty.revision() >= 2);
+      LeaseTable.TaskLease first = until(client, duty -> duty.revision() >= 2);
       say(
           first.owner()
               + " owns the report by token "
               + first.token()
               + " and has published "
               + first.value());
-      GathererProcess owner = gatherers.get(Integer.parseInt(first.owner().substring(1)));
+      RouterProcess owner = gatherers.get(Integer.parseInt(first.owner().substring(1)));
       owner.stop();
       say(owner.name() + " is stopped (SIGSTOP): it neither renews nor knows that it does not");
-      LeaseBook.Duty second = until(client, duty -> duty.publishedBy() > first.token());
+      LeaseTable.TaskLease second = until(client, duty -> duty.publishedBy() > first.token());
       say(
           "its lease has ended; "
               + second.owner()
@@ -71,7 +71,7 @@
               + second.value());
       owner.wake();
       say(owner.name() + " is woken and goes on where it stood");
-      LeaseBook.Duty third = until(client, duty -> duty.revision() >= second.revision() + 3);
+      LeaseTable.TaskLease third = until(client, duty -> duty.revision() >= second.revision() + 3);
       boolean harm = third.publishedBy() < second.token();
       say(
           "three reports later: "
@@ -82,15 +82,15 @@
                   : "nothing by token " + first.token() + " was believed since"));
       return harm ? Tidebank.FAILED : Tidebank.DONE;
     } finally {
-      gatherers.forEach(GathererProcess::close);
+      gatherers.forEach(RouterProcess::close);
     }
   }
 
-  private static LeaseBook.Duty until(StewardClient client, Predicate<LeaseBook.Duty> wanted)
+  private static LeaseTable.TaskLease until(CoordinatorClient client, Predicate<LeaseTable.TaskLease> wanted)
       throws IOException {
     long end = System.nanoTime() + PATIENCE_MS * 1_000_000;
     while (System.nanoTime() < end) {
-      for (LeaseBook.Duty duty : client.state().duties()) {
+      for (LeaseTable.TaskLease duty : client.state().duties()) {
         if (wanted.test(duty)) {
           return duty;
         }
--- a/cli/src/main/java/tidebank/cli/Serve.java
+++ b/cli/src/main/java/tidebank/cli/Serve.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import tidebank.config.OperatorFile;
+import tidebank.config.OperatorConfig;
 
 /**
  * Runs a gatherer in the lean process that it has in service; this one only passes on signals and
@@ -40,7 +40,7 @@
   public Integer call() throws IOException {
     List<String> more = new ArrayList<>(List.of("serve"));
     if (config != null) {
-      OperatorFile.read(config);
+      OperatorConfig.read(config);
       more.addAll(List.of("--config", config.toString()));
     }
     return run(more);
@@ -78,7 +78,7 @@
           "Drives the decisions over the simulator's wire: standard input to standard output, until"
               + " input ends.",
       mixinStandardHelpOptions = true)
-  static final class WireHost implements Callable<Integer> {
+  static final class Simulate implements Callable<Integer> {
     @Override
     public Integer call() throws IOException {
       return run(List.of("wirehost"));
--- a/cli/src/main/java/tidebank/cli/Tidebank.java
+++ b/cli/src/main/java/tidebank/cli/Tidebank.java
@@ -12,8 +12,8 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.ScopeType;
 import picocli.CommandLine.Spec;
-import tidebank.base.TidebankException;
-import tidebank.config.Malformed;
+import tidebank.errors.TidebankException;
+import tidebank.config.MalformedInputException;
 
 /** The command line {@code tidebank}. */
 @Command(
@@ -27,12 +27,12 @@
     exitCodeList = {"0:done", "1:failed", "2:wrong arguments or configuration"},
     subcommands = {
       Serve.class,
-      Serve.WireHost.class,
+      Serve.Simulate.class,
       Demo.class,
       Archive.class,
       TraceCommands.class,
       CaptureCommands.class,
-      FleetCommands.StewardCommand.class,
+      FleetCommands.CoordinatorCommand.class,
       FleetCommands.class,
       ChaosCommands.class,
       ScaleCommands.class,
@@ -99,7 +99,7 @@
           if (!(cause instanceof IOException) && !(cause instanceof IllegalArgumentException)) {
             cause.printStackTrace(command.getErr());
           }
-          return cause instanceof Malformed || cause instanceof IllegalArgumentException
+          return cause instanceof MalformedInputException || cause instanceof IllegalArgumentException
               ? WRONG
               : FAILED;
         });
--- a/cli/src/main/java/tidebank/cli/TraceImportCommand.java
+++ b/cli/src/main/java/tidebank/cli/TraceImportCommand.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import tidebank.config.Malformed;
+import tidebank.config.MalformedInputException;
 import tidebank.testbed.trace.mapping.Mapping;
 import tidebank.testbed.trace.read.Importer;
 import tidebank.testbed.trace.read.Sniffer;
@@ -157,7 +157,7 @@
     }
     Sniffer.Finding finding = Sniffer.sniff(source);
     if (finding.best() == null) {
-      throw new Malformed(source + ": " + finding.verdict());
+      throw new MalformedInputException(source + ": " + finding.verdict());
     }
     return Mapping.standard(finding.best());
   }
--- a/cli/src/main/java/tidebank/cli/TraceMappingCommand.java
+++ b/cli/src/main/java/tidebank/cli/TraceMappingCommand.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
-import tidebank.config.Malformed;
+import tidebank.config.MalformedInputException;
 import tidebank.config.Toml;
 import tidebank.testbed.trace.layout.Layout;
 import tidebank.testbed.trace.layout.Layouts;
@@ -34,12 +34,12 @@
     return Tidebank.DONE;
   }
 
-  static Layout layout(String name) throws Malformed {
+  static Layout layout(String name) throws MalformedInputException {
     Layout found = Layouts.named(name);
     if (found == null) {
       List<String> known = Layouts.all().stream().map(Layout::name).toList();
       String near = Toml.nearest(name, known);
-      throw new Malformed(
+      throw new MalformedInputException(
           "unknown layout \""
               + name
               + "\""
--- a/cli/src/main/java/tidebank/cli/TraceReplayCommand.java
+++ b/cli/src/main/java/tidebank/cli/TraceReplayCommand.java
@@ -10,8 +10,8 @@
 import picocli.CommandLine.Parameters;
 import tidebank.testbed.replay.Incident;
 import tidebank.testbed.replay.Replay;
-import tidebank.testbed.deployment.Site;
-import tidebank.testbed.trace.shape.Rows;
+import tidebank.testbed.deployment.Deployment;
+import tidebank.testbed.trace.shape.RowSource;
 import tidebank.testbed.trace.shape.Shapes;
 
 /** Replays a trace through real gatherers. */
@@ -104,8 +104,8 @@
     if (gatherers < 1 || gatherers > 64 || servers < 1 || servers > 256) {
       throw wrong("--gatherers wants 1 to 64, --servers 1 to 256");
     }
-    Site where = site == null ? Site.standard() : Site.read(site);
-    Rows rows = Rows.file(file);
+    Deployment where = site == null ? Deployment.standard() : Deployment.read(site);
+    RowSource rows = RowSource.file(file);
     if (from > 0 || seconds != null) {
       rows =
           Shapes.window(
--- a/cli/src/main/java/tidebank/cli/TraceShapeCommand.java
+++ b/cli/src/main/java/tidebank/cli/TraceShapeCommand.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import tidebank.testbed.trace.shape.Rows;
+import tidebank.testbed.trace.shape.RowSource;
 import tidebank.testbed.trace.shape.Shapes;
 import tidebank.testbed.trace.stats.TraceStats;
 import tidebank.testbed.trace.store.TraceFile;
@@ -80,8 +80,8 @@
   @Override
   public Integer call() throws IOException {
     TraceMeta source = TraceFile.meta(file);
-    Rows before = Rows.file(file);
-    Rows rows = before;
+    RowSource before = RowSource.file(file);
+    RowSource rows = before;
     int depots = source.depots();
     if (from != null || until != null) {
       rows =
@@ -96,9 +96,9 @@
     rows = rate == null ? rows : Shapes.scale(rows, rate, how, seed);
     rows = loop == null ? rows : Shapes.loop(rows, Math.round(loop * TraceOutput.SECOND_US));
     if (!merge.isEmpty()) {
-      List<Rows> all = new ArrayList<>(List.of(rows));
+      List<RowSource> all = new ArrayList<>(List.of(rows));
       for (Path other : merge) {
-        all.add(Rows.file(other));
+        all.add(RowSource.file(other));
         depots = Math.max(depots, TraceFile.meta(other).depots());
       }
       rows = Shapes.merge(all);
--- a/cli/src/main/java/tidebank/cli/TraceStatsCommand.java
+++ b/cli/src/main/java/tidebank/cli/TraceStatsCommand.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import tidebank.testbed.report.StatsPage;
-import tidebank.testbed.trace.shape.Rows;
+import tidebank.testbed.trace.shape.RowSource;
 import tidebank.testbed.trace.stats.TraceStats;
 
 /** Prints the statistics of a trace. */
@@ -33,7 +33,7 @@
     ObjectNode told = ResultCommand.JSON.createObjectNode();
     List<StatsPage.Named> all = new ArrayList<>();
     for (Path file : files) {
-      Rows rows = Rows.file(file);
+      RowSource rows = RowSource.file(file);
       TraceStats stats =
           TraceOutput.stats(rows.open(), file.getFileName().toString(), (long) rows.count());
       all.add(new StatsPage.Named(file.getFileName().toString(), stats));
--- a/cli/src/main/java/tidebank/cli/TraceSynthCommand.java
+++ b/cli/src/main/java/tidebank/cli/TraceSynthCommand.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import tidebank.testbed.trace.TraceRow;
-import tidebank.testbed.trace.shape.Rows;
+import tidebank.testbed.trace.shape.RowSource;
 import tidebank.testbed.trace.stats.TraceStats;
 import tidebank.testbed.trace.store.TraceFile;
 import tidebank.testbed.trace.store.TraceMeta;
@@ -55,7 +55,7 @@
     Synthesis synthesis = new Synthesis();
     try (Progress progress = new Progress("learning", source.rows())) {
       long count = 0;
-      for (Iterator<TraceRow> rows = Rows.file(file).open(); rows.hasNext(); ) {
+      for (Iterator<TraceRow> rows = RowSource.file(file).open(); rows.hasNext(); ) {
         synthesis.learn(rows.next());
         if ((count++ & 8191) == 0) {
           progress.accept(count);
--- a/cli/src/main/java/tidebank/cli/Watch.java
+++ b/cli/src/main/java/tidebank/cli/Watch.java
@@ -12,7 +12,7 @@
 import org.jline.utils.Display;
 import org.jline.utils.NonBlockingReader;
 import picocli.CommandLine;
-import tidebank.base.TidebankException;
+import tidebank.errors.TidebankException;
 
 /**
  * A screen that shows a command's output anew as it changes. Where there is no terminal, each
--- a/cli/src/test/java/tidebank/cli/FleetJsonFixturesTest.java
+++ b/cli/src/test/java/tidebank/cli/FleetJsonFixturesTest.java
@@ -16,10 +16,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import tidebank.testbed.fleet.Stewards;
-import tidebank.lease.Command;
-import tidebank.lease.Command.Kind;
-import tidebank.coordinator.StewardClient;
+import tidebank.testbed.fleet.CoordinatorProcesses;
+import tidebank.lease.LeaseCommand;
+import tidebank.lease.LeaseCommand.Kind;
+import tidebank.coordinator.CoordinatorClient;
 
 /**
  * The JSON that {@code fleet status|members|duties|history --json} prints: the set of its paths is
@@ -58,21 +58,21 @@
 
   private SortedSet<String> allPaths() throws Exception {
     SortedSet<String> all = new TreeSet<>();
-    try (Stewards stewards =
-        new Stewards(
+    try (CoordinatorProcesses stewards =
+        new CoordinatorProcesses(
             folder,
             1,
             "[duties]\nnames = [\"report\"]\n[lease]\nms = 600000\n[election]\nms = 200\n")) {
       String at = stewards.addresses().get(0);
-      StewardClient client = new StewardClient(stewards.addresses(), 20_000);
+      CoordinatorClient client = new CoordinatorClient(stewards.addresses(), 20_000);
       while (client.state().duties().isEmpty()) {
         Thread.onSpinWait();
       }
-      client.command(Command.of(Kind.JOIN, "a", 1, "g0"));
-      client.command(new Command(Kind.CLAIM, "a", 2, "g0", "report", 0, 0, "", null));
+      client.command(LeaseCommand.of(Kind.JOIN, "a", 1, "g0"));
+      client.command(new LeaseCommand(Kind.CLAIM, "a", 2, "g0", "report", 0, 0, "", null));
       // Refused, so that a member's last answer has a fault.
-      client.command(Command.of(Kind.JOIN, "b", 1, "g1"));
-      client.command(new Command(Kind.CLAIM, "b", 2, "g1", "report", 0, 0, "", null));
+      client.command(LeaseCommand.of(Kind.JOIN, "b", 1, "g1"));
+      client.command(new LeaseCommand(Kind.CLAIM, "b", 2, "g1", "report", 0, 0, "", null));
       for (String[] command :
           List.of(
               new String[] {"fleet", "status"},
--- a/cli/src/test/java/tidebank/cli/StoredDataTest.java
+++ b/cli/src/test/java/tidebank/cli/StoredDataTest.java
@@ -23,9 +23,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import tidebank.capture.Entry;
-import tidebank.capture.Recorder;
-import tidebank.capture.Segments;
+import tidebank.capture.CaptureRecord;
+import tidebank.capture.CaptureRecorder;
+import tidebank.capture.CaptureSegments;
 import tidebank.model.Action;
 
 /**
@@ -110,13 +110,13 @@
 
   @Test
   void aDivergingReplayIsToldAsItWas(@TempDir Path folder) throws IOException {
-    List<Entry> stored = Segments.read(Path.of(CAPTURES + "whole/capture-00000000.tbc")).entries();
-    Entry.Started start = (Entry.Started) stored.get(0);
-    Entry.Iteration turn = (Entry.Iteration) stored.get(1);
-    try (Recorder recorder =
-        new Recorder(new Recorder.Plan(folder, true, 16, 1 << 20, 1 << 30, false), () -> 0)) {
+    List<CaptureRecord> stored = CaptureSegments.read(Path.of(CAPTURES + "whole/capture-00000000.tbc")).entries();
+    CaptureRecord.Started start = (CaptureRecord.Started) stored.get(0);
+    CaptureRecord.Iteration turn = (CaptureRecord.Iteration) stored.get(1);
+    try (CaptureRecorder recorder =
+        new CaptureRecorder(new CaptureRecorder.Plan(folder, true, 16, 1 << 20, 1 << 30, false), () -> 0)) {
       recorder.started(start.settings(), start.seed());
-      recorder.turn(turn.nowUs(), turn.events(), List.of(new Action.Note("another decision")));
+      recorder.turn(turn.nowUs(), turn.events(), List.of(new Action.LogNote("another decision")));
     }
 
     JsonNode result = json("capture", "replay", folder.toString(), "--json");
--- a/cli/src/test/java/tidebank/cli/TidebankTest.java
+++ b/cli/src/test/java/tidebank/cli/TidebankTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.api.io.TempDir;
 import picocli.AutoComplete;
 import picocli.CommandLine;
-import tidebank.testbed.fleet.Stewards;
-import tidebank.lease.Command.Kind;
-import tidebank.coordinator.StewardClient;
+import tidebank.testbed.fleet.CoordinatorProcesses;
+import tidebank.lease.LeaseCommand.Kind;
+import tidebank.coordinator.CoordinatorClient;
 
 /** The command line as its users meet it: results, messages and exit codes. */
 @Timeout(90)
@@ -238,11 +238,11 @@
 
   @Test
   void dutiesAreShownAndSteeredAndFaultsSayWhatToDo() throws Exception {
-    try (Stewards stewards =
-        new Stewards(folder, 1, "[duties]\nnames = [\"report\"]\n[election]\nms = 200\n")) {
+    try (CoordinatorProcesses stewards =
+        new CoordinatorProcesses(folder, 1, "[duties]\nnames = [\"report\"]\n[election]\nms = 200\n")) {
       String at = stewards.addresses().get(0);
-      StewardClient client = new StewardClient(stewards.addresses(), 20_000);
-      client.command(tidebank.lease.Command.of(Kind.JOIN, "a", 1, "g0"));
+      CoordinatorClient client = new CoordinatorClient(stewards.addresses(), 20_000);
+      client.command(tidebank.lease.LeaseCommand.of(Kind.JOIN, "a", 1, "g0"));
       while (run("fleet", "duties", "--stewards", at, "--json") != 0 || json().isEmpty()) {
         Thread.onSpinWait();
       }
--- a/coordinator/src/main/java/tidebank/coordinator/StewardClient.java
+++ b/coordinator/src/main/java/tidebank/coordinator/CoordinatorClient.java
@@ -16,26 +16,26 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.UUID;
-import tidebank.base.TidebankException;
+import tidebank.errors.TidebankException;
 import tidebank.fleet.LeaseCodec;
-import tidebank.lease.Answer;
-import tidebank.lease.Command;
-import tidebank.lease.LeaseBook;
+import tidebank.lease.CommandResult;
+import tidebank.lease.LeaseCommand;
+import tidebank.lease.LeaseTable;
 
 /**
  * Calls for operators: asks one steward after the other, goes where a follower points, and repeats
  * a command, which takes effect once. A blocking one, for command lines and tests; gatherers have
  * their own.
  */
-public final class StewardClient {
+public final class CoordinatorClient {
   /**
    * One thing that became of a duty: when, in milliseconds since 1970 by the leading steward's
    * clock; by which token; who; what.
    */
-  public record Past(long wallMs, long token, String who, String what) {}
+  public record AuditEntry(long wallMs, long token, String who, String what) {}
 
   /** As it comes over the wire. */
-  private static final class History extends TreeMap<String, List<Past>> {
+  private static final class History extends TreeMap<String, List<AuditEntry>> {
     @java.io.Serial private static final long serialVersionUID = 1L;
   }
 
@@ -52,40 +52,40 @@
    * @param addresses of all stewards, as host:port
    * @param patienceMs how long to go on asking before it is given up
    */
-  public StewardClient(List<String> addresses, long patienceMs) {
+  public CoordinatorClient(List<String> addresses, long patienceMs) {
     this(addresses, patienceMs, ONE);
   }
 
   /**
    * @param one how long one steward may take to answer before the next is asked
    */
-  public StewardClient(List<String> addresses, long patienceMs, Duration one) {
+  public CoordinatorClient(List<String> addresses, long patienceMs, Duration one) {
     this.addresses = List.copyOf(addresses);
     this.patienceMs = patienceMs;
     this.one = one;
     http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(one).build();
   }
 
-  public LeaseBook.State state() throws IOException {
-    return LeaseCodec.read(call("/fleet/state", null), LeaseBook.State.class);
+  public LeaseTable.State state() throws IOException {
+    return LeaseCodec.read(call("/fleet/state", null), LeaseTable.State.class);
   }
 
   /** What became of each duty, the oldest first. */
-  public Map<String, List<Past>> history() throws IOException {
+  public Map<String, List<AuditEntry>> history() throws IOException {
     return LeaseCodec.read(call("/fleet/history", null), History.class);
   }
 
   /** An operator's command, in this client's own session. */
-  public Answer operate(Command.Kind kind, String name, String duty) throws IOException {
-    return command(new Command(kind, session, ++number, name, duty, 0, 0, "", null));
+  public CommandResult operate(LeaseCommand.Kind kind, String name, String duty) throws IOException {
+    return command(new LeaseCommand(kind, session, ++number, name, duty, 0, 0, "", null));
   }
 
   /**
    * Any command as it stands. Its answer says if it was refused; thrown is only what kept it from
    * being decided.
    */
-  public Answer command(Command command) throws IOException {
-    return LeaseCodec.read(call("/fleet/command", LeaseCodec.bytes(command)), Answer.class);
+  public CommandResult command(LeaseCommand command) throws IOException {
+    return LeaseCodec.read(call("/fleet/command", LeaseCodec.bytes(command)), CommandResult.class);
   }
 
   private byte[] call(String path, byte[] body) throws IOException {
@@ -100,9 +100,9 @@
           if (response.statusCode() == 200) {
             return response.body();
           }
-          Answer answer = LeaseCodec.read(response.body(), Answer.class);
+          CommandResult answer = LeaseCodec.read(response.body(), CommandResult.class);
           if (answer.fault() != null && answer.fault().again() == TidebankException.Retry.NO) {
-            throw new TidebankException.Refused(answer.fault());
+            throw new TidebankException.RequestRejected(answer.fault());
           }
           tried.put(
               address,
@@ -112,14 +112,14 @@
               .firstValue("location")
               .map(uri -> URI.create(uri).getAuthority())
               .ifPresent(next::addFirst);
-        } catch (TidebankException.Refused fault) {
+        } catch (TidebankException.RequestRejected fault) {
           throw fault;
         } catch (IOException fault) {
           tried.put(address, fault.toString());
         }
       }
       if (System.nanoTime() >= until) {
-        throw new TidebankException.StewardsUnreached(tried.toString());
+        throw new TidebankException.CoordinatorUnavailable(tried.toString());
       }
       pause();
     }
--- a/coordinator/src/main/java/tidebank/coordinator/StewardFile.java
+++ b/coordinator/src/main/java/tidebank/coordinator/CoordinatorConfig.java
@@ -7,11 +7,11 @@
 import java.util.List;
 import java.util.Set;
 import java.util.regex.Pattern;
-import tidebank.base.Log;
-import tidebank.config.Malformed;
-import tidebank.config.OperatorFile;
+import tidebank.logging.Log;
+import tidebank.config.MalformedInputException;
+import tidebank.config.OperatorConfig;
 import tidebank.config.Toml;
-import tidebank.lease.Terms;
+import tidebank.lease.LeaseConfig;
 
 /**
  * A steward's file (deploy/steward.toml).
@@ -27,13 +27,13 @@
  * @param electionUs how long a follower waits for its leader, in microseconds
  * @param snapshotEvery commands between two snapshots
  */
-public record StewardFile(
+public record CoordinatorConfig(
     String name,
     Path folder,
     List<Peer> peers,
     Peer listen,
     Log.Style log,
-    Terms terms,
+    LeaseConfig terms,
     List<String> duties,
     long electionUs,
     long snapshotEvery) {
@@ -42,11 +42,11 @@
   /** A steward: where its peers reach it, and where members and operators do. */
   public record Peer(String name, InetSocketAddress raft, InetSocketAddress http) {}
 
-  public static StewardFile read(Path file) throws Malformed {
+  public static CoordinatorConfig read(Path file) throws MalformedInputException {
     return read(Toml.read(file));
   }
 
-  public static StewardFile read(Toml file) throws Malformed {
+  public static CoordinatorConfig read(Toml file) throws MalformedInputException {
     Toml.Table root = file.root();
     Toml.Table lease = root.table("lease");
     Toml.Table limits = root.table("limits");
@@ -77,8 +77,8 @@
             "duties.names", "found " + duty + ", wanted small letters, digits, and / . _ - within");
       }
     }
-    Terms terms =
-        new Terms(
+    LeaseConfig terms =
+        new LeaseConfig(
             lease.whole("ms", 3000, 100, 600_000) * 1000,
             lease.number("drift", 0.05, 0, 0.2),
             (int) limits.whole("members", 1000, 1, 10_000),
@@ -90,13 +90,13 @@
             name,
             listen.has("raft") ? address(listen, "raft") : self == null ? null : self.raft(),
             listen.has("http") ? address(listen, "http") : self == null ? null : self.http());
-    StewardFile read =
-        new StewardFile(
+    CoordinatorConfig read =
+        new CoordinatorConfig(
             name,
             Path.of(folder),
             peers,
             own,
-            OperatorFile.style(root.table("log")),
+            OperatorConfig.style(root.table("log")),
             terms,
             duties,
             root.table("election").whole("ms", 500, 50, 60_000) * 1000,
--- a/coordinator/src/main/java/tidebank/coordinator/StewardMain.java
+++ b/coordinator/src/main/java/tidebank/coordinator/CoordinatorMain.java
@@ -2,16 +2,16 @@
 
 import java.io.IOException;
 import java.nio.file.Path;
-import tidebank.base.Log;
-import tidebank.base.TidebankException;
-import tidebank.config.Malformed;
+import tidebank.logging.Log;
+import tidebank.errors.TidebankException;
+import tidebank.config.MalformedInputException;
 
 /**
  * The process of one steward: {@code --config FILE}. Ends with 0 on SIGTERM, 1 if it can't start, 2
  * for a wrong file.
  */
-public final class StewardMain {
-  private StewardMain() {}
+public final class CoordinatorMain {
+  private CoordinatorMain() {}
 
   public static void main(String[] args) {
     if (args.length != 2 || !args[0].equals("--config")) {
@@ -20,7 +20,7 @@
     }
     try {
       serve(Path.of(args[1]));
-    } catch (Malformed fault) {
+    } catch (MalformedInputException fault) {
       System.err.println("tidebank: " + fault.getMessage().replace("\n", "\ntidebank: "));
       System.exit(2);
     } catch (IOException fault) {
@@ -32,10 +32,10 @@
 
   /** Runs one until SIGTERM, which ends the process with 0. */
   public static int serve(Path config) throws IOException {
-    StewardFile file = StewardFile.read(config);
+    CoordinatorConfig file = CoordinatorConfig.read(config);
     Log.own();
     Log.style(file.log());
-    Steward steward = Steward.start(file);
+    CoordinatorServer steward = CoordinatorServer.start(file);
     Runtime.getRuntime()
         .addShutdownHook(
             new Thread(
--- a/coordinator/src/main/java/tidebank/coordinator/Steward.java
+++ b/coordinator/src/main/java/tidebank/coordinator/CoordinatorServer.java
@@ -35,24 +35,24 @@
 import org.apache.ratis.util.TimeDuration;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tidebank.base.TidebankException;
+import tidebank.errors.TidebankException;
 import tidebank.fleet.LeaseCodec;
-import tidebank.lease.Command;
-import tidebank.lease.LeaseBook;
+import tidebank.lease.LeaseCommand;
+import tidebank.lease.LeaseTable;
 
 /** One steward: its share of the replicated log, and HTTP in front of it. */
-public final class Steward implements AutoCloseable {
-  private static final Logger LOG = LoggerFactory.getLogger(Steward.class);
+public final class CoordinatorServer implements AutoCloseable {
+  private static final Logger LOG = LoggerFactory.getLogger(CoordinatorServer.class);
   private static final RaftGroupId GROUP =
       RaftGroupId.valueOf(UUID.nameUUIDFromBytes("tidebank".getBytes(StandardCharsets.UTF_8)));
   private static final byte[] NOTHING = "[]".getBytes(StandardCharsets.US_ASCII);
   private static final int SEGMENT = 1 << 20;
   private static final int REQUEST_BYTES = 1 << 16;
 
-  private final StewardFile file;
+  private final CoordinatorConfig file;
   private final RaftServer server;
-  private final LeaseMachine machine;
-  private final HttpSide http;
+  private final LeaseStateMachine machine;
+  private final HttpServer http;
   private final ClientId client = ClientId.randomId();
   private final AtomicLong calls = new AtomicLong();
 
@@ -61,9 +61,9 @@
 
   private final CompletableFuture<TidebankException> ended = new CompletableFuture<>();
 
-  private Steward(StewardFile file) throws IOException {
+  private CoordinatorServer(CoordinatorConfig file) throws IOException {
     this.file = file;
-    machine = new LeaseMachine(file.terms(), this::plan, this::changed, this::broken);
+    machine = new LeaseStateMachine(file.terms(), this::plan, this::changed, this::broken);
     List<RaftPeer> peers =
         file.peers().stream()
             .map(peer -> RaftPeer.newBuilder().setId(peer.name()).setAddress(peer.raft()).build())
@@ -76,10 +76,10 @@
             .setOption(RaftStorage.StartupOption.RECOVER)
             .setProperties(properties(file))
             .build();
-    http = new HttpSide(this, file.listen().http());
+    http = new HttpServer(this, file.listen().http());
   }
 
-  private static RaftProperties properties(StewardFile file) {
+  private static RaftProperties properties(CoordinatorConfig file) {
     RaftProperties properties = new RaftProperties();
     TimeDuration election = TimeDuration.valueOf(file.electionUs(), TimeUnit.MICROSECONDS);
     TimeDuration twice = TimeDuration.valueOf(2 * file.electionUs(), TimeUnit.MICROSECONDS);
@@ -109,14 +109,14 @@
   }
 
   /** Starts one; when this returns it listens. It may serve once most of the stewards run. */
-  public static Steward start(StewardFile file) throws IOException {
+  public static CoordinatorServer start(CoordinatorConfig file) throws IOException {
     try {
       Files.createDirectories(file.folder());
       Files.delete(Files.createTempFile(file.folder(), "write", ".try"));
     } catch (IOException fault) {
-      throw new TidebankException.FolderUnusable(file.folder().toString(), fault.toString());
+      throw new TidebankException.DataDirectoryUnusable(file.folder().toString(), fault.toString());
     }
-    Steward steward = new Steward(file);
+    CoordinatorServer steward = new CoordinatorServer(file);
     try {
       steward.http.listen();
       steward.server.start();
@@ -135,7 +135,7 @@
   }
 
   /** What kept it from starting, as a condition of its own where it is a known one. */
-  private static IOException named(StewardFile file, Exception fault) {
+  private static IOException named(CoordinatorConfig file, Exception fault) {
     for (Throwable cause = fault; cause != null; cause = cause.getCause()) {
       if (cause instanceof TidebankException known) {
         return known;
@@ -146,7 +146,7 @@
       }
       if (cause instanceof OverlappingFileLockException
           || String.valueOf(cause.getMessage()).contains("lock")) {
-        return new TidebankException.FolderUnusable(
+        return new TidebankException.DataDirectoryUnusable(
             file.folder().toString(), String.valueOf(cause.getMessage()));
       }
     }
@@ -159,7 +159,7 @@
    * Has a command decided by most of the stewards; the answer's JSON, or a {@link
    * TidebankException}.
    */
-  CompletableFuture<byte[]> command(Command command) {
+  CompletableFuture<byte[]> command(LeaseCommand command) {
     return submit(RaftClientRequest.writeRequestType(), LeaseCodec.bytes(command));
   }
 
@@ -211,7 +211,7 @@
 
   /** What became of each duty, as most of the stewards know it, as JSON. */
   CompletableFuture<byte[]> history() {
-    return submit(RaftClientRequest.readRequestType(), LeaseMachine.HISTORY.toByteArray());
+    return submit(RaftClientRequest.readRequestType(), LeaseStateMachine.HISTORY.toByteArray());
   }
 
   private CompletableFuture<byte[]> submit(RaftClientRequest.Type type, byte[] body) {
@@ -288,14 +288,14 @@
 
   /** Leading: where this file says other than what holds, its terms and duties hold from now on. */
   private void plan() {
-    Command.Plan wanted = new Command.Plan(file.terms(), file.duties().stream().sorted().toList());
-    LeaseBook.State now = machine.seen();
+    LeaseCommand.Plan wanted = new LeaseCommand.Plan(file.terms(), file.duties().stream().sorted().toList());
+    LeaseTable.State now = machine.seen();
     LOG.info("steward " + file.name() + " leads");
     if (!now.terms().equals(wanted.terms())
-        || !now.duties().stream().map(LeaseBook.Duty::name).toList().equals(wanted.duties())) {
+        || !now.duties().stream().map(LeaseTable.TaskLease::name).toList().equals(wanted.duties())) {
       plan(
-          new Command(
-              Command.Kind.PLAN,
+          new LeaseCommand(
+              LeaseCommand.Kind.PLAN,
               "plan of " + file.name() + " " + UUID.randomUUID(),
               1,
               "",
@@ -308,12 +308,12 @@
   }
 
   /** Until it has taken hold, or another one leads, whose file counts then. */
-  private void plan(Command command) {
+  private void plan(LeaseCommand command) {
     command(command)
         .whenComplete(
             (done, fault) -> {
               if (fault != null
-                  && !(HttpSide.fault(fault) instanceof TidebankException.NotLeading)) {
+                  && !(HttpServer.fault(fault) instanceof TidebankException.NotLeading)) {
                 LOG.warn(
                     "the plan of "
                         + file.name()
@@ -335,7 +335,7 @@
       root = root.getCause();
     }
     TidebankException fault =
-        new TidebankException.FolderUnusable(
+        new TidebankException.DataDirectoryUnusable(
             file.folder().toString(), "its log can't be written: " + root);
     if (ended.complete(fault)) {
       LOG.error(fault.told().lines().replace('\n', ' '));
--- a/coordinator/src/main/java/tidebank/coordinator/HttpSide.java
+++ b/coordinator/src/main/java/tidebank/coordinator/HttpServer.java
@@ -33,15 +33,15 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
 import java.util.concurrent.TimeUnit;
-import tidebank.base.TidebankException;
+import tidebank.errors.TidebankException;
 import tidebank.fleet.LeaseCodec;
-import tidebank.lease.Answer;
+import tidebank.lease.CommandResult;
 
 /**
  * HTTP/1.1 with JSON, as members and operators speak to a steward. A connection has one call at
  * work at a time.
  */
-final class HttpSide {
+final class HttpServer {
   private static final int BODY = 1 << 16;
   private static final int IDLE_S = 60;
 
@@ -51,7 +51,7 @@
   /** One is a call at a time; a fleet of a thousand has two each, one of which waits for news. */
   private static final int CONNECTIONS = 4096;
 
-  private final Steward steward;
+  private final CoordinatorServer steward;
   private final InetSocketAddress address;
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -59,7 +59,7 @@
   /** Connections that are open; belongs to the one event loop. */
   private int open;
 
-  HttpSide(Steward steward, InetSocketAddress address) {
+  HttpServer(CoordinatorServer steward, InetSocketAddress address) {
     this.steward = steward;
     this.address = address;
   }
@@ -97,7 +97,7 @@
             .bind(address)
             .awaitUninterruptibly();
     if (!binding.isSuccess()) {
-      throw new TidebankException.AddressTaken(Steward.text(address), binding.cause().getMessage());
+      throw new TidebankException.AddressTaken(CoordinatorServer.text(address), binding.cause().getMessage());
     }
   }
 
@@ -129,7 +129,7 @@
       String path = request.uri();
       try {
         if (!request.decoderResult().isSuccess()) {
-          throw new TidebankException.CallMalformed("it is no HTTP/1.1");
+          throw new TidebankException.MalformedRequest("it is no HTTP/1.1");
         }
         if (path.equals("/fleet/command") && request.method().equals(HttpMethod.POST)) {
           return steward.command(LeaseCodec.command(ByteBufUtil.getBytes(request.content())));
@@ -156,7 +156,7 @@
       String name = query.parameters().getOrDefault("name", List.of("")).get(0);
       String wait = query.parameters().getOrDefault("wait_ms", List.of("0")).get(0);
       if (name.isEmpty() || !wait.matches("\\d{1,5}") || Integer.parseInt(wait) > WAIT_MOST_MS) {
-        throw new TidebankException.CallMalformed(
+        throw new TidebankException.MalformedRequest(
             "'name' is to be a member's, 'wait_ms' from 0 to " + WAIT_MOST_MS);
       }
       return steward.wanted(name, Integer.parseInt(wait));
@@ -204,13 +204,13 @@
     TidebankException fault = fault(thrown);
     return fault instanceof TidebankException.NotLeading
         ? 421
-        : fault instanceof TidebankException.CallMalformed
+        : fault instanceof TidebankException.MalformedRequest
             ? 400
             : fault instanceof TidebankException.PathUnknown ? 404 : 503;
   }
 
   /** What went wrong, in the form of an answer, so that a caller reads one form only. */
   private static byte[] told(Throwable thrown) {
-    return LeaseCodec.bytes(new Answer(fault(thrown).told(), null, null, null, 0));
+    return LeaseCodec.bytes(new CommandResult(fault(thrown).told(), null, null, null, 0));
   }
 }
--- a/coordinator/src/main/java/tidebank/coordinator/LeaseMachine.java
+++ b/coordinator/src/main/java/tidebank/coordinator/LeaseStateMachine.java
@@ -33,12 +33,12 @@
 import org.apache.ratis.util.MD5FileUtil;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tidebank.base.TidebankException;
+import tidebank.errors.TidebankException;
 import tidebank.fleet.LeaseCodec;
-import tidebank.lease.Answer;
-import tidebank.lease.Command;
-import tidebank.lease.LeaseBook;
-import tidebank.lease.Terms;
+import tidebank.lease.CommandResult;
+import tidebank.lease.LeaseCommand;
+import tidebank.lease.LeaseTable;
+import tidebank.lease.LeaseConfig;
 
 /**
  * The rules of leases behind the replicated log. The leader stamps each command with its term and
@@ -46,8 +46,8 @@
  * another term than the one the command came into the log in is no time at all, and the command has
  * no effect.
  */
-final class LeaseMachine extends BaseStateMachine {
-  private static final Logger LOG = LoggerFactory.getLogger(LeaseMachine.class);
+final class LeaseStateMachine extends BaseStateMachine {
+  private static final Logger LOG = LoggerFactory.getLogger(LeaseStateMachine.class);
 
   /** Snapshots begin with their version and a check of what follows. */
   private static final int VERSION = 2;
@@ -58,34 +58,34 @@
   private static final int HEAD = Integer.BYTES + Long.BYTES;
 
   /** What stands in the log. */
-  record Stamped(long term, long at, long wallMs, Command command) {}
+  record LogRecord(long term, long at, long wallMs, LeaseCommand command) {}
 
   /** What stands in a snapshot. */
-  record Kept(LeaseBook.State state, Map<String, List<StewardClient.Past>> history) {}
+  record SnapshotContent(LeaseTable.State state, Map<String, List<CoordinatorClient.AuditEntry>> history) {}
 
   /** A query for the history of all duties; any other is for the state. */
   static final ByteString HISTORY = ByteString.copyFromUtf8("history");
 
   private final SimpleStateMachineStorage storage = new SimpleStateMachineStorage();
-  private final Terms terms;
+  private final LeaseConfig terms;
   private final Runnable leading;
   private final Runnable changed;
   private final Consumer<Throwable> broken;
-  private LeaseBook book;
-  private DutyHistory history = new DutyHistory(Map.of());
-  private volatile LeaseBook.State seen;
+  private LeaseTable book;
+  private LeaseAuditLog history = new LeaseAuditLog(Map.of());
+  private volatile LeaseTable.State seen;
 
   /**
    * @param leading run, briefly, once this steward leads and knows all that was decided before
    * @param changed run, briefly, after each command
    * @param broken hears why the log can't be written any more
    */
-  LeaseMachine(Terms terms, Runnable leading, Runnable changed, Consumer<Throwable> broken) {
+  LeaseStateMachine(LeaseConfig terms, Runnable leading, Runnable changed, Consumer<Throwable> broken) {
     this.changed = changed;
     this.terms = terms;
     this.leading = leading;
     this.broken = broken;
-    book = new LeaseBook(terms);
+    book = new LeaseTable(terms);
     seen = book.state();
   }
 
@@ -109,9 +109,9 @@
     }
     File file = snapshot.getFile().getPath().toFile();
     byte[] bytes = Files.readAllBytes(file.toPath());
-    Kept kept = unpacked(file.getName(), bytes);
-    book = new LeaseBook(kept.state());
-    history = new DutyHistory(kept.history());
+    SnapshotContent kept = unpacked(file.getName(), bytes);
+    book = new LeaseTable(kept.state());
+    history = new LeaseAuditLog(kept.history());
     seen = book.state();
     setLastAppliedTermIndex(snapshot.getTermIndex());
     LOG.info(
@@ -125,30 +125,30 @@
   }
 
   /** The state of a snapshot, or the fault that says why there is none. */
-  static Kept unpacked(String name, byte[] bytes) throws TidebankException.SnapshotDamaged {
+  static SnapshotContent unpacked(String name, byte[] bytes) throws TidebankException.CorruptSnapshot {
     if (bytes.length < HEAD) {
-      throw new TidebankException.SnapshotDamaged(name, "it is " + bytes.length + " bytes short");
+      throw new TidebankException.CorruptSnapshot(name, "it is " + bytes.length + " bytes short");
     }
     ByteBuffer buffer = ByteBuffer.wrap(bytes);
     int version = buffer.getInt();
     if (version != VERSION && version != WITHOUT_HISTORY) {
-      throw new TidebankException.SnapshotDamaged(
+      throw new TidebankException.CorruptSnapshot(
           name, "its version is " + version + ", not " + VERSION);
     }
     if (buffer.getLong() != check(bytes, HEAD)) {
-      throw new TidebankException.SnapshotDamaged(name, "its check does not fit its content");
+      throw new TidebankException.CorruptSnapshot(name, "its check does not fit its content");
     }
     try {
       byte[] json = Arrays.copyOfRange(bytes, HEAD, bytes.length);
       return version == VERSION
-          ? LeaseCodec.read(json, Kept.class)
-          : new Kept(LeaseCodec.read(json, LeaseBook.State.class), Map.of());
+          ? LeaseCodec.read(json, SnapshotContent.class)
+          : new SnapshotContent(LeaseCodec.read(json, LeaseTable.State.class), Map.of());
     } catch (IOException fault) {
-      throw new TidebankException.SnapshotDamaged(name, fault.getMessage());
+      throw new TidebankException.CorruptSnapshot(name, fault.getMessage());
     }
   }
 
-  static byte[] packed(Kept kept) {
+  static byte[] packed(SnapshotContent kept) {
     byte[] json = LeaseCodec.bytes(kept);
     ByteBuffer buffer =
         ByteBuffer.allocate(HEAD + json.length).putInt(VERSION).putLong(check(json, 0)).put(json);
@@ -168,7 +168,7 @@
     byte[] bytes;
     synchronized (this) {
       last = getLastAppliedTermIndex();
-      bytes = packed(new Kept(book.state(), history.all()));
+      bytes = packed(new SnapshotContent(book.state(), history.all()));
     }
     File file = storage.getSnapshotFile(last.getTerm(), last.getIndex());
     File beside = new File(file.getParentFile(), file.getName() + ".part");
@@ -203,10 +203,10 @@
   @Override
   public TransactionContext startTransaction(RaftClientRequest request) throws IOException {
     long term = getServer().join().getDivision(getGroupId()).getInfo().getCurrentTerm();
-    Command command =
-        LeaseCodec.read(request.getMessage().getContent().toByteArray(), Command.class);
+    LeaseCommand command =
+        LeaseCodec.read(request.getMessage().getContent().toByteArray(), LeaseCommand.class);
     byte[] stamped =
-        LeaseCodec.bytes(new Stamped(term, clock(), System.currentTimeMillis(), command));
+        LeaseCodec.bytes(new LogRecord(term, clock(), System.currentTimeMillis(), command));
     return TransactionContext.newBuilder()
         .setServerRole(RaftPeerRole.LEADER)
         .setStateMachine(this)
@@ -219,15 +219,15 @@
   public CompletableFuture<Message> applyTransaction(TransactionContext transaction) {
     LogEntryProto entry = transaction.getLogEntry();
     try {
-      Stamped stamped =
+      LogRecord stamped =
           LeaseCodec.read(
-              entry.getStateMachineLogEntry().getLogData().toByteArray(), Stamped.class);
-      Answer answer;
+              entry.getStateMachineLogEntry().getLogData().toByteArray(), LogRecord.class);
+      CommandResult answer;
       synchronized (this) {
         answer =
             stamped.term() == entry.getTerm()
                 ? book.apply(entry.getTerm(), stamped.at(), stamped.command())
-                : new Answer(
+                : new CommandResult(
                     new TidebankException.LeaderChanged(stamped.term(), entry.getTerm()).told(),
                     null,
                     null,
@@ -262,7 +262,7 @@
             Message.valueOf(ByteString.copyFrom(LeaseCodec.bytes(history.all()))));
       }
     }
-    LeaseBook.State now = seen;
+    LeaseTable.State now = seen;
     try {
       long term = getServer().join().getDivision(getGroupId()).getInfo().getCurrentTerm();
       now = term == now.term() ? now.at(clock()) : now;
@@ -278,7 +278,7 @@
   }
 
   /** The state as last applied here, however old. */
-  LeaseBook.State seen() {
+  LeaseTable.State seen() {
     return seen;
   }
 
--- a/router/src/main/java/tidebank/Main.java
+++ b/router/src/main/java/tidebank/Main.java
@@ -10,12 +10,12 @@
 import org.slf4j.LoggerFactory;
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
-import tidebank.base.Log;
-import tidebank.config.Malformed;
-import tidebank.config.NodeConfig;
-import tidebank.config.OperatorFile;
-import tidebank.runtime.Gatherer;
-import tidebank.simulation.WireHost;
+import tidebank.logging.Log;
+import tidebank.config.MalformedInputException;
+import tidebank.config.RouterConfig;
+import tidebank.config.OperatorConfig;
+import tidebank.runtime.QueryRouter;
+import tidebank.simulation.SimulatorHost;
 
 /** The command line: picks the front that drives the decisions. */
 public final class Main {
@@ -33,8 +33,8 @@
     String command = args.length == 1 || filed ? args[0] : "";
     try {
       switch (command) {
-        case "serve" -> serve(filed ? OperatorFile.read(Path.of(args[2])) : OperatorFile.DEFAULT);
-        case "wirehost" -> new WireHost().run(System.in, System.out);
+        case "serve" -> serve(filed ? OperatorConfig.read(Path.of(args[2])) : OperatorConfig.DEFAULT);
+        case "wirehost" -> new SimulatorHost().run(System.in, System.out);
         default -> {
           System.err.println("usage: java -jar tidebank.jar serve [--config FILE] | wirehost");
           System.exit(2);
@@ -42,7 +42,7 @@
       }
     } catch (IOException fault) {
       System.err.println("tidebank: " + fault.getMessage().replace("\n", "\ntidebank: "));
-      System.exit(fault instanceof Malformed && command.equals("serve") ? 2 : 1);
+      System.exit(fault instanceof MalformedInputException && command.equals("serve") ? 2 : 1);
     }
   }
 
@@ -51,11 +51,11 @@
    * has the configuration read again, here and not on the event loop; signals that come meanwhile
    * count as one.
    */
-  private static void serve(OperatorFile own) throws IOException {
+  private static void serve(OperatorConfig own) throws IOException {
     Semaphore reloads = new Semaphore(0);
     SignalHandler before = Signal.handle(new Signal("HUP"), signal -> reloads.release());
     AtomicBoolean starting = new AtomicBoolean();
-    CompletableFuture<Gatherer> started = new CompletableFuture<>();
+    CompletableFuture<QueryRouter> started = new CompletableFuture<>();
     // A signal before anything listens ends the program at once; amid the start, when that is done
     // and undone again.
     Runtime.getRuntime()
@@ -70,12 +70,12 @@
                     Runtime.getRuntime().halt(0);
                   }
                 }));
-    Gatherer gatherer;
+    QueryRouter gatherer;
     try {
       Log.style(own.log());
-      NodeConfig config = NodeConfig.read(System.getenv());
+      RouterConfig config = RouterConfig.read(System.getenv());
       starting.set(true);
-      gatherer = Gatherer.start(config, own);
+      gatherer = QueryRouter.start(config, own);
       started.complete(gatherer);
     } catch (IOException | RuntimeException | Error fault) {
       started.completeExceptionally(fault);
@@ -90,8 +90,8 @@
       reloads.acquireUninterruptibly();
       reloads.drainPermits();
       try {
-        gatherer.reload(NodeConfig.reread(System.getenv()));
-      } catch (Malformed fault) {
+        gatherer.reload(RouterConfig.reread(System.getenv()));
+      } catch (MalformedInputException fault) {
         gatherer.reloadFailed(fault);
       } catch (RejectedExecutionException stopped) {
         return;
--- a/router/src/main/java/tidebank/backend/Server.java
+++ b/router/src/main/java/tidebank/backend/ConnectionPool.java
@@ -5,25 +5,25 @@
 import java.util.List;
 import java.util.Map;
 import tidebank.model.Outcome;
-import tidebank.runtime.DispatchRequest;
-import tidebank.runtime.Timers;
+import tidebank.runtime.AttemptRequest;
+import tidebank.runtime.TimerQueue;
 
 /**
  * What is kept for one shard server: its address, its connections, this turn's calls and its drain.
  */
-final class Server extends Timers.Timer {
+final class ConnectionPool extends TimerQueue.Timer {
   final String id;
-  final ShardSide side;
-  final List<Connection> connections = new ArrayList<>();
+  final ShardClient side;
+  final List<ShardConnection> connections = new ArrayList<>();
   InetSocketAddress address;
 
   /** The moment from which nothing may begin to be sent. */
   long closedFrom = Long.MAX_VALUE;
 
   boolean gone;
-  private Call gathering;
+  private RequestBatch gathering;
 
-  Server(String id, ShardSide side) {
+  ConnectionPool(String id, ShardClient side) {
     this.id = id;
     this.side = side;
   }
@@ -41,16 +41,16 @@
   /** Its drain grace is over. */
   @Override
   protected void fire() {
-    List.copyOf(connections).forEach(Connection::closedToNew);
+    List.copyOf(connections).forEach(ShardConnection::closedToNew);
   }
 
   /** Takes a part into this turn's call. */
-  InFlightDispatch gather(DispatchRequest request) {
+  InFlightAttempt gather(AttemptRequest request) {
     if (gathering == null || gathering.flights.size() >= side.bundleMost()) {
-      gathering = new Call(this);
+      gathering = new RequestBatch(this);
       side.pending(gathering);
     }
-    InFlightDispatch inFlight = new InFlightDispatch(request, gathering);
+    InFlightAttempt inFlight = new InFlightAttempt(request, gathering);
     gathering.flights.add(inFlight);
     side.timers.set(inFlight, request.stopAt);
     return inFlight;
@@ -61,11 +61,11 @@
   }
 
   /** Gives a call to a connection with a free place, or to a new one. */
-  void place(Call call) {
+  void place(RequestBatch call) {
     if (call.flights.isEmpty()) {
       return;
     }
-    Connection connection = withRoom();
+    ShardConnection connection = withRoom();
     if (connection == null) {
       side.counters.fault("shard.no-connection-to-spare", "server " + id);
       endAll(call, Outcome.UNREACHABLE);
@@ -77,7 +77,7 @@
   }
 
   void probe(byte letter) {
-    Connection connection = withRoom();
+    ShardConnection connection = withRoom();
     if (connection == null) {
       side.driver.probed(id, Outcome.UNREACHABLE, 0, Map.of());
       return;
@@ -87,8 +87,8 @@
   }
 
   /** A connection with a free place, or a new one; null where none may be opened. */
-  private Connection withRoom() {
-    for (Connection connection : connections) {
+  private ShardConnection withRoom() {
+    for (ShardConnection connection : connections) {
       if (connection.hasRoom()) {
         return connection;
       }
@@ -96,30 +96,30 @@
     if (address == null || !side.mayOpen(this)) {
       return null;
     }
-    Connection connection = new Connection(this);
+    ShardConnection connection = new ShardConnection(this);
     connections.add(connection);
     side.opened++;
     return connection;
   }
 
-  void endAll(Call call, Outcome outcome) {
-    for (InFlightDispatch inFlight : List.copyOf(call.flights)) {
+  void endAll(RequestBatch call, Outcome outcome) {
+    for (InFlightAttempt inFlight : List.copyOf(call.flights)) {
       end(inFlight, outcome, null);
     }
   }
 
-  void end(InFlightDispatch inFlight, Outcome outcome, byte[] value) {
+  void end(InFlightAttempt inFlight, Outcome outcome, byte[] value) {
     end(inFlight, outcome, value, Map.of());
   }
 
-  void end(InFlightDispatch inFlight, Outcome outcome, byte[] value, Map<String, Double> report) {
+  void end(InFlightAttempt inFlight, Outcome outcome, byte[] value, Map<String, Double> report) {
     // A write that fails at once may end its connection, and all on it, before it returns.
-    if (inFlight.stage == InFlightDispatch.Stage.ENDED) {
+    if (inFlight.stage == InFlightAttempt.Stage.ENDED) {
       return;
     }
-    inFlight.stage = InFlightDispatch.Stage.ENDED;
+    inFlight.stage = InFlightAttempt.Stage.ENDED;
     side.timers.clear(inFlight);
-    Call call = inFlight.call;
+    RequestBatch call = inFlight.call;
     call.flights.remove(inFlight);
     if (call.connection != null) {
       call.connection.forget(inFlight);
@@ -127,7 +127,7 @@
     side.driver.dispatchEnded(inFlight.request, outcome, value, report);
   }
 
-  void removed(Connection connection) {
+  void removed(ShardConnection connection) {
     if (connections.remove(connection)) {
       side.opened--;
     }
--- a/router/src/main/java/tidebank/backend/Frames.java
+++ b/router/src/main/java/tidebank/backend/FrameCodec.java
@@ -9,11 +9,11 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import tidebank.config.Malformed;
+import tidebank.config.MalformedInputException;
 import tidebank.model.Outcome;
 
 /** The frames' insides; their lengths are Netty's to write and to read. */
-final class Frames {
+final class FrameCodec {
   static final byte CALL = 'm';
   static final byte GIVE_UP = 'n';
   static final byte PROBE = 'o';
@@ -30,13 +30,13 @@
    */
   record Answer(String id, Outcome outcome, Map<String, Double> report, byte[] value) {}
 
-  private Frames() {}
+  private FrameCodec() {}
 
   /** A call of these parts, each to be waited for until its own time. */
-  static ByteBuf call(ByteBufAllocator allocator, List<InFlightDispatch> flights, long now) {
+  static ByteBuf call(ByteBufAllocator allocator, List<InFlightAttempt> flights, long now) {
     ByteBuf frame = allocator.directBuffer(256);
     frame.writeByte(CALL);
-    for (InFlightDispatch inFlight : flights) {
+    for (InFlightAttempt inFlight : flights) {
       long waitMs = Math.max(1, (inFlight.request.stopAt - now) / 1000);
       ByteBufUtil.writeAscii(
           frame,
@@ -65,26 +65,26 @@
   }
 
   /** Reads an answer frame behind its letter. */
-  static Answer answer(ByteBuf frame) throws Malformed {
+  static Answer answer(ByteBuf frame) throws MalformedInputException {
     int length = frame.bytesBefore((byte) '\n');
     if (length < 0 || length > LINE_MOST) {
-      throw new Malformed("an answer without a line");
+      throw new MalformedInputException("an answer without a line");
     }
     String line = frame.readCharSequence(length, US_ASCII).toString();
     frame.skipBytes(1);
     String[] words = line.split(" ", 4);
     if (words.length != 4 || words[0].isEmpty()) {
-      throw new Malformed("an answer's line '" + line + "'");
+      throw new MalformedInputException("an answer's line '" + line + "'");
     }
     Outcome outcome =
         switch (words[1]) {
           case "good" -> Outcome.COMPLETED;
           case "bad" -> Outcome.ERROR;
           case "later" -> Outcome.FULL;
-          default -> throw new Malformed("an answer's end '" + words[1] + "'");
+          default -> throw new MalformedInputException("an answer's end '" + words[1] + "'");
         };
     if (outcome == Outcome.COMPLETED && !ByteBufUtil.isText(frame, UTF_8)) {
-      throw new Malformed("a value that is no text");
+      throw new MalformedInputException("a value that is no text");
     }
     return new Answer(
         words[0],
--- a/router/src/main/java/tidebank/backend/FrameReader.java
+++ b/router/src/main/java/tidebank/backend/FrameDecoder.java
@@ -3,10 +3,10 @@
 import io.netty.handler.codec.LengthFieldBasedFrameDecoder;
 
 /** Netty's framing. It tells in addition what was read beyond the last whole frame. */
-final class FrameReader extends LengthFieldBasedFrameDecoder {
+final class FrameDecoder extends LengthFieldBasedFrameDecoder {
   static final int LENGTH_BYTES = 4;
 
-  FrameReader(int most) {
+  FrameDecoder(int most) {
     super(most, 0, LENGTH_BYTES, 0, LENGTH_BYTES);
   }
 
--- a/router/src/main/java/tidebank/backend/InFlightDispatch.java
+++ b/router/src/main/java/tidebank/backend/InFlightAttempt.java
@@ -1,11 +1,11 @@
 package tidebank.backend;
 
 import tidebank.model.Outcome;
-import tidebank.runtime.DispatchRequest;
-import tidebank.runtime.Timers;
+import tidebank.runtime.AttemptRequest;
+import tidebank.runtime.TimerQueue;
 
 /** One dispatch on its way: waiting for a connection, being written, or out. */
-final class InFlightDispatch extends Timers.Timer implements DispatchRequest.Handle {
+final class InFlightAttempt extends TimerQueue.Timer implements AttemptRequest.Handle {
   enum Stage {
     WAITING,
     WRITING,
@@ -13,11 +13,11 @@
     ENDED
   }
 
-  final DispatchRequest request;
-  final Call call;
+  final AttemptRequest request;
+  final RequestBatch call;
   Stage stage = Stage.WAITING;
 
-  InFlightDispatch(DispatchRequest request, Call call) {
+  InFlightAttempt(AttemptRequest request, RequestBatch call) {
     this.request = request;
     this.call = call;
   }
--- a/router/src/main/java/tidebank/backend/Call.java
+++ b/router/src/main/java/tidebank/backend/RequestBatch.java
@@ -7,15 +7,15 @@
  * Parts that travel in one frame and hold one place on a connection until the last of them has
  * ended.
  */
-final class Call {
-  final Server server;
+final class RequestBatch {
+  final ConnectionPool server;
 
   /** The flights that have not ended. */
-  final List<InFlightDispatch> flights = new ArrayList<>();
+  final List<InFlightAttempt> flights = new ArrayList<>();
 
-  Connection connection;
+  ShardConnection connection;
 
-  Call(Server server) {
+  RequestBatch(ConnectionPool server) {
     this.server = server;
   }
 }
--- a/router/src/main/java/tidebank/backend/ShardSide.java
+++ b/router/src/main/java/tidebank/backend/ShardClient.java
@@ -10,40 +10,40 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import tidebank.base.Counters;
-import tidebank.config.NodeConfig;
-import tidebank.model.Event.ServerStatus;
+import tidebank.metrics.Counters;
+import tidebank.config.RouterConfig;
+import tidebank.model.Event.EndpointStatus;
 import tidebank.model.Outcome;
 import tidebank.runtime.Clock;
-import tidebank.runtime.DispatchRequest;
-import tidebank.runtime.PolicyDriver;
-import tidebank.runtime.ShardPort;
-import tidebank.runtime.Timers;
+import tidebank.runtime.AttemptRequest;
+import tidebank.runtime.PolicyExecutor;
+import tidebank.runtime.BackendPort;
+import tidebank.runtime.TimerQueue;
 
 /** Carries out dispatches on connections to shard servers and tells their ends. */
-public final class ShardSide implements ShardPort {
-  final PolicyDriver driver;
+public final class ShardClient implements BackendPort {
+  final PolicyExecutor driver;
   final Clock clock;
-  final Timers timers;
+  final TimerQueue timers;
   final Counters counters;
-  final NodeConfig.Transport transport;
+  final RouterConfig.Transport transport;
   final boolean mayGiveUp;
   final long slowestUs;
 
   /** Connections that are open or coming up. */
   int opened;
 
-  private final NodeConfig config;
+  private final RouterConfig config;
   private final Bootstrap template;
-  private final Map<String, Server> servers = new HashMap<>();
-  private final List<Call> pending = new ArrayList<>();
+  private final Map<String, ConnectionPool> servers = new HashMap<>();
+  private final List<RequestBatch> pending = new ArrayList<>();
 
-  public ShardSide(
-      NodeConfig config,
+  public ShardClient(
+      RouterConfig config,
       Bootstrap template,
-      PolicyDriver driver,
+      PolicyExecutor driver,
       Clock clock,
-      Timers timers,
+      TimerQueue timers,
       Counters counters) {
     this.config = config;
     this.transport = config.transport();
@@ -56,7 +56,7 @@
     this.counters = counters;
   }
 
-  Bootstrap bootstrap(Connection connection) {
+  Bootstrap bootstrap(ShardConnection connection) {
     return template
         .clone()
         .handler(
@@ -67,7 +67,7 @@
                     .pipeline()
                     .addLast(
                         connection.reader,
-                        new LengthFieldPrepender(FrameReader.LENGTH_BYTES),
+                        new LengthFieldPrepender(FrameDecoder.LENGTH_BYTES),
                         connection);
               }
             });
@@ -77,11 +77,11 @@
     return config.settings().layout().bundleMax();
   }
 
-  void pending(Call call) {
+  void pending(RequestBatch call) {
     pending.add(call);
   }
 
-  boolean mayOpen(Server server) {
+  boolean mayOpen(ConnectionPool server) {
     return opened < config.budgets().servers()
         && server.connections.size() < config.budgets().serverMost();
   }
@@ -93,8 +93,8 @@
     for (Member member : members) {
       String id = member.line().server();
       named.add(id);
-      Server server = servers.computeIfAbsent(id, absent -> new Server(id, this));
-      if (member.line().status() == ServerStatus.IN_SERVICE) {
+      ConnectionPool server = servers.computeIfAbsent(id, absent -> new ConnectionPool(id, this));
+      if (member.line().status() == EndpointStatus.IN_SERVICE) {
         server.openAgain();
         server.gone = false;
         if (!member.address().equals(server.address)) {
@@ -102,11 +102,11 @@
           retire(id);
         }
       } else {
-        leaves(server, now, member.line().status() == ServerStatus.GONE);
+        leaves(server, now, member.line().status() == EndpointStatus.GONE);
       }
     }
     if (full) {
-      for (Server server : List.copyOf(servers.values())) {
+      for (ConnectionPool server : List.copyOf(servers.values())) {
         if (!named.contains(server.id)) {
           leaves(server, now, true);
         }
@@ -114,43 +114,43 @@
     }
   }
 
-  private void leaves(Server server, long now, boolean gone) {
+  private void leaves(ConnectionPool server, long now, boolean gone) {
     server.closeFrom(Math.min(server.closedFrom, now + config.settings().rules().drainGraceUs()));
     // The grace counts from when discovery wrote this, and we may have stood still since: what
     // waits need not wait for it.
-    List.copyOf(server.connections).forEach(Connection::dropWaiting);
+    List.copyOf(server.connections).forEach(ShardConnection::dropWaiting);
     server.gone = gone;
     forgetIfGone(server);
   }
 
-  void forgetIfGone(Server server) {
+  void forgetIfGone(ConnectionPool server) {
     if ((server.gone || server.address == null) && server.connections.isEmpty()) {
       servers.remove(server.id, server);
     }
   }
 
   @Override
-  public DispatchRequest.Handle send(DispatchRequest request) {
+  public AttemptRequest.Handle send(AttemptRequest request) {
     return servers
-        .computeIfAbsent(request.server, absent -> new Server(request.server, this))
+        .computeIfAbsent(request.server, absent -> new ConnectionPool(request.server, this))
         .gather(request);
   }
 
   @Override
   public void flush() {
-    for (Call call : pending) {
+    for (RequestBatch call : pending) {
       call.server.gathered();
     }
-    List<Call> placed = List.copyOf(pending);
+    List<RequestBatch> placed = List.copyOf(pending);
     pending.clear();
     placed.forEach(call -> call.server.place(call));
   }
 
   @Override
   public void retire(String id) {
-    Server server = servers.get(id);
+    ConnectionPool server = servers.get(id);
     if (server != null) {
-      for (Connection connection : List.copyOf(server.connections)) {
+      for (ShardConnection connection : List.copyOf(server.connections)) {
         connection.retire();
       }
     }
@@ -158,11 +158,11 @@
 
   @Override
   public void probe(String id) {
-    Server server = servers.get(id);
+    ConnectionPool server = servers.get(id);
     if (server == null) {
       driver.probed(id, Outcome.UNREACHABLE, 0, Map.of());
     } else {
-      server.probe(transport.probeForLoad() ? Frames.PROBE_LOAD : Frames.PROBE);
+      server.probe(transport.probeForLoad() ? FrameCodec.PROBE_LOAD : FrameCodec.PROBE);
     }
   }
 
@@ -171,6 +171,6 @@
    */
   public void close() {
     List.copyOf(servers.values())
-        .forEach(server -> List.copyOf(server.connections).forEach(Connection::close));
+        .forEach(server -> List.copyOf(server.connections).forEach(ShardConnection::close));
   }
 }
--- a/router/src/main/java/tidebank/backend/Connection.java
+++ b/router/src/main/java/tidebank/backend/ShardConnection.java
@@ -14,30 +14,30 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import tidebank.config.Malformed;
+import tidebank.config.MalformedInputException;
 import tidebank.model.Outcome;
-import tidebank.runtime.Timers;
+import tidebank.runtime.TimerQueue;
 
 /**
  * One connection to a shard server. At most one frame with parts is in Netty's hands before it is
  * wholly written: the others wait here, where they can still be dropped and are known never to have
  * run.
  */
-final class Connection extends SimpleChannelInboundHandler<ByteBuf> {
+final class ShardConnection extends SimpleChannelInboundHandler<ByteBuf> {
   private record Probe(byte letter, long askedAt) {}
 
-  private final Server server;
-  private final ShardSide side;
-  private final ArrayDeque<Call> waiting = new ArrayDeque<>();
-  private final Set<Call> calls = new HashSet<>();
-  private final Map<String, InFlightDispatch> out = new HashMap<>();
+  private final ConnectionPool server;
+  private final ShardClient side;
+  private final ArrayDeque<RequestBatch> waiting = new ArrayDeque<>();
+  private final Set<RequestBatch> calls = new HashSet<>();
+  private final Map<String, InFlightAttempt> out = new HashMap<>();
   private final ArrayDeque<Probe> probes = new ArrayDeque<>();
   private final ChannelFutureListener written = this::written;
-  private final Timers.Timer idle = Timers.timer(this::unused);
-  private final Timers.Timer probeLate = Timers.timer(this::probeLate);
-  private final Timers.Timer neverWhole =
-      Timers.timer(() -> spoilt("a frame that never came whole"));
-  final FrameReader reader;
+  private final TimerQueue.Timer idle = TimerQueue.timer(this::unused);
+  private final TimerQueue.Timer probeLate = TimerQueue.timer(this::probeLate);
+  private final TimerQueue.Timer neverWhole =
+      TimerQueue.timer(() -> spoilt("a frame that never came whole"));
+  final FrameDecoder reader;
 
   /**
    * Parts given up here that may still be answered, and until when that is no surprise; the oldest
@@ -46,19 +46,19 @@
   private final Map<String, Long> givenUp = new LinkedHashMap<>();
 
   /** The latest answer, until what was read with it shows that its frame was as long as it said. */
-  private Frames.Answer held;
+  private FrameCodec.Answer held;
 
   private Channel channel;
-  private Call writing;
+  private RequestBatch writing;
   private boolean up;
   private boolean closed;
   private boolean retired;
   private long lastUsed;
 
-  Connection(Server server) {
+  ShardConnection(ConnectionPool server) {
     this.server = server;
     this.side = server.side;
-    this.reader = new FrameReader(side.transport.bodyMost() + Frames.LINE_MOST);
+    this.reader = new FrameDecoder(side.transport.bodyMost() + FrameCodec.LINE_MOST);
   }
 
   /** Begins to connect, once; what is to be sent was given to it before. */
@@ -108,7 +108,7 @@
     return lastUsed + Math.max(0, side.transport.keepaliveUs() - side.transport.connectTimeoutUs());
   }
 
-  void take(Call call) {
+  void take(RequestBatch call) {
     side.timers.clear(idle);
     call.connection = this;
     calls.add(call);
@@ -121,7 +121,7 @@
   /** Writes the next call, unless one is still being written. */
   private void write() {
     while (writing == null && !waiting.isEmpty() && !closed) {
-      Call call = waiting.poll();
+      RequestBatch call = waiting.poll();
       long now = side.clock.now();
       if (now >= server.closedFrom) {
         side.counters.add("shard.dropped-for-drain");
@@ -133,18 +133,18 @@
         continue;
       }
       writing = call;
-      for (InFlightDispatch inFlight : call.flights) {
-        inFlight.stage = InFlightDispatch.Stage.WRITING;
+      for (InFlightAttempt inFlight : call.flights) {
+        inFlight.stage = InFlightAttempt.Stage.WRITING;
         out.put(inFlight.request.part, inFlight);
       }
       lastUsed = now;
-      channel.writeAndFlush(Frames.call(channel.alloc(), call.flights, now)).addListener(written);
+      channel.writeAndFlush(FrameCodec.call(channel.alloc(), call.flights, now)).addListener(written);
     }
   }
 
   /** The frame being written is out whole, or never will be. */
   private void written(ChannelFuture done) {
-    Call call = writing;
+    RequestBatch call = writing;
     writing = null;
     if (call == null) {
       return;
@@ -154,8 +154,8 @@
       close();
       return;
     }
-    for (InFlightDispatch inFlight : call.flights) {
-      inFlight.stage = InFlightDispatch.Stage.OUT;
+    for (InFlightAttempt inFlight : call.flights) {
+      inFlight.stage = InFlightAttempt.Stage.OUT;
     }
     write();
   }
@@ -176,26 +176,26 @@
 
   /** What was not begun to be written never is. */
   void dropWaiting() {
-    for (Call call : List.copyOf(waiting)) {
+    for (RequestBatch call : List.copyOf(waiting)) {
       side.counters.add("shard.dropped-for-drain");
       server.endAll(call, Outcome.NEVER_SENT);
     }
   }
 
   /** Tells the shard server that a part written to it is given up, where that is allowed. */
-  void giveUp(InFlightDispatch inFlight) {
+  void giveUp(InFlightAttempt inFlight) {
     long now = side.clock.now();
     givenUp.values().removeIf(until -> until <= now);
     givenUp.put(inFlight.request.part, now + side.slowestUs);
     if (side.mayGiveUp && channel.isActive()) {
       lastUsed = side.clock.now();
       channel.writeAndFlush(
-          Frames.giveUp(channel.alloc(), inFlight.request.part), channel.voidPromise());
+          FrameCodec.giveUp(channel.alloc(), inFlight.request.part), channel.voidPromise());
     }
   }
 
   /** A inFlight has ended. */
-  void forget(InFlightDispatch inFlight) {
+  void forget(InFlightAttempt inFlight) {
     out.remove(inFlight.request.part, inFlight);
     if (inFlight.call.flights.isEmpty()) {
       calls.remove(inFlight.call);
@@ -214,7 +214,7 @@
       awaitProbe();
     }
     if (up) {
-      channel.writeAndFlush(Frames.probe(channel.alloc(), letter), channel.voidPromise());
+      channel.writeAndFlush(FrameCodec.probe(channel.alloc(), letter), channel.voidPromise());
     }
   }
 
@@ -227,7 +227,7 @@
     probes.forEach(
         probe ->
             channel.writeAndFlush(
-                Frames.probe(channel.alloc(), probe.letter()), channel.voidPromise()));
+                FrameCodec.probe(channel.alloc(), probe.letter()), channel.voidPromise()));
     write();
     if (isIdle()) {
       side.timers.set(idle, unusableFrom());
@@ -235,22 +235,22 @@
   }
 
   @Override
-  protected void channelRead0(ChannelHandlerContext context, ByteBuf frame) throws Malformed {
+  protected void channelRead0(ChannelHandlerContext context, ByteBuf frame) throws MalformedInputException {
     if (closed) {
       return;
     }
     if (!frame.isReadable()) {
-      throw new Malformed("a frame without a letter");
+      throw new MalformedInputException("a frame without a letter");
     }
     lastUsed = side.clock.now();
     release();
     byte letter = frame.readByte();
     switch (letter) {
-      case Frames.ANSWER -> hold(Frames.answer(frame));
-      case Frames.PROBE, Frames.PROBE_LOAD -> probed(letter, Frames.text(frame));
-      case Frames.UNUSABLE ->
-          throw new Malformed("a frame of ours could not be used: " + Frames.text(frame));
-      default -> throw new Malformed("an unknown letter " + letter);
+      case FrameCodec.ANSWER -> hold(FrameCodec.answer(frame));
+      case FrameCodec.PROBE, FrameCodec.PROBE_LOAD -> probed(letter, FrameCodec.text(frame));
+      case FrameCodec.UNUSABLE ->
+          throw new MalformedInputException("a frame of ours could not be used: " + FrameCodec.text(frame));
+      default -> throw new MalformedInputException("an unknown letter " + letter);
     }
   }
 
@@ -258,10 +258,10 @@
    * While other answers are to come, one counts once the next frame, or the end of what could be
    * read, shows that it ends where its frame says. What follows the last one can't be its fault.
    */
-  private void hold(Frames.Answer answer) throws Malformed {
+  private void hold(FrameCodec.Answer answer) throws MalformedInputException {
     if (!out.containsKey(answer.id())) {
       if (givenUp.remove(answer.id()) == null) {
-        throw new Malformed("an answer to no part that is out here");
+        throw new MalformedInputException("an answer to no part that is out here");
       }
       side.counters.add("shard.answers-not-awaited");
     } else {
@@ -273,9 +273,9 @@
   }
 
   private void release() {
-    Frames.Answer answer = held;
+    FrameCodec.Answer answer = held;
     held = null;
-    InFlightDispatch inFlight = answer == null ? null : out.get(answer.id());
+    InFlightAttempt inFlight = answer == null ? null : out.get(answer.id());
     if (inFlight != null) {
       server.end(inFlight, answer.outcome(), answer.value(), answer.report());
     }
@@ -296,10 +296,10 @@
     }
   }
 
-  private void probed(byte letter, String text) throws Malformed {
+  private void probed(byte letter, String text) throws MalformedInputException {
     Probe probe = probes.poll();
     if (probe == null || probe.letter() != letter) {
-      throw new Malformed("an answer to no probe");
+      throw new MalformedInputException("an answer to no probe");
     }
     side.timers.clear(probeLate);
     boolean good = !text.equals("bad");
@@ -307,7 +307,7 @@
         server.id,
         good ? Outcome.COMPLETED : Outcome.ERROR,
         side.clock.now() - probe.askedAt(),
-        good && letter == Frames.PROBE_LOAD ? Frames.report(text) : Map.of());
+        good && letter == FrameCodec.PROBE_LOAD ? FrameCodec.report(text) : Map.of());
     if (!probes.isEmpty()) {
       awaitProbe();
     }
@@ -319,7 +319,7 @@
 
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-    if (!(cause instanceof java.io.IOException) || cause instanceof Malformed) {
+    if (!(cause instanceof java.io.IOException) || cause instanceof MalformedInputException) {
       spoilt(String.valueOf(cause.getCause() == null ? cause : cause.getCause()));
     }
     close();
@@ -333,8 +333,8 @@
     if (!closed) {
       side.counters.fault("shard.spoilt", "server " + server.id + ": " + why);
       held = null;
-      for (InFlightDispatch inFlight : List.copyOf(out.values())) {
-        if (inFlight.stage == InFlightDispatch.Stage.OUT) {
+      for (InFlightAttempt inFlight : List.copyOf(out.values())) {
+        if (inFlight.stage == InFlightAttempt.Stage.OUT) {
           server.end(inFlight, Outcome.SPOILT, null);
         }
       }
@@ -364,11 +364,11 @@
     side.timers.clear(probeLate);
     side.timers.clear(neverWhole);
     server.removed(this);
-    for (Call call : new ArrayList<>(calls)) {
-      for (InFlightDispatch inFlight : List.copyOf(call.flights)) {
+    for (RequestBatch call : new ArrayList<>(calls)) {
+      for (InFlightAttempt inFlight : List.copyOf(call.flights)) {
         server.end(
             inFlight,
-            inFlight.stage == InFlightDispatch.Stage.OUT ? Outcome.BROKEN : Outcome.UNREACHABLE,
+            inFlight.stage == InFlightAttempt.Stage.OUT ? Outcome.BROKEN : Outcome.UNREACHABLE,
             null);
       }
     }
--- a/router/src/main/java/tidebank/capture/Codec.java
+++ b/router/src/main/java/tidebank/capture/CaptureCodec.java
@@ -14,9 +14,9 @@
 import java.util.zip.CRC32C;
 import tidebank.model.Action;
 import tidebank.model.Event;
-import tidebank.model.Event.ListKind;
-import tidebank.model.Event.Listed;
-import tidebank.model.Event.ServerStatus;
+import tidebank.model.Event.ListUpdate;
+import tidebank.model.Event.Endpoint;
+import tidebank.model.Event.EndpointStatus;
 import tidebank.model.Outcome;
 import tidebank.model.Settings;
 
@@ -27,7 +27,7 @@
  * added at the end, and over kinds that it does not know. State is that of one block: a block is
  * read without any other. Pure.
  */
-final class Codec {
+final class CaptureCodec {
   private static final int STARTED = 1;
   private static final int TURN = 2;
   private static final int FAILED = 3;
@@ -46,7 +46,7 @@
     }
   }
 
-  private Codec() {}
+  private CaptureCodec() {}
 
   /** A digest over what a module wanted done, the same for the same actions in the same order. */
   static int digest(List<Action> actions) {
@@ -74,8 +74,8 @@
       return Arrays.copyOf(bytes, length);
     }
 
-    void add(Entry entry) {
-      if (entry instanceof Entry.Started started) {
+    void add(CaptureRecord entry) {
+      if (entry instanceof CaptureRecord.Started started) {
         int at = begin(STARTED);
         try {
           raw(JSON.writeValueAsBytes(started.settings()));
@@ -84,7 +84,7 @@
         }
         fixed(started.seed());
         end(at);
-      } else if (entry instanceof Entry.Iteration turn) {
+      } else if (entry instanceof CaptureRecord.Iteration turn) {
         int at = begin(TURN);
         time(turn.nowUs());
         events(turn.events());
@@ -94,13 +94,13 @@
           turn.actions().forEach(this::action);
         }
         end(at);
-      } else if (entry instanceof Entry.Failed failed) {
+      } else if (entry instanceof CaptureRecord.Failed failed) {
         int at = begin(FAILED);
         time(failed.nowUs());
         events(failed.events());
         text(failed.cause());
         end(at);
-      } else if (entry instanceof Entry.Gap gap) {
+      } else if (entry instanceof CaptureRecord.Gap gap) {
         int at = begin(GAP);
         whole(gap.turns());
         end(at);
@@ -130,11 +130,11 @@
 
     private void event(Event event) {
       int at;
-      if (event instanceof Event.ListSeen seen) {
+      if (event instanceof Event.EndpointListReceived seen) {
         at = begin(1);
         octet(seen.kind().ordinal());
         whole(seen.entries().size());
-        for (Listed line : seen.entries()) {
+        for (Endpoint line : seen.entries()) {
           int inner = begin(0);
           text(line.server());
           signed(line.position());
@@ -143,7 +143,7 @@
           number(line.rating());
           end(inner);
         }
-      } else if (event instanceof Event.ScanTaken scan) {
+      } else if (event instanceof Event.QueryReceived scan) {
         at = begin(2);
         text(scan.id());
         signed(scan.number());
@@ -153,14 +153,14 @@
         octet(scan.resent() ? 1 : 0);
         text(scan.key());
         signed(now - scan.askedAt());
-      } else if (event instanceof Event.PartTaken part) {
+      } else if (event instanceof Event.ShardRequestReceived part) {
         at = begin(3);
         text(part.id());
         signed(part.number());
         signed(part.shard());
         number(part.weight());
         text(part.key());
-      } else if (event instanceof Event.DispatchEnded ended) {
+      } else if (event instanceof Event.AttemptCompleted ended) {
         at = begin(4);
         text(ended.part());
         signed(ended.dispatch());
@@ -168,16 +168,16 @@
         signed(ended.tookUs());
         octet(ended.closed() ? 1 : 0);
         report(ended.report());
-      } else if (event instanceof Event.ScanLapsed lapsed) {
+      } else if (event instanceof Event.ClientDisconnected lapsed) {
         at = begin(5);
         text(lapsed.id());
-      } else if (event instanceof Event.Ending ending) {
+      } else if (event instanceof Event.ShutdownRequested ending) {
         at = begin(6);
         signed(ending.at() - now);
-      } else if (event instanceof Event.TimerDue due) {
+      } else if (event instanceof Event.TimerFired due) {
         at = begin(7);
         signed(due.token());
-      } else if (event instanceof Event.Probed probed) {
+      } else if (event instanceof Event.HealthCheckCompleted probed) {
         at = begin(8);
         text(probed.server());
         octet(probed.outcome().ordinal());
@@ -191,16 +191,16 @@
 
     private void action(Action action) {
       int at;
-      if (action instanceof Action.Send send) {
+      if (action instanceof Action.SendAttempt send) {
         at = begin(1);
         text(send.part());
         text(send.server());
         signed(send.stopAt() - now);
-      } else if (action instanceof Action.Cancel cancel) {
+      } else if (action instanceof Action.CancelAttempt cancel) {
         at = begin(2);
         text(cancel.part());
         signed(cancel.dispatch());
-      } else if (action instanceof Action.Answer answer) {
+      } else if (action instanceof Action.Respond answer) {
         at = begin(3);
         text(answer.scan());
         octet(answer.whole() ? 1 : 0);
@@ -208,23 +208,23 @@
         at = begin(4);
         text(throttle.scan());
         signed(throttle.holdOffUs());
-      } else if (action instanceof Action.Abandon abandon) {
+      } else if (action instanceof Action.Fail abandon) {
         at = begin(5);
         text(abandon.scan());
       } else if (action instanceof Action.SetTimer timer) {
         at = begin(6);
         signed(timer.waitUs());
         signed(timer.token());
-      } else if (action instanceof Action.Probe probe) {
+      } else if (action instanceof Action.CheckHealth probe) {
         at = begin(7);
         text(probe.server());
-      } else if (action instanceof Action.Close close) {
+      } else if (action instanceof Action.RetireConnections close) {
         at = begin(8);
         text(close.server());
-      } else if (action instanceof Action.Follow follow) {
+      } else if (action instanceof Action.WatchEndpoints follow) {
         at = begin(9);
         octet(follow.on() ? 1 : 0);
-      } else if (action instanceof Action.Note note) {
+      } else if (action instanceof Action.LogNote note) {
         at = begin(10);
         text(note.text());
       } else {
@@ -324,15 +324,15 @@
       most = bytes.length;
     }
 
-    List<Entry> entries() {
-      List<Entry> entries = new ArrayList<>();
+    List<CaptureRecord> entries() {
+      List<CaptureRecord> entries = new ArrayList<>();
       while (at < bytes.length) {
         int kind = octet();
         int end = inner();
         switch (kind) {
           case STARTED -> {
             try {
-              entries.add(new Entry.Started(JSON.readValue(raw(), Settings.class), fixed()));
+              entries.add(new CaptureRecord.Started(JSON.readValue(raw(), Settings.class), fixed()));
             } catch (java.io.IOException fault) {
               throw new Unreadable("settings that can't be read: " + fault.getMessage());
             }
@@ -349,13 +349,13 @@
                 actions.add(action);
               }
             }
-            entries.add(new Entry.Iteration(now, events, digest, actions));
+            entries.add(new CaptureRecord.Iteration(now, events, digest, actions));
           }
           case FAILED -> {
             now += signed();
-            entries.add(new Entry.Failed(now, events(), text()));
+            entries.add(new CaptureRecord.Failed(now, events(), text()));
           }
-          case GAP -> entries.add(new Entry.Gap(whole()));
+          case GAP -> entries.add(new CaptureRecord.Gap(whole()));
           default -> {
             // A kind of a later version: passed over by its length.
           }
@@ -403,28 +403,28 @@
       Event event =
           switch (kind) {
             case 1 -> {
-              ListKind list = of(ListKind.values());
+              ListUpdate list = of(ListUpdate.values());
               int count = count();
-              List<Listed> lines = new ArrayList<>(Math.min(count, 1024));
+              List<Endpoint> lines = new ArrayList<>(Math.min(count, 1024));
               for (int i = 0; i < count; i++) {
                 int around = most;
                 octet();
                 int lineEnd = inner();
                 lines.add(
-                    new Listed(
-                        text(), (int) signed(), of(ServerStatus.values()), signed(), number()));
+                    new Endpoint(
+                        text(), (int) signed(), of(EndpointStatus.values()), signed(), number()));
                 leave(lineEnd, around);
               }
-              yield new Event.ListSeen(list, lines);
+              yield new Event.EndpointListReceived(list, lines);
             }
             case 2 -> {
-              Event.ScanTaken scan =
-                  new Event.ScanTaken(
+              Event.QueryReceived scan =
+                  new Event.QueryReceived(
                       text(), signed(), text(), text(), now, now + signed(), octet() == 1, text());
               // Captures of 0.2.0 before the fleet test do not tell it.
               yield at == end
                   ? scan
-                  : new Event.ScanTaken(
+                  : new Event.QueryReceived(
                       scan.id(),
                       scan.number(),
                       scan.type(),
@@ -434,14 +434,14 @@
                       scan.resent(),
                       scan.key());
             }
-            case 3 -> new Event.PartTaken(text(), signed(), (int) signed(), number(), text());
+            case 3 -> new Event.ShardRequestReceived(text(), signed(), (int) signed(), number(), text());
             case 4 ->
-                new Event.DispatchEnded(
+                new Event.AttemptCompleted(
                     text(), (int) signed(), of(Outcome.values()), signed(), octet() == 1, report());
-            case 5 -> new Event.ScanLapsed(text());
-            case 6 -> new Event.Ending(now + signed());
-            case 7 -> new Event.TimerDue(signed());
-            case 8 -> new Event.Probed(text(), of(Outcome.values()), signed(), report());
+            case 5 -> new Event.ClientDisconnected(text());
+            case 6 -> new Event.ShutdownRequested(now + signed());
+            case 7 -> new Event.TimerFired(signed());
+            case 8 -> new Event.HealthCheckCompleted(text(), of(Outcome.values()), signed(), report());
             default -> null;
           };
       leave(end, outer);
@@ -454,16 +454,16 @@
       int end = inner();
       Action action =
           switch (kind) {
-            case 1 -> new Action.Send(text(), text(), now + signed());
-            case 2 -> new Action.Cancel(text(), (int) signed());
-            case 3 -> new Action.Answer(text(), octet() == 1);
+            case 1 -> new Action.SendAttempt(text(), text(), now + signed());
+            case 2 -> new Action.CancelAttempt(text(), (int) signed());
+            case 3 -> new Action.Respond(text(), octet() == 1);
             case 4 -> new Action.Throttle(text(), signed());
-            case 5 -> new Action.Abandon(text());
+            case 5 -> new Action.Fail(text());
             case 6 -> new Action.SetTimer(signed(), signed());
-            case 7 -> new Action.Probe(text());
-            case 8 -> new Action.Close(text());
-            case 9 -> new Action.Follow(octet() == 1);
-            case 10 -> new Action.Note(text());
+            case 7 -> new Action.CheckHealth(text());
+            case 8 -> new Action.RetireConnections(text());
+            case 9 -> new Action.WatchEndpoints(octet() == 1);
+            case 10 -> new Action.LogNote(text());
             default -> null;
           };
       leave(end, outer);
--- a/router/src/main/java/tidebank/capture/Recorder.java
+++ b/router/src/main/java/tidebank/capture/CaptureRecorder.java
@@ -21,7 +21,7 @@
  * its own packs and writes. What finds no room, or no disk, is missing, and the capture says how
  * much and where. Nothing here ever waits for the loop, or the loop for it.
  */
-public final class Recorder implements DecisionLog, AutoCloseable {
+public final class CaptureRecorder implements DecisionLog, AutoCloseable {
   /**
    * How to record.
    *
@@ -40,15 +40,15 @@
       long budgetBytes,
       boolean force) {}
 
-  private static final Logger LOG = LoggerFactory.getLogger(Recorder.class);
+  private static final Logger LOG = LoggerFactory.getLogger(CaptureRecorder.class);
   private static final long POLL_MS = 50;
   private static final long LAST_MS = 1500;
 
-  private record Waiting(Entry entry, List<Action> actions, int weight) {}
+  private record Waiting(CaptureRecord entry, List<Action> actions, int weight) {}
 
   private final Plan plan;
   private final LongSupplier clock;
-  private final Keeping keeping;
+  private final SegmentRetention keeping;
   private final BlockingQueue<Waiting> ring;
   private final Thread thread;
   private final AtomicLong lost = new AtomicLong();
@@ -62,23 +62,23 @@
 
   private volatile boolean closing;
 
-  private Codec.Encoder block = new Codec.Encoder();
+  private CaptureCodec.Encoder block = new CaptureCodec.Encoder();
   private long blockTurns;
   private long blockFrom;
-  private Segments.Writer segment;
+  private CaptureSegments.Writer segment;
   private long segmentFrom;
   private long next;
   private long unwritten;
 
   /** Starts to record; the clock gives microseconds that never go back. */
-  public Recorder(Plan plan, LongSupplier clock) throws IOException {
+  public CaptureRecorder(Plan plan, LongSupplier clock) throws IOException {
     this.plan = plan;
     this.clock = clock;
-    keeping = new Keeping(Keeping.Bounds.of(plan.segmentBytes(), plan.budgetBytes()));
+    keeping = new SegmentRetention(SegmentRetention.Bounds.of(plan.segmentBytes(), plan.budgetBytes()));
     ring = new ArrayBlockingQueue<>(plan.ringTurns());
     Files.createDirectories(plan.folder());
-    for (Path old : Segments.in(plan.folder())) {
-      next = Math.max(next, Segments.number(old) + 1);
+    for (Path old : CaptureSegments.in(plan.folder())) {
+      next = Math.max(next, CaptureSegments.number(old) + 1);
     }
     thread = new Thread(this::run, "capture");
     thread.setDaemon(true);
@@ -87,24 +87,24 @@
 
   @Override
   public void started(Settings settings, long seed) {
-    put(new Waiting(new Entry.Started(settings, seed), null, 1));
+    put(new Waiting(new CaptureRecord.Started(settings, seed), null, 1));
   }
 
   @Override
   public void turn(long nowUs, List<Event> events, List<Action> actions) {
     put(
         new Waiting(
-            new Entry.Iteration(nowUs, events, 0, null), actions, events.size() + actions.size()));
+            new CaptureRecord.Iteration(nowUs, events, 0, null), actions, events.size() + actions.size()));
   }
 
   @Override
   public void failed(long nowUs, List<Event> events, Throwable cause) {
-    put(new Waiting(new Entry.Failed(nowUs, events, String.valueOf(cause)), null, events.size()));
+    put(new Waiting(new CaptureRecord.Failed(nowUs, events, String.valueOf(cause)), null, events.size()));
   }
 
   private void put(Waiting one) {
-    boolean room = Keeping.mayWait(waiting.get(), one.weight, plan.ringTurns());
-    if (room && missed.get() > 0 && ring.offer(new Waiting(new Entry.Gap(missed.get()), null, 0))) {
+    boolean room = SegmentRetention.mayWait(waiting.get(), one.weight, plan.ringTurns());
+    if (room && missed.get() > 0 && ring.offer(new Waiting(new CaptureRecord.Gap(missed.get()), null, 0))) {
       missed.set(0);
     }
     if (!room || missed.get() > 0 || !ring.offer(one)) {
@@ -135,7 +135,7 @@
         }
         long now = clock.getAsLong();
         if (closing && ring.isEmpty() && missed.get() > 0) {
-          block.add(new Entry.Gap(missed.getAndSet(0)));
+          block.add(new CaptureRecord.Gap(missed.getAndSet(0)));
         }
         if (keeping.blockIsDue(block.length(), blockFrom, now) || closing && ring.isEmpty()) {
           flush(now);
@@ -156,13 +156,13 @@
     if (block.length() == 0) {
       blockFrom = clock.getAsLong();
     }
-    Entry entry = one.entry;
-    if (entry instanceof Entry.Iteration turn) {
+    CaptureRecord entry = one.entry;
+    if (entry instanceof CaptureRecord.Iteration turn) {
       entry =
-          new Entry.Iteration(
+          new CaptureRecord.Iteration(
               turn.nowUs(),
               turn.events(),
-              Codec.digest(one.actions),
+              CaptureCodec.digest(one.actions),
               plan.wholeActions() ? one.actions : null);
     }
     block.add(entry);
@@ -185,8 +185,8 @@
         open(now);
       }
       if (unwritten > 0) {
-        Codec.Encoder gap = new Codec.Encoder();
-        gap.add(new Entry.Gap(unwritten));
+        CaptureCodec.Encoder gap = new CaptureCodec.Encoder();
+        gap.add(new CaptureRecord.Gap(unwritten));
         segment.block(gap.bytes());
         unwritten = 0;
       }
@@ -195,7 +195,7 @@
         segment.force();
       }
       keeping.wrote();
-      block = new Codec.Encoder();
+      block = new CaptureCodec.Encoder();
       blockTurns = 0;
     } catch (IOException fault) {
       // What may stand there in part is told by the reader; the next try begins a new segment.
@@ -211,19 +211,19 @@
   private void drop() {
     unwritten += blockTurns;
     lost.addAndGet(blockTurns);
-    block = new Codec.Encoder();
+    block = new CaptureCodec.Encoder();
     blockTurns = 0;
   }
 
   private void open(long now) throws IOException {
-    List<Keeping.Segment> old = new ArrayList<>();
-    for (Path file : Segments.in(plan.folder())) {
-      old.add(new Keeping.Segment(Segments.number(file), Files.size(file)));
+    List<SegmentRetention.Segment> old = new ArrayList<>();
+    for (Path file : CaptureSegments.in(plan.folder())) {
+      old.add(new SegmentRetention.Segment(CaptureSegments.number(file), Files.size(file)));
     }
-    for (Keeping.Segment go : keeping.tooMany(old)) {
-      Files.deleteIfExists(Segments.path(plan.folder(), go.number()));
+    for (SegmentRetention.Segment go : keeping.tooMany(old)) {
+      Files.deleteIfExists(CaptureSegments.path(plan.folder(), go.number()));
     }
-    segment = new Segments.Writer(plan.folder(), next++);
+    segment = new CaptureSegments.Writer(plan.folder(), next++);
     segmentFrom = now;
   }
 
--- a/router/src/main/java/tidebank/capture/Segments.java
+++ b/router/src/main/java/tidebank/capture/CaptureSegments.java
@@ -21,7 +21,7 @@
  * packed length, plain length, CRC32C over both and the packed bytes, the bytes. A block is whole
  * or it is none; what stands behind the first that is not is never read as data, and is told.
  */
-public final class Segments {
+public final class CaptureSegments {
   static final long MAGIC = 0x5442_4341_5054_0001L;
   static final int VERSION = 1;
   static final int HEAD = 8 + 4 + 8 + 4;
@@ -29,7 +29,7 @@
   private static final int BLOCK_MOST = 64 << 20;
   private static final Pattern NAME = Pattern.compile("capture-(\\d{8})\\.tbc");
 
-  private Segments() {}
+  private CaptureSegments() {}
 
   static Path path(Path folder, long number) {
     return folder.resolve(String.format("capture-%08d.tbc", number));
@@ -135,7 +135,7 @@
    * @param bytes how many of the file were understood
    * @param torn what stood behind them, in words; "" if nothing
    */
-  public record Read(long number, List<Entry> entries, int blocks, long bytes, String torn) {}
+  public record Read(long number, List<CaptureRecord> entries, int blocks, long bytes, String torn) {}
 
   /** Reads a segment as far as it is whole. */
   public static Read read(Path file) throws IOException {
@@ -151,7 +151,7 @@
           file + ": version " + in.getInt(8) + " is newer than the known " + VERSION);
     }
     in.position(HEAD);
-    List<Entry> entries = new ArrayList<>();
+    List<CaptureRecord> entries = new ArrayList<>();
     int blocks = 0;
     String torn = "";
     while (in.hasRemaining() && torn.isEmpty()) {
@@ -172,10 +172,10 @@
           torn = "a block is damaged";
         } else {
           try {
-            entries.addAll(new Codec.Decoder(unpacked(bytes, plain)).entries());
+            entries.addAll(new CaptureCodec.Decoder(unpacked(bytes, plain)).entries());
             blocks++;
             continue;
-          } catch (Codec.Unreadable | DataFormatException fault) {
+          } catch (CaptureCodec.Unreadable | DataFormatException fault) {
             torn = "a block can't be understood: " + fault.getMessage();
           }
         }
--- a/router/src/main/java/tidebank/capture/Keeping.java
+++ b/router/src/main/java/tidebank/capture/SegmentRetention.java
@@ -8,7 +8,7 @@
  * and when to try again after the disk failed. Pure: sizes and times come in, whole microseconds
  * and bytes.
  */
-final class Keeping {
+final class SegmentRetention {
   /** A kept segment. */
   record Segment(long number, long bytes) {}
 
@@ -47,7 +47,7 @@
   private long retryAt = Long.MIN_VALUE;
   private long wait = RETRY_FIRST_US;
 
-  Keeping(Bounds bounds) {
+  SegmentRetention(Bounds bounds) {
     this.bounds = bounds;
   }
 
--- a/router/src/main/java/tidebank/config/Json.java
+++ b/router/src/main/java/tidebank/config/JsonFields.java
@@ -5,23 +5,23 @@
 import java.util.Map;
 
 /** Reads fields of the wire's objects; an absent field and a null are the same. */
-public final class Json {
+public final class JsonFields {
   private static final double US_PER_MS = 1000.0;
 
-  private Json() {}
+  private JsonFields() {}
 
-  public static JsonNode need(JsonNode node, String field) throws Malformed {
+  public static JsonNode need(JsonNode node, String field) throws MalformedInputException {
     JsonNode value = node.get(field);
     if (value == null || value.isNull()) {
-      throw new Malformed("field '" + field + "' is missing in " + brief(node));
+      throw new MalformedInputException("field '" + field + "' is missing in " + brief(node));
     }
     return value;
   }
 
-  public static String text(JsonNode node, String field) throws Malformed {
+  public static String text(JsonNode node, String field) throws MalformedInputException {
     JsonNode value = need(node, field);
     if (!value.isTextual()) {
-      throw new Malformed("field '" + field + "': found " + brief(value) + ", wanted a text");
+      throw new MalformedInputException("field '" + field + "': found " + brief(value) + ", wanted a text");
     }
     return value.textValue();
   }
@@ -31,31 +31,31 @@
     return value == null || !value.isTextual() ? absent : value.textValue();
   }
 
-  public static double number(JsonNode node, String field) throws Malformed {
+  public static double number(JsonNode node, String field) throws MalformedInputException {
     JsonNode value = need(node, field);
     if (!value.isNumber()) {
-      throw new Malformed("field '" + field + "': found " + brief(value) + ", wanted a number");
+      throw new MalformedInputException("field '" + field + "': found " + brief(value) + ", wanted a number");
     }
     return value.doubleValue();
   }
 
-  public static double number(JsonNode node, String field, double absent) throws Malformed {
+  public static double number(JsonNode node, String field, double absent) throws MalformedInputException {
     JsonNode value = node.get(field);
     return value == null || value.isNull() ? absent : number(node, field);
   }
 
-  public static long whole(JsonNode node, String field) throws Malformed {
+  public static long whole(JsonNode node, String field) throws MalformedInputException {
     return (long) number(node, field);
   }
 
-  public static int whole(JsonNode node, String field, int absent) throws Malformed {
+  public static int whole(JsonNode node, String field, int absent) throws MalformedInputException {
     return (int) number(node, field, absent);
   }
 
-  public static boolean flag(JsonNode node, String field) throws Malformed {
+  public static boolean flag(JsonNode node, String field) throws MalformedInputException {
     JsonNode value = node.get(field);
     if (value != null && !value.isNull() && !value.isBoolean()) {
-      throw new Malformed(
+      throw new MalformedInputException(
           "field '" + field + "': found " + brief(value) + ", wanted true or false");
     }
     return value != null && value.booleanValue();
@@ -65,19 +65,19 @@
     return Math.round(ms * US_PER_MS);
   }
 
-  public static long micros(JsonNode node, String field) throws Malformed {
+  public static long micros(JsonNode node, String field) throws MalformedInputException {
     return micros(number(node, field));
   }
 
-  public static long micros(JsonNode node, String field, double absentMs) throws Malformed {
+  public static long micros(JsonNode node, String field, double absentMs) throws MalformedInputException {
     return micros(number(node, field, absentMs));
   }
 
   /** A length of time, which is never below 0. */
-  public static long span(JsonNode node, String field, double absentMs) throws Malformed {
+  public static long span(JsonNode node, String field, double absentMs) throws MalformedInputException {
     long span = micros(node, field, absentMs);
     if (span < 0) {
-      throw new Malformed(
+      throw new MalformedInputException(
           "field '" + field + "': found " + brief(node.get(field)) + ", wanted a number from 0");
     }
     return span;
--- a/router/src/main/java/tidebank/config/OperatorFile.java
+++ b/router/src/main/java/tidebank/config/OperatorConfig.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Locale;
 import org.slf4j.event.Level;
-import tidebank.base.Log;
-import tidebank.capture.Recorder;
+import tidebank.logging.Log;
+import tidebank.capture.CaptureRecorder;
 import tidebank.fleet.FleetAgent;
 import tidebank.fleet.Retention;
 
@@ -18,10 +18,10 @@
  * @param capture how everything that the module is told is recorded, or null
  * @param fleet how the gatherer takes part in its fleet's duties, or null
  */
-public record OperatorFile(
-    Log.Style log, long countersEveryUs, Recorder.Plan capture, FleetAgent.Plan fleet) {
-  public static final OperatorFile DEFAULT =
-      new OperatorFile(Log.Style.DEFAULT, 60_000_000, null, null);
+public record OperatorConfig(
+    Log.Style log, long countersEveryUs, CaptureRecorder.Plan capture, FleetAgent.Plan fleet) {
+  public static final OperatorConfig DEFAULT =
+      new OperatorConfig(Log.Style.DEFAULT, 60_000_000, null, null);
   private static final long MB = 1 << 20;
 
   private enum Kept {
@@ -29,10 +29,10 @@
     WHOLE
   }
 
-  private static Recorder.Plan capture(Toml.Table capture) {
+  private static CaptureRecorder.Plan capture(Toml.Table capture) {
     String folder = capture.text("folder", "");
-    Recorder.Plan plan =
-        new Recorder.Plan(
+    CaptureRecorder.Plan plan =
+        new CaptureRecorder.Plan(
             Path.of(folder),
             capture.choice("actions", Kept.DIGEST, Kept.class) == Kept.WHOLE,
             (int) capture.whole("ring_turns", 4096, 16, 1 << 20),
@@ -80,16 +80,16 @@
         (int) log.whole("lines_a_second", Log.Style.DEFAULT.linesASecond(), 1, 10_000));
   }
 
-  public static OperatorFile read(Path file) throws Malformed {
+  public static OperatorConfig read(Path file) throws MalformedInputException {
     return read(Toml.read(file));
   }
 
-  static OperatorFile read(Toml file) throws Malformed {
+  static OperatorConfig read(Toml file) throws MalformedInputException {
     Log.Style style = style(file.root().table("log"));
     long every = file.root().table("report").whole("counters_every_s", 60, 1, 86_400);
-    Recorder.Plan capture = capture(file.root().table("capture"));
+    CaptureRecorder.Plan capture = capture(file.root().table("capture"));
     FleetAgent.Plan fleet = fleet(file.root().table("fleet"));
     file.check();
-    return new OperatorFile(style, every * 1_000_000, capture, fleet);
+    return new OperatorConfig(style, every * 1_000_000, capture, fleet);
   }
 }
--- a/router/src/main/java/tidebank/config/NodeConfig.java
+++ b/router/src/main/java/tidebank/config/RouterConfig.java
@@ -16,7 +16,7 @@
  * All that a gatherer is started with. {@code known} is the list of shard servers as it last had
  * it, in discovery's form, or null.
  */
-public record NodeConfig(
+public record RouterConfig(
     String name,
     InetSocketAddress listen,
     InetSocketAddress discovery,
@@ -88,13 +88,13 @@
       int bodyMost,
       long requestWithinUs,
       long restLeastUs) {
-    static Transport of(JsonNode settings) throws Malformed {
+    static Transport of(JsonNode settings) throws MalformedInputException {
       JsonNode limits = settings.path("limits");
       return new Transport(
-          Math.max(1000, Json.span(limits, "connectTimeoutMs", 250)),
-          Json.span(limits, "keepaliveMs", 15_000),
-          Math.max(1, Json.whole(limits, "maxStreams", 100)),
-          Json.text(settings.path("report"), "how", "off").equals("on_probe"),
+          Math.max(1000, JsonFields.span(limits, "connectTimeoutMs", 250)),
+          JsonFields.span(limits, "keepaliveMs", 15_000),
+          Math.max(1, JsonFields.whole(limits, "maxStreams", 100)),
+          JsonFields.text(settings.path("report"), "how", "off").equals("on_probe"),
           BODY_MOST,
           // A client is owed an error or an end within 3 s of connecting; half a second stays free.
           5 * SECOND_US / 2,
@@ -104,7 +104,7 @@
   }
 
   /** Reads the environment and the file that NODE_CONFIG names; a variable goes before the file. */
-  public static NodeConfig read(Map<String, String> env) throws Malformed {
+  public static RouterConfig read(Map<String, String> env) throws MalformedInputException {
     return read(env, file(env));
   }
 
@@ -112,7 +112,7 @@
    * The same while the program runs: the environment is that of its start, so the file's discovery
    * is newer.
    */
-  public static NodeConfig reread(Map<String, String> env) throws Malformed {
+  public static RouterConfig reread(Map<String, String> env) throws MalformedInputException {
     JsonNode file = file(env);
     Map<String, String> rest = new HashMap<>(env);
     if (!file.path("discovery").asText("").isEmpty()) {
@@ -121,15 +121,15 @@
     return read(rest, file);
   }
 
-  private static NodeConfig read(Map<String, String> env, JsonNode file) throws Malformed {
+  private static RouterConfig read(Map<String, String> env, JsonNode file) throws MalformedInputException {
     JsonNode settingsNode = object(file, "settings");
     Settings settings;
     Transport transport;
     try {
       settings = SettingsReader.read(settingsNode);
       transport = Transport.of(settingsNode);
-    } catch (Malformed fault) {
-      throw new Malformed("settings: " + fault.getMessage());
+    } catch (MalformedInputException fault) {
+      throw new MalformedInputException("settings: " + fault.getMessage());
     }
     if (settings.tableTypes().isEmpty()) {
       throw wrong("settings.services", "none", "a list of table types");
@@ -143,7 +143,7 @@
           "slices, positions and width from 1");
     }
     JsonNode known = file.path("known");
-    return new NodeConfig(
+    return new RouterConfig(
         text(env, "NODE_NAME", file, "name"),
         address("NODE_LISTEN or listen", text(env, "NODE_LISTEN", file, "listen")),
         address("NODE_DISCOVERY or discovery", text(env, "NODE_DISCOVERY", file, "discovery")),
@@ -154,7 +154,7 @@
         settings);
   }
 
-  private static JsonNode file(Map<String, String> env) throws Malformed {
+  private static JsonNode file(Map<String, String> env) throws MalformedInputException {
     String path = env.getOrDefault("NODE_CONFIG", "");
     if (path.isEmpty()) {
       throw wrong("NODE_CONFIG", "nothing", "the path of a JSON file");
@@ -171,14 +171,14 @@
           path + ": " + fault.getOriginalMessage(),
           "a file that holds a JSON object");
     } catch (IOException | RuntimeException fault) {
-      if (fault instanceof Malformed malformed) {
+      if (fault instanceof MalformedInputException malformed) {
         throw malformed;
       }
       throw wrong("NODE_CONFIG", path, "a file that can be read");
     }
   }
 
-  private static JsonNode object(JsonNode file, String key) throws Malformed {
+  private static JsonNode object(JsonNode file, String key) throws MalformedInputException {
     JsonNode value = file.path(key);
     if (!value.isObject()) {
       throw wrong(key, value.isMissingNode() ? "nothing" : value.toString(), "an object");
@@ -187,7 +187,7 @@
   }
 
   private static String text(Map<String, String> env, String variable, JsonNode file, String key)
-      throws Malformed {
+      throws MalformedInputException {
     String value = env.getOrDefault(variable, "");
     value = value.isEmpty() ? file.path(key).asText("") : value;
     if (value.isEmpty()) {
@@ -197,7 +197,7 @@
   }
 
   /** An address HOST:PORT with a numeric host: there is no DNS. */
-  public static InetSocketAddress address(String key, String value) throws Malformed {
+  public static InetSocketAddress address(String key, String value) throws MalformedInputException {
     int colon = value.lastIndexOf(':');
     String host = colon < 0 ? "" : value.substring(0, colon);
     try {
@@ -211,7 +211,7 @@
     throw wrong(key, value, "an address such as 127.0.0.1:3000");
   }
 
-  private static long seed(JsonNode value) throws Malformed {
+  private static long seed(JsonNode value) throws MalformedInputException {
     try {
       return Long.parseUnsignedLong(value.asText(""), 16);
     } catch (NumberFormatException fault) {
@@ -219,13 +219,13 @@
     }
   }
 
-  private static Budgets budgets(JsonNode limits) throws Malformed {
+  private static Budgets budgets(JsonNode limits) throws MalformedInputException {
     limit(limits, "memory_mb", MEMORY_LEAST_MB, MEMORY_LEAST_MB);
     return Budgets.of(limit(limits, "sockets", SOCKETS_LEAST, SOCKETS_DEFAULT));
   }
 
   /** A limit of the day; one too small to run in is a fault. */
-  private static int limit(JsonNode limits, String key, int least, int absent) throws Malformed {
+  private static int limit(JsonNode limits, String key, int least, int absent) throws MalformedInputException {
     JsonNode value = limits.path(key);
     if (!value.isMissingNode() && (!value.canConvertToInt() || value.intValue() < least)) {
       throw wrong("limits." + key, value.toString(), "a whole number from " + least);
@@ -233,7 +233,7 @@
     return value.asInt(absent);
   }
 
-  private static Malformed wrong(String key, String found, String wanted) {
-    return new Malformed(key + ": found " + found + ", wanted " + wanted);
+  private static MalformedInputException wrong(String key, String found, String wanted) {
+    return new MalformedInputException(key + ": found " + found + ", wanted " + wanted);
   }
 }
--- a/router/src/main/java/tidebank/config/SettingsReader.java
+++ b/router/src/main/java/tidebank/config/SettingsReader.java
@@ -4,9 +4,9 @@
 import com.fasterxml.jackson.databind.node.MissingNode;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import tidebank.model.Repeat;
+import tidebank.model.Idempotency;
 import tidebank.model.Settings;
-import tidebank.model.TableType;
+import tidebank.model.QueryClass;
 
 /**
  * Reads an instance's settings. A figure that is absent becomes the one that permits or promises
@@ -17,76 +17,76 @@
 
   private SettingsReader() {}
 
-  public static Settings read(JsonNode config) throws Malformed {
+  public static Settings read(JsonNode config) throws MalformedInputException {
     JsonNode limits = table(config, "limits");
     JsonNode rules = table(config, "guarantees");
     JsonNode layout = table(config, "specifics");
-    Map<String, TableType> types = new LinkedHashMap<>();
+    Map<String, QueryClass> types = new LinkedHashMap<>();
     JsonNode services = table(config, "services");
     for (int i = 0; i < services.size(); i++) {
-      TableType type = tableType(services.get(i), layout, i);
+      QueryClass type = tableType(services.get(i), layout, i);
       types.put(type.name(), type);
     }
     Map<String, Double> allowances = new LinkedHashMap<>();
     for (JsonNode tenant : table(config, "tenants")) {
-      double perSecond = Json.number(tenant, "allowancePerS", 0);
+      double perSecond = JsonFields.number(tenant, "allowancePerS", 0);
       if (perSecond > 0) {
-        allowances.put(Json.text(tenant, "name"), perSecond);
+        allowances.put(JsonFields.text(tenant, "name"), perSecond);
       }
     }
     return new Settings(
-        Math.max(1, Json.whole(config, "instances", 1)),
-        Json.whole(config, "rank", -1),
-        Math.max(1, Json.span(config, "tickMs", 1)),
+        Math.max(1, JsonFields.whole(config, "instances", 1)),
+        JsonFields.whole(config, "rank", -1),
+        Math.max(1, JsonFields.span(config, "tickMs", 1)),
         types,
         allowances,
-        Json.number(config, "overShareWorth", 1),
+        JsonFields.number(config, "overShareWorth", 1),
         new Settings.Layout(
-            Math.max(0, Json.whole(layout, "slices", 0)),
-            Math.max(0, Json.whole(layout, "positions", 0)),
-            Math.max(0, Json.whole(layout, "width", 0)),
-            Math.max(1, Json.whole(layout, "bundleMax", 1)),
-            Json.span(layout, "callMs", 0)),
+            Math.max(0, JsonFields.whole(layout, "slices", 0)),
+            Math.max(0, JsonFields.whole(layout, "positions", 0)),
+            Math.max(0, JsonFields.whole(layout, "width", 0)),
+            Math.max(1, JsonFields.whole(layout, "bundleMax", 1)),
+            JsonFields.span(layout, "callMs", 0)),
         new Settings.Limits(
-            Math.max(1, Json.whole(limits, "maxAttempts", 1)),
-            Json.flag(limits, "secondCopies"),
-            Json.flag(limits, "cancel"),
-            Json.flag(limits, "mayProbe"),
-            Json.flag(limits, "retryAfter"),
-            Json.span(limits, "maxRetryAfterMs", 0),
-            Json.whole(limits, "mostHeld", Integer.MAX_VALUE),
-            Json.text(config, "discovery", "push").equals("ask")),
+            Math.max(1, JsonFields.whole(limits, "maxAttempts", 1)),
+            JsonFields.flag(limits, "secondCopies"),
+            JsonFields.flag(limits, "cancel"),
+            JsonFields.flag(limits, "mayProbe"),
+            JsonFields.flag(limits, "retryAfter"),
+            JsonFields.span(limits, "maxRetryAfterMs", 0),
+            JsonFields.whole(limits, "mostHeld", Integer.MAX_VALUE),
+            JsonFields.text(config, "discovery", "push").equals("ask")),
         new Settings.Rules(
-            Json.span(rules, "answerSlackMs", 0),
-            Json.span(rules, "askEveryMs", MS_NEVER),
-            Json.span(rules, "stopSendingWithinMs", 0),
-            Json.number(rules, "coldFrom", 0),
-            Json.span(rules, "coldMs", 0),
-            Json.number(rules, "fallMultiple", 1),
-            Json.span(rules, "tipAfterMs", 0),
-            Json.number(rules, "freeResends", 0),
-            Json.number(rules, "extraRatio", 0),
-            Json.span(rules, "ratioSpanMs", 0)));
+            JsonFields.span(rules, "answerSlackMs", 0),
+            JsonFields.span(rules, "askEveryMs", MS_NEVER),
+            JsonFields.span(rules, "stopSendingWithinMs", 0),
+            JsonFields.number(rules, "coldFrom", 0),
+            JsonFields.span(rules, "coldMs", 0),
+            JsonFields.number(rules, "fallMultiple", 1),
+            JsonFields.span(rules, "tipAfterMs", 0),
+            JsonFields.number(rules, "freeResends", 0),
+            JsonFields.number(rules, "extraRatio", 0),
+            JsonFields.span(rules, "ratioSpanMs", 0)));
   }
 
-  private static TableType tableType(JsonNode service, JsonNode layout, int row) throws Malformed {
-    return new TableType(
-        Json.text(service, "name"),
-        repeat(Json.text(service, "semantics", "")),
-        Json.span(service, "windowMs", 0),
-        Json.span(service, "onTimeMs", Json.number(service, "deadlineMs", 0)),
-        Json.span(service, "deadlineMs", 0),
-        Json.number(service, "lateWorth", 0),
+  private static QueryClass tableType(JsonNode service, JsonNode layout, int row) throws MalformedInputException {
+    return new QueryClass(
+        JsonFields.text(service, "name"),
+        repeat(JsonFields.text(service, "semantics", "")),
+        JsonFields.span(service, "windowMs", 0),
+        JsonFields.span(service, "onTimeMs", JsonFields.number(service, "deadlineMs", 0)),
+        JsonFields.span(service, "deadlineMs", 0),
+        JsonFields.number(service, "lateWorth", 0),
         perRow(layout, "floorByClass", row, 1),
         perRow(layout, "classNeed", row, 1),
         (int) perRow(layout, "secondStep", row, 0));
   }
 
-  private static Repeat repeat(String semantics) {
+  private static Idempotency repeat(String semantics) {
     return switch (semantics) {
-      case "read_like" -> Repeat.REPLAYABLE;
-      case "idempotency_key" -> Repeat.KEYED;
-      default -> Repeat.NON_REPLAYABLE;
+      case "read_like" -> Idempotency.REPLAYABLE;
+      case "idempotency_key" -> Idempotency.KEYED;
+      default -> Idempotency.NON_REPLAYABLE;
     };
   }
 
--- a/router/src/main/java/tidebank/config/Toml.java
+++ b/router/src/main/java/tidebank/config/Toml.java
@@ -43,34 +43,34 @@
   private final List<Table> opened = new ArrayList<>();
   private final Table root;
 
-  private Toml(String name, String text) throws Malformed {
+  private Toml(String name, String text) throws MalformedInputException {
     this.name = name;
     JsonNode tree;
     try {
       tree = new TomlMapper().readTree(text);
     } catch (JsonProcessingException fault) {
       JsonLocation at = fault.getLocation();
-      throw new Malformed(
+      throw new MalformedInputException(
           name + (at == null ? "" : ":" + at.getLineNr()) + ": " + fault.getOriginalMessage());
     } catch (IOException | RuntimeException fault) {
-      throw new Malformed(name + ": no TOML: " + fault.getMessage());
+      throw new MalformedInputException(name + ": no TOML: " + fault.getMessage());
     }
     index(text);
     root = new Table("", tree);
   }
 
-  public static Toml read(Path file) throws Malformed {
+  public static Toml read(Path file) throws MalformedInputException {
     try {
       return new Toml(file.toString(), Files.readString(file));
     } catch (IOException | RuntimeException fault) {
-      if (fault instanceof Malformed malformed) {
+      if (fault instanceof MalformedInputException malformed) {
         throw malformed;
       }
-      throw new Malformed(file + ": cannot be read: " + fault.getClass().getSimpleName());
+      throw new MalformedInputException(file + ": cannot be read: " + fault.getClass().getSimpleName());
     }
   }
 
-  public static Toml read(String name, String text) throws Malformed {
+  public static Toml read(String name, String text) throws MalformedInputException {
     return new Toml(name, text);
   }
 
@@ -84,12 +84,12 @@
   }
 
   /** Throws if anything was wrong; keys that nobody asked for count as wrong. */
-  public void check() throws Malformed {
+  public void check() throws MalformedInputException {
     for (int i = 0; i < opened.size(); i++) {
       opened.get(i).unknown();
     }
     if (!faults.isEmpty()) {
-      throw new Malformed(String.join("\n", new LinkedHashSet<>(faults)));
+      throw new MalformedInputException(String.join("\n", new LinkedHashSet<>(faults)));
     }
   }
 
--- a/router/src/main/java/tidebank/discovery/DiscoverySide.java
+++ b/router/src/main/java/tidebank/discovery/DiscoveryClient.java
@@ -24,16 +24,16 @@
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tidebank.base.Counters;
-import tidebank.config.NodeConfig;
-import tidebank.discovery.ListReader.Members;
-import tidebank.model.Chance;
-import tidebank.model.Event.ListKind;
-import tidebank.model.ListCalls;
+import tidebank.metrics.Counters;
+import tidebank.config.RouterConfig;
+import tidebank.discovery.EndpointListParser.Members;
+import tidebank.model.SeededRandom;
+import tidebank.model.Event.ListUpdate;
+import tidebank.policy.WatchTimings;
 import tidebank.runtime.Clock;
-import tidebank.runtime.ListPort;
-import tidebank.runtime.PolicyDriver;
-import tidebank.runtime.Timers;
+import tidebank.runtime.DiscoveryPort;
+import tidebank.runtime.PolicyExecutor;
+import tidebank.runtime.TimerQueue;
 
 /**
  * Watches discovery on one connection: calls that wait for changes, each renewed at once. A watch
@@ -42,25 +42,25 @@
  * version is known or an answer did not fit. Any call that fails, in whatever way, ends the watch
  * and is told; when to begin again is not decided here. Where the settings promise that changes
  * come unasked, this side keeps that promise: it begins by itself, and again after each failure.
- * How long it waits for what is {@link ListCalls}'s to say.
+ * How long it waits for what is {@link WatchTimings}'s to say.
  */
-public final class DiscoverySide implements ListPort {
-  private static final Logger LOG = LoggerFactory.getLogger(DiscoverySide.class);
+public final class DiscoveryClient implements DiscoveryPort {
+  private static final Logger LOG = LoggerFactory.getLogger(DiscoveryClient.class);
   private static final String PATH = "/registry/instances";
 
   private final ObjectMapper mapper = new ObjectMapper();
-  private final NodeConfig.Transport transport;
+  private final RouterConfig.Transport transport;
   private final Bootstrap template;
-  private final PolicyDriver driver;
+  private final PolicyExecutor driver;
   private final Clock clock;
-  private final Timers timers;
+  private final TimerQueue timers;
   private final Counters counters;
-  private final Timers.Timer late = Timers.timer(() -> lost("no answer in time"));
-  private final Timers.Timer again = Timers.timer(() -> follow(true));
-  private final Timers.Timer renewal = Timers.timer(this::call);
+  private final TimerQueue.Timer late = TimerQueue.timer(() -> lost("no answer in time"));
+  private final TimerQueue.Timer again = TimerQueue.timer(() -> follow(true));
+  private final TimerQueue.Timer renewal = TimerQueue.timer(this::call);
   private final boolean unasked;
-  private final ListCalls times;
-  private final Chance chance;
+  private final WatchTimings times;
+  private final SeededRandom chance;
   private InetSocketAddress address;
   private Link link;
   private boolean following;
@@ -79,17 +79,17 @@
    */
   private long version = -1;
 
-  public DiscoverySide(
-      NodeConfig config,
+  public DiscoveryClient(
+      RouterConfig config,
       Bootstrap template,
-      PolicyDriver driver,
+      PolicyExecutor driver,
       Clock clock,
-      Timers timers,
+      TimerQueue timers,
       Counters counters) {
     this.transport = config.transport();
     this.address = config.discovery();
-    this.times = new ListCalls(config.settings());
-    this.chance = new Chance(config.seed());
+    this.times = new WatchTimings(config.settings());
+    this.chance = new SeededRandom(config.seed());
     this.unasked = !config.settings().limits().listOnRequest();
     this.template = template;
     this.driver = driver;
@@ -135,7 +135,7 @@
     address = to;
     version = -1;
     close();
-    driver.listSeen(ListKind.MOVED, List.of());
+    driver.listSeen(ListUpdate.MOVED, List.of());
     begin();
   }
 
@@ -180,7 +180,7 @@
       if (unasked) {
         timers.set(again, clock.now() + times.failedUnaskedUs(chance.next()));
       } else {
-        driver.listSeen(ListKind.LOST, List.of());
+        driver.listSeen(ListUpdate.LOST, List.of());
       }
     }
   }
@@ -192,7 +192,7 @@
     }
     Members list;
     try (InputStream in = new ByteBufInputStream(response.content())) {
-      list = ListReader.read(mapper.readTree(in));
+      list = EndpointListParser.read(mapper.readTree(in));
     } catch (IOException fault) {
       counters.fault("list.malformed", fault.getMessage());
       astray("a list that can't be read");
@@ -210,7 +210,7 @@
     version = list.version();
     if (!confirmed || list.whole() || !list.members().isEmpty()) {
       confirmed = true;
-      driver.listSeen(list.whole() ? ListKind.FULL : ListKind.CHANGES, list.members());
+      driver.listSeen(list.whole() ? ListUpdate.FULL : ListUpdate.CHANGES, list.members());
     }
     // An answer without a length ends with its connection.
     if (!HttpUtil.isKeepAlive(response) || !link.channel.isActive()) {
--- a/router/src/main/java/tidebank/base/TidebankException.java
+++ b/router/src/main/java/tidebank/errors/TidebankException.java
@@ -1,4 +1,4 @@
-package tidebank.base;
+package tidebank.errors;
 
 import java.io.IOException;
 import java.io.Serial;
@@ -67,11 +67,11 @@
   }
 
   /** A fault that was told over a wire, as it was told there. */
-  public static final class Refused extends TidebankException {
+  public static final class RequestRejected extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
     private final transient Details told;
 
-    public Refused(Details told) {
+    public RequestRejected(Details told) {
       super(told.what());
       this.told = told;
     }
@@ -92,10 +92,10 @@
     return entries().stream().filter(entry -> entry.code().equals(code)).findFirst();
   }
 
-  /** All conditions there are, but for {@link Refused}, which stands for any. */
+  /** All conditions there are, but for {@link RequestRejected}, which stands for any. */
   public static List<Entry> entries() {
     return Arrays.stream(TidebankException.class.getPermittedSubclasses())
-        .filter(type -> type != Refused.class)
+        .filter(type -> type != RequestRejected.class)
         .map(type -> type.getAnnotation(Entry.class))
         .toList();
   }
@@ -109,10 +109,10 @@
       advice =
           "Compare the name with those under duties.names in deploy/steward.toml; add it there and"
               + " restart the stewards one after the other.")
-  public static final class DutyUnknown extends TidebankException {
+  public static final class TaskNotFound extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
 
-    public DutyUnknown(String duty) {
+    public TaskNotFound(String duty) {
       super("no duty is called '" + duty + "'");
     }
   }
@@ -124,10 +124,10 @@
       advice =
           "Nothing needs doing: an owner that has gone loses the duty when its lease ends. tidebank"
               + " fleet duties shows who holds it.")
-  public static final class DutyHeld extends TidebankException {
+  public static final class LeaseHeldByOther extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
 
-    public DutyHeld(String duty, String owner, long leftUs) {
+    public LeaseHeldByOther(String duty, String owner, long leftUs) {
       super("duty '" + duty + "' is held by " + owner + " for up to " + leftUs / 1000 + " ms more");
     }
   }
@@ -139,10 +139,10 @@
       advice =
           "Nothing needs doing where a duty was moved. To have it at a member of your choice:"
               + " tidebank fleet move DUTY --to NAME.")
-  public static final class DutyElsewhere extends TidebankException {
+  public static final class TaskAssignedElsewhere extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
 
-    public DutyElsewhere(String duty, String wanted, String asker) {
+    public TaskAssignedElsewhere(String duty, String wanted, String asker) {
       super(
           "duty '"
               + duty
@@ -161,10 +161,10 @@
           "Nothing needs doing: a successor is at work, and what the old owner wanted to do was"
               + " kept from taking effect. If it comes often, see why owners stall: their log,"
               + " their processor share.")
-  public static final class TokenOld extends TidebankException {
+  public static final class StaleFencingToken extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
 
-    public TokenOld(String duty, long given, long current) {
+    public StaleFencingToken(String duty, long given, long current) {
       super("token " + given + " of duty '" + duty + "' is not the current one, " + current);
     }
   }
@@ -177,10 +177,10 @@
           "Nothing needs doing: the duty is claimed anew with a new token. If it comes often,"
               + " renewals take longer than the lease: raise lease.ms in deploy/steward.toml, or"
               + " see what slows the stewards.")
-  public static final class LeaseOver extends TidebankException {
+  public static final class LeaseExpired extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
 
-    public LeaseOver(String duty, long token) {
+    public LeaseExpired(String duty, long token) {
       super("the lease of duty '" + duty + "' under token " + token + " is over");
     }
   }
@@ -242,10 +242,10 @@
       advice =
           "Raise limits.members in deploy/steward.toml and restart the stewards one after the"
               + " other. Names that fell silent make room by themselves, retired ones do not.")
-  public static final class MembersFull extends TidebankException {
+  public static final class MemberLimitReached extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
 
-    public MembersFull(int most) {
+    public MemberLimitReached(int most) {
       super("there are " + most + " members, as many as may be");
     }
   }
@@ -257,10 +257,10 @@
       advice =
           "An older call of a session came after a newer one. If it is not a late copy, two"
               + " processes share a session: restart one.")
-  public static final class CallOld extends TidebankException {
+  public static final class StaleSequenceNumber extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
 
-    public CallOld(String session, long number, long last) {
+    public StaleSequenceNumber(String session, long number, long last) {
       super("call " + number + " of session " + session + " came after call " + last);
     }
   }
@@ -272,10 +272,10 @@
       advice =
           "Read what is published now, and decide again: tidebank fleet duties --json shows"
               + " revision and value.")
-  public static final class RevisionMoved extends TidebankException {
+  public static final class RevisionConflict extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
 
-    public RevisionMoved(String duty, long given, long current) {
+    public RevisionConflict(String duty, long given, long current) {
       super(
           "what is published under duty '"
               + duty
@@ -292,10 +292,10 @@
       again = Retry.NO,
       advice =
           "Shorten what is published: it is to name a file of the fleet's folder, not to hold it.")
-  public static final class ValueLong extends TidebankException {
+  public static final class ValueTooLarge extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
 
-    public ValueLong(String field, int length, int most) {
+    public ValueTooLarge(String field, int length, int most) {
       super("field '" + field + "' has " + length + " characters, " + most + " at most may be");
     }
   }
@@ -307,10 +307,10 @@
       advice =
           "Give the gatherer a NODE_NAME of letters, digits, and . _ - within, as a file of the"
               + " fleet's folder is named after it.")
-  public static final class NameUnfit extends TidebankException {
+  public static final class InvalidName extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
 
-    public NameUnfit(String name) {
+    public InvalidName(String name) {
       super("'" + name + "' can't be a member's name");
     }
   }
@@ -336,10 +336,10 @@
       code = "TB-1015",
       again = Retry.NO,
       advice = "Compare the name with those that tidebank fleet members lists.")
-  public static final class NobodyCalled extends TidebankException {
+  public static final class MemberNotFound extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
 
-    public NobodyCalled(String name) {
+    public MemberNotFound(String name) {
       super("no member is called '" + name + "'");
     }
   }
@@ -400,10 +400,10 @@
       advice =
           "Correct the body: docs/fleet-control.md shows one of each kind. A body has 64 KiB at"
               + " most.")
-  public static final class CallMalformed extends TidebankException {
+  public static final class MalformedRequest extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
 
-    public CallMalformed(String what) {
+    public MalformedRequest(String what) {
       super("the call can't be read: " + what);
     }
   }
@@ -430,10 +430,10 @@
       advice =
           "See that the stewards run and that the addresses given by --stewards are those of http"
               + " in deploy/steward.toml.")
-  public static final class StewardsUnreached extends TidebankException {
+  public static final class CoordinatorUnavailable extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
 
-    public StewardsUnreached(String tried) {
+    public CoordinatorUnavailable(String tried) {
       super("no steward could be reached: " + tried);
     }
   }
@@ -446,10 +446,10 @@
           "Bring the folder back from a copy. Without one, and only while all other stewards run:"
               + " move it away, start this steward empty, then restart the one that leads, and wait"
               + " until this one has written a snapshot.")
-  public static final class SnapshotDamaged extends TidebankException {
+  public static final class CorruptSnapshot extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
 
-    public SnapshotDamaged(String file, String what) {
+    public CorruptSnapshot(String file, String what) {
       super("snapshot " + file + " can't be used: " + what);
     }
   }
@@ -461,10 +461,10 @@
       advice =
           "Make the folder of deploy/steward.toml writable for the steward's user, free some space"
               + " in it, or name another one; and end any other steward that uses it.")
-  public static final class FolderUnusable extends TidebankException {
+  public static final class DataDirectoryUnusable extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
 
-    public FolderUnusable(String folder, String what) {
+    public DataDirectoryUnusable(String folder, String what) {
       super("folder " + folder + " can't be used: " + what);
     }
   }
--- a/router/src/main/java/tidebank/fleet/Handover.java
+++ b/router/src/main/java/tidebank/fleet/AgentMailbox.java
@@ -12,7 +12,7 @@
  * taken at most once and never lost; once {@link #leave} has been called, {@link #leaving} is true
  * for all.
  */
-public final class Handover {
+public final class AgentMailbox {
   /** A request is out. The agent's alone. */
   private boolean out;
 
--- a/router/src/main/java/tidebank/fleet/StewardLink.java
+++ b/router/src/main/java/tidebank/fleet/CoordinatorSession.java
@@ -9,23 +9,23 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Optional;
-import tidebank.base.TidebankException;
-import tidebank.lease.Answer;
-import tidebank.lease.Command;
-import tidebank.lease.LeaseBook;
+import tidebank.errors.TidebankException;
+import tidebank.lease.CommandResult;
+import tidebank.lease.LeaseCommand;
+import tidebank.lease.LeaseTable;
 
 /**
  * A member's calls to the stewards, one at a time, on the agent's thread. Remembers who answered
  * last.
  */
-final class StewardLink {
+final class CoordinatorSession {
   private static final int TIMEOUT_MS = 1000;
 
   private final List<String> stewards;
   private String next;
   private int turn;
 
-  StewardLink(List<String> stewards) {
+  CoordinatorSession(List<String> stewards) {
     this.stewards = List.copyOf(stewards);
     next = stewards.get(0);
   }
@@ -34,16 +34,16 @@
    * What the stewards made of it, or nothing: it may or may not have taken effect, and may be sent
    * again.
    */
-  Optional<Answer> command(Command command) throws IOException {
+  Optional<CommandResult> command(LeaseCommand command) throws IOException {
     byte[] body = call("/fleet/command", LeaseCodec.bytes(command), TIMEOUT_MS);
-    return body == null ? Optional.empty() : Optional.of(LeaseCodec.read(body, Answer.class));
+    return body == null ? Optional.empty() : Optional.of(LeaseCodec.read(body, CommandResult.class));
   }
 
-  Optional<LeaseBook.State> state() throws IOException {
+  Optional<LeaseTable.State> state() throws IOException {
     byte[] body = call("/fleet/state", null, TIMEOUT_MS);
     return body == null
         ? Optional.empty()
-        : Optional.of(LeaseCodec.read(body, LeaseBook.State.class));
+        : Optional.of(LeaseCodec.read(body, LeaseTable.State.class));
   }
 
   /**
@@ -57,7 +57,7 @@
   }
 
   /** The body of a good answer; null where none was got, and the next call goes to another. */
-  private byte[] call(String path, byte[] body, int timeoutMs) throws TidebankException.Refused {
+  private byte[] call(String path, byte[] body, int timeoutMs) throws TidebankException.RequestRejected {
     String asked = next;
     try {
       HttpURLConnection call =
@@ -79,14 +79,14 @@
           return answer;
         }
         TidebankException.Details told =
-            answer.length == 0 ? null : LeaseCodec.read(answer, Answer.class).fault();
+            answer.length == 0 ? null : LeaseCodec.read(answer, CommandResult.class).fault();
         if (told != null && told.again() == TidebankException.Retry.NO) {
-          throw new TidebankException.Refused(told);
+          throw new TidebankException.RequestRejected(told);
         }
         String leader = call.getHeaderField("Location");
         next = leader == null ? another() : URI.create(leader).getAuthority();
       }
-    } catch (TidebankException.Refused fault) {
+    } catch (TidebankException.RequestRejected fault) {
       throw fault;
     } catch (IOException fault) {
       next = another();
--- a/router/src/main/java/tidebank/fleet/FleetAgent.java
+++ b/router/src/main/java/tidebank/fleet/FleetAgent.java
@@ -10,15 +10,15 @@
 import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tidebank.base.TidebankException;
-import tidebank.lease.Answer;
-import tidebank.lease.Command;
-import tidebank.lease.Holder;
-import tidebank.lease.LeaseBook;
+import tidebank.errors.TidebankException;
+import tidebank.lease.CommandResult;
+import tidebank.lease.LeaseCommand;
+import tidebank.lease.LeaseHolder;
+import tidebank.lease.LeaseTable;
 
 /**
  * A gatherer's part in the fleet, on a thread of its own: it stays a member, owns the duties that
- * are meant for it, and does them. Nothing of it touches the event loop but by a {@link Handover};
+ * are meant for it, and does them. Nothing of it touches the event loop but by a {@link AgentMailbox};
  * neither waits for the other. If the stewards are gone it stops its duties and goes on asking;
  * scans notice nothing.
  */
@@ -56,12 +56,12 @@
   private final String session = UUID.randomUUID().toString();
   private final Supplier<SortedMap<String, Long>> counters;
   private final Executor loop;
-  private final Handover handover = new Handover();
-  private final Holder holder;
-  private final StewardLink link;
+  private final AgentMailbox handover = new AgentMailbox();
+  private final LeaseHolder holder;
+  private final CoordinatorSession link;
   private final Thread thread;
   private final Thread waiter;
-  private FleetFolder folder;
+  private SharedFolder folder;
   private long toldAt;
   private long sequence;
   private long reportAt;
@@ -78,8 +78,8 @@
     this.plan = plan;
     this.name = name;
     this.counters = counters;
-    holder = new Holder(name, session);
-    link = new StewardLink(plan.stewards());
+    holder = new LeaseHolder(name, session);
+    link = new CoordinatorSession(plan.stewards());
     thread = new Thread(this::run, "fleet agent");
     thread.setDaemon(true);
     waiter = new Thread(this::hear, "fleet news");
@@ -145,7 +145,7 @@
    * renewal.
    */
   private void hear() {
-    StewardLink own = new StewardLink(plan.stewards());
+    CoordinatorSession own = new CoordinatorSession(plan.stewards());
     while (!handover.leaving()) {
       try {
         if (own.news(name, NEWS_MS)) {
@@ -165,19 +165,19 @@
     return call(holder.ask(now())) != null;
   }
 
-  private Answer call(Command command) throws IOException {
+  private CommandResult call(LeaseCommand command) throws IOException {
     if (command == null) {
       return null;
     }
     while (true) {
-      Optional<Answer> answer = link.command(command);
+      Optional<CommandResult> answer = link.command(command);
       if (answer.isPresent() && answer.get().terms() != null) {
         holder.answered(command.number(), answer.get(), now());
         if (answer.get().fault() != null) {
           say(answer.get().fault());
         } else {
           said = "";
-          if (command.kind() == Command.Kind.CLAIM) {
+          if (command.kind() == LeaseCommand.Kind.CLAIM) {
             LOG.info(
                 "owns duty "
                     + command.duty()
@@ -187,8 +187,8 @@
         }
         return answer.get();
       }
-      if (handover.leaving() && command.kind() != Command.Kind.LEAVE) {
-        throw new TidebankException.StewardsUnreached(plan.stewards().toString());
+      if (handover.leaving() && command.kind() != LeaseCommand.Kind.LEAVE) {
+        throw new TidebankException.CoordinatorUnavailable(plan.stewards().toString());
       }
       pause();
     }
@@ -210,8 +210,8 @@
     }
   }
 
-  private FleetFolder folder() throws IOException {
-    folder = folder == null ? new FleetFolder(plan.folder()) : folder;
+  private SharedFolder folder() throws IOException {
+    folder = folder == null ? new SharedFolder(plan.folder()) : folder;
     return folder;
   }
 
@@ -222,7 +222,7 @@
     SortedMap<String, Long> told = handover.take();
     if (told != null) {
       toldAt = now();
-      folder().tell(name, new FleetReport.Told(session, ++sequence, told));
+      folder().tell(name, new FleetReport.MemberCounters(session, ++sequence, told));
     }
   }
 
@@ -237,27 +237,27 @@
       return;
     }
     reportAt = now();
-    Optional<LeaseBook.State> state = link.state();
-    LeaseBook.Duty duty = duty(state, REPORT);
+    Optional<LeaseTable.State> state = link.state();
+    LeaseTable.TaskLease duty = duty(state, REPORT);
     if (duty == null) {
       return;
     }
     List<String> alive =
         state.get().members().stream()
             .filter(member -> member.aliveUntil() > state.get().now())
-            .map(LeaseBook.Member::name)
+            .map(LeaseTable.Member::name)
             .toList();
     FleetReport next =
         folder().read(duty.value()).next(duty.value(), token, alive, folder().told());
     String written = folder().write(next);
-    Answer answer = call(holder.publish(REPORT, duty.revision(), written, now()));
+    CommandResult answer = call(holder.publish(REPORT, duty.revision(), written, now()));
     if (answer != null && answer.fault() == null) {
       LOG.info("published " + written);
       folder().tidy(next);
     }
   }
 
-  private static LeaseBook.Duty duty(Optional<LeaseBook.State> state, String name) {
+  private static LeaseTable.TaskLease duty(Optional<LeaseTable.State> state, String name) {
     return state
         .flatMap(
             known -> known.duties().stream().filter(one -> one.name().equals(name)).findFirst())
@@ -275,14 +275,14 @@
       return;
     }
     retainAt = now();
-    Optional<LeaseBook.State> state = link.state();
-    LeaseBook.Duty duty = duty(state, RETENTION);
+    Optional<LeaseTable.State> state = link.state();
+    LeaseTable.TaskLease duty = duty(state, RETENTION);
     if (duty == null) {
       return;
     }
     Retention before = folder().removal(duty.value());
     folder().remove(before);
-    LeaseBook.Duty report = duty(state, REPORT);
+    LeaseTable.TaskLease report = duty(state, REPORT);
     Retention next =
         before.next(
             duty.value(),
@@ -293,7 +293,7 @@
     if (next.names().isEmpty()) {
       return;
     }
-    Answer answer = call(holder.publish(RETENTION, duty.revision(), folder().write(next), now()));
+    CommandResult answer = call(holder.publish(RETENTION, duty.revision(), folder().write(next), now()));
     if (answer != null && answer.fault() == null && holder.mayAct(RETENTION, now(), 0) == token) {
       LOG.info(
           "removed "
--- a/router/src/main/java/tidebank/fleet/FleetReport.java
+++ b/router/src/main/java/tidebank/fleet/FleetReport.java
@@ -25,12 +25,12 @@
     long token,
     SortedMap<String, Long> window,
     List<String> missing,
-    SortedMap<String, Told> members) {
+    SortedMap<String, MemberCounters> members) {
   /**
    * What a member told: which start of it, the how manieth time, and all it has counted since that
    * start.
    */
-  public record Told(String session, long sequence, SortedMap<String, Long> counters) {}
+  public record MemberCounters(String session, long sequence, SortedMap<String, Long> counters) {}
 
   /** The first has none before it. */
   public static final FleetReport NONE =
@@ -44,9 +44,9 @@
    * @param alive who is a member now
    * @param told the newest of each, where there is one
    */
-  public FleetReport next(String published, long by, List<String> alive, Map<String, Told> told) {
+  public FleetReport next(String published, long by, List<String> alive, Map<String, MemberCounters> told) {
     SortedMap<String, Long> sum = new TreeMap<>();
-    SortedMap<String, Told> kept = new TreeMap<>();
+    SortedMap<String, MemberCounters> kept = new TreeMap<>();
     List<String> silent = new ArrayList<>();
     // Who is a member and has no file now was counted before, and is not to be counted again once
     // it is there.
@@ -58,7 +58,7 @@
         });
     told.forEach(
         (name, now) -> {
-          Told before = members.get(name);
+          MemberCounters before = members.get(name);
           boolean same = before != null && before.session().equals(now.session());
           if (same && now.sequence() <= before.sequence()) {
             // Told nothing new, or an older file came back: what was counted stays counted.
--- a/router/src/main/java/tidebank/fleet/LeaseCodec.java
+++ b/router/src/main/java/tidebank/fleet/LeaseCodec.java
@@ -4,8 +4,8 @@
 import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
-import tidebank.base.TidebankException;
-import tidebank.lease.Command;
+import tidebank.errors.TidebankException;
+import tidebank.lease.LeaseCommand;
 
 /** Commands, answers and state as JSON, on the wire and in the log. */
 public final class LeaseCodec {
@@ -29,20 +29,20 @@
   /**
    * A command from outside: any text is possible, and no field may be missing that its kind needs.
    */
-  public static Command command(byte[] body) throws TidebankException.CallMalformed {
-    Command command;
+  public static LeaseCommand command(byte[] body) throws TidebankException.MalformedRequest {
+    LeaseCommand command;
     try {
-      command = read(body, Command.class);
+      command = read(body, LeaseCommand.class);
     } catch (JsonProcessingException fault) {
-      throw new TidebankException.CallMalformed(fault.getOriginalMessage().split("\n")[0]);
+      throw new TidebankException.MalformedRequest(fault.getOriginalMessage().split("\n")[0]);
     } catch (IOException fault) {
-      throw new TidebankException.CallMalformed(fault.getMessage());
+      throw new TidebankException.MalformedRequest(fault.getMessage());
     }
-    if (command == null || command.kind() == null || command.kind() == Command.Kind.PLAN) {
-      throw new TidebankException.CallMalformed("field 'kind' names no command");
+    if (command == null || command.kind() == null || command.kind() == LeaseCommand.Kind.PLAN) {
+      throw new TidebankException.MalformedRequest("field 'kind' names no command");
     }
-    Command whole =
-        new Command(
+    LeaseCommand whole =
+        new LeaseCommand(
             command.kind(),
             text(command.session()),
             command.number(),
@@ -53,11 +53,11 @@
             text(command.value()),
             null);
     if (whole.session().isEmpty() || whole.session().length() > 128 || whole.number() < 1) {
-      throw new TidebankException.CallMalformed(
+      throw new TidebankException.MalformedRequest(
           "field 'session' is to be a text of 1 to 128 characters, 'number' to be from 1 up");
     }
-    if (whole.name().isEmpty() && command.kind() != Command.Kind.MOVE) {
-      throw new TidebankException.CallMalformed("field 'name' is missing");
+    if (whole.name().isEmpty() && command.kind() != LeaseCommand.Kind.MOVE) {
+      throw new TidebankException.MalformedRequest("field 'name' is missing");
     }
     return whole;
   }
--- a/router/src/main/java/tidebank/fleet/FleetFolder.java
+++ b/router/src/main/java/tidebank/fleet/SharedFolder.java
@@ -23,14 +23,14 @@
 import java.util.stream.Stream;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tidebank.base.TidebankException;
+import tidebank.errors.TidebankException;
 
 /**
  * The folder that all members share: what each has counted, and the reports. Every file is there
  * whole or not at all.
  */
-final class FleetFolder {
-  private static final Logger LOG = LoggerFactory.getLogger(FleetFolder.class);
+final class SharedFolder {
+  private static final Logger LOG = LoggerFactory.getLogger(SharedFolder.class);
   private static final int REPORTS_KEPT = 100;
   private static final int BETWEEN = 1000;
   private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]*");
@@ -45,16 +45,16 @@
   private final Path reports;
   private final Path removals;
 
-  FleetFolder(Path folder) throws IOException {
+  SharedFolder(Path folder) throws IOException {
     this.folder = folder;
     removals = Files.createDirectories(folder.resolve("removals"));
     told = Files.createDirectories(folder.resolve("told"));
     reports = Files.createDirectories(folder.resolve("reports"));
   }
 
-  void tell(String name, FleetReport.Told now) throws IOException {
+  void tell(String name, FleetReport.MemberCounters now) throws IOException {
     if (!NAME.matcher(name).matches()) {
-      throw new TidebankException.NameUnfit(name);
+      throw new TidebankException.InvalidName(name);
     }
     put(told.resolve(name + ".json"), LeaseCodec.bytes(now));
   }
@@ -63,8 +63,8 @@
    * What members told last. A file that can't be read counts as none: its member is named as
    * missing.
    */
-  Map<String, FleetReport.Told> told() throws IOException {
-    Map<String, FleetReport.Told> all = new TreeMap<>();
+  Map<String, FleetReport.MemberCounters> told() throws IOException {
+    Map<String, FleetReport.MemberCounters> all = new TreeMap<>();
     try (Stream<Path> files = Files.list(told)) {
       for (Path file :
           files.filter(one -> one.getFileName().toString().endsWith(".json")).toList()) {
@@ -72,7 +72,7 @@
         try {
           all.put(
               name.substring(0, name.length() - 5),
-              LeaseCodec.read(Files.readAllBytes(file), FleetReport.Told.class));
+              LeaseCodec.read(Files.readAllBytes(file), FleetReport.MemberCounters.class));
         } catch (IOException fault) {
           LOG.warn("what " + name + " holds can't be read: " + fault.getMessage());
         }
--- a/router/src/main/java/tidebank/frontend/ClientConnection.java
+++ b/router/src/main/java/tidebank/frontend/ClientConnection.java
@@ -19,7 +19,7 @@
 import java.util.ArrayDeque;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tidebank.runtime.Timers;
+import tidebank.runtime.TimerQueue;
 
 /**
  * One client's connection. Requests that come before earlier ones are answered are answered in
@@ -35,20 +35,20 @@
   private static final ChannelFutureListener HALF_CLOSE =
       done -> ((DuplexChannel) done.channel()).shutdownOutput();
 
-  private final ClientSide side;
+  private final ClientServer side;
   private final boolean surplus;
-  private final ArrayDeque<Exchange> exchanges = new ArrayDeque<>();
+  private final ArrayDeque<HttpExchange> exchanges = new ArrayDeque<>();
 
   /** A first or next request that does not come whole. */
-  private final Timers.Timer requestTimer = Timers.timer(this::requestTimedOut);
+  private final TimerQueue.Timer requestTimer = TimerQueue.timer(this::requestTimedOut);
 
   /** Answers that the client does not read. */
-  private final Timers.Timer unreadTimer =
-      Timers.timer(() -> timedOut("front.closed-unread", "answers not read"));
+  private final TimerQueue.Timer unreadTimer =
+      TimerQueue.timer(() -> timedOut("front.closed-unread", "answers not read"));
 
   /** A client that stays past its last answer. */
-  private final Timers.Timer lingerTimer =
-      Timers.timer(() -> timedOut("front.closed-lingering", "stayed past its last answer"));
+  private final TimerQueue.Timer lingerTimer =
+      TimerQueue.timer(() -> timedOut("front.closed-lingering", "stayed past its last answer"));
 
   private Channel channel;
   private long connectedAt;
@@ -70,7 +70,7 @@
    */
   private boolean lingering;
 
-  ClientConnection(ClientSide side, boolean surplus) {
+  ClientConnection(ClientServer side, boolean surplus) {
     this.side = side;
     this.surplus = surplus;
   }
@@ -137,7 +137,7 @@
     start(requestTimer);
   }
 
-  private void start(Timers.Timer timer) {
+  private void start(TimerQueue.Timer timer) {
     side.timers.set(timer, side.clock.now() + side.transport.requestWithinUs());
   }
 
@@ -194,7 +194,7 @@
   }
 
   private void took(FullHttpRequest request, long at) {
-    Exchange exchange = new Exchange(this);
+    HttpExchange exchange = new HttpExchange(this);
     exchanges.add(exchange);
     trace.read();
     ending = !HttpUtil.isKeepAlive(request);
@@ -229,14 +229,14 @@
    * What is no request of this protocol ends its connection: whoever goes on like that holds no
    * place here.
    */
-  void reject(Exchange exchange, HttpResponseStatus status, String text) {
+  void reject(HttpExchange exchange, HttpResponseStatus status, String text) {
     ending = true;
     exchange.respond(status, text);
   }
 
   /** Answers a request whose body is not kept: what still comes of it is read and dropped. */
   private void refuse(HttpResponseStatus status, String text) {
-    Exchange exchange = new Exchange(this);
+    HttpExchange exchange = new HttpExchange(this);
     exchanges.add(exchange);
     ending = true;
     headAt = 0;
@@ -328,7 +328,7 @@
       trace.ended(exchanges.size(), headAt != 0);
     }
     side.left(this);
-    for (Exchange exchange : exchanges) {
+    for (HttpExchange exchange : exchanges) {
       if (exchange.scan != null) {
         trace.left(exchange.scan);
         side.driver.scanLapsed(exchange.scan.id());
--- a/router/src/main/java/tidebank/frontend/ClientSide.java
+++ b/router/src/main/java/tidebank/frontend/ClientServer.java
@@ -16,22 +16,22 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.BooleanSupplier;
-import tidebank.base.Counters;
-import tidebank.config.NodeConfig;
+import tidebank.metrics.Counters;
+import tidebank.config.RouterConfig;
 import tidebank.runtime.Clock;
-import tidebank.runtime.PolicyDriver;
-import tidebank.runtime.Timers;
+import tidebank.runtime.PolicyExecutor;
+import tidebank.runtime.TimerQueue;
 
 /** Listens for clients and keeps their connections within their budget. */
-public final class ClientSide {
-  final PolicyDriver driver;
+public final class ClientServer {
+  final PolicyExecutor driver;
   final Clock clock;
-  final Timers timers;
+  final TimerQueue timers;
   final Counters counters;
-  final ScanReader reader;
+  final QueryRequestParser reader;
   final RequestRouter router;
-  final NodeConfig.Transport transport;
-  private final NodeConfig config;
+  final RouterConfig.Transport transport;
+  private final RouterConfig config;
   private final BooleanSupplier ready;
   private final Set<ClientConnection> connections = new LinkedHashSet<>();
 
@@ -47,11 +47,11 @@
   private boolean draining;
   private boolean ended;
 
-  public ClientSide(
-      NodeConfig config,
-      PolicyDriver driver,
+  public ClientServer(
+      RouterConfig config,
+      PolicyExecutor driver,
       Clock clock,
-      Timers timers,
+      TimerQueue timers,
       Counters counters,
       BooleanSupplier ready) {
     this.config = config;
@@ -60,7 +60,7 @@
     this.timers = timers;
     this.counters = counters;
     this.ready = ready;
-    this.reader = new ScanReader(config.settings());
+    this.reader = new QueryRequestParser(config.settings());
     this.router = new RequestRouter(this);
     this.transport = config.transport();
     this.listener = new Listener(clock, timers, counters);
--- a/router/src/main/java/tidebank/frontend/Exchange.java
+++ b/router/src/main/java/tidebank/frontend/HttpExchange.java
@@ -17,22 +17,22 @@
 import java.util.Locale;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tidebank.runtime.Reply;
-import tidebank.runtime.ScanRequest;
+import tidebank.runtime.ResponseCallback;
+import tidebank.runtime.QueryRequest;
 
 /** One request on a client's connection and, once it is there, its response. */
-final class Exchange implements Reply {
-  private static final Logger LOG = LoggerFactory.getLogger(Exchange.class);
+final class HttpExchange implements ResponseCallback {
+  private static final Logger LOG = LoggerFactory.getLogger(HttpExchange.class);
   private static final JsonFactory JSON = new JsonFactory();
 
   private final ClientConnection connection;
 
   /** The scan that was taken from it and is not answered yet, or null. */
-  ScanRequest scan;
+  QueryRequest scan;
 
   FullHttpResponse response;
 
-  Exchange(ClientConnection connection) {
+  HttpExchange(ClientConnection connection) {
     this.connection = connection;
   }
 
--- a/router/src/main/java/tidebank/frontend/Listener.java
+++ b/router/src/main/java/tidebank/frontend/Listener.java
@@ -8,9 +8,9 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.nio.AbstractNioChannel;
 import java.net.InetSocketAddress;
-import tidebank.base.Counters;
+import tidebank.metrics.Counters;
 import tidebank.runtime.Clock;
-import tidebank.runtime.Timers;
+import tidebank.runtime.TimerQueue;
 
 /**
  * The listening socket. It accepts unless its owner has no room, or the system could not accept a
@@ -27,9 +27,9 @@
   private static final long NEVER = Long.MAX_VALUE;
 
   private final Clock clock;
-  private final Timers timers;
+  private final TimerQueue timers;
   private final Counters counters;
-  private final Timers.Timer retry = Timers.timer(this::retry);
+  private final TimerQueue.Timer retry = TimerQueue.timer(this::retry);
   private Channel channel;
   private boolean full;
   private long backoffUs = BACKOFF_LEAST_US;
@@ -40,7 +40,7 @@
   /** The latest pass accepted all who waited, unless a fault of it is still to be told. */
   private boolean drained;
 
-  Listener(Clock clock, Timers timers, Counters counters) {
+  Listener(Clock clock, TimerQueue timers, Counters counters) {
     this.clock = clock;
     this.timers = timers;
     this.counters = counters;
--- a/router/src/main/java/tidebank/frontend/ScanReader.java
+++ b/router/src/main/java/tidebank/frontend/QueryRequestParser.java
@@ -18,17 +18,17 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import tidebank.model.Settings;
-import tidebank.runtime.ScanRequest;
-import tidebank.runtime.ScanRequest.Range;
+import tidebank.runtime.QueryRequest;
+import tidebank.runtime.QueryRequest.ShardRange;
 
 /** Reads and checks a scan. */
-final class ScanReader {
+final class QueryRequestParser {
   /** A request that is not a scan of this protocol, and the status that says so. */
-  static final class Rejected extends Exception {
+  static final class InvalidRequestException extends Exception {
     private static final long serialVersionUID = 1L;
     final int status;
 
-    Rejected(int status, String text) {
+    InvalidRequestException(int status, String text) {
       super(text, null, false, false);
       this.status = status;
     }
@@ -47,7 +47,7 @@
           .build();
   private final Settings settings;
 
-  ScanReader(Settings settings) {
+  QueryRequestParser(Settings settings) {
     this.settings = settings;
   }
 
@@ -55,29 +55,29 @@
    * Reads the scan of a request whose head came at {@code headAt}, from when its client's time
    * runs, and whose last byte came at {@code wholeAt}, from when its service counts.
    */
-  ScanRequest read(FullHttpRequest request, String type, long headAt, long wholeAt)
-      throws Rejected {
+  QueryRequest read(FullHttpRequest request, String type, long headAt, long wholeAt)
+      throws InvalidRequestException {
     if (!settings.tableTypes().containsKey(type)) {
-      throw new Rejected(404, "unknown table type");
+      throw new InvalidRequestException(404, "unknown table type");
     }
     String id = request.headers().get("X-Correlation-Id", "");
     if (!ID.matcher(id).matches()) {
-      throw new Rejected(400, "X-Correlation-Id is missing or no plain id");
+      throw new InvalidRequestException(400, "X-Correlation-Id is missing or no plain id");
     }
     long limitAt = headAt + timeLeft(request.headers().get("X-Time-Left", ""));
     JsonNode body;
     try (InputStream in = new ByteBufInputStream(request.content())) {
       body = mapper.readTree(in);
     } catch (IOException fault) {
-      throw new Rejected(400, "the body is no JSON");
+      throw new InvalidRequestException(400, "the body is no JSON");
     }
     JsonNode predicate = body.path("predicate");
     if (!predicate.isTextual()) {
-      throw new Rejected(400, "predicate is missing or no text");
+      throw new InvalidRequestException(400, "predicate is missing or no text");
     }
     // No client waits longer than its table type's query timeout, whatever it says.
     limitAt = Math.min(limitAt, headAt + settings.tableTypes().get(type).timeoutUs());
-    return new ScanRequest(
+    return new QueryRequest(
         id,
         type,
         request.headers().get("X-Account", ""),
@@ -89,24 +89,24 @@
         ranges(body.path("ranges")));
   }
 
-  private static long timeLeft(String text) throws Rejected {
+  private static long timeLeft(String text) throws InvalidRequestException {
     Matcher parts = TIME_LEFT.matcher(text);
     if (!parts.matches()) {
-      throw new Rejected(400, "X-Time-Left is missing or no time such as 480m");
+      throw new InvalidRequestException(400, "X-Time-Left is missing or no time such as 480m");
     }
     long us =
         Math.round(Double.parseDouble(parts.group(1)) * (parts.group(2).equals("m") ? 1000 : 1));
     if (us <= 0) {
-      throw new Rejected(400, "X-Time-Left is no time above 0");
+      throw new InvalidRequestException(400, "X-Time-Left is no time above 0");
     }
     return us;
   }
 
-  private List<Range> ranges(JsonNode list) throws Rejected {
+  private List<ShardRange> ranges(JsonNode list) throws InvalidRequestException {
     if (!list.isArray() || list.isEmpty()) {
-      throw new Rejected(400, "ranges is missing or empty");
+      throw new InvalidRequestException(400, "ranges is missing or empty");
     }
-    List<Range> ranges = new ArrayList<>(list.size());
+    List<ShardRange> ranges = new ArrayList<>(list.size());
     Set<Integer> seen = new HashSet<>();
     double sum = 0;
     for (JsonNode range : list) {
@@ -116,19 +116,19 @@
           || !shard.canConvertToInt()
           || shard.intValue() < 0
           || shard.intValue() >= settings.layout().shards()) {
-        throw new Rejected(400, "range is no known shard");
+        throw new InvalidRequestException(400, "range is no known shard");
       }
       if (!seen.add(shard.intValue())) {
-        throw new Rejected(400, "a range stands twice");
+        throw new InvalidRequestException(400, "a range stands twice");
       }
       if (!(weight >= 0 && weight <= 1)) {
-        throw new Rejected(400, "portion is no share from 0 to 1");
+        throw new InvalidRequestException(400, "portion is no share from 0 to 1");
       }
       sum += weight;
-      ranges.add(new Range(shard.intValue(), weight, range.path("hash").asText("")));
+      ranges.add(new ShardRange(shard.intValue(), weight, range.path("hash").asText("")));
     }
     if (!(Math.abs(sum - 1) <= ROUNDING * (1 + ranges.size()))) {
-      throw new Rejected(400, "the portions do not make one whole");
+      throw new InvalidRequestException(400, "the portions do not make one whole");
     }
     return ranges;
   }
--- a/router/src/main/java/tidebank/frontend/RequestRouter.java
+++ b/router/src/main/java/tidebank/frontend/RequestRouter.java
@@ -4,16 +4,16 @@
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpResponseStatus;
-import tidebank.frontend.ScanReader.Rejected;
-import tidebank.runtime.ScanRequest;
+import tidebank.frontend.QueryRequestParser.InvalidRequestException;
+import tidebank.runtime.QueryRequest;
 
 /** Answers whole requests by their path, or hands their scans to the turn. */
 final class RequestRouter {
   private static final String HEALTH = "/health/";
 
-  private final ClientSide side;
+  private final ClientServer side;
 
-  RequestRouter(ClientSide side) {
+  RequestRouter(ClientServer side) {
     this.side = side;
   }
 
@@ -23,7 +23,7 @@
    */
   void route(
       ClientConnection connection,
-      Exchange exchange,
+      HttpExchange exchange,
       FullHttpRequest request,
       long headAt,
       long wholeAt) {
@@ -44,7 +44,7 @@
     }
   }
 
-  private void health(Exchange exchange, String check) {
+  private void health(HttpExchange exchange, String check) {
     if (check.equals("live") || check.equals("ready") && side.ready()) {
       exchange.respond(HttpResponseStatus.OK, "ok");
     } else if (check.equals("ready")) {
@@ -56,15 +56,15 @@
 
   private void scan(
       ClientConnection connection,
-      Exchange exchange,
+      HttpExchange exchange,
       FullHttpRequest request,
       String path,
       long headAt,
       long wholeAt) {
-    ScanRequest scan;
+    QueryRequest scan;
     try {
       scan = side.reader.read(request, path.substring(1).split("/", 2)[0], headAt, wholeAt);
-    } catch (Rejected fault) {
+    } catch (InvalidRequestException fault) {
       side.counters.add("front.rejected");
       connection.reject(exchange, HttpResponseStatus.valueOf(fault.status), fault.getMessage());
       return;
--- a/router/src/main/java/tidebank/frontend/RequestTrace.java
+++ b/router/src/main/java/tidebank/frontend/RequestTrace.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tidebank.runtime.ScanRequest;
+import tidebank.runtime.QueryRequest;
 
 /**
  * The log of one client connection: its requests by their ids, with the times that tell why one
@@ -14,13 +14,13 @@
 final class RequestTrace {
   private static final Logger LOG = LoggerFactory.getLogger(RequestTrace.class);
 
-  private final ClientSide side;
+  private final ClientServer side;
   private final Channel channel;
   private final long connectedAt;
   private long readAt;
   private int requests;
 
-  RequestTrace(ClientSide side, Channel channel) {
+  RequestTrace(ClientServer side, Channel channel) {
     this.side = side;
     this.channel = channel;
     this.connectedAt = side.clock.now();
@@ -33,7 +33,7 @@
   }
 
   /** A scan was taken from a request. */
-  void taken(ScanRequest scan) {
+  void taken(QueryRequest scan) {
     side.counters.add("scans.taken");
     if (LOG.isDebugEnabled()) {
       LOG.debug("request taken: {}", timesOf(scan, side.clock.now()));
@@ -41,7 +41,7 @@
   }
 
   /** The final answer of a scan is to be written; one behind the client's time is lost on it. */
-  void answered(ScanRequest scan, int status) {
+  void answered(QueryRequest scan, int status) {
     long now = side.clock.now();
     if (now >= scan.limitAt()) {
       side.counters.add("front.answered-late");
@@ -52,7 +52,7 @@
   }
 
   /** A client left without its answer: early by its own will, or behind its time by our fault. */
-  void left(ScanRequest scan) {
+  void left(QueryRequest scan) {
     long now = side.clock.now();
     if (now >= scan.limitAt()) {
       side.counters.add("front.left-unanswered");
@@ -90,7 +90,7 @@
         unfinished);
   }
 
-  private String timesOf(ScanRequest scan, long now) {
+  private String timesOf(QueryRequest scan, long now) {
     return String.format(
         Locale.ROOT,
         "id=%s age_ms=%d left_ms=%d connection_age_ms=%d read_ms_ago=%d requests=%d %s",
--- a/router/src/main/java/tidebank/lease/Answer.java
+++ b/router/src/main/java/tidebank/lease/CommandResult.java
@@ -1,7 +1,7 @@
 package tidebank.lease;
 
 import java.util.List;
-import tidebank.base.TidebankException;
+import tidebank.errors.TidebankException;
 
 /**
  * What a command came to.
@@ -12,11 +12,11 @@
  * @param terms what the grants were given by
  * @param revision what is published now, where the command was about that
  */
-public record Answer(
+public record CommandResult(
     TidebankException.Details fault,
     List<Grant> grants,
     List<String> wanted,
-    Terms terms,
+    LeaseConfig terms,
     long revision) {
   /** A duty that the member owns, by this token. */
   public record Grant(String duty, long token) {}
--- a/router/src/main/java/tidebank/lease/Command.java
+++ b/router/src/main/java/tidebank/lease/LeaseCommand.java
@@ -15,7 +15,7 @@
  * @param value what is to be published
  * @param plan what the stewards are to go by, in a command of that kind only, else null
  */
-public record Command(
+public record LeaseCommand(
     Kind kind,
     String session,
     long number,
@@ -29,7 +29,7 @@
    * Terms and the names of all duties. In the log, as all stewards must go by the same at the same
    * place in it.
    */
-  public record Plan(Terms terms, List<String> duties) {}
+  public record Plan(LeaseConfig terms, List<String> duties) {}
 
   /** What is wanted, and the fields that say more. */
   public enum Kind {
@@ -61,8 +61,8 @@
   }
 
   /** One that needs no more than a member's name. */
-  public static Command of(Kind kind, String session, long number, String name) {
-    return new Command(kind, session, number, name, "", 0, 0, "", null);
+  public static LeaseCommand of(Kind kind, String session, long number, String name) {
+    return new LeaseCommand(kind, session, number, name, "", 0, 0, "", null);
   }
 
   public boolean ofMember() {
--- a/router/src/main/java/tidebank/lease/Terms.java
+++ b/router/src/main/java/tidebank/lease/LeaseConfig.java
@@ -8,7 +8,7 @@
  * @param mostMembers members there may be at a time
  * @param mostText characters that a name or a published value may have
  */
-public record Terms(long leaseUs, double drift, int mostMembers, int mostText) {
+public record LeaseConfig(long leaseUs, double drift, int mostMembers, int mostText) {
   private static final int RENEWALS = 3;
 
   /**
--- a/router/src/main/java/tidebank/lease/Holder.java
+++ b/router/src/main/java/tidebank/lease/LeaseHolder.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 import java.util.SortedMap;
 import java.util.TreeMap;
-import tidebank.base.TidebankException;
-import tidebank.lease.Answer.Grant;
+import tidebank.errors.TidebankException;
+import tidebank.lease.CommandResult.Grant;
 
 /**
  * A member's side: what it should ask the stewards for next, and what it owns until when by its own
@@ -14,13 +14,13 @@
  * first copy. What may be done is asked for just before it is done; whoever stops in between is
  * caught at the resource, by the token.
  */
-public class Holder {
+public class LeaseHolder {
   /** A duty that is owned: its token, and the end of the lease on the own clock. */
-  public record Owned(long token, long until) {}
+  public record HeldLease(long token, long until) {}
 
   private final String name;
   private final String session;
-  private final SortedMap<String, Owned> owned = new TreeMap<>();
+  private final SortedMap<String, HeldLease> owned = new TreeMap<>();
   private List<String> wanted = List.of();
   private long number;
   private long renewedAt;
@@ -29,19 +29,19 @@
   private long joinAt = Long.MIN_VALUE;
   private boolean leaving;
   private boolean left;
-  private Command out;
+  private LeaseCommand out;
   private long askedAt;
 
   /**
    * @param session a name that no other process and no earlier start ever had
    */
-  public Holder(String name, String session) {
+  public LeaseHolder(String name, String session) {
     this.name = name;
     this.session = session;
   }
 
-  public Holder copy() {
-    Holder copy = blank(name, session);
+  public LeaseHolder copy() {
+    LeaseHolder copy = blank(name, session);
     copy.owned.putAll(owned);
     copy.wanted = wanted;
     copy.number = number;
@@ -56,12 +56,12 @@
     return copy;
   }
 
-  protected Holder blank(String called, String in) {
-    return new Holder(called, in);
+  protected LeaseHolder blank(String called, String in) {
+    return new LeaseHolder(called, in);
   }
 
   /** The command to send now, or to send again; null if there is nothing to ask for. */
-  public Command ask(long now) {
+  public LeaseCommand ask(long now) {
     askedAt = out == null ? now : askedFrom(askedAt, now);
     out = out == null ? next(now) : out;
     return out;
@@ -80,20 +80,20 @@
     renewedAt = Math.min(renewedAt, now - renewEvery);
   }
 
-  private Command next(long now) {
+  private LeaseCommand next(long now) {
     left |= leaving && !joined;
     if (left || !joined && now < joinAt) {
       return null;
     }
     if (!joined || leaving) {
-      return Command.of(joined ? Command.Kind.LEAVE : Command.Kind.JOIN, session, ++number, name);
+      return LeaseCommand.of(joined ? LeaseCommand.Kind.LEAVE : LeaseCommand.Kind.JOIN, session, ++number, name);
     }
     if (now - renewedAt >= renewEvery) {
-      return Command.of(Command.Kind.RENEW, session, ++number, name);
+      return LeaseCommand.of(LeaseCommand.Kind.RENEW, session, ++number, name);
     }
-    for (Map.Entry<String, Owned> one : owned.entrySet()) {
+    for (Map.Entry<String, HeldLease> one : owned.entrySet()) {
       if (!wanted.contains(one.getKey())) {
-        Command release = about(Command.Kind.RELEASE, one.getKey(), one.getValue().token());
+        LeaseCommand release = about(LeaseCommand.Kind.RELEASE, one.getKey(), one.getValue().token());
         letGo(one.getKey());
         return release;
       }
@@ -101,20 +101,20 @@
     return wanted.stream()
         .filter(duty -> !owned.containsKey(duty))
         .findFirst()
-        .map(duty -> about(Command.Kind.CLAIM, duty, 0))
+        .map(duty -> about(LeaseCommand.Kind.CLAIM, duty, 0))
         .orElse(null);
   }
 
-  private Command about(Command.Kind kind, String duty, long token) {
-    return new Command(kind, session, ++number, name, duty, token, 0, "", null);
+  private LeaseCommand about(LeaseCommand.Kind kind, String duty, long token) {
+    return new LeaseCommand(kind, session, ++number, name, duty, token, 0, "", null);
   }
 
   /** A command of the holder's own, such as to publish; only where none is out. */
-  public Command publish(String duty, long revision, String value, long now) {
+  public LeaseCommand publish(String duty, long revision, String value, long now) {
     if (out == null && owned.containsKey(duty)) {
       out =
-          new Command(
-              Command.Kind.PUBLISH,
+          new LeaseCommand(
+              LeaseCommand.Kind.PUBLISH,
               session,
               ++number,
               name,
@@ -129,23 +129,23 @@
   }
 
   /** The answer to a command. One that is not awaited any more changes nothing. */
-  public void answered(long call, Answer answer, long now) {
+  public void answered(long call, CommandResult answer, long now) {
     if (out == null || !awaited(call)) {
       return;
     }
-    Command command = out;
+    LeaseCommand command = out;
     out = null;
     TidebankException.Details fault = answer.fault();
     boolean retired = fault != null && fault.is(TidebankException.MemberRetired.class);
     boolean gone = retired || fault != null && fault.is(TidebankException.MemberUnknown.class);
     joined = !gone && (joined || fault == null);
-    left = retired || command.kind() == Command.Kind.LEAVE;
+    left = retired || command.kind() == LeaseCommand.Kind.LEAVE;
     renewEvery = answer.terms().renewUs();
     renewedAt =
-        command.kind() == Command.Kind.RENEW || command.kind() == Command.Kind.JOIN
+        command.kind() == LeaseCommand.Kind.RENEW || command.kind() == LeaseCommand.Kind.JOIN
             ? askedAt
             : renewedAt;
-    joinAt = command.kind() == Command.Kind.JOIN ? askedAt + renewEvery : joinAt;
+    joinAt = command.kind() == LeaseCommand.Kind.JOIN ? askedAt + renewEvery : joinAt;
     // A claim or a renewal sets the end of a lease; any other answer only tells what is owned
     // still.
     owned
@@ -153,20 +153,20 @@
         .removeIf(duty -> answer.grants().stream().noneMatch(grant -> grant.duty().equals(duty)));
     for (Grant grant : answer.grants()) {
       boolean renewed =
-          command.kind() == Command.Kind.RENEW
-              || command.kind() == Command.Kind.CLAIM && command.duty().equals(grant.duty());
-      Owned before = owned.get(grant.duty());
+          command.kind() == LeaseCommand.Kind.RENEW
+              || command.kind() == LeaseCommand.Kind.CLAIM && command.duty().equals(grant.duty());
+      HeldLease before = owned.get(grant.duty());
       if (renewed) {
         owned.put(
             grant.duty(),
-            new Owned(grant.token(), countsFrom(askedAt, now) + lasts(answer.terms())));
+            new HeldLease(grant.token(), countsFrom(askedAt, now) + lasts(answer.terms())));
       } else if (before == null || before.token() != grant.token()) {
         // Owned, as it seems, by an answer that was never heard: of no use before it is renewed.
-        owned.put(grant.duty(), new Owned(grant.token(), Long.MIN_VALUE / 2));
+        owned.put(grant.duty(), new HeldLease(grant.token(), Long.MIN_VALUE / 2));
       }
     }
     wanted = leaving ? List.of() : answer.wanted();
-    if (command.kind() == Command.Kind.CLAIM && fault != null) {
+    if (command.kind() == LeaseCommand.Kind.CLAIM && fault != null) {
       // Refused: to be looked at again with the next renewal.
       wanted =
           wanted.stream()
@@ -180,7 +180,7 @@
    * least.
    */
   public long mayAct(String duty, long now, long margin) {
-    Owned one = owned.get(duty);
+    HeldLease one = owned.get(duty);
     return one != null && !leaving && inTime(one, now, margin) ? one.token() : 0;
   }
 
@@ -207,7 +207,7 @@
     return first;
   }
 
-  protected long lasts(Terms terms) {
+  protected long lasts(LeaseConfig terms) {
     return terms.ownerUs();
   }
 
@@ -215,7 +215,7 @@
     return asked;
   }
 
-  protected boolean inTime(Owned one, long now, long margin) {
+  protected boolean inTime(HeldLease one, long now, long margin) {
     return now + margin < one.until();
   }
 
