--- a/router/src/main/java/tidebank/lease/LeaseBook.java
+++ b/router/src/main/java/tidebank/lease/LeaseTable.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 import java.util.SortedMap;
 import java.util.TreeMap;
-import tidebank.base.TidebankException;
-import tidebank.lease.Answer.Grant;
+import tidebank.errors.TidebankException;
+import tidebank.lease.CommandResult.Grant;
 
 /**
  * The stewards' side: who is a member, who owns which duty until when, and what is published. A
@@ -18,7 +18,7 @@
  * two leaders have nothing in common, so that with the first command of a new term all that was not
  * over lasts a whole lease from then: the old leader cannot have granted more.
  */
-public class LeaseBook {
+public class LeaseTable {
   /** Operators' sessions whose last answer is kept, those that asked last. */
   private static final int OPERATORS = 64;
 
@@ -38,7 +38,7 @@
       boolean draining,
       boolean retired,
       long number,
-      Answer answer) {
+      CommandResult answer) {
     private Member until(long at, long calm) {
       return new Member(name, session, at, calm, strikes, draining, retired, number, answer);
     }
@@ -47,7 +47,7 @@
       return new Member(name, session, aliveUntil, calmAt, strikes, drain, retire, number, answer);
     }
 
-    private Member answered(long call, Answer said) {
+    private Member answered(long call, CommandResult said) {
       return new Member(name, session, aliveUntil, calmAt, strikes, draining, retired, call, said);
     }
   }
@@ -56,7 +56,7 @@
    * A duty: the last token granted and to whom, until when; where it is meant to be and pinned;
    * what is published.
    */
-  public record Duty(
+  public record TaskLease(
       String name,
       long token,
       String owner,
@@ -67,30 +67,30 @@
       long revision,
       long publishedBy,
       String value) {
-    private Duty held(long by, String whose, String in, long end) {
-      return new Duty(name, by, whose, in, end, meant, pinned, revision, publishedBy, value);
+    private TaskLease held(long by, String whose, String in, long end) {
+      return new TaskLease(name, by, whose, in, end, meant, pinned, revision, publishedBy, value);
     }
 
-    private Duty placed(String where, String pin) {
-      return new Duty(name, token, owner, session, until, where, pin, revision, publishedBy, value);
+    private TaskLease placed(String where, String pin) {
+      return new TaskLease(name, token, owner, session, until, where, pin, revision, publishedBy, value);
     }
 
-    private Duty published(String what) {
-      return new Duty(name, token, owner, session, until, meant, pinned, revision + 1, token, what);
+    private TaskLease published(String what) {
+      return new TaskLease(name, token, owner, session, until, meant, pinned, revision + 1, token, what);
     }
   }
 
   /** The last call of an operator's session, and what it came to. */
-  public record Operator(String session, long number, Answer answer) {}
+  public record Operator(String session, long number, CommandResult answer) {}
 
   /** All of the state, to be kept. */
   public record State(
-      Terms terms,
+      LeaseConfig terms,
       long term,
       long now,
       long tokenFloor,
       List<Member> members,
-      List<Duty> duties,
+      List<TaskLease> duties,
       List<Operator> operators) {
     /** Duties that nobody has, by the member that each is meant for. */
     public SortedMap<String, List<String>> unclaimed() {
@@ -110,7 +110,7 @@
     }
   }
 
-  private Terms terms;
+  private LeaseConfig terms;
   private long term;
   private long now;
 
@@ -121,14 +121,14 @@
   private long tokenFloor;
 
   private final SortedMap<String, Member> members = new TreeMap<>();
-  private final SortedMap<String, Duty> duties = new TreeMap<>();
+  private final SortedMap<String, TaskLease> duties = new TreeMap<>();
   private final Map<String, Operator> operators = new LinkedHashMap<>();
 
-  public LeaseBook(Terms terms) {
+  public LeaseTable(LeaseConfig terms) {
     this.terms = terms;
   }
 
-  public LeaseBook(State state) {
+  public LeaseTable(State state) {
     this(state.terms());
     term = state.term();
     now = state.now();
@@ -150,7 +150,7 @@
   }
 
   /** Takes one command, stamped by the leader of that term at that time of its clock, in µs. */
-  public Answer apply(long in, long at, Command command) {
+  public CommandResult apply(long in, long at, LeaseCommand command) {
     if (in > term) {
       newLeader(in, at);
     }
@@ -164,23 +164,23 @@
     if (last > 0 && repeated(command.number(), last)) {
       return known ? before.answer() : operator.answer();
     }
-    Answer answer;
+    CommandResult answer;
     try {
       if (command.number() < last) {
-        throw new TidebankException.CallOld(command.session(), command.number(), last);
+        throw new TidebankException.StaleSequenceNumber(command.session(), command.number(), last);
       }
       long revision = command.ofMember() ? byMember(command, before) : byOperator(command);
       assign();
-      answer = new Answer(null, grants(command.session()), wanted(command), terms, revision);
+      answer = new CommandResult(null, grants(command.session()), wanted(command), terms, revision);
     } catch (TidebankException fault) {
       assign();
       return remember(
-          command, new Answer(fault.told(), grants(command.session()), wanted(command), terms, 0));
+          command, new CommandResult(fault.told(), grants(command.session()), wanted(command), terms, 0));
     }
     return remember(command, answer);
   }
 
-  private Answer remember(Command command, Answer answer) {
+  private CommandResult remember(LeaseCommand command, CommandResult answer) {
     Member member = members.get(command.name());
     if (!command.ofMember()) {
       operators.remove(command.session());
@@ -223,11 +223,11 @@
     return number == last;
   }
 
-  protected boolean over(Duty duty) {
+  protected boolean over(TaskLease duty) {
     return duty.owner().isEmpty() || now >= duty.until();
   }
 
-  protected long nextToken(Duty duty) {
+  protected long nextToken(TaskLease duty) {
     return duty.token() + 1;
   }
 
@@ -235,14 +235,14 @@
    * Whether a command speaks for the duty's owner: by the last token there is, and by the session
    * it was granted to.
    */
-  protected boolean current(Duty duty, Command command) {
+  protected boolean current(TaskLease duty, LeaseCommand command) {
     return command.token() == duty.token() && duty.session().equals(command.session());
   }
 
   // ---- members
 
-  private long byMember(Command command, Member before) throws TidebankException {
-    if (command.kind() == Command.Kind.JOIN) {
+  private long byMember(LeaseCommand command, Member before) throws TidebankException {
+    if (command.kind() == LeaseCommand.Kind.JOIN) {
       join(command, before);
       return 0;
     }
@@ -276,7 +276,7 @@
     return 0;
   }
 
-  private void join(Command command, Member before) throws TidebankException {
+  private void join(LeaseCommand command, Member before) throws TidebankException {
     text("name", command.name());
     boolean same = before != null && before.session().equals(command.session());
     if (before != null && before.retired()) {
@@ -317,57 +317,57 @@
         members.values().stream()
             .filter(member -> member.aliveUntil() <= now && !member.retired())
             .min(Comparator.comparingLong(Member::aliveUntil))
-            .orElseThrow(() -> new TidebankException.MembersFull(terms.mostMembers()));
+            .orElseThrow(() -> new TidebankException.MemberLimitReached(terms.mostMembers()));
     members.remove(gone.name());
   }
 
-  private void claim(Command command) throws TidebankException {
+  private void claim(LeaseCommand command) throws TidebankException {
     assign();
-    Duty duty = duty(command.duty());
+    TaskLease duty = duty(command.duty());
     boolean own = duty.session().equals(command.session());
     if (!over(duty) && !own) {
-      throw new TidebankException.DutyHeld(duty.name(), duty.owner(), duty.until() - now);
+      throw new TidebankException.LeaseHeldByOther(duty.name(), duty.owner(), duty.until() - now);
     }
     if (!duty.meant().equals(command.name())) {
-      throw new TidebankException.DutyElsewhere(duty.name(), duty.meant(), command.name());
+      throw new TidebankException.TaskAssignedElsewhere(duty.name(), duty.meant(), command.name());
     }
     long token = over(duty) ? nextToken(duty) : duty.token();
     duties.put(
         duty.name(), duty.held(token, command.name(), command.session(), now + terms.leaseUs()));
   }
 
-  private long publish(Command command) throws TidebankException {
-    Duty duty = owned(command);
+  private long publish(LeaseCommand command) throws TidebankException {
+    TaskLease duty = owned(command);
     text("value", command.value());
     if (duty.revision() != command.revision()) {
-      throw new TidebankException.RevisionMoved(duty.name(), command.revision(), duty.revision());
+      throw new TidebankException.RevisionConflict(duty.name(), command.revision(), duty.revision());
     }
     duties.put(duty.name(), duty.published(command.value()));
     return duty.revision() + 1;
   }
 
   /** The duty of a command that only its owner may give. */
-  private Duty owned(Command command) throws TidebankException {
-    Duty duty = duty(command.duty());
+  private TaskLease owned(LeaseCommand command) throws TidebankException {
+    TaskLease duty = duty(command.duty());
     if (!current(duty, command)) {
-      throw new TidebankException.TokenOld(duty.name(), command.token(), duty.token());
+      throw new TidebankException.StaleFencingToken(duty.name(), command.token(), duty.token());
     }
     if (over(duty)) {
-      throw new TidebankException.LeaseOver(duty.name(), duty.token());
+      throw new TidebankException.LeaseExpired(duty.name(), duty.token());
     }
     return duty;
   }
 
-  private static Duty free(Duty duty) {
+  private static TaskLease free(TaskLease duty) {
     return duty.held(duty.token(), "", "", duty.until());
   }
 
   // ---- operators
 
-  private long byOperator(Command command) throws TidebankException {
+  private long byOperator(LeaseCommand command) throws TidebankException {
     switch (command.kind()) {
       case MOVE -> {
-        Duty duty = duty(command.duty());
+        TaskLease duty = duty(command.duty());
         if (!command.name().isEmpty()) {
           member(command.name());
         }
@@ -376,7 +376,7 @@
       case DRAIN, ADMIT ->
           members.put(
               command.name(),
-              member(command.name()).flagged(command.kind() == Command.Kind.DRAIN, false));
+              member(command.name()).flagged(command.kind() == LeaseCommand.Kind.DRAIN, false));
       case RETIRE -> members.put(command.name(), member(command.name()).flagged(false, true));
       case PLAN -> {
         terms = command.plan().terms();
@@ -394,17 +394,17 @@
             .forEach(
                 name ->
                     duties.computeIfAbsent(
-                        name, absent -> new Duty(name, tokenFloor, "", "", now, "", "", 0, 0, "")));
+                        name, absent -> new TaskLease(name, tokenFloor, "", "", now, "", "", 0, 0, "")));
       }
       default -> throw new IllegalStateException("not an operator's: " + command.kind());
     }
     return 0;
   }
 
-  private Duty duty(String name) throws TidebankException {
-    Duty duty = duties.get(name);
+  private TaskLease duty(String name) throws TidebankException {
+    TaskLease duty = duties.get(name);
     if (duty == null) {
-      throw new TidebankException.DutyUnknown(name);
+      throw new TidebankException.TaskNotFound(name);
     }
     return duty;
   }
@@ -412,7 +412,7 @@
   private Member member(String name) throws TidebankException {
     Member member = members.get(name);
     if (member == null) {
-      throw new TidebankException.NobodyCalled(name);
+      throw new TidebankException.MemberNotFound(name);
     }
     if (member.retired()) {
       throw new TidebankException.MemberRetired(name);
@@ -422,7 +422,7 @@
 
   private void text(String field, String text) throws TidebankException {
     if (text.length() > terms.mostText()) {
-      throw new TidebankException.ValueLong(field, text.length(), terms.mostText());
+      throw new TidebankException.ValueTooLarge(field, text.length(), terms.mostText());
     }
   }
 
@@ -439,11 +439,11 @@
     List<String> may = calm.isEmpty() ? alive.stream().map(Member::name).toList() : calm;
     Map<String, String> held = new HashMap<>();
     Map<String, String> pinned = new HashMap<>();
-    for (Duty duty : duties.values()) {
+    for (TaskLease duty : duties.values()) {
       held.put(duty.name(), over(duty) ? duty.meant() : duty.owner());
       pinned.put(duty.name(), duty.pinned());
     }
-    Map<String, String> meant = Assignment.of(duties.keySet(), may, held, pinned);
+    Map<String, String> meant = TaskAssignment.of(duties.keySet(), may, held, pinned);
     duties.replaceAll((name, duty) -> duty.placed(meant.getOrDefault(name, ""), duty.pinned()));
   }
 
@@ -455,14 +455,14 @@
   }
 
   /** Duties that are meant for the member and that it has, or that it could claim at once. */
-  private List<String> wanted(Command command) {
+  private List<String> wanted(LeaseCommand command) {
     return command.ofMember()
         ? duties.values().stream()
             .filter(
                 duty ->
                     duty.meant().equals(command.name())
                         && (over(duty) || duty.session().equals(command.session())))
-            .map(Duty::name)
+            .map(TaskLease::name)
             .toList()
         : List.of();
   }
--- a/router/src/main/java/tidebank/lease/Assignment.java
+++ b/router/src/main/java/tidebank/lease/TaskAssignment.java
@@ -6,18 +6,18 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import tidebank.model.Chance;
+import tidebank.model.SeededRandom;
 
 /**
  * Which member each duty is meant for: by rendezvous hashing, so that a member's coming or going
  * moves few duties; with a capacity, so that none has many more than others; and sticky, as a move
  * costs a gap without an owner.
  */
-final class Assignment {
+final class TaskAssignment {
   /** Duties that a member may have, over an even share. */
   private static final double SPARE = 1.25;
 
-  private Assignment() {}
+  private TaskAssignment() {}
 
   /**
    * @param duties all of them, in a fixed order
@@ -52,7 +52,7 @@
         members.stream()
             .filter(member -> loads.getOrDefault(member, 0) < most)
             .max(
-                Comparator.comparingDouble((String member) -> Chance.folded(duty + '/' + member))
+                Comparator.comparingDouble((String member) -> SeededRandom.folded(duty + '/' + member))
                     .thenComparing(Comparator.naturalOrder()))
             .ifPresent(
                 member -> {
--- a/router/src/main/java/tidebank/base/Log.java
+++ b/router/src/main/java/tidebank/logging/Log.java
@@ -1,4 +1,4 @@
-package tidebank.base;
+package tidebank.logging;
 
 import ch.qos.logback.classic.Level;
 import ch.qos.logback.classic.LoggerContext;
@@ -130,11 +130,11 @@
 
   /** Lets so many lines a second through; how many it did not is said with the next that goes. */
   private static final class Bound extends Filter<ILoggingEvent> {
-    private final LineBound bound;
+    private final LogRateLimiter bound;
     private final Form form;
 
     Bound(int most, Form form) {
-      bound = new LineBound(most);
+      bound = new LogRateLimiter(most);
       this.form = form;
     }
 
@@ -152,7 +152,7 @@
                     + "\"}"
                 : Instant.ofEpochMilli(event.getTimeStamp()) + " WARN " + text);
       }
-      return left == LineBound.DENIED ? FilterReply.DENY : FilterReply.NEUTRAL;
+      return left == LogRateLimiter.DENIED ? FilterReply.DENY : FilterReply.NEUTRAL;
     }
   }
 }
--- a/router/src/main/java/tidebank/base/LineBound.java
+++ b/router/src/main/java/tidebank/logging/LogRateLimiter.java
@@ -1,11 +1,11 @@
-package tidebank.base;
+package tidebank.logging;
 
 /**
  * How many log lines a second are let through. Touched by all threads that log, Netty's among them.
  * Its law: of all lines asked for, each was let through, or denied and told of exactly once, and no
  * second lets more through than it may.
  */
-public final class LineBound {
+public final class LogRateLimiter {
   /** What {@link #take} says of a line that is one too many. */
   public static final long DENIED = -1;
 
@@ -14,7 +14,7 @@
   private int lines;
   private long left;
 
-  public LineBound(int most) {
+  public LogRateLimiter(int most) {
     this.most = most;
   }
 
--- a/router/src/main/java/tidebank/base/LogSetup.java
+++ b/router/src/main/java/tidebank/logging/LogSetup.java
@@ -1,4 +1,4 @@
-package tidebank.base;
+package tidebank.logging;
 
 import ch.qos.logback.classic.LoggerContext;
 import ch.qos.logback.classic.spi.Configurator;
--- a/router/src/main/java/tidebank/base/Counters.java
+++ b/router/src/main/java/tidebank/metrics/Counters.java
@@ -1,4 +1,4 @@
-package tidebank.base;
+package tidebank.metrics;
 
 import java.util.Map;
 import java.util.SortedMap;
--- a/router/src/main/java/tidebank/model/Event.java
+++ b/router/src/main/java/tidebank/model/Event.java
@@ -6,7 +6,7 @@
 /** What an instance is told. */
 public sealed interface Event {
   /** How a list of shard servers relates to the one known before. */
-  enum ListKind {
+  enum ListUpdate {
     CHANGES,
     FULL,
     REMEMBERED,
@@ -19,20 +19,20 @@
   }
 
   /** The state of a shard server according to discovery. */
-  enum ServerStatus {
+  enum EndpointStatus {
     IN_SERVICE,
     DRAINING,
     GONE
   }
 
   /** One line of the list of shard servers; {@code startedAt} is 0 where the start is long past. */
-  record Listed(String server, int position, ServerStatus status, long startedAt, double rating) {}
+  record Endpoint(String server, int position, EndpointStatus status, long startedAt, double rating) {}
 
   /** The list of shard servers, or what changed in it. */
-  record ListSeen(ListKind kind, List<Listed> entries) implements Event {}
+  record EndpointListReceived(ListUpdate kind, List<Endpoint> entries) implements Event {}
 
   /** A scan, here since {@code askedAt}, to be given one final answer before {@code limitAt}. */
-  record ScanTaken(
+  record QueryReceived(
       String id,
       long number,
       String type,
@@ -44,10 +44,10 @@
       implements Event {}
 
   /** A part of the scan with this number. */
-  record PartTaken(String id, long number, int shard, double weight, String key) implements Event {}
+  record ShardRequestReceived(String id, long number, int shard, double weight, String key) implements Event {}
 
   /** A dispatch's one end. {@code closed}: no dispatch of this part can matter any more. */
-  record DispatchEnded(
+  record AttemptCompleted(
       String part,
       int dispatch,
       Outcome outcome,
@@ -57,15 +57,15 @@
       implements Event {}
 
   /** A scan whose client has left. */
-  record ScanLapsed(String id) implements Event {}
+  record ClientDisconnected(String id) implements Event {}
 
   /** The instance ends: every scan, also one still to come, needs its final answer before this. */
-  record Ending(long at) implements Event {}
+  record ShutdownRequested(long at) implements Event {}
 
   /** The timer with this token has fired. */
-  record TimerDue(long token) implements Event {}
+  record TimerFired(long token) implements Event {}
 
   /** The end of a probe. */
-  record Probed(String server, Outcome outcome, long tookUs, Map<String, Double> report)
+  record HealthCheckCompleted(String server, Outcome outcome, long tookUs, Map<String, Double> report)
       implements Event {}
 }
--- a/router/src/main/java/tidebank/model/Repeat.java
+++ b/router/src/main/java/tidebank/model/Idempotency.java
@@ -1,7 +1,7 @@
 package tidebank.model;
 
 /** Whether a part of a table type may run more than once. */
-public enum Repeat {
+public enum Idempotency {
   REPLAYABLE,
   KEYED,
   NON_REPLAYABLE
--- a/router/src/main/java/tidebank/model/TableType.java
+++ b/router/src/main/java/tidebank/model/QueryClass.java
@@ -5,9 +5,9 @@
  * {@code floor} is the least that any answer needs, and {@code secondStep} counts the parts that a
  * first answer brings on.
  */
-public record TableType(
+public record QueryClass(
     String name,
-    Repeat repeat,
+    Idempotency repeat,
     long windowUs,
     long targetUs,
     long timeoutUs,
--- a/router/src/main/java/tidebank/model/Chance.java
+++ b/router/src/main/java/tidebank/model/SeededRandom.java
@@ -5,11 +5,11 @@
 import java.util.zip.CRC32;
 
 /** Chance that is the same whenever the same seed asks the same questions. */
-public final class Chance {
+public final class SeededRandom {
   private final long seed;
   private long asked;
 
-  public Chance(long seed) {
+  public SeededRandom(long seed) {
     this.seed = seed;
   }
 
--- a/router/src/main/java/tidebank/model/Settings.java
+++ b/router/src/main/java/tidebank/model/Settings.java
@@ -11,7 +11,7 @@
     int instances,
     int rank,
     long tickUs,
-    Map<String, TableType> tableTypes,
+    Map<String, QueryClass> tableTypes,
     Map<String, Double> allowances,
     double overShareBenefit,
     Layout layout,
@@ -20,11 +20,11 @@
 
   /** The longest query timeout: what a client asked for longer ago is of no use to anyone. */
   public long slowestUs() {
-    return tableTypes.values().stream().mapToLong(TableType::timeoutUs).max().orElse(0);
+    return tableTypes.values().stream().mapToLong(QueryClass::timeoutUs).max().orElse(0);
   }
 
   public OptionalLong shortestTargetUs() {
-    return tableTypes.values().stream().mapToLong(TableType::targetUs).filter(t -> t > 0).min();
+    return tableTypes.values().stream().mapToLong(QueryClass::targetUs).filter(t -> t > 0).min();
   }
 
   /**
--- a/router/src/main/java/tidebank/model/Dispatch.java
+++ b/router/src/main/java/tidebank/policy/Attempt.java
@@ -1,8 +1,10 @@
-package tidebank.model;
+package tidebank.policy;
+
+import tidebank.model.Outcome;
 
 /** State that lives as long as one dispatch. */
-public final class Dispatch {
-  public final Part part;
+public final class Attempt {
+  public final ShardRequest part;
   public final int number;
   public final ShardServer server;
   public final long sentAt;
@@ -24,7 +26,7 @@
   public boolean cancelled;
   public Outcome outcome;
 
-  public Dispatch(Part part, int number, ShardServer server, long sentAt, long call) {
+  public Attempt(ShardRequest part, int number, ShardServer server, long sentAt, long call) {
     this.part = part;
     this.number = number;
     this.server = server;
--- a/router/src/main/java/tidebank/model/Shard.java
+++ b/router/src/main/java/tidebank/policy/ConcurrencyLimit.java
@@ -1,13 +1,13 @@
-package tidebank.model;
+package tidebank.policy;
 
 /** State that lives as long as the instance, for one shard. */
-public final class Shard {
+public final class ConcurrencyLimit {
   /** Cap in parts for each replica. */
   public double capPerReplica;
 
   public long troubledAt = Long.MIN_VALUE / 2;
 
-  public Shard(double capPerReplica) {
+  public ConcurrencyLimit(double capPerReplica) {
     this.capPerReplica = capPerReplica;
   }
 }
--- a/router/src/main/java/tidebank/model/Fleet.java
+++ b/router/src/main/java/tidebank/policy/EndpointTable.java
@@ -1,4 +1,7 @@
-package tidebank.model;
+package tidebank.policy;
+
+import tidebank.model.Event;
+import tidebank.model.Settings;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,15 +10,15 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import tidebank.model.Event.ListKind;
-import tidebank.model.Event.Listed;
-import tidebank.model.Event.ServerStatus;
+import tidebank.model.Event.ListUpdate;
+import tidebank.model.Event.Endpoint;
+import tidebank.model.Event.EndpointStatus;
 
 /**
  * The shard servers as the list last told of them. Servers that left are forgotten once nothing is
  * out there.
  */
-public final class Fleet {
+public final class EndpointTable {
   private final Settings.Layout layout;
   private final Map<String, ShardServer> servers = new HashMap<>();
   private final Map<Integer, TreeMap<String, ShardServer>> byPosition = new HashMap<>();
@@ -23,7 +26,7 @@
   private final Set<ShardServer> leaving = new LinkedHashSet<>();
   private int inService;
 
-  public Fleet(Settings.Layout layout) {
+  public EndpointTable(Settings.Layout layout) {
     this.layout = layout;
   }
 
@@ -38,14 +41,14 @@
   }
 
   /** Takes a list, or what changed in it. */
-  public void take(Event.ListSeen list) {
-    if (list.kind() != ListKind.CHANGES) {
+  public void take(Event.EndpointListReceived list) {
+    if (list.kind() != ListUpdate.CHANGES) {
       new TreeMap<>(servers).values().forEach(srv -> place(srv, srv.position, false));
     }
-    for (Listed line : list.entries()) {
+    for (Endpoint line : list.entries()) {
       ShardServer srv = servers.computeIfAbsent(line.server(), ShardServer::new);
       srv.size = line.rating();
-      place(srv, line.position(), line.status() == ServerStatus.IN_SERVICE);
+      place(srv, line.position(), line.status() == EndpointStatus.IN_SERVICE);
     }
     leaving.removeIf(srv -> srv.inService || srv.out.isEmpty() && servers.remove(srv.id) != null);
   }
--- a/router/src/main/java/tidebank/model/Scan.java
+++ b/router/src/main/java/tidebank/policy/Query.java
@@ -1,10 +1,12 @@
-package tidebank.model;
+package tidebank.policy;
+
+import tidebank.model.QueryClass;
 
 import java.util.ArrayList;
 import java.util.List;
 
 /** State that lives as long as one scan. */
-public final class Scan {
+public final class Query {
   /** What is wanted for the scan. */
   public enum Verdict {
     OPEN,
@@ -17,9 +19,9 @@
 
   public final String id;
   public final long number;
-  public final TableType type;
+  public final QueryClass type;
   public long limitAt;
-  public final List<Part> parts = new ArrayList<>();
+  public final List<ShardRequest> parts = new ArrayList<>();
   public long targetAt;
   public int step;
   public boolean selected;
@@ -39,7 +41,7 @@
   public Verdict verdict = Verdict.OPEN;
 
   /** It has no more time than until then, and its target time none beyond that. */
-  public Scan endBy(long at) {
+  public Query endBy(long at) {
     limitAt = Math.min(limitAt, at);
     targetAt = Math.min(targetAt, limitAt);
     return this;
@@ -50,7 +52,7 @@
     return step == 0 && type.secondStep() > 0;
   }
 
-  public Scan(String id, long number, TableType type, long limitAt) {
+  public Query(String id, long number, QueryClass type, long limitAt) {
     this.id = id;
     this.number = number;
     this.type = type;
--- a/router/src/main/java/tidebank/RoutingPolicy.java
+++ b/router/src/main/java/tidebank/policy/RoutingPolicy.java
@@ -1,9 +1,9 @@
-package tidebank;
+package tidebank.policy;
 
 import java.util.*;
 import tidebank.model.*;
-import tidebank.model.Part.Stage;
-import tidebank.model.Scan.Verdict;
+import tidebank.policy.ShardRequest.Stage;
+import tidebank.policy.Query.Verdict;
 
 /**
  * All decisions of one gatherer. A front makes one RoutingPolicy an instance and calls {@link #on}
@@ -65,23 +65,23 @@
   private static final double CHANCE = 4;
 
   private final Settings settings;
-  private final Chance chance;
-  private final Fleet fleet;
-  private final ListCalls listCalls;
-  private final ScanWorkQueue workQueue = new ScanWorkQueue();
-  private final Map<Integer, Shard> shards = new HashMap<>();
-  private final Map<String, Scan> scans = new HashMap<>();
-  private final Map<Long, Scan> byNumber = new HashMap<>();
-  private final Map<String, Part> parts = new HashMap<>();
-  private final List<Scan> decided = new ArrayList<>();
-  private final List<Dispatch> unsettled = new ArrayList<>();
+  private final SeededRandom chance;
+  private final EndpointTable fleet;
+  private final WatchTimings listCalls;
+  private final QueryWorkQueue workQueue = new QueryWorkQueue();
+  private final Map<Integer, ConcurrencyLimit> shards = new HashMap<>();
+  private final Map<String, Query> scans = new HashMap<>();
+  private final Map<Long, Query> byNumber = new HashMap<>();
+  private final Map<String, ShardRequest> parts = new HashMap<>();
+  private final List<Query> decided = new ArrayList<>();
+  private final List<Attempt> unsettled = new ArrayList<>();
 
   /** When scans were first asked for, by table type and key. */
   private final Map<String, Long> asked = new LinkedHashMap<>();
 
-  private final Window taken = new Window();
-  private final Window breaks = new Window();
-  private final Window further = new Window();
+  private final SlidingWindow taken = new SlidingWindow();
+  private final SlidingWindow breaks = new SlidingWindow();
+  private final SlidingWindow further = new SlidingWindow();
   private final List<Action> actions = new ArrayList<>();
   private final long shortestTarget;
 
@@ -136,13 +136,13 @@
   public RoutingPolicy(Settings settings, long seed) {
     this.settings = settings;
     this.margin = MARGIN_TICKS * settings.tickUs();
-    this.chance = new Chance(seed);
-    this.fleet = new Fleet(settings.layout());
+    this.chance = new SeededRandom(seed);
+    this.fleet = new EndpointTable(settings.layout());
     this.shortestTarget = settings.shortestTargetUs().orElse(TROUBLE_US);
     this.typical = shortestTarget * TYPICAL_START;
     this.service = typical;
     this.recent = typical;
-    this.listCalls = new ListCalls(settings);
+    this.listCalls = new WatchTimings(settings);
   }
 
   /** Takes what happened and returns what to do. */
@@ -158,40 +158,40 @@
   // ---- events
 
   private void take(Event event) {
-    if (event instanceof Event.ListSeen list) {
+    if (event instanceof Event.EndpointListReceived list) {
       takeList(list);
-    } else if (event instanceof Event.ScanTaken taken) {
+    } else if (event instanceof Event.QueryReceived taken) {
       takeScan(taken);
-    } else if (event instanceof Event.PartTaken taken) {
-      Scan scan = byNumber.get(taken.number());
+    } else if (event instanceof Event.ShardRequestReceived taken) {
+      Query scan = byNumber.get(taken.number());
       this.taken.add(now, settings.rules().ratioSpanUs());
       if (scan != null && scan.verdict == Verdict.OPEN) {
-        Part part =
-            new Part(taken.id(), scan, taken.shard(), taken.weight(), taken.key(), scan.step);
+        ShardRequest part =
+            new ShardRequest(taken.id(), scan, taken.shard(), taken.weight(), taken.key(), scan.step);
         part.stage = Stage.HELD;
         scan.parts.add(part);
         parts.put(part.id, part);
         workQueue.changed(scan);
       }
-    } else if (event instanceof Event.DispatchEnded ended) {
+    } else if (event instanceof Event.AttemptCompleted ended) {
       takeEnd(ended);
-    } else if (event instanceof Event.ScanLapsed lapsed) {
-      Scan scan = scans.get(lapsed.id());
+    } else if (event instanceof Event.ClientDisconnected lapsed) {
+      Query scan = scans.get(lapsed.id());
       if (scan != null && scan.verdict == Verdict.OPEN) {
         close(scan, Verdict.LEFT);
       }
-    } else if (event instanceof Event.TimerDue due && due.token() == timers) {
+    } else if (event instanceof Event.TimerFired due && due.token() == timers) {
       learnLag(now - armedAt);
       armedAt = Long.MAX_VALUE;
-    } else if (event instanceof Event.Ending ending) {
+    } else if (event instanceof Event.ShutdownRequested ending) {
       endAt = ending.at();
       scans.values().forEach(scan -> workQueue.changed(scan.endBy(endAt)));
     }
   }
 
-  private void takeList(Event.ListSeen list) {
-    boolean lost = list.kind() == Event.ListKind.LOST;
-    if (lost || list.kind() == Event.ListKind.MOVED) {
+  private void takeList(Event.EndpointListReceived list) {
+    boolean lost = list.kind() == Event.ListUpdate.LOST;
+    if (lost || list.kind() == Event.ListUpdate.MOVED) {
       following = false;
       if (!lost) {
         listCalls.reset();
@@ -199,13 +199,13 @@
       askAt = lost ? now + listCalls.failedUs(now - calledAt, chance.next()) : now;
       return;
     }
-    if (list.kind() != Event.ListKind.REMEMBERED) {
+    if (list.kind() != Event.ListUpdate.REMEMBERED) {
       followAnswered = true;
       calledAt = now;
       listCalls.reset();
     }
     fleet.take(list);
-    for (Event.Listed line : list.entries()) {
+    for (Event.Endpoint line : list.entries()) {
       ShardServer srv = fleet.get(line.server());
       if (srv != null && line.startedAt() > srv.startedAt) {
         started(srv, line.startedAt());
@@ -214,16 +214,16 @@
     }
   }
 
-  private void takeScan(Event.ScanTaken event) {
+  private void takeScan(Event.QueryReceived event) {
     learnLag(now - event.askedAt());
     long left = event.limitAt() - now;
-    TableType type =
+    QueryClass type =
         settings
             .tableTypes()
             .getOrDefault(
                 event.type(),
-                new TableType(event.type(), Repeat.NON_REPLAYABLE, 0, left, left, 0, 1, 1, 0));
-    Scan scan = new Scan(event.id(), event.number(), type, event.limitAt());
+                new QueryClass(event.type(), Idempotency.NON_REPLAYABLE, 0, left, left, 0, 1, 1, 0));
+    Query scan = new Query(event.id(), event.number(), type, event.limitAt());
     scan.targetAt = firstAsked(event, type) + type.targetUs();
     scans.put(scan.id, scan);
     byNumber.put(scan.number, scan);
@@ -243,12 +243,12 @@
    * How long before its time an answer is given, so that its last byte is out by then. Bounded, as
    * a lone stall of our own process is no reason to give up the scans that come after it.
    */
-  private long early(Scan scan) {
+  private long early(Query scan) {
     return margin + Math.round(Math.min(lag, scan.type.targetUs() * EARLY_MOST));
   }
 
   /** A client's new try counts from its first, where that came here too and its key tells so. */
-  private long firstAsked(Event.ScanTaken event, TableType type) {
+  private long firstAsked(Event.QueryReceived event, QueryClass type) {
     asked.values().removeIf(at -> at <= now - type.timeoutUs());
     String what = type.name() + ' ' + event.key();
     if (!event.resent() || event.key().isEmpty()) {
@@ -257,14 +257,14 @@
     return asked.computeIfAbsent(what, absent -> event.askedAt());
   }
 
-  private void takeEnd(Event.DispatchEnded ended) {
-    Part part = parts.get(ended.part());
+  private void takeEnd(Event.AttemptCompleted ended) {
+    ShardRequest part = parts.get(ended.part());
     if (part == null
         || ended.dispatch() >= part.dispatches.size()
         || !part.dispatches.get(ended.dispatch()).out) {
       return;
     }
-    Dispatch dispatch = part.dispatches.get(ended.dispatch());
+    Attempt dispatch = part.dispatches.get(ended.dispatch());
     dispatch.end(ended.outcome());
     workQueue.changed(part.scan);
     judge(dispatch, ended.tookUs());
@@ -282,7 +282,7 @@
     forget(part);
   }
 
-  private void forget(Part part) {
+  private void forget(ShardRequest part) {
     if (part.scan.verdict != Verdict.OPEN && part.out() == 0) {
       parts.remove(part.id);
     }
@@ -290,9 +290,9 @@
 
   // ---- what the gatherer makes of ends: caps, the sequential test, the typical time
 
-  private void judge(Dispatch dispatch, long tookUs) {
+  private void judge(Attempt dispatch, long tookUs) {
     ShardServer srv = dispatch.server;
-    Shard shard = shard(dispatch.part.shard);
+    ConcurrencyLimit shard = shard(dispatch.part.shard);
     // The overflow figure of a home starts at the page's and follows how its answers come.
     boolean quick = dispatch.outcome == Outcome.COMPLETED && tookUs <= SLOW * typical;
     overflow = overflowAfter(overflow, quick, 0);
@@ -354,7 +354,7 @@
         : Math.max(least, overflow * HALF);
   }
 
-  private void overdue(Dispatch dispatch) {
+  private void overdue(Attempt dispatch) {
     if (!dispatch.overdue) {
       dispatch.overdue = true;
       dispatch.server.silentAt = Math.max(dispatch.server.silentAt, dispatch.sentAt);
@@ -370,7 +370,7 @@
   }
 
   /** While answers wait, a part out for long tells of the queue; a failed connection never does. */
-  private void learnSilence(Dispatch dispatch) {
+  private void learnSilence(Attempt dispatch) {
     if (!waiting() && dispatch.outcome != Outcome.SPOILT
         || dispatch.outcome == Outcome.UNREACHABLE) {
       idleLoss += dispatch.idle ? (1 - idleLoss) * LEARN_FAST : 0;
@@ -383,11 +383,11 @@
    * silence on such outweighs silence on others. They are closed before use then; silence tells
    * nothing of the server.
    */
-  private boolean reaped(Dispatch dispatch) {
+  private boolean reaped(Attempt dispatch) {
     return dispatch.idle && idleLoss >= SLOW * BAD_SOUND && idleLoss >= SLOW * busyLoss;
   }
 
-  private void halve(Shard shard) {
+  private void halve(ConcurrencyLimit shard) {
     shard.capPerReplica *= HALF;
     shard.troubledAt = now;
   }
@@ -428,14 +428,14 @@
   // ---- what is wanted
 
   private void review() {
-    for (Scan scan : workQueue.take(now)) {
+    for (Query scan : workQueue.take(now)) {
       if (scan.verdict != Verdict.OPEN) {
         continue;
       }
       scan.parts.forEach(part -> part.dispatches.forEach(this::watch));
       if (!scan.selected) {
         scan.parts.sort(
-            Comparator.comparingDouble((Part p) -> -p.weight).thenComparingInt(p -> p.shard));
+            Comparator.comparingDouble((ShardRequest p) -> -p.weight).thenComparingInt(p -> p.shard));
       }
       if (!scan.selected && !awaitingCanary(scan)) {
         select(scan);
@@ -447,7 +447,7 @@
     }
   }
 
-  private void watch(Dispatch dispatch) {
+  private void watch(Attempt dispatch) {
     if (dispatch.out && now >= dispatch.dueAt) {
       overdue(dispatch);
     } else if (dispatch.out) {
@@ -456,9 +456,9 @@
   }
 
   /** The design: the ranked parts that pass their threshold go, the others stay unsent. */
-  private void select(Scan scan) {
+  private void select(Query scan) {
     scan.selected = true;
-    List<Part> ranked = scan.parts;
+    List<ShardRequest> ranked = scan.parts;
     // Not even a quick answer would be back in time: nothing is sent for it.
     if (ranked.isEmpty() || scan.limitAt - now <= early(scan) + service) {
       giveUp(scan);
@@ -480,7 +480,7 @@
         (int) Math.ceil(most * Math.min(1, Math.max(0, 2 - 2 * congestion / OVERLOADED_SHARE)));
     double weight = 0;
     for (int rank = 0; rank < most; rank++) {
-      Part part = ranked.get(rank);
+      ShardRequest part = ranked.get(rank);
       // Exception: what the floor needs counts as top, as an answer from less may not be given.
       top = weight < scan.type.floor() ? Math.max(top, rank + 1) : top;
       weight += part.weight;
@@ -516,9 +516,9 @@
    * servers down reaches one of them so, not all. Costs sound scans the canary's time; not while
    * overload is seen.
    */
-  private boolean awaitingCanary(Scan scan) {
+  private boolean awaitingCanary(Query scan) {
     int broken = breaks.count(now, CANARY_TARGETS * shortestTarget);
-    Part canary = scan.parts.size() < 2 ? null : scan.parts.get(0);
+    ShardRequest canary = scan.parts.size() < 2 ? null : scan.parts.get(0);
     if (broken < FATAL
         || overload()
         || canary == null
@@ -533,12 +533,12 @@
     return scan.broken > 0 || now < until;
   }
 
-  private Shard shard(int number) {
-    return shards.computeIfAbsent(number, absent -> new Shard(CAP_START));
+  private ConcurrencyLimit shard(int number) {
+    return shards.computeIfAbsent(number, absent -> new ConcurrencyLimit(CAP_START));
   }
 
   /** First and further dispatches of a part that is still wanted. */
-  private void pursue(Part part) {
+  private void pursue(ShardRequest part) {
     if (part.stage == Stage.HELD) {
       first(part);
     } else if (part.stage == Stage.SENT
@@ -573,8 +573,8 @@
   }
 
   /** One of the last parts that a scan waits for, out for the least patience. */
-  private boolean straggles(Dispatch dispatch) {
-    Scan scan = dispatch.part.scan;
+  private boolean straggles(Attempt dispatch) {
+    Query scan = dispatch.part.scan;
     long at = dispatch.sentAt + Math.round(scan.type.targetUs() * PATIENCE_LEAST);
     workQueue.at(now < at ? at : Long.MAX_VALUE, scan);
     return now >= at
@@ -582,7 +582,7 @@
         && scan.left <= Math.max(1, scan.parts.size() * IDLE);
   }
 
-  private void first(Part part) {
+  private void first(ShardRequest part) {
     boolean late = now >= part.scan.targetAt && (overload() || part.scan.type.lateBenefit() <= 0);
     if (fleet.holders(part.shard).isEmpty() || late) {
       part.stage = Stage.LOST;
@@ -598,13 +598,13 @@
   }
 
   /** Whether the part may get a further dispatch at all, now or later. */
-  private boolean furtherEver(Part part) {
+  private boolean furtherEver(ShardRequest part) {
     int most = Math.min(settings.limits().maxDispatches(), 1 + FURTHER_MOST);
     if (part.dispatches.size() >= most || now >= part.scan.targetAt) {
       return false;
     }
-    if (part.scan.type.repeat() != Repeat.KEYED || !part.mayHaveRun()) {
-      return part.scan.type.repeat() == Repeat.REPLAYABLE || !part.mayHaveRun();
+    if (part.scan.type.repeat() != Idempotency.KEYED || !part.mayHaveRun()) {
+      return part.scan.type.repeat() == Idempotency.REPLAYABLE || !part.mayHaveRun();
     }
     long windowEnd = now + settings.tickUs() - part.scan.type.windowUs();
     return part.dispatches.stream()
@@ -621,7 +621,7 @@
   }
 
   /** The replica for the next dispatch of a part, or null where none can take it now. */
-  private ShardServer place(Part part) {
+  private ShardServer place(ShardRequest part) {
     String salt = (part.key.isEmpty() ? part.scan.id : part.key) + '/' + part.shard + '/';
     List<ShardServer> open =
         fleet.holders(part.shard).stream()
@@ -629,7 +629,7 @@
                 srv ->
                     part.dispatches.stream().noneMatch(d -> d.out && d.server == srv)
                         && coldRoom(srv))
-            .sorted(Comparator.comparingDouble((ShardServer srv) -> -Chance.share(salt + srv.id)))
+            .sorted(Comparator.comparingDouble((ShardServer srv) -> -SeededRandom.share(salt + srv.id)))
             .toList();
     if (open.isEmpty()) {
       return null;
@@ -637,7 +637,7 @@
     ShardServer home = open.get(0);
     boolean trial =
         home.sick && now >= home.trialAt && home.out.isEmpty() && part.dispatches.isEmpty();
-    if (trial && part.scan.type.repeat() != Repeat.NON_REPLAYABLE) {
+    if (trial && part.scan.type.repeat() != Idempotency.NON_REPLAYABLE) {
       return home;
     }
     List<ShardServer> fresh =
@@ -661,7 +661,7 @@
   private double held(ShardServer srv) {
     double held = 0;
     long last = -1;
-    for (Dispatch dispatch : srv.out) {
+    for (Attempt dispatch : srv.out) {
       held += dispatch.call != last ? 1 : CALL_MORE;
       held += dispatch.overdue ? OVERFLOW_START : 0;
       last = dispatch.call;
@@ -711,20 +711,20 @@
     double unit = Math.max(service, shortestTarget * TYPICAL_START) + settings.layout().callUs();
     srv.startedAt = at;
     srv.coldRate = rules.fallMultiple() * Math.max(1, srv.size) * rules.tipAfterUs() / unit;
-    double first = Chance.folded(srv.id) + settings.rank() / (double) settings.instances();
+    double first = SeededRandom.folded(srv.id) + settings.rank() / (double) settings.instances();
     srv.coldPhase = settings.rank() < 0 ? chance.next() : first - Math.floor(first);
     srv.coldTurn = coldTurn(srv);
   }
 
-  private void send(Part part, ShardServer srv) {
+  private void send(ShardRequest part, ShardServer srv) {
     if (srv.callAt != now || srv.callFill >= settings.layout().bundleMax()) {
       srv.callAt = now;
       srv.call = ++calls;
       srv.callFill = 0;
     }
     srv.callFill++;
-    Scan scan = part.scan;
-    Dispatch dispatch = new Dispatch(part, part.dispatches.size(), srv, now, srv.call);
+    Query scan = part.scan;
+    Attempt dispatch = new Attempt(part, part.dispatches.size(), srv, now, srv.call);
     dispatch.dueAt = now + patience(scan);
     dispatch.idle = srv.heardAt > 0 && now - srv.heardAt >= shortestTarget * HALF;
     // Nothing heard since an overdue part was sent: its connection may have fallen silent, not its
@@ -732,7 +732,7 @@
     dispatch.anew =
         srv.silentAt >= srv.heardAt
             || reaped(dispatch)
-                && (scan.type.repeat() != Repeat.REPLAYABLE || chance.next() >= LEARN);
+                && (scan.type.repeat() != Idempotency.REPLAYABLE || chance.next() >= LEARN);
     dispatch.idle &= !dispatch.anew;
     srv.silentAt = -1;
     part.dispatches.add(dispatch);
@@ -753,21 +753,21 @@
     workQueue.at(dispatch.dueAt, scan);
   }
 
-  private long patience(Scan scan) {
+  private long patience(Query scan) {
     double least = scan.type.targetUs() * PATIENCE_LEAST;
     double most = scan.type.targetUs() * PATIENCE_MOST;
     return Math.round(Math.min(most, Math.max(least, typical * PATIENCE_TYPICAL)));
   }
 
   /** When and how a scan ends. */
-  private void conclude(Scan scan) {
-    TableType type = scan.type;
+  private void conclude(Query scan) {
+    QueryClass type = scan.type;
     double in = 0;
     double pending = 0;
     boolean all = true;
     boolean none = true;
     scan.left = 0;
-    for (Part part : scan.parts) {
+    for (ShardRequest part : scan.parts) {
       if (part.step == scan.step) {
         none = false;
         in += part.stage == Stage.IN ? part.weight : 0;
@@ -802,26 +802,26 @@
   }
 
   /** A throttling reply says that trying again is harmless. */
-  private void giveUp(Scan scan) {
+  private void giveUp(Query scan) {
     boolean harmless =
-        scan.type.repeat() == Repeat.REPLAYABLE || scan.parts.stream().noneMatch(Part::mayHaveRun);
+        scan.type.repeat() == Idempotency.REPLAYABLE || scan.parts.stream().noneMatch(ShardRequest::mayHaveRun);
     close(scan, harmless ? Verdict.THROTTLE : Verdict.ABANDON);
   }
 
-  private void close(Scan scan, Verdict verdict) {
+  private void close(Query scan, Verdict verdict) {
     scan.verdict = verdict;
     decided.add(scan);
     scan.parts.forEach(this::drop);
   }
 
   /** Nothing of the part is wanted any longer. */
-  private void drop(Part part) {
+  private void drop(ShardRequest part) {
     part.stage = part.stage == Stage.IN ? Stage.IN : Stage.LOST;
     part.dispatches.stream().filter(d -> d.out).forEach(this::unwant);
     part.dispatches.removeIf(d -> d.outcome == Outcome.NEVER_SENT && !d.sent);
   }
 
-  private void unwant(Dispatch dispatch) {
+  private void unwant(Attempt dispatch) {
     dispatch.wanted = false;
     unsettled.add(dispatch);
     if (!dispatch.sent && dispatch.out) {
@@ -838,7 +838,7 @@
     if (settings.limits().listOnRequest()) {
       boolean silent = following && !followAnswered && now >= askAt + settings.rules().askEveryUs();
       if (!following && now >= askAt || silent) {
-        actions.add(new Action.Follow(true));
+        actions.add(new Action.WatchEndpoints(true));
         following = true;
         followAnswered = false;
         askAt = now;
@@ -851,19 +851,19 @@
                   ? askAt
                   : followAnswered ? Long.MAX_VALUE : askAt + settings.rules().askEveryUs());
     }
-    for (Dispatch dispatch : unsettled) {
+    for (Attempt dispatch : unsettled) {
       if (dispatch.out && dispatch.wanted && !dispatch.sent) {
         dispatch.sent = true;
         if (dispatch.anew) {
-          actions.add(new Action.Close(dispatch.server.id));
+          actions.add(new Action.RetireConnections(dispatch.server.id));
         }
-        actions.add(new Action.Send(dispatch.part.id, dispatch.server.id, dispatch.stopAt));
+        actions.add(new Action.SendAttempt(dispatch.part.id, dispatch.server.id, dispatch.stopAt));
       } else if (dispatch.out
           && !dispatch.wanted
           && !dispatch.cancelled
           && settings.limits().cancel()) {
         dispatch.cancelled = true;
-        actions.add(new Action.Cancel(dispatch.part.id, dispatch.number));
+        actions.add(new Action.CancelAttempt(dispatch.part.id, dispatch.number));
       }
     }
     unsettled.clear();
@@ -873,10 +873,10 @@
     }
   }
 
-  private void announce(Scan scan) {
+  private void announce(Query scan) {
     boolean whole = scan.verdict == Verdict.ANSWER_WHOLE;
     switch (scan.verdict) {
-      case ANSWER_WHOLE, ANSWER_IN_PART -> actions.add(new Action.Answer(scan.id, whole));
+      case ANSWER_WHOLE, ANSWER_IN_PART -> actions.add(new Action.Respond(scan.id, whole));
       case THROTTLE ->
           actions.add(
               new Action.Throttle(
@@ -884,7 +884,7 @@
                   settings.limits().holdOff()
                       ? Math.min(shortestTarget, settings.limits().maxHoldOffUs())
                       : 0));
-      case ABANDON -> actions.add(new Action.Abandon(scan.id));
+      case ABANDON -> actions.add(new Action.Fail(scan.id));
       default -> {}
     }
     if ((whole || scan.verdict == Verdict.ANSWER_IN_PART) && scan.moreSteps()) {
--- a/router/src/main/java/tidebank/model/Part.java
+++ b/router/src/main/java/tidebank/policy/ShardRequest.java
@@ -1,4 +1,6 @@
-package tidebank.model;
+package tidebank.policy;
+
+import tidebank.model.Outcome;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -6,7 +8,7 @@
 /**
  * State of one part; it lives as long as its scan, or until the last of its dispatches has ended.
  */
-public final class Part {
+public final class ShardRequest {
   /**
    * HELD: to be sent; UNSENT: left out on purpose; IN: its answer came; LOST: nothing more can be
    * done.
@@ -20,15 +22,15 @@
   }
 
   public final String id;
-  public final Scan scan;
+  public final Query scan;
   public final int shard;
   public final double weight;
   public final String key;
   public final int step;
-  public final List<Dispatch> dispatches = new ArrayList<>();
+  public final List<Attempt> dispatches = new ArrayList<>();
   public Stage stage;
 
-  public Part(String id, Scan scan, int shard, double weight, String key, int step) {
+  public ShardRequest(String id, Query scan, int shard, double weight, String key, int step) {
     this.id = id;
     this.scan = scan;
     this.shard = shard;
@@ -39,7 +41,7 @@
 
   public int out() {
     int out = 0;
-    for (Dispatch d : dispatches) {
+    for (Attempt d : dispatches) {
       if (d.out) {
         out++;
       }
@@ -55,7 +57,7 @@
   }
 
   public boolean mayHaveRun() {
-    for (Dispatch d : dispatches) {
+    for (Attempt d : dispatches) {
       if (d.out || !d.outcome.neverRan) {
         return true;
       }
--- a/router/src/main/java/tidebank/model/ShardServer.java
+++ b/router/src/main/java/tidebank/policy/ShardServer.java
@@ -1,4 +1,4 @@
-package tidebank.model;
+package tidebank.policy;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -33,10 +33,10 @@
 
   public long call;
   public int callFill;
-  public final List<Dispatch> out = new ArrayList<>();
+  public final List<Attempt> out = new ArrayList<>();
 
   /** When parts were sent, as far back as a cold server's guard looks. */
-  public final Window coldSends = new Window();
+  public final SlidingWindow coldSends = new SlidingWindow();
 
   /** Log-likelihood ratio of the sequential test; above its bound the server is held to be sick. */
   public double doubt;
--- a/router/src/main/java/tidebank/model/Window.java
+++ b/router/src/main/java/tidebank/policy/SlidingWindow.java
@@ -1,10 +1,10 @@
-package tidebank.model;
+package tidebank.policy;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
 
 /** Times at which something happened, kept for as long as a span looks back. */
-public final class Window {
+public final class SlidingWindow {
   private final Deque<Long> times = new ArrayDeque<>();
 
   /** How many lie within the span up to now; older ones are forgotten. */
--- a/router/src/main/java/tidebank/model/ListCalls.java
+++ b/router/src/main/java/tidebank/policy/WatchTimings.java
@@ -1,4 +1,6 @@
-package tidebank.model;
+package tidebank.policy;
+
+import tidebank.model.Settings;
 
 /**
  * All waits of an instance's calls to discovery, in whole microseconds: how long a call may wait
@@ -14,7 +16,7 @@
  * for a call that may wait. Half of each backoff is drawn by chance, so that a fleet does not call
  * in step.
  */
-public final class ListCalls {
+public final class WatchTimings {
   /** PROTOCOL: counts as told so long after discovery had it and could be reached. */
   private static final long TOLD_US = 6_000_000;
 
@@ -64,7 +66,7 @@
    * Where the settings hold an instance to its list for less time than the protocol does, that is
    * the bound.
    */
-  public ListCalls(Settings settings) {
+  public WatchTimings(Settings settings) {
     long askEvery = settings.rules().askEveryUs();
     boundUs = Math.min(TOLD_US, askEvery);
     long fleet = settings.limits().listOnRequest() ? settings.instances() * FLEET_CALL_US : 0;
--- a/router/src/main/java/tidebank/runtime/DispatchRequest.java
+++ b/router/src/main/java/tidebank/runtime/AttemptRequest.java
@@ -4,20 +4,20 @@
  * One dispatch, from the module's word to its one end. The shard side carries it out, the turn
  * keeps the books.
  */
-public final class DispatchRequest {
+public final class AttemptRequest {
   public final String part;
   public final int shard;
   public final String server;
   public final byte[] text;
   public final long stopAt;
-  final HeldScan.HeldPart held;
+  final PendingQuery.PendingShardRequest held;
   final int number;
   final long askedAt;
   Handle handle;
   boolean ended;
 
-  DispatchRequest(
-      HeldScan.HeldPart held, int number, String server, byte[] text, long stopAt, long askedAt) {
+  AttemptRequest(
+      PendingQuery.PendingShardRequest held, int number, String server, byte[] text, long stopAt, long askedAt) {
     this.held = held;
     this.part = held.id;
     this.shard = held.range.shard();
--- a/router/src/main/java/tidebank/runtime/ShardPort.java
+++ b/router/src/main/java/tidebank/runtime/BackendPort.java
@@ -5,12 +5,12 @@
 import tidebank.model.Event;
 
 /** What the turn asks of the side that speaks to shard servers. */
-public interface ShardPort {
+public interface BackendPort {
   /** Takes the list, or what changed in it; {@code full}: what is not named has left. */
   void listed(List<Member> members, boolean full);
 
   /** Takes a dispatch; it goes out with {@link #flush}. Its end is told to the turn. */
-  DispatchRequest.Handle send(DispatchRequest request);
+  AttemptRequest.Handle send(AttemptRequest request);
 
   /** All sends of this turn are in: those to one server share calls. */
   void flush();
@@ -21,5 +21,5 @@
   void probe(String server);
 
   /** A line of the list, with the address. */
-  record Member(Event.Listed line, InetSocketAddress address) {}
+  record Member(Event.Endpoint line, InetSocketAddress address) {}
 }
--- a/router/src/main/java/tidebank/runtime/ListPort.java
+++ b/router/src/main/java/tidebank/runtime/DiscoveryPort.java
@@ -1,7 +1,7 @@
 package tidebank.runtime;
 
 /** What the turn asks of the side that speaks to discovery. */
-public interface ListPort {
+public interface DiscoveryPort {
   /**
    * Begins a watch anew, or ends it. Exactly one list event answers a beginning; changes follow
    * until it is lost.
--- a/router/src/main/java/tidebank/runtime/StallReport.java
+++ b/router/src/main/java/tidebank/runtime/EventLoopStallLogger.java
@@ -2,21 +2,21 @@
 
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tidebank.base.Counters;
+import tidebank.metrics.Counters;
 
 /**
  * Logs and counts what kept requests waiting within this process: wake-ups that came late, and
  * passes of the event loop that took long. What clients and servers did meanwhile was seen late.
  */
-final class StallReport {
-  private static final Logger LOG = LoggerFactory.getLogger(StallReport.class);
+final class EventLoopStallLogger {
+  private static final Logger LOG = LoggerFactory.getLogger(EventLoopStallLogger.class);
 
   /** What is shorter is not worth a line. */
   private static final long LEAST_US = 100_000;
 
   private final Counters counters;
 
-  StallReport(Counters counters) {
+  EventLoopStallLogger(Counters counters) {
     this.counters = counters;
   }
 
--- a/router/src/main/java/tidebank/runtime/HeldScan.java
+++ b/router/src/main/java/tidebank/runtime/PendingQuery.java
@@ -4,19 +4,19 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import tidebank.runtime.Reply.Value;
+import tidebank.runtime.ResponseCallback.Value;
 
 /**
  * What the turn keeps for one scan, beside the module's state: the text, the values, who waits for
  * the answer.
  */
-final class HeldScan {
-  final ScanRequest request;
+final class PendingQuery {
+  final QueryRequest request;
   final long number;
-  final Map<String, HeldPart> parts = new LinkedHashMap<>();
+  final Map<String, PendingShardRequest> parts = new LinkedHashMap<>();
 
   /** Null once the scan has had its final answer or its client has left. */
-  Reply reply;
+  ResponseCallback reply;
 
   /** When its client's connection was read last for it. */
   long clientReadAt;
@@ -24,12 +24,12 @@
   /** When the latest dispatch of it was begun. */
   long lastSentAt;
 
-  HeldScan(ScanRequest request, long number, Reply reply) {
+  PendingQuery(QueryRequest request, long number, ResponseCallback reply) {
     this.request = request;
     this.number = number;
     this.reply = reply;
-    for (ScanRequest.Range range : request.ranges()) {
-      HeldPart part = new HeldPart(this, range);
+    for (QueryRequest.ShardRange range : request.ranges()) {
+      PendingShardRequest part = new PendingShardRequest(this, range);
       parts.put(part.id, part);
     }
   }
@@ -43,21 +43,21 @@
   }
 
   /** One of its parts. */
-  static final class HeldPart {
-    final HeldScan scan;
-    final ScanRequest.Range range;
+  static final class PendingShardRequest {
+    final PendingQuery scan;
+    final QueryRequest.ShardRange range;
     final String id;
-    final List<DispatchRequest> requests = new ArrayList<>();
+    final List<AttemptRequest> requests = new ArrayList<>();
     byte[] value;
 
-    HeldPart(HeldScan scan, ScanRequest.Range range) {
+    PendingShardRequest(PendingQuery scan, QueryRequest.ShardRange range) {
       this.scan = scan;
       this.range = range;
       this.id = id(scan.request, range);
     }
 
     /** The protocol's: the scan's id, a dot, the shard. */
-    static String id(ScanRequest request, ScanRequest.Range range) {
+    static String id(QueryRequest request, QueryRequest.ShardRange range) {
       return request.id() + '.' + range.shard();
     }
   }
--- a/router/src/main/java/tidebank/runtime/PolicyDriver.java
+++ b/router/src/main/java/tidebank/runtime/PolicyExecutor.java
@@ -9,24 +9,24 @@
 import java.util.function.BiConsumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tidebank.RoutingPolicy;
-import tidebank.base.Counters;
+import tidebank.policy.RoutingPolicy;
+import tidebank.metrics.Counters;
 import tidebank.capture.DecisionLog;
 import tidebank.model.Action;
 import tidebank.model.Event;
-import tidebank.model.Event.ListKind;
-import tidebank.model.Event.ServerStatus;
+import tidebank.model.Event.ListUpdate;
+import tidebank.model.Event.EndpointStatus;
 import tidebank.model.Outcome;
 import tidebank.model.Settings;
-import tidebank.runtime.HeldScan.HeldPart;
-import tidebank.runtime.ShardPort.Member;
+import tidebank.runtime.PendingQuery.PendingShardRequest;
+import tidebank.runtime.BackendPort.Member;
 
 /**
  * Gathers what one pass of the event loop brings, calls the module once and carries out what it
  * wants, in order. It decides nothing. All of it runs on the event loop.
  */
-public final class PolicyDriver {
-  private static final Logger LOG = LoggerFactory.getLogger(PolicyDriver.class);
+public final class PolicyExecutor {
+  private static final Logger LOG = LoggerFactory.getLogger(PolicyExecutor.class);
 
   /**
    * PROTOCOL: nothing is sent more than 0.1 s after a client closed. For a tenth of that what was
@@ -36,29 +36,29 @@
 
   private final Settings settings;
   private final Clock clock;
-  private final Timers timers;
+  private final TimerQueue timers;
   private final EventLoop loop;
   private final Counters counters;
-  private final ReadPasses passes;
-  private final StallReport stalls;
+  private final ReadDelayEstimator passes;
+  private final EventLoopStallLogger stalls;
   private final Runnable run = this::run;
-  private final Map<String, HeldScan> scans = new HashMap<>();
-  private final Map<String, HeldPart> parts = new HashMap<>();
+  private final Map<String, PendingQuery> scans = new HashMap<>();
+  private final Map<String, PendingShardRequest> parts = new HashMap<>();
   private final Map<String, Member> list = new HashMap<>();
   private List<Event> events = new ArrayList<>();
   private boolean scheduled;
   private boolean listed;
   private RoutingPolicy policy;
   private long seed;
-  private ShardPort shards;
-  private ListPort discovery;
+  private BackendPort shards;
+  private DiscoveryPort discovery;
   private Runnable whenIdle;
   private DecisionLog log = DecisionLog.NONE;
   private long numbers;
   private int held;
 
-  public PolicyDriver(
-      Settings settings, long seed, Clock clock, Timers timers, EventLoop loop, Counters counters) {
+  public PolicyExecutor(
+      Settings settings, long seed, Clock clock, TimerQueue timers, EventLoop loop, Counters counters) {
     this.settings = settings;
     this.seed = seed;
     this.clock = clock;
@@ -66,8 +66,8 @@
     this.loop = loop;
     this.counters = counters;
     this.policy = new RoutingPolicy(settings, seed);
-    this.passes = new ReadPasses(settings.tickUs());
-    this.stalls = new StallReport(counters);
+    this.passes = new ReadDelayEstimator(settings.tickUs());
+    this.stalls = new EventLoopStallLogger(counters);
   }
 
   /** Has every turn told from now on, which is before the first. */
@@ -76,7 +76,7 @@
     log.started(settings, seed);
   }
 
-  public void connect(ShardPort shards, ListPort discovery) {
+  public void connect(BackendPort shards, DiscoveryPort discovery) {
     this.shards = shards;
     this.discovery = discovery;
   }
@@ -84,19 +84,19 @@
   // ---- what happened
 
   /** A front took a scan. False: as much is held as the settings allow; it was not taken. */
-  public boolean scanTaken(ScanRequest request, Reply reply) {
+  public boolean scanTaken(QueryRequest request, ResponseCallback reply) {
     int more = 1 + request.ranges().size();
     if (held > settings.limits().mostHeld() - more) {
       return false;
     }
     counters.must(!holds(request), "an id is held once");
-    HeldScan scan = new HeldScan(request, ++numbers, reply);
+    PendingQuery scan = new PendingQuery(request, ++numbers, reply);
     scan.clientReadAt = clock.now();
     held += more;
     scans.put(request.id(), scan);
     parts.putAll(scan.parts);
     tell(
-        new Event.ScanTaken(
+        new Event.QueryReceived(
             request.id(),
             scan.number,
             request.type(),
@@ -105,24 +105,24 @@
             request.limitAt(),
             request.resent(),
             request.key()));
-    for (HeldPart part : scan.parts.values()) {
+    for (PendingShardRequest part : scan.parts.values()) {
       tell(
-          new Event.PartTaken(
+          new Event.ShardRequestReceived(
               part.id, scan.number, part.range.shard(), part.range.weight(), part.range.key()));
     }
     return true;
   }
 
   /** Whether a scan of this id is held, or a part of it is still out. */
-  public boolean holds(ScanRequest request) {
+  public boolean holds(QueryRequest request) {
     return scans.containsKey(request.id())
         || request.ranges().stream()
-            .anyMatch(range -> parts.containsKey(HeldPart.id(request, range)));
+            .anyMatch(range -> parts.containsKey(PendingShardRequest.id(request, range)));
   }
 
   /** What was sent so far for a scan that is held, for the log. */
   public String dispatches(String id) {
-    HeldScan scan = scans.get(id);
+    PendingQuery scan = scans.get(id);
     if (scan == null) {
       return "dispatches=-";
     }
@@ -133,11 +133,11 @@
 
   /** The client of a scan has left. */
   public void scanLapsed(String id) {
-    HeldScan scan = scans.get(id);
+    PendingQuery scan = scans.get(id);
     if (scan != null) {
       counters.add("scans.lapsed");
       finish(scan);
-      tell(new Event.ScanLapsed(id));
+      tell(new Event.ClientDisconnected(id));
     }
   }
 
@@ -146,8 +146,8 @@
    * rests on may be long over, as code may be cold and the process may have been held up: if the
    * client has left meanwhile, its scan lapses here, and with it all that is not written.
    */
-  public void aboutToWrite(DispatchRequest request) {
-    HeldScan scan = request.held.scan;
+  public void aboutToWrite(AttemptRequest request) {
+    PendingQuery scan = request.held.scan;
     if (scan.reply == null || clock.now() - scan.clientReadAt < CLIENT_READ_US) {
       return;
     }
@@ -160,49 +160,49 @@
 
   /** A dispatch has come to its one end; {@code value} is null unless it completed. */
   public void dispatchEnded(
-      DispatchRequest request, Outcome outcome, byte[] value, Map<String, Double> report) {
+      AttemptRequest request, Outcome outcome, byte[] value, Map<String, Double> report) {
     if (!counters.must(!request.ended, "a dispatch ends once")) {
       return;
     }
     request.ended = true;
-    HeldPart part = request.held;
+    PendingShardRequest part = request.held;
     if (value != null && part.value == null && part.scan.reply != null) {
       part.value = value;
     }
     counters.add("dispatches." + outcome.name().toLowerCase(Locale.ROOT));
     boolean closed = part.scan.reply == null || part.value != null;
     tell(
-        new Event.DispatchEnded(
+        new Event.AttemptCompleted(
             part.id, request.number, outcome, clock.now() - request.askedAt, closed, report));
     forget(part);
   }
 
   public void probed(String server, Outcome outcome, long tookUs, Map<String, Double> report) {
     counters.add("probes." + outcome.name().toLowerCase(Locale.ROOT));
-    tell(new Event.Probed(server, outcome, tookUs, report));
+    tell(new Event.HealthCheckCompleted(server, outcome, tookUs, report));
   }
 
   /** A list, or what changed in it, or that the watch was lost. */
-  public void listSeen(ListKind kind, List<Member> members) {
-    if (kind != ListKind.LOST && kind != ListKind.MOVED) {
-      boolean full = kind != ListKind.CHANGES;
-      listed |= kind != ListKind.REMEMBERED;
+  public void listSeen(ListUpdate kind, List<Member> members) {
+    if (kind != ListUpdate.LOST && kind != ListUpdate.MOVED) {
+      boolean full = kind != ListUpdate.CHANGES;
+      listed |= kind != ListUpdate.REMEMBERED;
       if (full) {
         list.clear();
       }
       for (Member member : members) {
-        boolean gone = member.line().status() == ServerStatus.GONE;
+        boolean gone = member.line().status() == EndpointStatus.GONE;
         list.compute(member.line().server(), (id, before) -> gone ? null : member);
       }
       shards.listed(members, full);
     }
     counters.add("list." + kind.name().toLowerCase(Locale.ROOT));
-    tell(new Event.ListSeen(kind, members.stream().map(Member::line).toList()));
+    tell(new Event.EndpointListReceived(kind, members.stream().map(Member::line).toList()));
   }
 
   /** All that is held, and what still comes, is to be answered before this. */
   void ending(long at) {
-    tell(new Event.Ending(at));
+    tell(new Event.ShutdownRequested(at));
   }
 
   /** Runs something once no scan is held and nothing waits to be decided. */
@@ -222,7 +222,7 @@
   }
 
   /**
-   * The earliest moment at which bytes that are read now may have arrived, by {@link ReadPasses}
+   * The earliest moment at which bytes that are read now may have arrived, by {@link ReadDelayEstimator}
    * and by how much a timer is overdue: for so long the process as a whole stood still.
    */
   public long arrivedSince() {
@@ -287,32 +287,32 @@
    * The module may be half way through a change: it starts again from the list, as after a restart.
    */
   private void startOver() {
-    for (HeldScan scan : List.copyOf(scans.values())) {
-      Reply reply = scan.reply;
+    for (PendingQuery scan : List.copyOf(scans.values())) {
+      ResponseCallback reply = scan.reply;
       finish(scan);
       scan.parts.values().forEach(part -> List.copyOf(part.requests).forEach(this::cancel));
       reply.abandoned();
     }
     shards.flush();
     events.removeIf(
-        event -> !(event instanceof Event.ScanTaken || event instanceof Event.PartTaken));
+        event -> !(event instanceof Event.QueryReceived || event instanceof Event.ShardRequestReceived));
     policy = new RoutingPolicy(settings, ++seed);
     log.started(settings, seed);
     events.add(
         0,
-        new Event.ListSeen(ListKind.REMEMBERED, list.values().stream().map(Member::line).toList()));
-    tell(new Event.TimerDue(0));
+        new Event.EndpointListReceived(ListUpdate.REMEMBERED, list.values().stream().map(Member::line).toList()));
+    tell(new Event.TimerFired(0));
   }
 
   private void carryOut(Action action) {
-    if (action instanceof Action.Send send) {
+    if (action instanceof Action.SendAttempt send) {
       send(send);
-    } else if (action instanceof Action.Cancel cancel) {
-      HeldPart part = parts.get(cancel.part());
+    } else if (action instanceof Action.CancelAttempt cancel) {
+      PendingShardRequest part = parts.get(cancel.part());
       if (part != null) {
         cancel(part.requests.get(cancel.dispatch()));
       }
-    } else if (action instanceof Action.Answer answer) {
+    } else if (action instanceof Action.Respond answer) {
       conclude(
           answer.scan(),
           answer.whole() ? "scans.whole" : "scans.partial",
@@ -322,41 +322,41 @@
           throttle.scan(),
           "scans.throttled",
           (reply, scan) -> reply.throttled(throttle.holdOffUs()));
-    } else if (action instanceof Action.Abandon abandon) {
+    } else if (action instanceof Action.Fail abandon) {
       conclude(abandon.scan(), "scans.abandoned", (reply, scan) -> reply.abandoned());
     } else if (action instanceof Action.SetTimer timer) {
       timers.set(
-          Timers.timer(() -> tell(new Event.TimerDue(timer.token()))),
+          TimerQueue.timer(() -> tell(new Event.TimerFired(timer.token()))),
           clock.now() + timer.waitUs());
-    } else if (action instanceof Action.Follow follow) {
+    } else if (action instanceof Action.WatchEndpoints follow) {
       discovery.follow(follow.on());
-    } else if (action instanceof Action.Close close) {
+    } else if (action instanceof Action.RetireConnections close) {
       shards.retire(close.server());
-    } else if (action instanceof Action.Probe probe) {
+    } else if (action instanceof Action.CheckHealth probe) {
       shards.probe(probe.server());
-    } else if (action instanceof Action.Note note) {
+    } else if (action instanceof Action.LogNote note) {
       LOG.info("module: " + note.text());
     }
   }
 
-  private void conclude(String id, String counter, BiConsumer<Reply, HeldScan> answer) {
-    HeldScan scan = scans.get(id);
+  private void conclude(String id, String counter, BiConsumer<ResponseCallback, PendingQuery> answer) {
+    PendingQuery scan = scans.get(id);
     if (scan != null) {
-      Reply reply = scan.reply;
+      ResponseCallback reply = scan.reply;
       finish(scan);
       counters.add(counter);
       answer.accept(reply, scan);
     }
   }
 
-  private void send(Action.Send send) {
-    HeldPart part = parts.get(send.part());
+  private void send(Action.SendAttempt send) {
+    PendingShardRequest part = parts.get(send.part());
     if (!counters.must(
         part != null && part.scan.reply != null, "only parts of an open scan are sent")) {
       return;
     }
-    DispatchRequest request =
-        new DispatchRequest(
+    AttemptRequest request =
+        new AttemptRequest(
             part,
             part.requests.size(),
             send.server(),
@@ -373,19 +373,19 @@
     }
   }
 
-  private void cancel(DispatchRequest request) {
+  private void cancel(AttemptRequest request) {
     if (!request.ended) {
       request.handle.cancel();
     }
   }
 
   /** The scan has its final answer, or needs none: nothing of it may be written any more. */
-  private void finish(HeldScan scan) {
+  private void finish(PendingQuery scan) {
     scan.reply = null;
     scans.remove(scan.request.id());
     held -= 1 + scan.parts.size();
-    for (HeldPart part : scan.parts.values()) {
-      for (DispatchRequest request : List.copyOf(part.requests)) {
+    for (PendingShardRequest part : scan.parts.values()) {
+      for (AttemptRequest request : List.copyOf(part.requests)) {
         if (!request.ended) {
           request.handle.dropUnsent();
         }
@@ -394,7 +394,7 @@
     }
   }
 
-  private void forget(HeldPart part) {
+  private void forget(PendingShardRequest part) {
     if (part.scan.reply == null && part.requests.stream().allMatch(request -> request.ended)) {
       parts.remove(part.id);
     }
--- a/router/src/main/java/tidebank/runtime/ScanRequest.java
+++ b/router/src/main/java/tidebank/runtime/QueryRequest.java
@@ -6,7 +6,7 @@
  * A scan as a front took it, whose last byte came at {@code askedAt}: checked, with its key or ""
  * and the text that every part carries.
  */
-public record ScanRequest(
+public record QueryRequest(
     String id,
     String type,
     String account,
@@ -15,7 +15,7 @@
     boolean resent,
     String key,
     byte[] text,
-    List<Range> ranges) {
+    List<ShardRange> ranges) {
   /** One part: its shard, its share of the whole answer and its key, or "". */
-  public record Range(int shard, double weight, String key) {}
+  public record ShardRange(int shard, double weight, String key) {}
 }
--- a/router/src/main/java/tidebank/runtime/Gatherer.java
+++ b/router/src/main/java/tidebank/runtime/QueryRouter.java
@@ -22,24 +22,24 @@
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tidebank.base.Counters;
-import tidebank.capture.Recorder;
-import tidebank.config.Malformed;
-import tidebank.config.NodeConfig;
-import tidebank.config.OperatorFile;
-import tidebank.discovery.DiscoverySide;
-import tidebank.discovery.ListReader;
+import tidebank.metrics.Counters;
+import tidebank.capture.CaptureRecorder;
+import tidebank.config.MalformedInputException;
+import tidebank.config.RouterConfig;
+import tidebank.config.OperatorConfig;
+import tidebank.discovery.DiscoveryClient;
+import tidebank.discovery.EndpointListParser;
 import tidebank.fleet.FleetAgent;
-import tidebank.frontend.ClientSide;
-import tidebank.model.Event.ListKind;
-import tidebank.backend.ShardSide;
+import tidebank.frontend.ClientServer;
+import tidebank.model.Event.ListUpdate;
+import tidebank.backend.ShardClient;
 
 /**
  * A gatherer on sockets, to be embedded: {@link #start} it, ask whether it is ready, {@link #stop}
  * it.
  */
-public final class Gatherer {
-  private static final Logger LOG = LoggerFactory.getLogger(Gatherer.class);
+public final class QueryRouter {
+  private static final Logger LOG = LoggerFactory.getLogger(QueryRouter.class);
   private static final int PAGE = 8192;
 
   /** Chunks of 512 KiB: one arena of few chunks serves a gatherer. */
@@ -48,21 +48,21 @@
   /** So often one client's connection is read in a pass at most; Netty's own figure. */
   private static final int READS_A_PASS = 16;
 
-  private final NodeConfig config;
+  private final RouterConfig config;
   private final long reportUs;
   private final Clock clock = new Clock();
   private final Counters counters = new Counters();
   private final EventLoopGroup group;
   private final ByteBufAllocator allocator;
   private final EventLoop loop;
-  private final Timers timers;
-  private final PolicyDriver driver;
-  private final Recorder recorder;
-  private final ShardSide shards;
-  private final DiscoverySide discovery;
-  private final ClientSide clients;
+  private final TimerQueue timers;
+  private final PolicyExecutor driver;
+  private final CaptureRecorder recorder;
+  private final ShardClient shards;
+  private final DiscoveryClient discovery;
+  private final ClientServer clients;
   private FleetAgent agent;
-  private final Timers.Timer report = Timers.timer(this::report);
+  private final TimerQueue.Timer report = TimerQueue.timer(this::report);
   private final CompletableFuture<Void> stopped = new CompletableFuture<>();
   private InetSocketAddress address;
   private boolean stopping;
@@ -70,13 +70,13 @@
   private long lingerUs;
   private boolean closed;
 
-  private Gatherer(NodeConfig config, OperatorFile own) {
+  private QueryRouter(RouterConfig config, OperatorConfig own) {
     this.config = config;
     reportUs = own.countersEveryUs();
     group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     loop = group.next();
-    timers = new Timers(loop, clock, counters);
-    driver = new PolicyDriver(config.settings(), config.seed(), clock, timers, loop, counters);
+    timers = new TimerQueue(loop, clock, counters);
+    driver = new PolicyExecutor(config.settings(), config.seed(), clock, timers, loop, counters);
     allocator = new PooledByteBufAllocator(true, 0, 1, PAGE, CHUNK_ORDER);
     Bootstrap out =
         new Bootstrap()
@@ -88,8 +88,8 @@
             .option(
                 ChannelOption.CONNECT_TIMEOUT_MILLIS,
                 (int) (config.transport().connectTimeoutUs() / 1000));
-    shards = new ShardSide(config, out, driver, clock, timers, counters);
-    discovery = new DiscoverySide(config, out, driver, clock, timers, counters);
+    shards = new ShardClient(config, out, driver, clock, timers, counters);
+    discovery = new DiscoveryClient(config, out, driver, clock, timers, counters);
     driver.connect(shards, discovery);
     recorder = recorder(own);
     if (recorder != null) {
@@ -97,7 +97,7 @@
     }
     Readiness readiness = new Readiness(clock.now());
     clients =
-        new ClientSide(
+        new ClientServer(
             config,
             driver,
             clock,
@@ -107,9 +107,9 @@
   }
 
   /** What can't be recorded is served all the same. */
-  private Recorder recorder(OperatorFile own) {
+  private CaptureRecorder recorder(OperatorConfig own) {
     try {
-      return own.capture() == null ? null : new Recorder(own.capture(), clock::now);
+      return own.capture() == null ? null : new CaptureRecorder(own.capture(), clock::now);
     } catch (IOException fault) {
       LOG.error("serving without a capture: its folder can't be used", fault);
       return null;
@@ -117,12 +117,12 @@
   }
 
   /** Starts one; when this returns it listens. */
-  public static Gatherer start(NodeConfig config) throws IOException {
-    return start(config, OperatorFile.DEFAULT);
+  public static QueryRouter start(RouterConfig config) throws IOException {
+    return start(config, OperatorConfig.DEFAULT);
   }
 
-  public static Gatherer start(NodeConfig config, OperatorFile own) throws IOException {
-    Gatherer gatherer = new Gatherer(config, own);
+  public static QueryRouter start(RouterConfig config, OperatorConfig own) throws IOException {
+    QueryRouter gatherer = new QueryRouter(config, own);
     try {
       gatherer.begin();
       gatherer.join(own.fleet());
@@ -141,7 +141,7 @@
   }
 
   private void begin() throws IOException {
-    ListReader.Members known = known();
+    EndpointListParser.Members known = known();
     ServerBootstrap in =
         new ServerBootstrap()
             .group(group)
@@ -155,7 +155,7 @@
             .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, waterMark());
     loop.submit(
             () -> {
-              driver.listSeen(ListKind.REMEMBERED, known.members());
+              driver.listSeen(ListUpdate.REMEMBERED, known.members());
               discovery.begin(known.members().isEmpty() ? -1 : known.version());
             })
         .syncUninterruptibly();
@@ -182,7 +182,7 @@
    * allocator of one's own reads once a pass unless it is told otherwise.
    */
   private RecvByteBufAllocator clientBuffers() {
-    NodeConfig.Budgets budgets = config.budgets();
+    RouterConfig.Budgets budgets = config.budgets();
     return new AdaptiveRecvByteBufAllocator(
             budgets.readLeast(), budgets.readFirst(), budgets.readMost())
         .respectMaybeMoreData(false)
@@ -193,14 +193,14 @@
     return new WriteBufferWaterMark(config.budgets().writeLow(), config.budgets().writeHigh());
   }
 
-  private ListReader.Members known() throws Malformed {
+  private EndpointListParser.Members known() throws MalformedInputException {
     if (config.known() == null) {
-      return new ListReader.Members(0, true, List.of());
+      return new EndpointListParser.Members(0, true, List.of());
     }
     try {
-      return ListReader.read(config.known());
-    } catch (Malformed fault) {
-      throw new Malformed("known: " + fault.getMessage());
+      return EndpointListParser.read(config.known());
+    } catch (MalformedInputException fault) {
+      throw new MalformedInputException("known: " + fault.getMessage());
     }
   }
 
@@ -232,7 +232,7 @@
             long now = clock.now();
             long lateUs = timers.latenessUs();
             clients.drain();
-            ShutdownPlan plan = new ShutdownPlan(config.settings(), now, lateUs);
+            ShutdownSchedule plan = new ShutdownSchedule(config.settings(), now, lateUs);
             LOG.info(
                 "stopping: requests are let in for {} ms, answered within {} ms; late by {} ms",
                 (plan.closeAt - now) / 1000,
@@ -241,7 +241,7 @@
             endBy = plan.endBy;
             lingerUs = plan.lingerUs;
             driver.ending(endBy);
-            timers.set(Timers.timer(this::noMoreRequests), plan.closeAt);
+            timers.set(TimerQueue.timer(this::noMoreRequests), plan.closeAt);
           }
         });
     return stopped;
@@ -251,7 +251,7 @@
    * Takes over what may change while it runs, which is where discovery is; all else of a
    * configuration needs a restart.
    */
-  public void reload(NodeConfig fresh) {
+  public void reload(RouterConfig fresh) {
     loop.execute(
         () -> {
           counters.add("config.reloaded");
@@ -262,7 +262,7 @@
   }
 
   /** A configuration that was to be taken over has a fault: the old one stands. */
-  public void reloadFailed(Malformed fault) {
+  public void reloadFailed(MalformedInputException fault) {
     loop.execute(() -> counters.add("config.faulty"));
     LOG.warn("the configuration stays as it was: " + fault.getMessage());
   }
@@ -281,7 +281,7 @@
     clients.close(now >= endBy ? Long.MAX_VALUE : now - lingerUs);
     if (clients.open() > 0) {
       timers.set(
-          Timers.timer(() -> driver.whenIdle(this::waitForClients)),
+          TimerQueue.timer(() -> driver.whenIdle(this::waitForClients)),
           clock.now() + config.settings().tickUs());
       return;
     }
--- a/router/src/main/java/tidebank/runtime/ReadPasses.java
+++ b/router/src/main/java/tidebank/runtime/ReadDelayEstimator.java
@@ -6,7 +6,7 @@
  * poll only. So what one pass reads may have arrived at any time since the pass before began,
  * unless the loop rested in between: then the bytes have woken it. Times are whole microseconds.
  */
-final class ReadPasses {
+final class ReadDelayEstimator {
   /** A pass that begins so soon after the one before did not wait for anything. */
   private final long restUs;
 
@@ -16,7 +16,7 @@
   private long arrivedSince;
   private long previousEndedAt = Long.MIN_VALUE / 2;
 
-  ReadPasses(long restUs) {
+  ReadDelayEstimator(long restUs) {
     this.restUs = restUs;
   }
 
--- a/router/src/main/java/tidebank/runtime/Reply.java
+++ b/router/src/main/java/tidebank/runtime/ResponseCallback.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** How a front hears of the one final answer of a scan that it took. */
-public interface Reply {
+public interface ResponseCallback {
   /** The value of a part that is in, as its shard server gave it. */
   record Value(int shard, byte[] bytes) {}
 
--- a/router/src/main/java/tidebank/runtime/ShutdownPlan.java
+++ b/router/src/main/java/tidebank/runtime/ShutdownSchedule.java
@@ -9,7 +9,7 @@
  * open is sent on up to SIGKILL, and our process may stand still at any moment, so what could be
  * lost is not let in: all connections without a request are closed before those 0.7 s are over.
  */
-final class ShutdownPlan {
+final class ShutdownSchedule {
   private static final long LONGEST_US = 3_000_000;
 
   /**
@@ -35,7 +35,7 @@
    * waited for {@code lateUs} tells that we stood still meanwhile: the signal may have come at the
    * beginning of that.
    */
-  ShutdownPlan(Settings settings, long now, long lateUs) {
+  ShutdownSchedule(Settings settings, long now, long lateUs) {
     long told = now - lateUs;
     long free = Math.round(STRAGGLERS_US * FREE);
     lingerUs = free;
--- a/router/src/main/java/tidebank/runtime/Timers.java
+++ b/router/src/main/java/tidebank/runtime/TimerQueue.java
@@ -7,11 +7,11 @@
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tidebank.base.Counters;
+import tidebank.metrics.Counters;
 
 /** All that waits for a time, behind one wake-up of the event loop for the earliest. */
-public final class Timers {
-  private static final Logger LOG = LoggerFactory.getLogger(Timers.class);
+public final class TimerQueue {
+  private static final Logger LOG = LoggerFactory.getLogger(TimerQueue.class);
 
   /**
    * By how much the earliest timer may move away from the wake-up before that is moved, too. Less
@@ -46,7 +46,7 @@
   private final EventLoop loop;
   private final Clock clock;
   private final Counters counters;
-  private final StallReport stalls;
+  private final EventLoopStallLogger stalls;
   private final Runnable wake = this::wake;
   private ScheduledFuture<?> wakeUp;
   private long wakeAt = Long.MAX_VALUE;
@@ -54,11 +54,11 @@
   private long firedAt;
   private long firedLateUs;
 
-  public Timers(EventLoop loop, Clock clock, Counters counters) {
+  public TimerQueue(EventLoop loop, Clock clock, Counters counters) {
     this.loop = loop;
     this.clock = clock;
     this.counters = counters;
-    this.stalls = new StallReport(counters);
+    this.stalls = new EventLoopStallLogger(counters);
   }
 
   /** Sets a timer, or moves it. One for a past time is due now. */
--- a/router/src/main/java/tidebank/simulation/ActionCodec.java
+++ b/router/src/main/java/tidebank/simulation/ActionCodec.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
-import tidebank.config.Json;
+import tidebank.config.JsonFields;
 import tidebank.model.Action;
 
 /** Writes the module's actions in the wire's words. */
@@ -10,40 +10,40 @@
   private ActionCodec() {}
 
   static void write(JsonGenerator out, long instance, Action action) throws IOException {
-    if (action instanceof Action.Send send) {
+    if (action instanceof Action.SendAttempt send) {
       open(out, "Assign", instance);
       out.writeStringField("handle", send.part());
       out.writeStringField("server", send.server());
-      out.writeNumberField("stopAtMs", Json.millis(send.stopAt()));
-    } else if (action instanceof Action.Cancel cancel) {
+      out.writeNumberField("stopAtMs", JsonFields.millis(send.stopAt()));
+    } else if (action instanceof Action.CancelAttempt cancel) {
       open(out, "CallOff", instance);
       out.writeStringField("handle", cancel.part());
       out.writeNumberField("try", cancel.dispatch());
-    } else if (action instanceof Action.Answer answer) {
+    } else if (action instanceof Action.Respond answer) {
       open(out, "WrapUp", instance);
       out.writeStringField("handle", answer.scan());
       out.writeBooleanField("complete", answer.whole());
     } else if (action instanceof Action.Throttle throttle) {
       open(out, "Busy", instance);
       out.writeStringField("handle", throttle.scan());
-      out.writeNumberField("holdOffMs", Json.millis(throttle.holdOffUs()));
-    } else if (action instanceof Action.Abandon abandon) {
+      out.writeNumberField("holdOffMs", JsonFields.millis(throttle.holdOffUs()));
+    } else if (action instanceof Action.Fail abandon) {
       open(out, "ReportFailure", instance);
       out.writeStringField("handle", abandon.scan());
     } else if (action instanceof Action.SetTimer timer) {
       open(out, "SetTimer", instance);
-      out.writeNumberField("waitMs", Json.millis(timer.waitUs()));
+      out.writeNumberField("waitMs", JsonFields.millis(timer.waitUs()));
       out.writeNumberField("label", timer.token());
-    } else if (action instanceof Action.Probe probe) {
+    } else if (action instanceof Action.CheckHealth probe) {
       open(out, "Touch", instance);
       out.writeStringField("server", probe.server());
-    } else if (action instanceof Action.Close close) {
+    } else if (action instanceof Action.RetireConnections close) {
       open(out, "Disconnect", instance);
       out.writeStringField("server", close.server());
-    } else if (action instanceof Action.Follow follow) {
+    } else if (action instanceof Action.WatchEndpoints follow) {
       open(out, "Follow", instance);
       out.writeBooleanField("complete", follow.on());
-    } else if (action instanceof Action.Note note) {
+    } else if (action instanceof Action.LogNote note) {
       open(out, "Trace", instance);
       out.writeStringField("noteText", note.text());
     }
--- a/router/src/main/java/tidebank/simulation/EventCodec.java
+++ b/router/src/main/java/tidebank/simulation/EventCodec.java
@@ -3,12 +3,12 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.List;
-import tidebank.config.Json;
-import tidebank.config.Malformed;
+import tidebank.config.JsonFields;
+import tidebank.config.MalformedInputException;
 import tidebank.model.Event;
-import tidebank.model.Event.ListKind;
-import tidebank.model.Event.Listed;
-import tidebank.model.Event.ServerStatus;
+import tidebank.model.Event.ListUpdate;
+import tidebank.model.Event.Endpoint;
+import tidebank.model.Event.EndpointStatus;
 import tidebank.model.Outcome;
 
 /** Turns the wire's events into the module's. */
@@ -19,83 +19,83 @@
    * The event, of a message that comes at {@code now}, or null where the wire's event means nothing
    * to the module.
    */
-  static Event read(JsonNode message, long now, List<List<Listed>> sheets) throws Malformed {
-    return switch (Json.text(message, "kind")) {
+  static Event read(JsonNode message, long now, List<List<Endpoint>> sheets) throws MalformedInputException {
+    return switch (JsonFields.text(message, "kind")) {
       case "Announce" -> announce(message, sheets);
       case "Knock" -> knock(message, now);
       case "Returned" ->
-          new Event.DispatchEnded(
-              Json.text(message, "handle"),
-              (int) Json.whole(message, "try"),
-              outcome(Json.text(message, "disposition")),
-              Json.micros(message, "costTimeMs", 0),
-              Json.flag(message, "ended"),
-              Json.numbers(message.get("metrics")));
-      case "Lapsed" -> new Event.ScanLapsed(Json.text(message, "handle"));
-      case "DeadlineHit" -> new Event.TimerDue(Json.whole(message, "label"));
+          new Event.AttemptCompleted(
+              JsonFields.text(message, "handle"),
+              (int) JsonFields.whole(message, "try"),
+              outcome(JsonFields.text(message, "disposition")),
+              JsonFields.micros(message, "costTimeMs", 0),
+              JsonFields.flag(message, "ended"),
+              JsonFields.numbers(message.get("metrics")));
+      case "Lapsed" -> new Event.ClientDisconnected(JsonFields.text(message, "handle"));
+      case "DeadlineHit" -> new Event.TimerFired(JsonFields.whole(message, "label"));
       case "HealthResult" ->
-          new Event.Probed(
-              Json.text(message, "server"),
-              outcome(Json.text(message, "disposition")),
-              Json.micros(message, "costTimeMs", 0),
-              Json.numbers(message.get("metrics")));
+          new Event.HealthCheckCompleted(
+              JsonFields.text(message, "server"),
+              outcome(JsonFields.text(message, "disposition")),
+              JsonFields.micros(message, "costTimeMs", 0),
+              JsonFields.numbers(message.get("metrics")));
       default -> null;
     };
   }
 
-  static List<Listed> sheet(JsonNode message) throws Malformed {
-    List<Listed> entries = new ArrayList<>();
-    for (JsonNode entry : Json.need(message, "items")) {
+  static List<Endpoint> sheet(JsonNode message) throws MalformedInputException {
+    List<Endpoint> entries = new ArrayList<>();
+    for (JsonNode entry : JsonFields.need(message, "items")) {
       entries.add(
-          new Listed(
-              Json.text(entry, "server"),
-              (int) Json.whole(entry, "slotNo"),
-              status(Json.text(entry, "status")),
-              Json.micros(entry, "lastStartMs", 0),
-              Json.number(entry, "rating", 1)));
+          new Endpoint(
+              JsonFields.text(entry, "server"),
+              (int) JsonFields.whole(entry, "slotNo"),
+              status(JsonFields.text(entry, "status")),
+              JsonFields.micros(entry, "lastStartMs", 0),
+              JsonFields.number(entry, "rating", 1)));
     }
     return entries;
   }
 
-  private static Event announce(JsonNode message, List<List<Listed>> sheets) throws Malformed {
-    ListKind kind =
-        switch (Json.text(message, "mode")) {
-          case "incr" -> ListKind.CHANGES;
-          case "total" -> ListKind.FULL;
-          case "warm_copy" -> ListKind.REMEMBERED;
-          case "lost" -> ListKind.LOST;
-          default -> throw new Malformed("unknown list mode '" + Json.text(message, "mode") + "'");
+  private static Event announce(JsonNode message, List<List<Endpoint>> sheets) throws MalformedInputException {
+    ListUpdate kind =
+        switch (JsonFields.text(message, "mode")) {
+          case "incr" -> ListUpdate.CHANGES;
+          case "total" -> ListUpdate.FULL;
+          case "warm_copy" -> ListUpdate.REMEMBERED;
+          case "lost" -> ListUpdate.LOST;
+          default -> throw new MalformedInputException("unknown list mode '" + JsonFields.text(message, "mode") + "'");
         };
-    if (kind == ListKind.LOST) {
-      return new Event.ListSeen(kind, List.of());
+    if (kind == ListUpdate.LOST) {
+      return new Event.EndpointListReceived(kind, List.of());
     }
-    long page = Json.whole(message, "page");
+    long page = JsonFields.whole(message, "page");
     if (page < 0 || page >= sheets.size() || sheets.get((int) page) == null) {
-      throw new Malformed("list page " + page + " was never sent");
+      throw new MalformedInputException("list page " + page + " was never sent");
     }
-    return new Event.ListSeen(kind, sheets.get((int) page));
+    return new Event.EndpointListReceived(kind, sheets.get((int) page));
   }
 
-  private static Event knock(JsonNode message, long now) throws Malformed {
-    int shard = (int) Json.whole(message, "slab");
-    String id = Json.text(message, "handle");
-    long number = Json.whole(message, "jobNo");
+  private static Event knock(JsonNode message, long now) throws MalformedInputException {
+    int shard = (int) JsonFields.whole(message, "slab");
+    String id = JsonFields.text(message, "handle");
+    long number = JsonFields.whole(message, "jobNo");
     if (shard >= 0) {
-      return new Event.PartTaken(
-          id, number, shard, Json.number(message, "measure", 0), Json.text(message, "subject", ""));
+      return new Event.ShardRequestReceived(
+          id, number, shard, JsonFields.number(message, "measure", 0), JsonFields.text(message, "subject", ""));
     }
-    return new Event.ScanTaken(
+    return new Event.QueryReceived(
         id,
         number,
-        Json.text(message, "lane"),
-        Json.text(message, "account", ""),
+        JsonFields.text(message, "lane"),
+        JsonFields.text(message, "account", ""),
         now,
-        Json.micros(message, "notAfterMs"),
-        Json.flag(message, "resent"),
-        Json.text(message, "subject", ""));
+        JsonFields.micros(message, "notAfterMs"),
+        JsonFields.flag(message, "resent"),
+        JsonFields.text(message, "subject", ""));
   }
 
-  private static Outcome outcome(String disposition) throws Malformed {
+  private static Outcome outcome(String disposition) throws MalformedInputException {
     return switch (disposition) {
       case "success" -> Outcome.COMPLETED;
       case "failure" -> Outcome.ERROR;
@@ -105,16 +105,16 @@
       case "broken" -> Outcome.BROKEN;
       case "withdrawn" -> Outcome.CANCELLED;
       case "void" -> Outcome.NEVER_SENT;
-      default -> throw new Malformed("unknown outcome '" + disposition + "'");
+      default -> throw new MalformedInputException("unknown outcome '" + disposition + "'");
     };
   }
 
-  private static ServerStatus status(String status) throws Malformed {
+  private static EndpointStatus status(String status) throws MalformedInputException {
     return switch (status) {
-      case "in_service" -> ServerStatus.IN_SERVICE;
-      case "terminating" -> ServerStatus.DRAINING;
-      case "terminated" -> ServerStatus.GONE;
-      default -> throw new Malformed("unknown server status '" + status + "'");
+      case "in_service" -> EndpointStatus.IN_SERVICE;
+      case "terminating" -> EndpointStatus.DRAINING;
+      case "terminated" -> EndpointStatus.GONE;
+      default -> throw new MalformedInputException("unknown server status '" + status + "'");
     };
   }
 }
--- a/router/src/main/java/tidebank/simulation/WireHost.java
+++ b/router/src/main/java/tidebank/simulation/SimulatorHost.java
@@ -16,21 +16,21 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import tidebank.RoutingPolicy;
-import tidebank.config.Json;
-import tidebank.config.Malformed;
+import tidebank.policy.RoutingPolicy;
+import tidebank.config.JsonFields;
+import tidebank.config.MalformedInputException;
 import tidebank.config.SettingsReader;
 import tidebank.model.Action;
 import tidebank.model.Event;
-import tidebank.model.Event.Listed;
+import tidebank.model.Event.Endpoint;
 
 /** Hosts many instances on the simulator's wire: one line in, one line out, until input ends. */
-public final class WireHost {
+public final class SimulatorHost {
   private static final int PAGES = 16;
 
   private final ObjectMapper mapper = new ObjectMapper();
   private final Map<Long, RoutingPolicy> instances = new HashMap<>();
-  private final List<List<Listed>> sheets = new ArrayList<>(Collections.nCopies(PAGES, null));
+  private final List<List<Endpoint>> sheets = new ArrayList<>(Collections.nCopies(PAGES, null));
 
   public void run(InputStream in, OutputStream out) throws IOException {
     BufferedReader lines = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8));
@@ -48,15 +48,15 @@
     try {
       batch = mapper.readTree(line);
     } catch (JsonProcessingException fault) {
-      throw new Malformed("a line is not JSON: " + fault.getOriginalMessage());
+      throw new MalformedInputException("a line is not JSON: " + fault.getOriginalMessage());
     }
     if (batch == null || !batch.isObject()) {
-      throw new Malformed("a line is no batch object");
+      throw new MalformedInputException("a line is no batch object");
     }
-    long now = Json.micros(batch, "simTimeMs");
-    JsonNode messages = Json.need(batch, "msgs");
+    long now = JsonFields.micros(batch, "simTimeMs");
+    JsonNode messages = JsonFields.need(batch, "msgs");
     if (!messages.isArray()) {
-      throw new Malformed("'msgs' is no array");
+      throw new MalformedInputException("'msgs' is no array");
     }
     Map<Long, List<Event>> told = new LinkedHashMap<>();
     for (JsonNode message : messages) {
@@ -72,21 +72,21 @@
   }
 
   private void take(JsonNode message, long now, Map<Long, List<Event>> told) throws IOException {
-    String kind = Json.text(message, "kind");
+    String kind = JsonFields.text(message, "kind");
     if (kind.equals("Sheet")) {
-      long page = Json.whole(message, "page");
+      long page = JsonFields.whole(message, "page");
       if (page < 0 || page >= PAGES) {
-        throw new Malformed("list page " + page + " is outside 0 to " + (PAGES - 1));
+        throw new MalformedInputException("list page " + page + " is outside 0 to " + (PAGES - 1));
       }
       sheets.set((int) page, EventCodec.sheet(message));
       return;
     }
-    long instance = Json.whole(message, "who");
+    long instance = JsonFields.whole(message, "who");
     if (kind.equals("Attach")) {
-      JsonNode salt = Json.need(message, "salt");
+      JsonNode salt = JsonFields.need(message, "salt");
       instances.put(
           instance,
-          new RoutingPolicy(SettingsReader.read(Json.need(message, "config")), salt.longValue()));
+          new RoutingPolicy(SettingsReader.read(JsonFields.need(message, "config")), salt.longValue()));
       told.put(instance, new ArrayList<>());
     } else if (kind.equals("Retire")) {
       instances.remove(instance);
@@ -94,7 +94,7 @@
     } else {
       Event event = EventCodec.read(message, now, sheets);
       if (!instances.containsKey(instance)) {
-        throw new Malformed(
+        throw new MalformedInputException(
             "'" + kind + "' for instance " + instance + ", which was never attached");
       }
       List<Event> events = told.computeIfAbsent(instance, absent -> new ArrayList<>());
--- a/router/src/test/java/tidebank/CaptureTest.java
+++ b/router/src/test/java/tidebank/CaptureTest.java
@@ -1,5 +1,7 @@
 package tidebank;
 
+import tidebank.policy.PolicyHarness;
+
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.io.IOException;
@@ -12,14 +14,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import tidebank.capture.Entry;
-import tidebank.capture.Recorder;
-import tidebank.capture.Segments;
+import tidebank.capture.CaptureRecord;
+import tidebank.capture.CaptureRecorder;
+import tidebank.capture.CaptureSegments;
 import tidebank.model.Action;
 import tidebank.model.Event;
-import tidebank.model.Event.ListKind;
-import tidebank.model.Event.Listed;
-import tidebank.model.Event.ServerStatus;
+import tidebank.model.Event.ListUpdate;
+import tidebank.model.Event.Endpoint;
+import tidebank.model.Event.EndpointStatus;
 import tidebank.model.Outcome;
 
 /** What is recorded is read again, whatever becomes of the disk; what is missing is said. */
@@ -30,41 +32,41 @@
 
   private static List<Event> everyEvent(int round) {
     return List.of(
-        new Event.ListSeen(
-            ListKind.FULL, List.of(new Listed("s" + round, 3, ServerStatus.DRAINING, 17, 1.5))),
-        new Event.ListSeen(ListKind.LOST, List.of()),
-        new Event.ScanTaken(
+        new Event.EndpointListReceived(
+            ListUpdate.FULL, List.of(new Endpoint("s" + round, 3, EndpointStatus.DRAINING, 17, 1.5))),
+        new Event.EndpointListReceived(ListUpdate.LOST, List.of()),
+        new Event.QueryReceived(
             "a" + round, round, "whole", "caf\u00e9", 4_000_000L, 5_000_000L + round, true, null),
-        new Event.PartTaken("a" + round + ".0", round, 0, 0.25, ""),
-        new Event.DispatchEnded(
+        new Event.ShardRequestReceived("a" + round + ".0", round, 0, 0.25, ""),
+        new Event.AttemptCompleted(
             "a" + round + ".0", 1, Outcome.SPOILT, 1234, true, Map.of("util", 0.5)),
-        new Event.ScanLapsed("a" + round),
-        new Event.Ending(9_000_000),
-        new Event.TimerDue(Long.MAX_VALUE),
-        new Event.Probed("s1", Outcome.TIMED_OUT, 7, Map.of()));
+        new Event.ClientDisconnected("a" + round),
+        new Event.ShutdownRequested(9_000_000),
+        new Event.TimerFired(Long.MAX_VALUE),
+        new Event.HealthCheckCompleted("s1", Outcome.TIMED_OUT, 7, Map.of()));
   }
 
   private static List<Action> everyAction(int round) {
     return List.of(
-        new Action.Send("a.0", "s" + round, 3_000_000),
-        new Action.Cancel("a.0", 2),
-        new Action.Answer("a", true),
+        new Action.SendAttempt("a.0", "s" + round, 3_000_000),
+        new Action.CancelAttempt("a.0", 2),
+        new Action.Respond("a", true),
         new Action.Throttle("a", 500),
-        new Action.Abandon("a"),
+        new Action.Fail("a"),
         new Action.SetTimer(5000, -3),
-        new Action.Probe("s1"),
-        new Action.Close("s2"),
-        new Action.Follow(true),
-        new Action.Note("noted"));
+        new Action.CheckHealth("s1"),
+        new Action.RetireConnections("s2"),
+        new Action.WatchEndpoints(true),
+        new Action.LogNote("noted"));
   }
 
-  private Recorder.Plan plan(int ring, long segment, long budget) {
-    return new Recorder.Plan(folder.resolve("c"), true, ring, segment, budget, false);
+  private CaptureRecorder.Plan plan(int ring, long segment, long budget) {
+    return new CaptureRecorder.Plan(folder.resolve("c"), true, ring, segment, budget, false);
   }
 
-  private void record(Recorder.Plan plan, int turns) throws IOException {
-    try (Recorder recorder = new Recorder(plan, clock::get)) {
-      recorder.started(new FakeHost().settings(), 7);
+  private void record(CaptureRecorder.Plan plan, int turns) throws IOException {
+    try (CaptureRecorder recorder = new CaptureRecorder(plan, clock::get)) {
+      recorder.started(new PolicyHarness().settings(), 7);
       for (int i = 0; i < turns; i++) {
         recorder.turn(clock.addAndGet(1000), everyEvent(i), everyAction(i));
       }
@@ -72,10 +74,10 @@
     }
   }
 
-  private List<Entry> read() throws IOException {
-    List<Entry> entries = new ArrayList<>();
-    for (Path file : Segments.in(folder.resolve("c"))) {
-      entries.addAll(Segments.read(file).entries());
+  private List<CaptureRecord> read() throws IOException {
+    List<CaptureRecord> entries = new ArrayList<>();
+    for (Path file : CaptureSegments.in(folder.resolve("c"))) {
+      entries.addAll(CaptureSegments.read(file).entries());
     }
     return entries;
   }
@@ -83,28 +85,28 @@
   @Test
   void everyEventActionAndSettingComesBackAsItWas() throws IOException {
     record(plan(1000, 1 << 20, 10 << 20), 50);
-    List<Entry> entries = read();
-    assertThat(entries.get(0)).isEqualTo(new Entry.Started(new FakeHost().settings(), 7));
+    List<CaptureRecord> entries = read();
+    assertThat(entries.get(0)).isEqualTo(new CaptureRecord.Started(new PolicyHarness().settings(), 7));
     assertThat(entries).hasSize(51);
     for (int i = 0; i < 50; i++) {
-      Entry.Iteration turn = (Entry.Iteration) entries.get(i + 1);
+      CaptureRecord.Iteration turn = (CaptureRecord.Iteration) entries.get(i + 1);
       assertThat(turn.nowUs()).isEqualTo(1_001_000 + 1000L * i);
       assertThat(turn.events()).isEqualTo(everyEvent(i));
       assertThat(turn.actions()).isEqualTo(everyAction(i));
     }
-    assertThat(((Entry.Iteration) entries.get(1)).digest())
-        .isNotEqualTo(((Entry.Iteration) entries.get(2)).digest());
+    assertThat(((CaptureRecord.Iteration) entries.get(1)).digest())
+        .isNotEqualTo(((CaptureRecord.Iteration) entries.get(2)).digest());
   }
 
   @Test
   void aFileCutAtAnyByteIsReadUpToItsLastWholeBlock() throws IOException {
     record(plan(1000, 1 << 20, 10 << 20), 30);
-    Path file = Segments.in(folder.resolve("c")).get(0);
+    Path file = CaptureSegments.in(folder.resolve("c")).get(0);
     byte[] whole = Files.readAllBytes(file);
-    List<Entry> all = read();
+    List<CaptureRecord> all = read();
     for (int length = 0; length < whole.length; length++) {
       Files.write(file, java.util.Arrays.copyOf(whole, length));
-      Segments.Read read = Segments.read(file);
+      CaptureSegments.Read read = CaptureSegments.read(file);
       assertThat(all.subList(0, read.entries().size())).isEqualTo(read.entries());
       boolean atAnEnd = read.bytes() == length && read.bytes() > 0;
       assertThat(read.torn().isEmpty()).as("cut at " + length).isEqualTo(atAnEnd);
@@ -114,14 +116,14 @@
   @Test
   void aBitFlippedAnywhereIsNeverReadAsData() throws IOException {
     record(plan(1000, 1 << 20, 10 << 20), 10);
-    Path file = Segments.in(folder.resolve("c")).get(0);
+    Path file = CaptureSegments.in(folder.resolve("c")).get(0);
     byte[] whole = Files.readAllBytes(file);
-    List<Entry> all = read();
+    List<CaptureRecord> all = read();
     for (int at = 0; at < whole.length; at++) {
       byte[] changed = whole.clone();
       changed[at] ^= 1 << at % 8;
       Files.write(file, changed);
-      Segments.Read read = Segments.read(file);
+      CaptureSegments.Read read = CaptureSegments.read(file);
       assertThat(read.torn()).as("flipped at " + at).isNotEmpty();
       assertThat(all.subList(0, read.entries().size())).isEqualTo(read.entries());
     }
@@ -131,8 +133,8 @@
   void aFullRingIsAGapThatIsSaidAndNothingWaits() throws IOException {
     // The writer stands still on its first entry: its clock waits for the test.
     java.util.concurrent.CountDownLatch go = new java.util.concurrent.CountDownLatch(1);
-    Recorder recorder =
-        new Recorder(
+    CaptureRecorder recorder =
+        new CaptureRecorder(
             plan(16, 1 << 20, 10 << 20),
             () -> {
               try {
@@ -155,14 +157,14 @@
     recorder.close();
     assertThat(turns()).isEqualTo(100 - lost + 1);
     assertThat(missing()).isEqualTo(lost);
-    assertThat(((Entry.Iteration) read().get(read().size() - 1)).events()).isEmpty();
+    assertThat(((CaptureRecord.Iteration) read().get(read().size() - 1)).events()).isEmpty();
   }
 
   @Test
   void whatFoundNoRoomAtTheVeryEndIsSaidToo() throws IOException {
     java.util.concurrent.CountDownLatch go = new java.util.concurrent.CountDownLatch(1);
-    Recorder recorder =
-        new Recorder(
+    CaptureRecorder recorder =
+        new CaptureRecorder(
             plan(16, 1 << 20, 10 << 20),
             () -> {
               try {
@@ -181,18 +183,18 @@
   }
 
   private long turns() throws IOException {
-    return read().stream().filter(Entry.Iteration.class::isInstance).count();
+    return read().stream().filter(CaptureRecord.Iteration.class::isInstance).count();
   }
 
   private long missing() throws IOException {
     return read().stream()
-        .mapToLong(entry -> entry instanceof Entry.Gap gap ? gap.turns() : 0)
+        .mapToLong(entry -> entry instanceof CaptureRecord.Gap gap ? gap.turns() : 0)
         .sum();
   }
 
   @Test
   void aDiskThatFailsIsServedWithoutAndTheCaptureGoesOnWithAGap() throws Exception {
-    Recorder recorder = new Recorder(plan(1000, 1 << 20, 10 << 20), clock::get);
+    CaptureRecorder recorder = new CaptureRecorder(plan(1000, 1 << 20, 10 << 20), clock::get);
     Files.delete(folder.resolve("c"));
     recorder.turn(clock.addAndGet(1000), everyEvent(0), everyAction(0));
     while (recorder.lost() == 0) {
@@ -203,8 +205,8 @@
     clock.addAndGet(100_000_000);
     recorder.turn(clock.addAndGet(1000), everyEvent(1), everyAction(1));
     recorder.close();
-    assertThat(read().get(0)).isEqualTo(new Entry.Gap(1));
-    assertThat(((Entry.Iteration) read().get(1)).events()).isEqualTo(everyEvent(1));
+    assertThat(read().get(0)).isEqualTo(new CaptureRecord.Gap(1));
+    assertThat(((CaptureRecord.Iteration) read().get(1)).events()).isEqualTo(everyEvent(1));
   }
 
   @Test
@@ -213,7 +215,7 @@
       record(plan(1000, 2000, 12_000), 20);
     }
     long bytes = 0;
-    List<Path> left = Segments.in(folder.resolve("c"));
+    List<Path> left = CaptureSegments.in(folder.resolve("c"));
     for (Path file : left) {
       bytes += Files.size(file);
     }
--- a/router/src/test/java/tidebank/CounterNamesFixtureTest.java
+++ b/router/src/test/java/tidebank/CounterNamesFixtureTest.java
@@ -21,25 +21,25 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import tidebank.base.Counters;
-import tidebank.config.NodeConfig;
-import tidebank.discovery.ListReader;
-import tidebank.model.Event.ListKind;
+import tidebank.metrics.Counters;
+import tidebank.config.RouterConfig;
+import tidebank.discovery.EndpointListParser;
+import tidebank.model.Event.ListUpdate;
 import tidebank.model.Outcome;
 import tidebank.runtime.Clock;
-import tidebank.runtime.DispatchRequest;
-import tidebank.runtime.PolicyDriver;
-import tidebank.runtime.Reply;
-import tidebank.runtime.ScanRequest;
-import tidebank.runtime.ShardPort;
-import tidebank.runtime.Timers;
+import tidebank.runtime.AttemptRequest;
+import tidebank.runtime.PolicyExecutor;
+import tidebank.runtime.ResponseCallback;
+import tidebank.runtime.QueryRequest;
+import tidebank.runtime.BackendPort;
+import tidebank.runtime.TimerQueue;
 
 /**
  * The names of the counters that operators and the fleet's reports read: that of each constant in
  * its declared order, and all that one run reaches.
  */
 @Timeout(30)
-class CounterNamesFixtureTest implements Reply, ShardPort {
+class CounterNamesFixtureTest implements ResponseCallback, BackendPort {
   private static final Path FOLDER = Path.of("src/test/resources/fixtures/counters");
 
   private final FakeSite site = new FakeSite();
@@ -48,10 +48,10 @@
   private final EventLoop loop = group.next();
   private final Counters counters = new Counters();
   private final Clock clock = new Clock();
-  private final Timers timers = new Timers(loop, clock, counters);
+  private final TimerQueue timers = new TimerQueue(loop, clock, counters);
   private final BlockingQueue<String> answers = new LinkedBlockingQueue<>();
-  private NodeConfig config;
-  private PolicyDriver driver;
+  private RouterConfig config;
+  private PolicyExecutor driver;
 
   /** How the next request to a shard server ends; null: not. */
   private Outcome outcome = Outcome.COMPLETED;
@@ -63,10 +63,10 @@
 
   @BeforeEach
   void begin() throws Exception {
-    config = NodeConfig.read(Map.of("NODE_CONFIG", site.configFile().toString()));
-    driver = new PolicyDriver(config.settings(), 7, clock, timers, loop, counters);
+    config = RouterConfig.read(Map.of("NODE_CONFIG", site.configFile().toString()));
+    driver = new PolicyExecutor(config.settings(), 7, clock, timers, loop, counters);
     driver.connect(this, on -> {});
-    listSeen(ListKind.REMEMBERED);
+    listSeen(ListUpdate.REMEMBERED);
   }
 
   @AfterEach
@@ -97,7 +97,7 @@
   public void listed(List<Member> members, boolean full) {}
 
   @Override
-  public DispatchRequest.Handle send(DispatchRequest request) {
+  public AttemptRequest.Handle send(AttemptRequest request) {
     if (sendFails) {
       throw new IllegalStateException("as the test wants it");
     }
@@ -108,7 +108,7 @@
       byte[] value = end == Outcome.COMPLETED ? new byte[0] : null;
       driver.dispatchEnded(request, end, value, Map.of());
     }
-    return new DispatchRequest.Handle() {
+    return new AttemptRequest.Handle() {
       @Override
       public void cancel() {}
 
@@ -130,8 +130,8 @@
     return loop.submit(task).get();
   }
 
-  private void listSeen(ListKind kind) throws Exception {
-    List<Member> known = ListReader.read(config.known()).members();
+  private void listSeen(ListUpdate kind) throws Exception {
+    List<Member> known = EndpointListParser.read(config.known()).members();
     onLoop(
         () -> {
           driver.listSeen(kind, known);
@@ -140,14 +140,14 @@
   }
 
   private void take(String type, String id, long timeLeftUs, int shards) throws Exception {
-    List<ScanRequest.Range> ranges = new ArrayList<>();
+    List<QueryRequest.ShardRange> ranges = new ArrayList<>();
     for (int shard = 0; shard < shards; shard++) {
-      ranges.add(new ScanRequest.Range(shard, shards == 1 ? 1 : shard == 0 ? 0.75 : 0.25, ""));
+      ranges.add(new QueryRequest.ShardRange(shard, shards == 1 ? 1 : shard == 0 ? 0.75 : 0.25, ""));
     }
     onLoop(
         () ->
             driver.scanTaken(
-                new ScanRequest(
+                new QueryRequest(
                     id,
                     type,
                     "",
@@ -191,9 +191,9 @@
     // The first ends completed; from then on a completed request is the retry of another.
     for (Outcome each : Outcome.values()) {
       SortedMap<String, Long> before = counts();
-      driver = new PolicyDriver(config.settings(), 7, clock, timers, loop, counters);
+      driver = new PolicyExecutor(config.settings(), 7, clock, timers, loop, counters);
       driver.connect(this, on -> {});
-      listSeen(ListKind.REMEMBERED);
+      listSeen(ListUpdate.REMEMBERED);
       outcome = each;
       take("whole", "o" + each.ordinal(), 400_000, 1);
       answer();
@@ -206,7 +206,7 @@
           });
       names.add(counted("probes.", before));
     }
-    for (ListKind kind : ListKind.values()) {
+    for (ListUpdate kind : ListUpdate.values()) {
       SortedMap<String, Long> before = counts();
       listSeen(kind);
       names.add(counted("list.", before));
--- a/router/src/test/java/tidebank/DiscoveryCallsFixtureTest.java
+++ b/router/src/test/java/tidebank/DiscoveryCallsFixtureTest.java
@@ -14,16 +14,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import tidebank.FakeSite.FakeDiscovery;
-import tidebank.config.NodeConfig;
+import tidebank.config.RouterConfig;
 import tidebank.fixtures.StoredCases;
-import tidebank.runtime.Gatherer;
+import tidebank.runtime.QueryRouter;
 
 /** What is sent to discovery is byte for byte what it was. */
 @Timeout(30)
 class DiscoveryCallsFixtureTest {
   private final FakeSite site = new FakeSite();
   private ServerSocket discovery;
-  private Gatherer gatherer;
+  private QueryRouter gatherer;
 
   @AfterEach
   void close() throws Exception {
@@ -66,8 +66,8 @@
     discovery = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
     String address = "127.0.0.1:" + discovery.getLocalPort();
     gatherer =
-        Gatherer.start(
-            NodeConfig.read(
+        QueryRouter.start(
+            RouterConfig.read(
                 Map.of("NODE_CONFIG", site.configFile().toString(), "NODE_DISCOVERY", address)));
     StringBuilder calls = new StringBuilder();
     try (Socket first = discovery.accept()) {
--- a/router/src/test/java/tidebank/DiscoveryReloadTest.java
+++ b/router/src/test/java/tidebank/DiscoveryReloadTest.java
@@ -13,7 +13,7 @@
 import tidebank.FakeSite.FakeClient;
 import tidebank.FakeSite.FakeDiscovery;
 import tidebank.FakeSite.FakeShardServer;
-import tidebank.config.NodeConfig;
+import tidebank.config.RouterConfig;
 
 /** A new configuration moves discovery while shard servers drain, and a discovery that is hasty. */
 @Timeout(30)
@@ -44,7 +44,7 @@
   private void reload() throws Exception {
     site.gatherer()
         .reload(
-            NodeConfig.read(
+            RouterConfig.read(
                 Map.of(
                     "NODE_CONFIG", site.configFile().toString(),
                     "NODE_DISCOVERY", next.address())));
--- a/router/src/test/java/tidebank/ErrorsFixtureTest.java
+++ b/router/src/test/java/tidebank/ErrorsFixtureTest.java
@@ -7,40 +7,40 @@
 import java.util.List;
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
-import tidebank.base.TidebankException;
+import tidebank.errors.TidebankException;
 import tidebank.fixtures.StoredCases;
 import tidebank.fleet.LeaseCodec;
-import tidebank.lease.Answer;
+import tidebank.lease.CommandResult;
 
 /** Codes, words, advice and JSON of all conditions are what they were. */
 class ErrorsFixtureTest {
   private static final List<TidebankException> SAMPLES =
       List.of(
-          new TidebankException.DutyUnknown("sample-duty"),
-          new TidebankException.DutyHeld("sample-duty", "n1", 1_234_567),
-          new TidebankException.DutyElsewhere("sample-duty", "n1", "n2"),
-          new TidebankException.DutyElsewhere("sample-duty", "", "n2"),
-          new TidebankException.TokenOld("sample-duty", 7, 9),
-          new TidebankException.LeaseOver("sample-duty", 7),
+          new TidebankException.TaskNotFound("sample-duty"),
+          new TidebankException.LeaseHeldByOther("sample-duty", "n1", 1_234_567),
+          new TidebankException.TaskAssignedElsewhere("sample-duty", "n1", "n2"),
+          new TidebankException.TaskAssignedElsewhere("sample-duty", "", "n2"),
+          new TidebankException.StaleFencingToken("sample-duty", 7, 9),
+          new TidebankException.LeaseExpired("sample-duty", 7),
           new TidebankException.NameTaken("n1", 1_234_567),
           new TidebankException.MemberUnknown("n1"),
           new TidebankException.MemberRetired("n1"),
-          new TidebankException.MembersFull(64),
-          new TidebankException.CallOld("session-1", 3, 4),
-          new TidebankException.RevisionMoved("sample-duty", 3, 4),
-          new TidebankException.ValueLong("value", 5000, 4096),
-          new TidebankException.NameUnfit("../n1"),
+          new TidebankException.MemberLimitReached(64),
+          new TidebankException.StaleSequenceNumber("session-1", 3, 4),
+          new TidebankException.RevisionConflict("sample-duty", 3, 4),
+          new TidebankException.ValueTooLarge("value", 5000, 4096),
+          new TidebankException.InvalidName("../n1"),
           new TidebankException.FleetFolderUnusable("/folder", "it is \"full\""),
-          new TidebankException.NobodyCalled("n1"),
+          new TidebankException.MemberNotFound("n1"),
           new TidebankException.NotLeading("c1", "c2"),
           new TidebankException.NotLeading("c1", ""),
           new TidebankException.NoMajority("no answer"),
           new TidebankException.LeaderChanged(3, 4),
-          new TidebankException.CallMalformed("field 'kind' names no command"),
+          new TidebankException.MalformedRequest("field 'kind' names no command"),
           new TidebankException.PathUnknown("GET", "/nothing"),
-          new TidebankException.StewardsUnreached("127.0.0.1:7200"),
-          new TidebankException.SnapshotDamaged("snapshot.1_2", "too short"),
-          new TidebankException.FolderUnusable("/folder", "read only"),
+          new TidebankException.CoordinatorUnavailable("127.0.0.1:7200"),
+          new TidebankException.CorruptSnapshot("snapshot.1_2", "too short"),
+          new TidebankException.DataDirectoryUnusable("/folder", "read only"),
           new TidebankException.AddressTaken("127.0.0.1:7200", "in use"),
           new TidebankException.ScriptUnknown("x", List.of("a", "b")),
           new TidebankException.RunUnknown("/folder"));
@@ -75,11 +75,11 @@
   void answersOfTheControlProcessCarryTheStoredJson() throws Exception {
     StringBuilder text = new StringBuilder();
     for (TidebankException fault : SAMPLES) {
-      byte[] json = LeaseCodec.bytes(new Answer(fault.told(), null, null, null, 0));
-      TidebankException.Details read = LeaseCodec.read(json, Answer.class).fault();
+      byte[] json = LeaseCodec.bytes(new CommandResult(fault.told(), null, null, null, 0));
+      TidebankException.Details read = LeaseCodec.read(json, CommandResult.class).fault();
       assertThat(read).isEqualTo(fault.told());
       assertThat(read.is(fault.getClass())).isTrue();
-      assertThat(new TidebankException.Refused(read).told()).isEqualTo(read);
+      assertThat(new TidebankException.RequestRejected(read).told()).isEqualTo(read);
       text.append(new String(json, UTF_8)).append('\n');
     }
     StoredCases.isText("errors/answers.jsonl", text.toString());
--- a/router/src/test/java/tidebank/FakeSite.java
+++ b/router/src/test/java/tidebank/FakeSite.java
@@ -36,12 +36,12 @@
 import java.util.stream.Collectors;
 import org.assertj.core.api.Assertions;
 import tidebank.capture.DecisionLog;
-import tidebank.config.NodeConfig;
+import tidebank.config.RouterConfig;
 import tidebank.model.Action;
 import tidebank.model.Event;
 import tidebank.model.Settings;
-import tidebank.runtime.Gatherer;
-import tidebank.runtime.PolicyDriver;
+import tidebank.runtime.QueryRouter;
+import tidebank.runtime.PolicyExecutor;
 
 /**
  * Small stand-ins on loopback ports of the system's choice: discovery, shard servers, a client; and
@@ -82,7 +82,7 @@
   int targetMs = 1000;
   boolean known = true;
   String mode = "ask";
-  private Gatherer gatherer;
+  private QueryRouter gatherer;
   Process process;
   Path path;
   BufferedReader errors;
@@ -163,7 +163,7 @@
 
   /** Starts a gatherer in this process, from the environment and the file as the program does. */
   FakeSite start() throws IOException {
-    gatherer = Gatherer.start(NodeConfig.read(Map.of("NODE_CONFIG", configFile().toString())));
+    gatherer = QueryRouter.start(RouterConfig.read(Map.of("NODE_CONFIG", configFile().toString())));
     return this;
   }
 
@@ -224,7 +224,7 @@
    * and it goes on when {@code go} is.
    */
   void stallBeforeSending(CountDownLatch stands, CountDownLatch go) throws Exception {
-    PolicyDriver driver = (PolicyDriver) field(gatherer, "driver");
+    PolicyExecutor driver = (PolicyExecutor) field(gatherer, "driver");
     CountDownLatch set = new CountDownLatch(1);
     DecisionLog stall =
         new DecisionLog() {
@@ -235,7 +235,7 @@
 
           @Override
           public void turn(long nowUs, List<Event> events, List<Action> actions) {
-            if (actions.stream().noneMatch(Action.Send.class::isInstance)) {
+            if (actions.stream().noneMatch(Action.SendAttempt.class::isInstance)) {
               return;
             }
             stands.countDown();
@@ -268,7 +268,7 @@
     return field.get(owner);
   }
 
-  Gatherer gatherer() {
+  QueryRouter gatherer() {
     return gatherer;
   }
 
--- a/router/src/test/java/tidebank/LogLinesFixtureTest.java
+++ b/router/src/test/java/tidebank/LogLinesFixtureTest.java
@@ -13,7 +13,7 @@
 import org.slf4j.LoggerFactory;
 import org.slf4j.event.KeyValuePair;
 import org.slf4j.event.Level;
-import tidebank.base.Log;
+import tidebank.logging.Log;
 import tidebank.fixtures.StoredCases;
 
 /** Log lines have the form that they had. */
--- a/router/src/test/java/tidebank/MalformedInputTest.java
+++ b/router/src/test/java/tidebank/MalformedInputTest.java
@@ -28,8 +28,8 @@
 import tidebank.FakeSite.FakeClient.Response;
 import tidebank.FakeSite.FakeShardServer;
 import tidebank.FakeSite.FakeShardServer.Frame;
-import tidebank.frontend.ClientSide;
-import tidebank.runtime.Gatherer;
+import tidebank.frontend.ClientServer;
+import tidebank.runtime.QueryRouter;
 
 /**
  * Malformed and abusive input of clients and shard servers: it is answered or closed, nothing is
@@ -339,7 +339,7 @@
   }
 
   private PooledByteBufAllocatorMetric memory() throws Exception {
-    Field allocator = Gatherer.class.getDeclaredField("allocator");
+    Field allocator = QueryRouter.class.getDeclaredField("allocator");
     allocator.setAccessible(true);
     return ((PooledByteBufAllocator) allocator.get(site.gatherer())).metric();
   }
@@ -405,11 +405,11 @@
   }
 
   private int connections() throws Exception {
-    Field loop = Gatherer.class.getDeclaredField("loop");
-    Field clients = Gatherer.class.getDeclaredField("clients");
+    Field loop = QueryRouter.class.getDeclaredField("loop");
+    Field clients = QueryRouter.class.getDeclaredField("clients");
     loop.setAccessible(true);
     clients.setAccessible(true);
-    ClientSide side = (ClientSide) clients.get(site.gatherer());
+    ClientServer side = (ClientServer) clients.get(site.gatherer());
     return ((ExecutorService) loop.get(site.gatherer())).submit(side::open).get();
   }
 
--- a/router/src/test/java/tidebank/OperatorFileTest.java
+++ b/router/src/test/java/tidebank/OperatorConfigTest.java
@@ -8,30 +8,30 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.slf4j.event.Level;
-import tidebank.base.Log;
-import tidebank.config.Malformed;
-import tidebank.config.OperatorFile;
+import tidebank.logging.Log;
+import tidebank.config.MalformedInputException;
+import tidebank.config.OperatorConfig;
 
 /** The operator's own file: read whole, every fault named by key and line. */
-class OperatorFileTest {
+class OperatorConfigTest {
   @TempDir Path folder;
 
-  private OperatorFile read(String text) throws Exception {
-    return OperatorFile.read(Files.writeString(folder.resolve("g.toml"), text));
+  private OperatorConfig read(String text) throws Exception {
+    return OperatorConfig.read(Files.writeString(folder.resolve("g.toml"), text));
   }
 
   @Test
   void theShippedFileSaysTheDefaults() throws Exception {
-    assertThat(OperatorFile.read(Path.of("../deploy/gatherer.toml")))
-        .isEqualTo(OperatorFile.DEFAULT);
-    assertThat(read("")).isEqualTo(OperatorFile.DEFAULT);
+    assertThat(OperatorConfig.read(Path.of("../deploy/gatherer.toml")))
+        .isEqualTo(OperatorConfig.DEFAULT);
+    assertThat(read("")).isEqualTo(OperatorConfig.DEFAULT);
   }
 
   @Test
   void valuesAreTakenOver() throws Exception {
     assertThat(read("[log]\nlevel = 'debug'\nform = 'json'\n[report]\ncounters_every_s = 5\n"))
         .isEqualTo(
-            new OperatorFile(new Log.Style(Level.DEBUG, Log.Form.JSON, 50), 5_000_000, null, null));
+            new OperatorConfig(new Log.Style(Level.DEBUG, Log.Form.JSON, 50), 5_000_000, null, null));
   }
 
   @Test
@@ -45,7 +45,7 @@
                         + "[report]\n"
                         + "counters_every_s = 0\n"
                         + "[reprot]\n"))
-        .isInstanceOf(Malformed.class)
+        .isInstanceOf(MalformedInputException.class)
         .hasMessageContaining(
             "g.toml:2: log.level: found \"loud\", wanted one of error, warn, info, debug")
         .hasMessageContaining(
@@ -54,7 +54,7 @@
             "g.toml:6: report.counters_every_s: found 0, wanted a whole number from 1")
         .hasMessageContaining("g.toml:7: reprot: unknown key; did you mean \"report\"?");
     assertThatThrownBy(() -> read("[log]\nlevel = \n")).hasMessageContaining("g.toml:2: ");
-    assertThatThrownBy(() -> OperatorFile.read(folder.resolve("none.toml")))
+    assertThatThrownBy(() -> OperatorConfig.read(folder.resolve("none.toml")))
         .hasMessageContaining("cannot be read");
   }
 }
--- a/router/src/test/java/tidebank/PolicyDriverTest.java
+++ b/router/src/test/java/tidebank/PolicyExecutorTest.java
@@ -19,38 +19,38 @@
 import org.junit.jupiter.api.Timeout;
 import tidebank.FakeSite.FakeShardServer;
 import tidebank.FakeSite.FakeShardServer.Frame;
-import tidebank.base.Counters;
-import tidebank.config.NodeConfig;
-import tidebank.discovery.ListReader;
-import tidebank.model.Event.ListKind;
+import tidebank.metrics.Counters;
+import tidebank.config.RouterConfig;
+import tidebank.discovery.EndpointListParser;
+import tidebank.model.Event.ListUpdate;
 import tidebank.runtime.Clock;
-import tidebank.runtime.DispatchRequest;
-import tidebank.runtime.PolicyDriver;
-import tidebank.runtime.Reply;
-import tidebank.runtime.ScanRequest;
-import tidebank.runtime.ShardPort;
-import tidebank.runtime.Timers;
-import tidebank.backend.ShardSide;
+import tidebank.runtime.AttemptRequest;
+import tidebank.runtime.PolicyExecutor;
+import tidebank.runtime.ResponseCallback;
+import tidebank.runtime.QueryRequest;
+import tidebank.runtime.BackendPort;
+import tidebank.runtime.TimerQueue;
+import tidebank.backend.ShardClient;
 
 /** The turn and the shard side by themselves, on a loop of their own. */
 @Timeout(20)
-class PolicyDriverTest implements Reply {
+class PolicyExecutorTest implements ResponseCallback {
   private final FakeSite site = new FakeSite();
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final EventLoop loop = group.next();
   private final Counters counters = new Counters();
   private final Clock clock = new Clock();
-  private final Timers timers = new Timers(loop, clock, counters);
+  private final TimerQueue timers = new TimerQueue(loop, clock, counters);
   private final List<String> replies = new ArrayList<>();
-  private NodeConfig config;
-  private PolicyDriver driver;
+  private RouterConfig config;
+  private PolicyExecutor driver;
 
   @BeforeEach
   void begin() throws Exception {
     site.limits.put("connectTimeoutMs", 2000);
-    config = NodeConfig.read(Map.of("NODE_CONFIG", site.configFile().toString()));
-    driver = new PolicyDriver(config.settings(), 7, clock, timers, loop, counters);
+    config = RouterConfig.read(Map.of("NODE_CONFIG", site.configFile().toString()));
+    driver = new PolicyExecutor(config.settings(), 7, clock, timers, loop, counters);
   }
 
   @AfterEach
@@ -82,10 +82,10 @@
   }
 
   private void list() throws Exception {
-    var known = ListReader.read(config.known()).members();
+    var known = EndpointListParser.read(config.known()).members();
     onLoop(
         () -> {
-          driver.listSeen(ListKind.REMEMBERED, known);
+          driver.listSeen(ListUpdate.REMEMBERED, known);
           return null;
         });
   }
@@ -100,12 +100,12 @@
   void aFailureInATurnAbandonsWhatIsHeldAndTheNextScanIsServed() throws Exception {
     boolean[] fails = {true};
     driver.connect(
-        new ShardPort() {
+        new BackendPort() {
           @Override
           public void listed(List<Member> members, boolean full) {}
 
           @Override
-          public DispatchRequest.Handle send(DispatchRequest request) {
+          public AttemptRequest.Handle send(AttemptRequest request) {
             if (fails[0]) {
               throw new OutOfMemoryError("as the test wants it");
             }
@@ -125,8 +125,8 @@
         on -> {});
     list();
     for (String id : List.of("a", "b")) {
-      ScanRequest request =
-          new ScanRequest(
+      QueryRequest request =
+          new QueryRequest(
               id,
               "whole",
               "",
@@ -135,7 +135,7 @@
               false,
               "",
               new byte[0],
-              List.of(new ScanRequest.Range(0, 1, "")));
+              List.of(new QueryRequest.ShardRange(0, 1, "")));
       assertThat(onLoop(() -> driver.scanTaken(request, this))).isTrue();
       counted(id.equals("a") ? "turns.failed" : "scans.whole", 1);
       fails[0] = false;
@@ -145,8 +145,8 @@
 
   @Test
   void probesAreAnsweredInTurnAndOneThatIsNotEndsItsConnection() throws Exception {
-    ShardSide shards =
-        new ShardSide(
+    ShardClient shards =
+        new ShardClient(
             config,
             new Bootstrap().group(group).channel(NioSocketChannel.class),
             driver,
--- a/router/src/test/java/tidebank/GathererSoakTest.java
+++ b/router/src/test/java/tidebank/QueryRouterSoakTest.java
@@ -29,7 +29,7 @@
  * -Dtidebank.soak.seeds=50} plays so many seeds.
  */
 @Timeout(60)
-class GathererSoakTest {
+class QueryRouterSoakTest {
   private static final int SEEDS = Integer.getInteger("tidebank.soak.seeds", 3);
   private static final int CLIENTS = 10;
   private static final int STOPS = 4;
--- a/router/src/test/java/tidebank/GathererTest.java
+++ b/router/src/test/java/tidebank/QueryRouterTest.java
@@ -28,11 +28,11 @@
 import tidebank.FakeSite.FakeClient.Response;
 import tidebank.FakeSite.FakeShardServer;
 import tidebank.FakeSite.FakeShardServer.Frame;
-import tidebank.base.Log;
+import tidebank.logging.Log;
 
 /** A gatherer on sockets, between a client, shard servers and discovery that are stand-ins. */
 @Timeout(20)
-class GathererTest {
+class QueryRouterTest {
   private static final Queue<String> LEAKS = new ConcurrentLinkedQueue<>();
 
   private final FakeSite site = new FakeSite();
--- a/router/src/test/java/tidebank/RequestFragmentationTest.java
+++ b/router/src/test/java/tidebank/RequestFragmentationTest.java
@@ -35,8 +35,8 @@
 import tidebank.FakeSite.FakeClient;
 import tidebank.FakeSite.FakeShardServer;
 import tidebank.FakeSite.FakeShardServer.Frame;
-import tidebank.frontend.ClientSide;
-import tidebank.runtime.Gatherer;
+import tidebank.frontend.ClientServer;
+import tidebank.runtime.QueryRouter;
 
 /**
  * Fragmentation of what peers send: client requests, frames of shard servers, discovery's
@@ -88,7 +88,7 @@
 
   private final FakeSite site = new FakeSite();
   private ExecutorService loop;
-  private ClientSide clients;
+  private ClientServer clients;
   private int runs;
 
   @BeforeEach
@@ -106,11 +106,11 @@
   private void start() throws Exception {
     site.start();
     loop = (ExecutorService) field("loop");
-    clients = (ClientSide) field("clients");
+    clients = (ClientServer) field("clients");
   }
 
   private Object field(String name) throws Exception {
-    Field field = Gatherer.class.getDeclaredField(name);
+    Field field = QueryRouter.class.getDeclaredField(name);
     field.setAccessible(true);
     return field.get(site.gatherer());
   }
@@ -126,7 +126,7 @@
     private final ByteArrayOutputStream written = new ByteArrayOutputStream();
     final CompletableFuture<String> answers = new CompletableFuture<>();
 
-    PieceChannel(ClientSide clients, Method accepted) {
+    PieceChannel(ClientServer clients, Method accepted) {
       super(
           new ChannelInitializer<Channel>() {
             @Override
@@ -151,7 +151,7 @@
   }
 
   private PieceChannel connection() throws Exception {
-    Method accepted = ClientSide.class.getDeclaredMethod("accepted", Channel.class);
+    Method accepted = ClientServer.class.getDeclaredMethod("accepted", Channel.class);
     accepted.setAccessible(true);
     return onLoop(() -> new PieceChannel(clients, accepted));
   }
--- a/router/src/test/java/tidebank/NodeConfigTest.java
+++ b/router/src/test/java/tidebank/RouterConfigTest.java
@@ -8,10 +8,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import tidebank.config.Malformed;
-import tidebank.config.NodeConfig;
+import tidebank.config.MalformedInputException;
+import tidebank.config.RouterConfig;
 
-class NodeConfigTest {
+class RouterConfigTest {
   private final FakeSite site = new FakeSite();
 
   @AfterEach
@@ -19,13 +19,13 @@
     site.close();
   }
 
-  private NodeConfig read(String text, Map<String, String> env) throws Exception {
+  private RouterConfig read(String text, Map<String, String> env) throws Exception {
     Path file = Files.createTempFile("gatherer", ".json");
     try {
       Files.writeString(file, text);
       Map<String, String> all = new java.util.HashMap<>(env);
       all.put("NODE_CONFIG", file.toString());
-      return NodeConfig.read(all);
+      return RouterConfig.read(all);
     } finally {
       Files.delete(file);
     }
@@ -34,7 +34,7 @@
   @Test
   void variablesGoBeforeTheFileAndUnknownKeysAreIgnored() throws Exception {
     site.file.put("unheard_of", 1);
-    NodeConfig config =
+    RouterConfig config =
         read(site.config(), Map.of("NODE_NAME", "n9", "NODE_LISTEN", "127.0.0.2:80"));
     assertThat(config.name()).isEqualTo("n9");
     assertThat(config.listen().toString()).isEqualTo("/127.0.0.2:80");
@@ -91,11 +91,11 @@
       String text = sound.replace(fault[0].replace('\'', '"'), fault[1].replace('\'', '"'));
       assertThat(text).isNotEqualTo(sound);
       assertThatThrownBy(() -> read(text, Map.of()))
-          .isInstanceOf(Malformed.class)
+          .isInstanceOf(MalformedInputException.class)
           .message()
           .matches(fault[2]);
     }
-    assertThatThrownBy(() -> NodeConfig.read(Map.of()))
+    assertThatThrownBy(() -> RouterConfig.read(Map.of()))
         .hasMessage("NODE_CONFIG: found nothing, wanted the path of a JSON file");
   }
 }
--- a/router/src/test/java/tidebank/WireHostTest.java
+++ b/router/src/test/java/tidebank/SimulatorHostTest.java
@@ -8,9 +8,9 @@
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
-import tidebank.simulation.WireHost;
+import tidebank.simulation.SimulatorHost;
 
-class WireHostTest {
+class SimulatorHostTest {
   private static final String SHEET =
       "{'kind':'Sheet','page':3,'items':[{'lastStartMs':null,'rating':1,'slotNo':0,"
           + "'status':'in_service','flavor':'x','campus':'y','server':'s0','new':1}]}";
@@ -30,7 +30,7 @@
   private static String run(String... batches) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     String in = String.join("\n", batches).replace('\'', '"');
-    new WireHost().run(new ByteArrayInputStream(in.getBytes(StandardCharsets.UTF_8)), out);
+    new SimulatorHost().run(new ByteArrayInputStream(in.getBytes(StandardCharsets.UTF_8)), out);
     return out.toString(StandardCharsets.UTF_8).replace('"', '\'');
   }
 
--- a/router/src/test/java/tidebank/StartupFaultsFixtureTest.java
+++ b/router/src/test/java/tidebank/StartupFaultsFixtureTest.java
@@ -21,9 +21,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import tidebank.config.Malformed;
-import tidebank.config.NodeConfig;
-import tidebank.config.OperatorFile;
+import tidebank.config.MalformedInputException;
+import tidebank.config.RouterConfig;
+import tidebank.config.OperatorConfig;
 
 /**
  * Faulty starts, with the lines on standard error and the exit code. {@code faults.json} says for
@@ -124,14 +124,14 @@
 
   /** What the program makes of the message of the fault. */
   private String message(JsonNode fault, Map<String, String> env) {
-    Malformed found =
+    MalformedInputException found =
         catchThrowableOfType(
-            Malformed.class,
+            MalformedInputException.class,
             () -> {
               if (fault.has("toml")) {
-                OperatorFile.read(toml);
+                OperatorConfig.read(toml);
               }
-              NodeConfig.read(env);
+              RouterConfig.read(env);
             });
     assertThat(found).as(fault.path("name").asText()).isNotNull();
     return "tidebank: " + found.getMessage().replace("\n", "\ntidebank: ");
--- a/router/src/test/java/tidebank/backend/FramesFixtureTest.java
+++ b/router/src/test/java/tidebank/backend/FramesFixtureTest.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
-import tidebank.config.Malformed;
+import tidebank.config.MalformedInputException;
 import tidebank.fixtures.StoredCases;
 import tidebank.model.Outcome;
 import tidebank.runtime.SampleRequests;
@@ -23,14 +23,14 @@
   private static final Map<Outcome, String> ENDS =
       Map.of(Outcome.COMPLETED, "good", Outcome.ERROR, "bad", Outcome.FULL, "later");
 
-  private static InFlightDispatch dispatch(String scan, int shard, String text, long stopAt) {
-    return new InFlightDispatch(
+  private static InFlightAttempt dispatch(String scan, int shard, String text, long stopAt) {
+    return new InFlightAttempt(
         SampleRequests.request(scan, shard, text.getBytes(UTF_8), stopAt), null);
   }
 
   private static String onTheWire(ByteBuf frame) {
     EmbeddedChannel channel =
-        new EmbeddedChannel(new LengthFieldPrepender(FrameReader.LENGTH_BYTES));
+        new EmbeddedChannel(new LengthFieldPrepender(FrameDecoder.LENGTH_BYTES));
     channel.writeOutbound(frame);
     ByteBuf all = Unpooled.buffer();
     for (ByteBuf part = channel.readOutbound(); part != null; part = channel.readOutbound()) {
@@ -43,8 +43,8 @@
   @Test
   void writtenFramesAreTheStoredOnes() throws Exception {
     long now = 1_700_000_000_000_000L;
-    List<InFlightDispatch> one = List.of(dispatch("9b1f03aa", 3, "{\"a\":1}", now + 250_999));
-    List<InFlightDispatch> several =
+    List<InFlightAttempt> one = List.of(dispatch("9b1f03aa", 3, "{\"a\":1}", now + 250_999));
+    List<InFlightAttempt> several =
         List.of(
             dispatch("9b1f03aa", 0, "{\"predicate\":\"c41e77d0\"}", now + 1_000_000),
             dispatch("scan-2", 17, "", now + 999),
@@ -53,11 +53,11 @@
         "frames/written.txt",
         String.join(
             "\n",
-            onTheWire(Frames.call(ALLOCATOR, one, now)),
-            onTheWire(Frames.call(ALLOCATOR, several, now)),
-            onTheWire(Frames.giveUp(ALLOCATOR, "9b1f03aa.3")),
-            onTheWire(Frames.probe(ALLOCATOR, Frames.PROBE)),
-            onTheWire(Frames.probe(ALLOCATOR, Frames.PROBE_LOAD)),
+            onTheWire(FrameCodec.call(ALLOCATOR, one, now)),
+            onTheWire(FrameCodec.call(ALLOCATOR, several, now)),
+            onTheWire(FrameCodec.giveUp(ALLOCATOR, "9b1f03aa.3")),
+            onTheWire(FrameCodec.probe(ALLOCATOR, FrameCodec.PROBE)),
+            onTheWire(FrameCodec.probe(ALLOCATOR, FrameCodec.PROBE_LOAD)),
             ""));
   }
 
@@ -67,7 +67,7 @@
         "frames/answers.txt",
         input -> {
           try {
-            Frames.Answer answer = Frames.answer(Unpooled.wrappedBuffer(input));
+            FrameCodec.Answer answer = FrameCodec.answer(Unpooled.wrappedBuffer(input));
             return "id="
                 + answer.id()
                 + " end="
@@ -76,7 +76,7 @@
                 + new TreeMap<>(answer.report())
                 + " value="
                 + (answer.value() == null ? "none" : new String(answer.value(), UTF_8));
-          } catch (Malformed fault) {
+          } catch (MalformedInputException fault) {
             return "fault: " + fault.getMessage();
           }
         });
@@ -85,6 +85,6 @@
   @Test
   void loadReportsAreReadAsStored() throws Exception {
     StoredCases.readAsStored(
-        "frames/reports.txt", input -> Frames.report(new String(input, UTF_8)).toString());
+        "frames/reports.txt", input -> FrameCodec.report(new String(input, UTF_8)).toString());
   }
 }
--- a/router/src/test/java/tidebank/capture/BusyRun.java
+++ b/router/src/test/java/tidebank/capture/BusyRun.java
@@ -9,12 +9,12 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.Supplier;
-import tidebank.RoutingPolicy;
+import tidebank.policy.RoutingPolicy;
 import tidebank.model.Action;
 import tidebank.model.Event;
-import tidebank.model.Event.ListKind;
-import tidebank.model.Event.Listed;
-import tidebank.model.Event.ServerStatus;
+import tidebank.model.Event.ListUpdate;
+import tidebank.model.Event.Endpoint;
+import tidebank.model.Event.EndpointStatus;
 import tidebank.model.Outcome;
 import tidebank.model.Settings;
 
@@ -35,7 +35,7 @@
 
   private final RoutingPolicy policy;
   private final SplittableRandom random;
-  private final Recorder recorder;
+  private final CaptureRecorder recorder;
   private final PriorityQueue<Due> due =
       new PriorityQueue<>(
           (a, b) ->
@@ -50,7 +50,7 @@
   private long scans;
   private boolean ending;
 
-  BusyRun(Settings settings, long policySeed, long seed, Recorder recorder) {
+  BusyRun(Settings settings, long policySeed, long seed, CaptureRecorder recorder) {
     policy = new RoutingPolicy(settings, policySeed);
     random = new SplittableRandom(seed);
     this.recorder = recorder;
@@ -59,8 +59,8 @@
 
   /** Plays so many turns; the last tenth of them after the instance was told to end. */
   void run(int turns) {
-    at(0, () -> new Event.ListSeen(ListKind.REMEMBERED, all()));
-    at(MS, () -> new Event.ListSeen(ListKind.FULL, all()));
+    at(0, () -> new Event.EndpointListReceived(ListUpdate.REMEMBERED, all()));
+    at(MS, () -> new Event.EndpointListReceived(ListUpdate.FULL, all()));
     scanLater();
     at(300 * MS, this::listChange);
     at(400 * MS, this::probed);
@@ -68,7 +68,7 @@
       if (turn == turns - turns / 10) {
         ending = true;
         long deadline = now + 3000 * MS;
-        at(0, () -> new Event.Ending(deadline));
+        at(0, () -> new Event.ShutdownRequested(deadline));
       }
       now = Math.max(now, due.peek().at());
       List<Event> events = new ArrayList<>();
@@ -88,15 +88,15 @@
     due.add(new Due(now + waitUs, order++, event));
   }
 
-  private static Listed listed(int server, ServerStatus status, long startedAt) {
-    return new Listed("s" + server, server, status, startedAt, 1 + server % 2 * 0.5);
+  private static Endpoint listed(int server, EndpointStatus status, long startedAt) {
+    return new Endpoint("s" + server, server, status, startedAt, 1 + server % 2 * 0.5);
   }
 
-  private List<Listed> all() {
-    List<Listed> lines = new ArrayList<>();
+  private List<Endpoint> all() {
+    List<Endpoint> lines = new ArrayList<>();
     for (int i = 0; i < SERVERS; i++) {
-      ServerStatus status =
-          drained.contains("s" + i) ? ServerStatus.DRAINING : ServerStatus.IN_SERVICE;
+      EndpointStatus status =
+          drained.contains("s" + i) ? EndpointStatus.DRAINING : EndpointStatus.IN_SERVICE;
       lines.add(listed(i, status, 0));
     }
     return lines;
@@ -122,7 +122,7 @@
       at(
           0,
           () ->
-              new Event.PartTaken(
+              new Event.ShardRequestReceived(
                   part,
                   number,
                   shard,
@@ -132,7 +132,7 @@
     if (random.nextInt(25) == 0) {
       at(random.nextInt(400_000), () -> open.remove(scan.id()) == null ? null : lapsed(scan));
     }
-    return new Event.ScanTaken(
+    return new Event.QueryReceived(
         scan.id(),
         number,
         scan.type(),
@@ -144,7 +144,7 @@
   }
 
   private static Event lapsed(Scan scan) {
-    return new Event.ScanLapsed(scan.id());
+    return new Event.ClientDisconnected(scan.id());
   }
 
   private Event listChange() {
@@ -152,32 +152,32 @@
     int server = random.nextInt(SERVERS);
     switch (random.nextInt(6)) {
       case 0 -> {
-        at(100 * MS, () -> new Event.ListSeen(ListKind.FULL, all()));
-        return new Event.ListSeen(ListKind.LOST, List.of());
+        at(100 * MS, () -> new Event.EndpointListReceived(ListUpdate.FULL, all()));
+        return new Event.EndpointListReceived(ListUpdate.LOST, List.of());
       }
       case 1 -> {
-        at(50 * MS, () -> new Event.ListSeen(ListKind.FULL, all()));
-        return new Event.ListSeen(ListKind.MOVED, List.of());
+        at(50 * MS, () -> new Event.EndpointListReceived(ListUpdate.FULL, all()));
+        return new Event.EndpointListReceived(ListUpdate.MOVED, List.of());
       }
       case 2 -> {
-        return new Event.ListSeen(ListKind.FULL, all());
+        return new Event.EndpointListReceived(ListUpdate.FULL, all());
       }
       default -> {
         drained.add("s" + server);
         at(
             150 * MS,
             () ->
-                new Event.ListSeen(
-                    ListKind.CHANGES, List.of(listed(server, ServerStatus.GONE, 0))));
+                new Event.EndpointListReceived(
+                    ListUpdate.CHANGES, List.of(listed(server, EndpointStatus.GONE, 0))));
         at(
             300 * MS,
             () -> {
               drained.remove("s" + server);
-              return new Event.ListSeen(
-                  ListKind.CHANGES, List.of(listed(server, ServerStatus.IN_SERVICE, now)));
+              return new Event.EndpointListReceived(
+                  ListUpdate.CHANGES, List.of(listed(server, EndpointStatus.IN_SERVICE, now)));
             });
-        return new Event.ListSeen(
-            ListKind.CHANGES, List.of(listed(server, ServerStatus.DRAINING, 0)));
+        return new Event.EndpointListReceived(
+            ListUpdate.CHANGES, List.of(listed(server, EndpointStatus.DRAINING, 0)));
       }
     }
   }
@@ -185,7 +185,7 @@
   private Event probed() {
     at(100 * MS + random.nextInt(600_000), this::probed);
     boolean well = random.nextInt(3) > 0;
-    return new Event.Probed(
+    return new Event.HealthCheckCompleted(
         "s" + random.nextInt(SERVERS),
         well ? Outcome.COMPLETED : Outcome.UNREACHABLE,
         2 * MS,
@@ -193,26 +193,26 @@
   }
 
   private void carryOut(Action action) {
-    if (action instanceof Action.Send send) {
+    if (action instanceof Action.SendAttempt send) {
       int attempt = attempts.merge(send.part(), 1, Integer::sum) - 1;
       inFlight.add(send.part() + '#' + attempt);
       plan(send, attempt);
-    } else if (action instanceof Action.Cancel cancel) {
+    } else if (action instanceof Action.CancelAttempt cancel) {
       at(random.nextInt(300), () -> ended(cancel.part(), cancel.dispatch(), Outcome.CANCELLED, 0));
-    } else if (action instanceof Action.Answer answer) {
+    } else if (action instanceof Action.Respond answer) {
       open.remove(answer.scan());
     } else if (action instanceof Action.Throttle throttle) {
       open.remove(throttle.scan());
-    } else if (action instanceof Action.Abandon abandon) {
+    } else if (action instanceof Action.Fail abandon) {
       open.remove(abandon.scan());
     } else if (action instanceof Action.SetTimer timer) {
-      at(Math.max(0, timer.waitUs()), () -> new Event.TimerDue(timer.token()));
-    } else if (action instanceof Action.Follow follow && follow.on()) {
-      at(5 * MS, () -> new Event.ListSeen(ListKind.FULL, all()));
+      at(Math.max(0, timer.waitUs()), () -> new Event.TimerFired(timer.token()));
+    } else if (action instanceof Action.WatchEndpoints follow && follow.on()) {
+      at(5 * MS, () -> new Event.EndpointListReceived(ListUpdate.FULL, all()));
     }
   }
 
-  private void plan(Action.Send send, int attempt) {
+  private void plan(Action.SendAttempt send, int attempt) {
     int server = send.server().charAt(1) - '0';
     boolean slow = server == now / 2_000_000 % SERVERS;
     boolean sick = server == now / 3_000_000 % (2 * SERVERS);
@@ -248,7 +248,7 @@
     if (outcome == Outcome.COMPLETED) {
       secondStep(id);
     }
-    return new Event.DispatchEnded(
+    return new Event.AttemptCompleted(
         part,
         attempt,
         outcome,
@@ -271,7 +271,7 @@
           0,
           () ->
               open.containsKey(id)
-                  ? new Event.PartTaken(part, scan.number(), shard, 0.5, "")
+                  ? new Event.ShardRequestReceived(part, scan.number(), shard, 0.5, "")
                   : null);
     }
   }
--- a/router/src/test/java/tidebank/capture/CaptureFixtures.java
+++ b/router/src/test/java/tidebank/capture/CaptureFixtures.java
@@ -11,13 +11,13 @@
 import org.junit.jupiter.api.Tag;
 import tidebank.model.Action;
 import tidebank.model.Event;
-import tidebank.model.Event.ListKind;
-import tidebank.model.Event.Listed;
-import tidebank.model.Event.ServerStatus;
+import tidebank.model.Event.ListUpdate;
+import tidebank.model.Event.Endpoint;
+import tidebank.model.Event.EndpointStatus;
 import tidebank.model.Outcome;
-import tidebank.model.Repeat;
+import tidebank.model.Idempotency;
 import tidebank.model.Settings;
-import tidebank.model.TableType;
+import tidebank.model.QueryClass;
 
 /**
  * What the stored captures under src/test/resources/fixtures/capture hold, and the writer of them.
@@ -33,19 +33,19 @@
   private static final long BUDGET_BYTES = 1L << 30;
 
   static Settings settings() {
-    Map<String, TableType> types = new LinkedHashMap<>();
+    Map<String, QueryClass> types = new LinkedHashMap<>();
     types.put(
-        "whole", new TableType("whole", Repeat.REPLAYABLE, 0, 1_000_000, 3_000_000, 0.1, 1, 1, 0));
+        "whole", new QueryClass("whole", Idempotency.REPLAYABLE, 0, 1_000_000, 3_000_000, 0.1, 1, 1, 0));
     types.put(
-        "part", new TableType("part", Repeat.REPLAYABLE, 0, 800_000, 2_500_000, 0.25, 0.5, 0.9, 0));
+        "part", new QueryClass("part", Idempotency.REPLAYABLE, 0, 800_000, 2_500_000, 0.25, 0.5, 0.9, 0));
     types.put(
-        "keyed", new TableType("keyed", Repeat.KEYED, 2_000_000, 900_000, 3_000_000, 0.3, 1, 1, 0));
+        "keyed", new QueryClass("keyed", Idempotency.KEYED, 2_000_000, 900_000, 3_000_000, 0.3, 1, 1, 0));
     types.put(
         "once",
-        new TableType("once", Repeat.NON_REPLAYABLE, 1_500_000, 700_000, 2_000_000, 0.4, 1, 1, 0));
+        new QueryClass("once", Idempotency.NON_REPLAYABLE, 1_500_000, 700_000, 2_000_000, 0.4, 1, 1, 0));
     types.put(
         "steps",
-        new TableType("steps", Repeat.REPLAYABLE, 0, 1_200_000, 3_500_000, 0.2, 0.6, 1, 2));
+        new QueryClass("steps", Idempotency.REPLAYABLE, 0, 1_200_000, 3_500_000, 0.2, 0.6, 1, 2));
     Map<String, Double> allowances = new LinkedHashMap<>();
     allowances.put("anyone", 12.5);
     allowances.put("caf\u00e9", 3.0);
@@ -63,12 +63,12 @@
   }
 
   /** One entry of each kind, and in them one of each kind of event, action and outcome. */
-  static List<Entry> everyKind() {
+  static List<CaptureRecord> everyKind() {
     List<Event> outcomes =
         List.of(Outcome.values()).stream()
             .<Event>map(
                 outcome ->
-                    new Event.DispatchEnded(
+                    new Event.AttemptCompleted(
                         "a.0",
                         outcome.ordinal(),
                         outcome,
@@ -77,48 +77,48 @@
                         Map.of("util", 0.5)))
             .toList();
     List<Event> lists =
-        List.of(ListKind.values()).stream()
+        List.of(ListUpdate.values()).stream()
             .<Event>map(
                 kind ->
-                    new Event.ListSeen(
+                    new Event.EndpointListReceived(
                         kind,
-                        List.of(ServerStatus.values()).stream()
-                            .map(status -> new Listed("s" + status.ordinal(), 3, status, 17, 1.5))
+                        List.of(EndpointStatus.values()).stream()
+                            .map(status -> new Endpoint("s" + status.ordinal(), 3, status, 17, 1.5))
                             .toList()))
             .toList();
     List<Event> others =
         List.of(
-            new Event.ListSeen(ListKind.LOST, List.of()),
-            new Event.ScanTaken("a", 1, "whole", "caf\u00e9", 4_000_000, 5_000_000, true, null),
-            new Event.ScanTaken("b", -2, "once", "", 4_100_000, 4_500_000, false, "k"),
-            new Event.PartTaken("a.0", 1, 0, 0.25, ""),
-            new Event.ScanLapsed("a"),
-            new Event.Ending(9_000_000),
-            new Event.TimerDue(Long.MAX_VALUE),
-            new Event.TimerDue(Long.MIN_VALUE),
-            new Event.Probed("s1", Outcome.TIMED_OUT, 7, Map.of()));
+            new Event.EndpointListReceived(ListUpdate.LOST, List.of()),
+            new Event.QueryReceived("a", 1, "whole", "caf\u00e9", 4_000_000, 5_000_000, true, null),
+            new Event.QueryReceived("b", -2, "once", "", 4_100_000, 4_500_000, false, "k"),
+            new Event.ShardRequestReceived("a.0", 1, 0, 0.25, ""),
+            new Event.ClientDisconnected("a"),
+            new Event.ShutdownRequested(9_000_000),
+            new Event.TimerFired(Long.MAX_VALUE),
+            new Event.TimerFired(Long.MIN_VALUE),
+            new Event.HealthCheckCompleted("s1", Outcome.TIMED_OUT, 7, Map.of()));
     List<Action> actions =
         List.of(
-            new Action.Send("a.0", "s1", 4_900_000),
-            new Action.Cancel("a.0", 2),
-            new Action.Answer("a", true),
-            new Action.Answer("b", false),
+            new Action.SendAttempt("a.0", "s1", 4_900_000),
+            new Action.CancelAttempt("a.0", 2),
+            new Action.Respond("a", true),
+            new Action.Respond("b", false),
             new Action.Throttle("a", 500),
-            new Action.Abandon("a"),
+            new Action.Fail("a"),
             new Action.SetTimer(5000, -3),
-            new Action.Probe("s1"),
-            new Action.Close("s2"),
-            new Action.Follow(true),
-            new Action.Follow(false),
-            new Action.Note("noted"));
+            new Action.CheckHealth("s1"),
+            new Action.RetireConnections("s2"),
+            new Action.WatchEndpoints(true),
+            new Action.WatchEndpoints(false),
+            new Action.LogNote("noted"));
     return List.of(
-        new Entry.Started(settings(), SEED),
-        new Entry.Iteration(4_200_000, others, 0x1234_5678, actions),
-        new Entry.Iteration(4_200_500, outcomes, -5, List.of()),
-        new Entry.Iteration(4_100_000, lists, 0, null),
-        new Entry.Failed(4_300_000, others, "java.lang.IllegalStateException: as it was"),
-        new Entry.Gap(300),
-        new Entry.Started(settings(), -1));
+        new CaptureRecord.Started(settings(), SEED),
+        new CaptureRecord.Iteration(4_200_000, others, 0x1234_5678, actions),
+        new CaptureRecord.Iteration(4_200_500, outcomes, -5, List.of()),
+        new CaptureRecord.Iteration(4_100_000, lists, 0, null),
+        new CaptureRecord.Failed(4_300_000, others, "java.lang.IllegalStateException: as it was"),
+        new CaptureRecord.Gap(300),
+        new CaptureRecord.Started(settings(), -1));
   }
 
   @Test
@@ -126,9 +126,9 @@
   void write() throws IOException {
     Path every = Files.createDirectories(ROOT.resolve("every-kind"));
     Files.deleteIfExists(every.resolve("capture-00000003.tbc"));
-    try (Segments.Writer writer = new Segments.Writer(every, 3)) {
-      for (List<Entry> block : List.of(everyKind().subList(0, 4), everyKind().subList(4, 7))) {
-        Codec.Encoder encoder = new Codec.Encoder();
+    try (CaptureSegments.Writer writer = new CaptureSegments.Writer(every, 3)) {
+      for (List<CaptureRecord> block : List.of(everyKind().subList(0, 4), everyKind().subList(4, 7))) {
+        CaptureCodec.Encoder encoder = new CaptureCodec.Encoder();
         block.forEach(encoder::add);
         writer.block(encoder.bytes());
       }
@@ -140,8 +140,8 @@
     record("busy", false, 4000, 13);
   }
 
-  private static byte[] plain(Entry entry) {
-    Codec.Encoder encoder = new Codec.Encoder();
+  private static byte[] plain(CaptureRecord entry) {
+    CaptureCodec.Encoder encoder = new CaptureCodec.Encoder();
     encoder.add(entry);
     return encoder.bytes();
   }
@@ -154,13 +154,13 @@
   private static void record(String name, boolean whole, int turns, long seed) throws IOException {
     Path folder = ROOT.resolve(name);
     if (Files.isDirectory(folder)) {
-      for (Path old : Segments.in(folder)) {
+      for (Path old : CaptureSegments.in(folder)) {
         Files.delete(old);
       }
     }
-    Recorder.Plan plan = new Recorder.Plan(folder, whole, RING, SEGMENT_BYTES, BUDGET_BYTES, false);
+    CaptureRecorder.Plan plan = new CaptureRecorder.Plan(folder, whole, RING, SEGMENT_BYTES, BUDGET_BYTES, false);
     // A clock that stands still: blocks end by their size, not by the speed of the machine.
-    Recorder recorder = new Recorder(plan, () -> 0);
+    CaptureRecorder recorder = new CaptureRecorder(plan, () -> 0);
     new BusyRun(settings(), SEED, seed, recorder).run(turns);
     recorder.close(60_000);
     if (recorder.lost() > 0) {
--- a/router/src/test/java/tidebank/capture/KeepingTest.java
+++ b/router/src/test/java/tidebank/capture/SegmentRetentionTest.java
@@ -4,21 +4,21 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import tidebank.capture.Keeping.Bounds;
-import tidebank.capture.Keeping.Segment;
+import tidebank.capture.SegmentRetention.Bounds;
+import tidebank.capture.SegmentRetention.Segment;
 
 /**
  * How a capture is kept: bounds of what waits and of what stays, and patience with a disk that
  * fails.
  */
-class KeepingTest {
-  private final Keeping keeping = new Keeping(new Bounds(1000, 500, 10_000, 60_000, 50_000));
+class SegmentRetentionTest {
+  private final SegmentRetention keeping = new SegmentRetention(new Bounds(1000, 500, 10_000, 60_000, 50_000));
 
   @Test
   void aFewLargeTurnsFillTheRingAsManySmallOnesDo() {
-    assertThat(Keeping.mayWait(0, 1_000_000, 16)).isTrue();
-    assertThat(Keeping.mayWait(500, 12, 16)).isTrue();
-    assertThat(Keeping.mayWait(500, 13, 16)).isFalse();
+    assertThat(SegmentRetention.mayWait(0, 1_000_000, 16)).isTrue();
+    assertThat(SegmentRetention.mayWait(500, 12, 16)).isTrue();
+    assertThat(SegmentRetention.mayWait(500, 13, 16)).isFalse();
   }
 
   @Test
--- a/router/src/test/java/tidebank/capture/StoredCaptureTest.java
+++ b/router/src/test/java/tidebank/capture/StoredCaptureTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import tidebank.RoutingPolicy;
+import tidebank.policy.RoutingPolicy;
 import tidebank.model.Event;
 import tidebank.model.Outcome;
 
@@ -31,10 +31,10 @@
 
   @TempDir private Path folder;
 
-  private static List<Entry> read(String name) throws IOException {
-    List<Entry> entries = new ArrayList<>();
-    for (Path file : Segments.in(CaptureFixtures.ROOT.resolve(name))) {
-      Segments.Read read = Segments.read(file);
+  private static List<CaptureRecord> read(String name) throws IOException {
+    List<CaptureRecord> entries = new ArrayList<>();
+    for (Path file : CaptureSegments.in(CaptureFixtures.ROOT.resolve(name))) {
+      CaptureSegments.Read read = CaptureSegments.read(file);
       assertThat(read.torn()).as(file.toString()).isEmpty();
       entries.addAll(read.entries());
     }
@@ -65,7 +65,7 @@
 
   @Test
   void settingsAreStoredUnderTheseNames() throws Exception {
-    Path file = Segments.in(CaptureFixtures.ROOT.resolve("every-kind")).get(0);
+    Path file = CaptureSegments.in(CaptureFixtures.ROOT.resolve("every-kind")).get(0);
     String block = new String(blocks(file).get(0), StandardCharsets.UTF_8);
     assertThat(CaptureFixtures.settingsJson(block))
         .isEqualTo(Files.readString(CaptureFixtures.ROOT.resolve("every-kind/settings.json")));
@@ -74,12 +74,12 @@
   @ParameterizedTest
   @ValueSource(strings = {"every-kind", "digest", "whole", "busy"})
   void entriesAreWrittenToTheBytesTheyWereReadFrom(String name) throws Exception {
-    for (Path file : Segments.in(CaptureFixtures.ROOT.resolve(name))) {
+    for (Path file : CaptureSegments.in(CaptureFixtures.ROOT.resolve(name))) {
       List<byte[]> blocks = blocks(file);
       assertThat(blocks).isNotEmpty();
       for (byte[] plain : blocks) {
-        Codec.Encoder encoder = new Codec.Encoder();
-        new Codec.Decoder(plain).entries().forEach(encoder::add);
+        CaptureCodec.Encoder encoder = new CaptureCodec.Encoder();
+        new CaptureCodec.Decoder(plain).entries().forEach(encoder::add);
         assertThat(encoder.bytes()).as(file.toString()).isEqualTo(plain);
       }
     }
@@ -88,10 +88,10 @@
   @ParameterizedTest
   @ValueSource(strings = {"every-kind", "digest", "whole", "busy"})
   void segmentsAreFramedAsTheyWere(String name) throws Exception {
-    for (Path file : Segments.in(CaptureFixtures.ROOT.resolve(name))) {
+    for (Path file : CaptureSegments.in(CaptureFixtures.ROOT.resolve(name))) {
       byte[] stored = Files.readAllBytes(file);
       long number = ByteBuffer.wrap(stored).getLong(SEGMENT_HEAD - 12);
-      try (Segments.Writer writer = new Segments.Writer(folder, number)) {
+      try (CaptureSegments.Writer writer = new CaptureSegments.Writer(folder, number)) {
         for (byte[] plain : blocks(file)) {
           writer.block(plain);
         }
@@ -117,14 +117,14 @@
   void theRoutingPolicyDecidesEveryTurnAsItDidThen(String name) throws IOException {
     RoutingPolicy policy = null;
     int turns = 0;
-    for (Entry entry : read(name)) {
-      if (entry instanceof Entry.Started started) {
+    for (CaptureRecord entry : read(name)) {
+      if (entry instanceof CaptureRecord.Started started) {
         assertThat(started)
-            .isEqualTo(new Entry.Started(CaptureFixtures.settings(), started.seed()));
+            .isEqualTo(new CaptureRecord.Started(CaptureFixtures.settings(), started.seed()));
         policy = new RoutingPolicy(started.settings(), started.seed());
-      } else if (entry instanceof Entry.Iteration turn) {
+      } else if (entry instanceof CaptureRecord.Iteration turn) {
         var actions = policy.on(turn.nowUs(), turn.events());
-        assertThat(Digests.of(actions)).as(name + ", turn " + turns).isEqualTo(turn.digest());
+        assertThat(ActionDigest.of(actions)).as(name + ", turn " + turns).isEqualTo(turn.digest());
         if (name.equals("whole")) {
           assertThat(turn.actions()).isEqualTo(actions);
         } else {
@@ -140,11 +140,11 @@
   void theBusyCaptureHoldsEveryKindOfEventAndOutcome() throws IOException {
     Set<Class<?>> kinds = new HashSet<>();
     Set<Outcome> outcomes = new HashSet<>();
-    for (Entry entry : read("busy")) {
-      if (entry instanceof Entry.Iteration turn) {
+    for (CaptureRecord entry : read("busy")) {
+      if (entry instanceof CaptureRecord.Iteration turn) {
         for (Event event : turn.events()) {
           kinds.add(event.getClass());
-          if (event instanceof Event.DispatchEnded ended) {
+          if (event instanceof Event.AttemptCompleted ended) {
             outcomes.add(ended.outcome());
           }
         }
--- a/router/src/test/java/tidebank/config/ConfigFixtureTest.java
+++ b/router/src/test/java/tidebank/config/ConfigFixtureTest.java
@@ -11,22 +11,22 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import tidebank.capture.Recorder;
+import tidebank.capture.CaptureRecorder;
 import tidebank.fixtures.StoredCases;
 import tidebank.fleet.FleetAgent;
-import tidebank.model.Repeat;
+import tidebank.model.Idempotency;
 import tidebank.model.Settings;
-import tidebank.model.TableType;
+import tidebank.model.QueryClass;
 
 /** Configurations are read as they were, and faults named as they were. */
 class ConfigFixtureTest {
-  private static final Map<Repeat, String> SEMANTICS =
+  private static final Map<Idempotency, String> SEMANTICS =
       Map.of(
-          Repeat.REPLAYABLE,
+          Idempotency.REPLAYABLE,
           "read_like",
-          Repeat.KEYED,
+          Idempotency.KEYED,
           "idempotency_key",
-          Repeat.NON_REPLAYABLE,
+          Idempotency.NON_REPLAYABLE,
           "other");
 
   @TempDir Path folder;
@@ -47,18 +47,18 @@
     }
   }
 
-  private NodeConfig read(byte[] text, Map<String, String> env) throws Exception {
+  private RouterConfig read(byte[] text, Map<String, String> env) throws Exception {
     Path file = Files.write(folder.resolve("node.json"), text);
     Map<String, String> all = new TreeMap<>(env);
     all.put("NODE_CONFIG", file.toString());
-    return NodeConfig.read(all);
+    return RouterConfig.read(all);
   }
 
   private static String address(InetSocketAddress address) {
     return address.getAddress().getHostAddress() + ":" + address.getPort();
   }
 
-  private static void type(Fields fields, String key, TableType type) {
+  private static void type(Fields fields, String key, QueryClass type) {
     fields
         .put(key + ".name", type.name())
         .put(key + ".semantics", SEMANTICS.get(type.repeat()))
@@ -112,7 +112,7 @@
         .put("ratioSpanUs", rules.ratioSpanUs());
   }
 
-  private static String describe(NodeConfig config) {
+  private static String describe(RouterConfig config) {
     Fields fields =
         new Fields()
             .put("name", config.name())
@@ -121,7 +121,7 @@
             .put("seed", Long.toHexString(config.seed()))
             .put("known", config.known());
     settings(fields, config.settings());
-    NodeConfig.Budgets budgets = config.budgets();
+    RouterConfig.Budgets budgets = config.budgets();
     fields
         .put("budget.clients", budgets.clients())
         .put("budget.clientsMost", budgets.clientsMost())
@@ -134,7 +134,7 @@
         .put("budget.readMost", budgets.readMost())
         .put("budget.writeLow", budgets.writeLow())
         .put("budget.writeHigh", budgets.writeHigh());
-    NodeConfig.Transport transport = config.transport();
+    RouterConfig.Transport transport = config.transport();
     return fields
         .put("connectTimeoutUs", transport.connectTimeoutUs())
         .put("keepaliveUs", transport.keepaliveUs())
@@ -146,14 +146,14 @@
         .lines();
   }
 
-  private static String describe(OperatorFile file) {
+  private static String describe(OperatorConfig file) {
     Fields fields =
         new Fields()
             .put("log.level", file.log().least())
             .put("log.form", file.log().form())
             .put("log.lines_a_second", file.log().linesASecond())
             .put("report.counters_every_us", file.countersEveryUs());
-    Recorder.Plan capture = file.capture();
+    CaptureRecorder.Plan capture = file.capture();
     if (capture != null) {
       fields
           .put("capture.folder", capture.folder())
@@ -203,7 +203,7 @@
           try {
             read(full.replace(change[0], change[1]).getBytes(UTF_8), Map.of());
             return "no fault";
-          } catch (Malformed fault) {
+          } catch (MalformedInputException fault) {
             // A layout shows itself by the names of its fields, which are free.
             return fault
                 .getMessage()
@@ -217,7 +217,7 @@
   void everyFieldOfAnOperatorsFileIsReadAsStored() throws Exception {
     String full = StoredCases.text("config/operator-full.toml");
     StoredCases.isText(
-        "config/operator-full.txt", describe(OperatorFile.read(Toml.read("own.toml", full))));
+        "config/operator-full.txt", describe(OperatorConfig.read(Toml.read("own.toml", full))));
   }
 
   @Test
@@ -226,8 +226,8 @@
         "config/operator-files.txt",
         input -> {
           try {
-            return describe(OperatorFile.read(Toml.read("own.toml", new String(input, UTF_8))));
-          } catch (Malformed fault) {
+            return describe(OperatorConfig.read(Toml.read("own.toml", new String(input, UTF_8))));
+          } catch (MalformedInputException fault) {
             return "fault: " + fault.getMessage();
           }
         });
--- a/router/src/test/java/tidebank/discovery/ListFixtureTest.java
+++ b/router/src/test/java/tidebank/discovery/ListFixtureTest.java
@@ -4,19 +4,19 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
-import tidebank.config.Malformed;
+import tidebank.config.MalformedInputException;
 import tidebank.fixtures.StoredCases;
-import tidebank.model.Event.ServerStatus;
+import tidebank.model.Event.EndpointStatus;
 
 /** Lists of discovery are read as they were. */
 class ListFixtureTest {
-  private static final Map<ServerStatus, String> HEALTH =
+  private static final Map<EndpointStatus, String> HEALTH =
       Map.of(
-          ServerStatus.IN_SERVICE,
+          EndpointStatus.IN_SERVICE,
           "Ready",
-          ServerStatus.DRAINING,
+          EndpointStatus.DRAINING,
           "Terminating",
-          ServerStatus.GONE,
+          EndpointStatus.GONE,
           "Gone");
 
   @Test
@@ -25,7 +25,7 @@
         "discovery/lists.txt",
         input -> {
           try {
-            ListReader.Members list = ListReader.read(new ObjectMapper().readTree(input));
+            EndpointListParser.Members list = EndpointListParser.read(new ObjectMapper().readTree(input));
             return "seq="
                 + list.version()
                 + " whole="
@@ -46,7 +46,7 @@
                                 + " dial="
                                 + member.address())
                     .collect(Collectors.joining());
-          } catch (Malformed fault) {
+          } catch (MalformedInputException fault) {
             return "fault: " + fault.getMessage();
           }
         });
--- a/router/src/test/java/tidebank/fleet/RetentionTest.java
+++ b/router/src/test/java/tidebank/fleet/RetentionTest.java
@@ -66,7 +66,7 @@
 
   @Test
   void thePublishedReportAllLaterOnesAndTheNewestOfEachFolderAreNeeded() throws Exception {
-    FleetFolder fleet = new FleetFolder(folder);
+    SharedFolder fleet = new SharedFolder(folder);
     for (int i = 1; i <= 5; i++) {
       put("reports/report-" + i + "-by-1.json", 50 - i);
     }
@@ -89,7 +89,7 @@
 
   @Test
   void aListRemovesWhatItNamesOnceOrTwiceAndNothingOutsideOfWhatIsKept() throws Exception {
-    FleetFolder fleet = new FleetFolder(folder);
+    SharedFolder fleet = new SharedFolder(folder);
     Path gone = put("captures/g0/000001.tbc", 90);
     Path told = put("told/g0.json", 90);
     Path outside = Files.createTempFile(folder.getParent(), "outside", ".txt");
@@ -123,7 +123,7 @@
   @Test
   void aLookThroughALargeFolderLetsOtherThingsBeDoneInBetweenAndKeepsOnlyTheOldest()
       throws Exception {
-    FleetFolder fleet = new FleetFolder(folder);
+    SharedFolder fleet = new SharedFolder(folder);
     Path captures = Files.createDirectories(folder.resolve("captures/g0"));
     for (int i = 0; i < 2500; i++) {
       Files.createFile(captures.resolve(i + ".tbc"));
@@ -141,7 +141,7 @@
 
   @Test
   void ofAllListsAHundredAreKept() throws Exception {
-    FleetFolder fleet = new FleetFolder(folder);
+    SharedFolder fleet = new SharedFolder(folder);
     for (int i : IntStream.rangeClosed(1, 300).toArray()) {
       Retention list = new Retention(i, "", 1, List.of());
       assertThat(fleet.removal(fleet.write(list))).isEqualTo(list);
--- a/router/src/test/java/tidebank/policy/DirectHost.java
+++ b/router/src/test/java/tidebank/policy/DirectHost.java
@@ -7,13 +7,12 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import tidebank.RoutingPolicy;
 import tidebank.config.SettingsReader;
 import tidebank.model.Action;
 import tidebank.model.Event;
-import tidebank.model.Event.ListKind;
-import tidebank.model.Event.Listed;
-import tidebank.model.Event.ServerStatus;
+import tidebank.model.Event.ListUpdate;
+import tidebank.model.Event.Endpoint;
+import tidebank.model.Event.EndpointStatus;
 import tidebank.model.Outcome;
 
 /**
@@ -24,7 +23,7 @@
 final class DirectHost {
   private final ObjectMapper mapper = new ObjectMapper();
   private final Map<Integer, RoutingPolicy> routers = new LinkedHashMap<>();
-  private final Map<Integer, List<Listed>> pages = new LinkedHashMap<>();
+  private final Map<Integer, List<Endpoint>> pages = new LinkedHashMap<>();
 
   /** The reply to one batch, both as lines without their ends. */
   String answer(String line) throws IOException {
@@ -61,17 +60,17 @@
     return Math.round(ms.asDouble() * 1000);
   }
 
-  private static List<Listed> page(JsonNode items) {
-    List<Listed> entries = new ArrayList<>();
+  private static List<Endpoint> page(JsonNode items) {
+    List<Endpoint> entries = new ArrayList<>();
     for (JsonNode item : items) {
-      ServerStatus status =
+      EndpointStatus status =
           switch (item.get("status").textValue()) {
-            case "in_service" -> ServerStatus.IN_SERVICE;
-            case "terminating" -> ServerStatus.DRAINING;
-            default -> ServerStatus.GONE;
+            case "in_service" -> EndpointStatus.IN_SERVICE;
+            case "terminating" -> EndpointStatus.DRAINING;
+            default -> EndpointStatus.GONE;
           };
       entries.add(
-          new Listed(
+          new Endpoint(
               item.get("server").textValue(),
               item.get("slotNo").intValue(),
               status,
@@ -87,18 +86,18 @@
       case "Announce" -> list(message);
       case "Knock" -> query(message, handle, now);
       case "Returned" ->
-          new Event.DispatchEnded(
+          new Event.AttemptCompleted(
               handle,
               message.get("try").intValue(),
               outcome(message.get("disposition").textValue()),
               micros(message.get("costTimeMs")),
               message.path("ended").asBoolean(),
               Map.of());
-      case "Lapsed" -> new Event.ScanLapsed(handle);
-      case "DeadlineHit" -> new Event.TimerDue(message.get("label").longValue());
-      case "Ending" -> new Event.Ending(micros(message.get("atMs")));
+      case "Lapsed" -> new Event.ClientDisconnected(handle);
+      case "DeadlineHit" -> new Event.TimerFired(message.get("label").longValue());
+      case "Ending" -> new Event.ShutdownRequested(micros(message.get("atMs")));
       default ->
-          new Event.Probed(
+          new Event.HealthCheckCompleted(
               message.get("server").textValue(),
               outcome(message.get("disposition").textValue()),
               micros(message.get("costTimeMs")),
@@ -107,16 +106,16 @@
   }
 
   private Event list(JsonNode message) {
-    ListKind kind =
+    ListUpdate kind =
         switch (message.get("mode").textValue()) {
-          case "incr" -> ListKind.CHANGES;
-          case "total" -> ListKind.FULL;
-          case "warm_copy" -> ListKind.REMEMBERED;
-          case "lost" -> ListKind.LOST;
-          default -> ListKind.MOVED;
+          case "incr" -> ListUpdate.CHANGES;
+          case "total" -> ListUpdate.FULL;
+          case "warm_copy" -> ListUpdate.REMEMBERED;
+          case "lost" -> ListUpdate.LOST;
+          default -> ListUpdate.MOVED;
         };
-    boolean none = kind == ListKind.LOST || kind == ListKind.MOVED;
-    return new Event.ListSeen(kind, none ? List.of() : pages.get(message.get("page").intValue()));
+    boolean none = kind == ListUpdate.LOST || kind == ListUpdate.MOVED;
+    return new Event.EndpointListReceived(kind, none ? List.of() : pages.get(message.get("page").intValue()));
   }
 
   private static Event query(JsonNode message, String handle, long now) {
@@ -124,9 +123,9 @@
     long number = message.get("jobNo").longValue();
     String key = message.path("subject").asText();
     if (shard >= 0) {
-      return new Event.PartTaken(handle, number, shard, message.get("measure").doubleValue(), key);
+      return new Event.ShardRequestReceived(handle, number, shard, message.get("measure").doubleValue(), key);
     }
-    return new Event.ScanTaken(
+    return new Event.QueryReceived(
         handle,
         number,
         message.get("lane").textValue(),
@@ -153,22 +152,22 @@
   }
 
   private static String text(int router, Action action) {
-    if (action instanceof Action.Send send) {
+    if (action instanceof Action.SendAttempt send) {
       return text("Assign", router, send.part())
           + quoted("server", send.server())
           + ",\"stopAtMs\":"
           + send.stopAt() / 1000.0
           + "}";
-    } else if (action instanceof Action.Cancel cancel) {
+    } else if (action instanceof Action.CancelAttempt cancel) {
       return text("CallOff", router, cancel.part()) + ",\"try\":" + cancel.dispatch() + "}";
-    } else if (action instanceof Action.Answer answer) {
+    } else if (action instanceof Action.Respond answer) {
       return text("WrapUp", router, answer.scan()) + ",\"complete\":" + answer.whole() + "}";
     } else if (action instanceof Action.Throttle throttle) {
       return text("Busy", router, throttle.scan())
           + ",\"holdOffMs\":"
           + throttle.holdOffUs() / 1000.0
           + "}";
-    } else if (action instanceof Action.Abandon abandon) {
+    } else if (action instanceof Action.Fail abandon) {
       return text("ReportFailure", router, abandon.scan()) + "}";
     } else if (action instanceof Action.SetTimer timer) {
       return text("SetTimer", router, null)
@@ -177,9 +176,9 @@
           + ",\"label\":"
           + timer.token()
           + "}";
-    } else if (action instanceof Action.Close close) {
+    } else if (action instanceof Action.RetireConnections close) {
       return text("Disconnect", router, null) + quoted("server", close.server()) + "}";
-    } else if (action instanceof Action.Follow follow) {
+    } else if (action instanceof Action.WatchEndpoints follow) {
       return text("Follow", router, null) + ",\"complete\":" + follow.on() + "}";
     }
     throw new IllegalArgumentException("no words for " + action);
--- a/router/src/test/java/tidebank/FakeHost.java
+++ b/router/src/test/java/tidebank/policy/PolicyHarness.java
@@ -1,4 +1,4 @@
-package tidebank;
+package tidebank.policy;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -6,19 +6,19 @@
 import java.util.Map;
 import tidebank.model.Action;
 import tidebank.model.Event;
-import tidebank.model.Event.ListKind;
-import tidebank.model.Event.Listed;
-import tidebank.model.Event.ServerStatus;
+import tidebank.model.Event.ListUpdate;
+import tidebank.model.Event.Endpoint;
+import tidebank.model.Event.EndpointStatus;
 import tidebank.model.Outcome;
-import tidebank.model.Repeat;
+import tidebank.model.Idempotency;
 import tidebank.model.Settings;
-import tidebank.model.TableType;
+import tidebank.model.QueryClass;
 
 /** One instance, a clock in milliseconds, timers that fire, and what the module asked for. */
-public final class FakeHost {
+public final class PolicyHarness {
   static final long MS = 1000;
 
-  final Map<String, TableType> types = new LinkedHashMap<>();
+  final Map<String, QueryClass> types = new LinkedHashMap<>();
   final List<Action> all = new ArrayList<>();
   final Map<String, Integer> tries = new LinkedHashMap<>();
   Settings.Layout layout = new Settings.Layout(4, 4, 2, 1, 0);
@@ -40,19 +40,19 @@
   private long token;
   private final List<Event> told = new ArrayList<>();
 
-  public FakeHost() {
-    type("whole", Repeat.REPLAYABLE, 1, 0.1, 0);
-    type("part", Repeat.REPLAYABLE, 0.5, 0.1, 0);
-    type("once", Repeat.NON_REPLAYABLE, 1, 0.3, 0);
-    type("keyed", Repeat.KEYED, 1, 0.3, 0);
-    type("strict", Repeat.REPLAYABLE, 1, 0, 0);
-    type("steps", Repeat.REPLAYABLE, 0.6, 0.3, 2);
+  public PolicyHarness() {
+    type("whole", Idempotency.REPLAYABLE, 1, 0.1, 0);
+    type("part", Idempotency.REPLAYABLE, 0.5, 0.1, 0);
+    type("once", Idempotency.NON_REPLAYABLE, 1, 0.3, 0);
+    type("keyed", Idempotency.KEYED, 1, 0.3, 0);
+    type("strict", Idempotency.REPLAYABLE, 1, 0, 0);
+    type("steps", Idempotency.REPLAYABLE, 0.6, 0.3, 2);
   }
 
   /** Every type: target time 1 s, query timeout 3 s, repeats dropped for 2 s. */
-  void type(String name, Repeat repeat, double floor, double late, int second) {
+  void type(String name, Idempotency repeat, double floor, double late, int second) {
     types.put(
-        name, new TableType(name, repeat, 2000 * MS, 1000 * MS, 3000 * MS, late, floor, 1, second));
+        name, new QueryClass(name, repeat, 2000 * MS, 1000 * MS, 3000 * MS, late, floor, 1, second));
   }
 
   public Settings settings() {
@@ -60,23 +60,23 @@
   }
 
   /** Starts the instance with a list of sound servers s0, s1, ... one at each position. */
-  FakeHost start() {
+  PolicyHarness start() {
     policy = new RoutingPolicy(settings(), seed);
-    List<Listed> lines = new ArrayList<>();
+    List<Endpoint> lines = new ArrayList<>();
     for (int i = 0; i < layout.positions(); i++) {
-      lines.add(line("s" + i, i, ServerStatus.IN_SERVICE, 0));
+      lines.add(line("s" + i, i, EndpointStatus.IN_SERVICE, 0));
     }
-    list(ListKind.REMEMBERED, lines.toArray(new Listed[0]));
+    list(ListUpdate.REMEMBERED, lines.toArray(new Endpoint[0]));
     return this;
   }
 
-  static Listed line(String server, int position, ServerStatus status, long startedMs) {
-    return new Listed(server, position, status, startedMs * MS, 1);
+  static Endpoint line(String server, int position, EndpointStatus status, long startedMs) {
+    return new Endpoint(server, position, status, startedMs * MS, 1);
   }
 
-  List<Action> list(ListKind kind, Listed... lines) {
+  List<Action> list(ListUpdate kind, Endpoint... lines) {
     toldOfStart |= List.of(lines).stream().anyMatch(line -> line.startedAt() > 0);
-    return tell(new Event.ListSeen(kind, List.of(lines)));
+    return tell(new Event.EndpointListReceived(kind, List.of(lines)));
   }
 
   /** A scan with a part a shard, of these weights; its parts are called id + shard. */
@@ -87,17 +87,17 @@
   List<Action> scanWithin(long leftMs, String id, String type, double... weights) {
     long number = ++numbers;
     told.add(
-        new Event.ScanTaken(
+        new Event.QueryReceived(
             id, number, type, "anyone", nowMs * MS, (nowMs + leftMs) * MS, false, id));
     for (int shard = 0; shard < weights.length; shard++) {
-      told.add(new Event.PartTaken(id + shard, number, shard, weights[shard], ""));
+      told.add(new Event.ShardRequestReceived(id + shard, number, shard, weights[shard], ""));
     }
     return tell();
   }
 
   List<Action> secondStep(String id, long number, int... shards) {
     for (int shard : shards) {
-      told.add(new Event.PartTaken(id + "x" + shard, number, shard, 1.0 / shards.length, ""));
+      told.add(new Event.ShardRequestReceived(id + "x" + shard, number, shard, 1.0 / shards.length, ""));
     }
     return tell();
   }
@@ -106,14 +106,14 @@
   List<Action> end(Outcome outcome, String... parts) {
     for (String part : parts) {
       told.add(
-          new Event.DispatchEnded(
+          new Event.AttemptCompleted(
               part, tries.get(part) - 1, outcome, tookMs * MS, false, Map.of()));
     }
     return tell();
   }
 
   List<Action> end(String part, int dispatch, Outcome outcome) {
-    return tell(new Event.DispatchEnded(part, dispatch, outcome, tookMs * MS, false, Map.of()));
+    return tell(new Event.AttemptCompleted(part, dispatch, outcome, tookMs * MS, false, Map.of()));
   }
 
   List<Action> tell(Event... events) {
@@ -121,7 +121,7 @@
     List<Action> now = policy.on(nowMs * MS, List.copyOf(told));
     told.clear();
     for (Action action : now) {
-      if (action instanceof Action.Send send) {
+      if (action instanceof Action.SendAttempt send) {
         tries.merge(send.part(), 1, Integer::sum);
       } else if (action instanceof Action.SetTimer timer) {
         timerAt = nowMs + (timer.waitUs() + MS - 1) / MS;
@@ -139,7 +139,7 @@
     while (timerAt <= until) {
       nowMs = Math.max(nowMs, timerAt);
       timerAt = Long.MAX_VALUE;
-      tell(new Event.TimerDue(token));
+      tell(new Event.TimerFired(token));
     }
     nowMs = until;
     return List.copyOf(all.subList(from, all.size()));
@@ -147,15 +147,15 @@
 
   static List<String> sent(List<Action> actions) {
     return actions.stream()
-        .filter(Action.Send.class::isInstance)
-        .map(a -> ((Action.Send) a).part())
+        .filter(Action.SendAttempt.class::isInstance)
+        .map(a -> ((Action.SendAttempt) a).part())
         .toList();
   }
 
   static List<String> servers(List<Action> actions) {
     return actions.stream()
-        .filter(Action.Send.class::isInstance)
-        .map(a -> ((Action.Send) a).server())
+        .filter(Action.SendAttempt.class::isInstance)
+        .map(a -> ((Action.SendAttempt) a).server())
         .toList();
   }
 
@@ -164,9 +164,9 @@
     return all.stream()
         .filter(
             a ->
-                a instanceof Action.Answer
+                a instanceof Action.Respond
                     || a instanceof Action.Throttle
-                    || a instanceof Action.Abandon)
+                    || a instanceof Action.Fail)
         .toList();
   }
 }
--- a/router/src/test/java/tidebank/policy/PolicyReplayTest.java
+++ b/router/src/test/java/tidebank/policy/PolicyReplayTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
-import tidebank.simulation.WireHost;
+import tidebank.simulation.SimulatorHost;
 
 /**
  * The decisions stay as they are to the byte: stored streams of events are answered with the stored
@@ -194,7 +194,7 @@
       }
     } else {
       ByteArrayOutputStream reply = new ByteArrayOutputStream();
-      new WireHost().run(new Loop(fleet, messages, in, out, reply), reply);
+      new SimulatorHost().run(new Loop(fleet, messages, in, out, reply), reply);
       out.writeBytes(reply.toByteArray());
     }
     return new Recording(in.toByteArray(), out.toByteArray());
@@ -202,7 +202,7 @@
 
   private static byte[] wire(byte[] in) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    new WireHost().run(new ByteArrayInputStream(in), out);
+    new SimulatorHost().run(new ByteArrayInputStream(in), out);
     return out.toByteArray();
   }
 
