--- a/router/src/test/java/tidebank/RoutingPolicyTest.java
+++ b/router/src/test/java/tidebank/policy/RoutingPolicyTest.java
@@ -1,10 +1,10 @@
-package tidebank;
+package tidebank.policy;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static tidebank.FakeHost.MS;
-import static tidebank.FakeHost.line;
-import static tidebank.FakeHost.sent;
-import static tidebank.FakeHost.servers;
+import static tidebank.policy.PolicyHarness.MS;
+import static tidebank.policy.PolicyHarness.line;
+import static tidebank.policy.PolicyHarness.sent;
+import static tidebank.policy.PolicyHarness.servers;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -16,15 +16,15 @@
 import org.junit.jupiter.api.Test;
 import tidebank.model.Action;
 import tidebank.model.Event;
-import tidebank.model.Event.ListKind;
-import tidebank.model.Event.ServerStatus;
+import tidebank.model.Event.ListUpdate;
+import tidebank.model.Event.EndpointStatus;
 import tidebank.model.Outcome;
-import tidebank.model.Repeat;
+import tidebank.model.Idempotency;
 import tidebank.model.Settings;
-import tidebank.model.TableType;
+import tidebank.model.QueryClass;
 
 class RoutingPolicyTest {
-  private final FakeHost host = new FakeHost();
+  private final PolicyHarness host = new PolicyHarness();
 
   /** Starts with a scan of four parts, of which these are refused as full. */
   private List<Action> refuse(String... parts) {
@@ -41,7 +41,7 @@
     assertThat(sent(host.scan("q", "part", 0.4, 0.3, 0.2, 0.1)))
         .containsExactly("q0", "q1", "q2", "q3");
     host.end(Outcome.COMPLETED, "q0", "q1", "q2", "q3");
-    assertThat(host.verdicts()).containsExactly(new Action.Answer("q", true));
+    assertThat(host.verdicts()).containsExactly(new Action.Respond("q", true));
   }
 
   @Test
@@ -49,7 +49,7 @@
     refuse("a0");
     assertThat(sent(host.scan("q", "part", 0.1, 0.4, 0.2, 0.3))).containsExactly("q1", "q3", "q2");
     host.end(Outcome.COMPLETED, "q1", "q3", "q2");
-    assertThat(host.verdicts()).containsExactly(new Action.Answer("q", false));
+    assertThat(host.verdicts()).containsExactly(new Action.Respond("q", false));
   }
 
   @Test
@@ -64,16 +64,16 @@
     host.start();
     for (int i = 0; i < 5; i++) {
       host.tell(
-          new Event.ScanTaken(
+          new Event.QueryReceived(
               "q" + i, 100 + i, "whole", "", host.nowMs * MS, (host.nowMs + 3000) * MS, false, ""),
-          new Event.PartTaken("p" + i, 100 + i, 0, 1, "same key"));
+          new Event.ShardRequestReceived("p" + i, 100 + i, 0, 1, "same key"));
     }
     assertThat(servers(host.all)).hasSize(5).containsOnly(servers(host.all).get(0));
     List<Action> next =
         host.tell(
-            new Event.ScanTaken(
+            new Event.QueryReceived(
                 "z", 200, "whole", "", host.nowMs * MS, (host.nowMs + 3000) * MS, false, ""),
-            new Event.PartTaken("pz", 200, 0, 1, "same key"));
+            new Event.ShardRequestReceived("pz", 200, 0, 1, "same key"));
     assertThat(servers(next)).doesNotContain(servers(host.all).get(0));
   }
 
@@ -83,17 +83,17 @@
   void aScanThatWaitedForTheProcessorIsAnsweredByItsTargetTimeAsItsClientCountsIt() {
     host.start();
     host.tell(
-        new Event.ScanTaken(
+        new Event.QueryReceived(
             "q", 90, "part", "", (host.nowMs - 40) * MS, (host.nowMs + 2960) * MS, false, ""),
-        new Event.PartTaken("q0", 90, 0, 0.6, ""),
-        new Event.PartTaken("q1", 90, 1, 0.4, ""));
+        new Event.ShardRequestReceived("q0", 90, 0, 0.6, ""),
+        new Event.ShardRequestReceived("q1", 90, 1, 0.4, ""));
     host.end(Outcome.COMPLETED, "q0");
     // Of 1000 ms 40 are gone, and the answer may wait as long again: it is given within the 920
     // between.
     host.pass(890);
     assertThat(host.verdicts()).isEmpty();
     host.pass(30);
-    assertThat(host.verdicts()).containsExactly(new Action.Answer("q", false));
+    assertThat(host.verdicts()).containsExactly(new Action.Respond("q", false));
   }
 
   @Test
@@ -108,14 +108,14 @@
     assertThat(sent(host.scanWithin(900, "q", "whole", 0.6, 0.4))).hasSize(2);
     assertThat(host.verdicts()).isEmpty();
     host.end(Outcome.COMPLETED, "q0", "q1");
-    assertThat(host.verdicts()).containsExactly(new Action.Answer("q", true));
+    assertThat(host.verdicts()).containsExactly(new Action.Respond("q", true));
     // An answer in part leaves at most a fifth of the target time early.
     host.scan("r", "part", 0.6, 0.4);
     host.end(Outcome.COMPLETED, "r0");
     host.pass(780);
     assertThat(host.verdicts()).hasSize(1);
     host.pass(10);
-    assertThat(host.verdicts()).contains(new Action.Answer("r", false));
+    assertThat(host.verdicts()).contains(new Action.Respond("r", false));
   }
 
   @Test
@@ -131,7 +131,7 @@
     host.pass(980);
     assertThat(host.verdicts()).isEmpty();
     host.pass(20);
-    assertThat(host.verdicts()).containsExactly(new Action.Answer("q", false));
+    assertThat(host.verdicts()).containsExactly(new Action.Respond("q", false));
   }
 
   @Test
@@ -157,7 +157,7 @@
     host.pass(980);
     assertThat(host.verdicts()).isEmpty();
     host.pass(20);
-    assertThat(host.verdicts()).containsExactly(new Action.Answer("q", false));
+    assertThat(host.verdicts()).containsExactly(new Action.Respond("q", false));
     assertThat(sent(host.pass(5000))).isEmpty();
   }
 
@@ -168,7 +168,7 @@
     host.pass(1950);
     assertThat(host.verdicts()).isEmpty();
     host.pass(50);
-    assertThat(host.verdicts()).containsExactly(new Action.Abandon("q"));
+    assertThat(host.verdicts()).containsExactly(new Action.Fail("q"));
   }
 
   @Test
@@ -185,9 +185,9 @@
     host.scan("q", "whole", 0.5, 0.5);
     assertThat(
             host.tell(
-                new Event.DispatchEnded("q0", 0, Outcome.ERROR, MS, true, Map.of()),
-                new Event.ScanLapsed("q")))
-        .noneMatch(a -> a instanceof Action.Send || a instanceof Action.Abandon);
+                new Event.AttemptCompleted("q0", 0, Outcome.ERROR, MS, true, Map.of()),
+                new Event.ClientDisconnected("q")))
+        .noneMatch(a -> a instanceof Action.SendAttempt || a instanceof Action.Fail);
     assertThat(host.verdicts()).isEmpty();
   }
 
@@ -197,9 +197,9 @@
     host.scan("none", "whole");
     host.scanWithin(2, "late", "whole", 0.5, 0.5);
     host.tell(
-        new Event.ScanTaken(
+        new Event.QueryReceived(
             "odd", 50, "unheard of", "", host.nowMs * MS, (host.nowMs + 900) * MS, false, ""),
-        new Event.PartTaken("odd0", 50, 99, 1, ""));
+        new Event.ShardRequestReceived("odd0", 50, 99, 1, ""));
     assertThat(host.verdicts()).hasSize(2).contains(new Action.Throttle("none", 500 * MS));
     host.pass(900);
     assertThat(host.verdicts()).hasSize(3);
@@ -208,7 +208,7 @@
   @Test
   void aListThatNamesNoHolderOfAShardGivesTheScanUpAtOnce() {
     host.start();
-    host.list(ListKind.FULL, line("s2", 2, ServerStatus.IN_SERVICE, 0));
+    host.list(ListUpdate.FULL, line("s2", 2, EndpointStatus.IN_SERVICE, 0));
     assertThat(host.scan("q", "whole", 0.5, 0.5)).contains(new Action.Throttle("q", 500 * MS));
   }
 
@@ -216,7 +216,7 @@
   void settingsOfZerosBreakNothing() {
     host.layout = new Settings.Layout(0, 0, 0, 1, 0);
     host.rules = new Settings.Rules(0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
-    host.type("whole", Repeat.REPLAYABLE, 0, 0, 0);
+    host.type("whole", Idempotency.REPLAYABLE, 0, 0, 0);
     host.start();
     host.scan("q", "whole", 0.5, 0.5);
     host.pass(3000);
@@ -230,7 +230,7 @@
     host.start();
     host.scan("q", "once", 1);
     assertThat(sent(host.end(Outcome.BROKEN, "q0"))).isEmpty();
-    assertThat(host.verdicts()).containsExactly(new Action.Abandon("q"));
+    assertThat(host.verdicts()).containsExactly(new Action.Fail("q"));
   }
 
   @Test
@@ -245,12 +245,12 @@
     host.types.computeIfPresent(
         "keyed",
         (name, t) ->
-            new TableType(name, t.repeat(), 300 * MS, t.targetUs(), t.timeoutUs(), 0.3, 1, 1, 0));
+            new QueryClass(name, t.repeat(), 300 * MS, t.targetUs(), t.timeoutUs(), 0.3, 1, 1, 0));
     host.start();
     host.scan("q", "keyed", 1);
     host.pass(300);
     assertThat(sent(host.end(Outcome.BROKEN, "q0"))).isEmpty();
-    assertThat(host.verdicts()).containsExactly(new Action.Abandon("q"));
+    assertThat(host.verdicts()).containsExactly(new Action.Fail("q"));
   }
 
   @Test
@@ -276,7 +276,7 @@
       }
     }
     List<Action> later = host.pass(700);
-    assertThat(later).contains(new Action.Cancel("q0", 0));
+    assertThat(later).contains(new Action.CancelAttempt("q0", 0));
     assertThat(sent(later)).doesNotContain("q0");
     assertThat(servers(host.end(Outcome.CANCELLED, "q0"))).hasSize(1).doesNotContain(sick);
   }
@@ -287,9 +287,9 @@
   void nothingGoesToADrainingServer() {
     host.start();
     host.list(
-        ListKind.CHANGES,
-        line("s0", 0, ServerStatus.DRAINING, 0),
-        line("s1", 1, ServerStatus.GONE, 0));
+        ListUpdate.CHANGES,
+        line("s0", 0, EndpointStatus.DRAINING, 0),
+        line("s1", 1, EndpointStatus.GONE, 0));
     for (int i = 0; i < 8; i++) {
       assertThat(servers(host.scan("q" + i, "whole", 0.25, 0.25, 0.25, 0.25)))
           .doesNotContain("s0", "s1");
@@ -300,11 +300,11 @@
   void aListThatMustBeAskedForIsFollowedAndAskedForAgainWhenTheCallFails() {
     host.limits = new Settings.Limits(4, true, true, false, true, 0, 100, true);
     host.start();
-    assertThat(host.all).contains(new Action.Follow(true));
-    host.list(ListKind.LOST);
-    assertThat(host.pass(1000)).containsOnlyOnce(new Action.Follow(true));
-    host.list(ListKind.FULL, line("s0", 0, ServerStatus.IN_SERVICE, 0));
-    assertThat(host.pass(60_000)).doesNotContain(new Action.Follow(true));
+    assertThat(host.all).contains(new Action.WatchEndpoints(true));
+    host.list(ListUpdate.LOST);
+    assertThat(host.pass(1000)).containsOnlyOnce(new Action.WatchEndpoints(true));
+    host.list(ListUpdate.FULL, line("s0", 0, EndpointStatus.IN_SERVICE, 0));
+    assertThat(host.pass(60_000)).doesNotContain(new Action.WatchEndpoints(true));
   }
 
   @Test
@@ -312,19 +312,19 @@
     host.limits = new Settings.Limits(4, true, true, false, true, 0, 100, true);
     host.start();
     for (int i = 0; i < 8; i++) {
-      host.list(ListKind.LOST);
+      host.list(ListUpdate.LOST);
       host.pass(9_000);
     }
-    assertThat(host.list(ListKind.MOVED)).contains(new Action.Follow(true));
-    host.list(ListKind.LOST);
-    assertThat(host.pass(1000)).contains(new Action.Follow(true));
+    assertThat(host.list(ListUpdate.MOVED)).contains(new Action.WatchEndpoints(true));
+    host.list(ListUpdate.LOST);
+    assertThat(host.pass(1000)).contains(new Action.WatchEndpoints(true));
   }
 
   @Test
   void whatIsHeldAndWhatComesIsAnsweredBeforeTheInstanceEnds() {
     host.start();
     host.scan("a", "once", 1);
-    host.tell(new tidebank.model.Event.Ending((host.nowMs + 700) * FakeHost.MS));
+    host.tell(new tidebank.model.Event.ShutdownRequested((host.nowMs + 700) * PolicyHarness.MS));
     host.pass(100);
     host.scan("b", "once", 1);
     host.pass(599);
@@ -338,7 +338,7 @@
     host.layout = new Settings.Layout(1, 2, 2, 1, 0);
     host.start();
     host.nowMs = 20_000;
-    host.list(ListKind.CHANGES, line("s0", 0, ServerStatus.IN_SERVICE, 20_000));
+    host.list(ListUpdate.CHANGES, line("s0", 0, EndpointStatus.IN_SERVICE, 20_000));
     for (int i = 0; i < 40; i++) {
       host.scan("q" + i, "whole", 1);
     }
@@ -372,11 +372,11 @@
     host.scan("q", "steps", 0.4, 0.3, 0.2, 0.1);
     host.end(Outcome.COMPLETED, "q0", "q1");
     host.pass(800);
-    assertThat(host.verdicts()).containsExactly(new Action.Answer("q", false));
+    assertThat(host.verdicts()).containsExactly(new Action.Respond("q", false));
     assertThat(sent(host.secondStep("q", 1, 0, 1))).containsExactly("qx0", "qx1");
     host.end(Outcome.COMPLETED, "qx0", "qx1");
     assertThat(host.verdicts())
-        .containsExactly(new Action.Answer("q", false), new Action.Answer("q", false));
+        .containsExactly(new Action.Respond("q", false), new Action.Respond("q", false));
   }
 
   // ---- rule 6: the budget of further dispatches
@@ -423,9 +423,9 @@
     host.pass(1100);
     List<Action> reply =
         host.tell(
-            new Event.ScanTaken(
+            new Event.QueryReceived(
                 "again", 90, "whole", "", host.nowMs * MS, (host.nowMs + 2900) * MS, true, "q"),
-            new Event.PartTaken("again0", 90, 0, 1, ""));
+            new Event.ShardRequestReceived("again0", 90, 0, 1, ""));
     assertThat(reply).contains(new Action.Throttle("again", 500 * MS));
   }
 
@@ -490,7 +490,7 @@
   @Test
   void inABigFleetCongestionLeavesLightPartsOutThoughOurOwnAreFew() {
     for (int instances : List.of(2, 60)) {
-      FakeHost one = new FakeHost();
+      PolicyHarness one = new PolicyHarness();
       one.instances = instances;
       one.start();
       assertThat(sent(one.scan("q", "part", 0.52, 0.2, 0.18, 0.1)))
@@ -503,12 +503,12 @@
   void gatherersToldOfAStartTogetherDoNotAllSendAtOnce() {
     int sent = 0;
     for (int rank = 0; rank < 60; rank++) {
-      FakeHost one = new FakeHost();
+      PolicyHarness one = new PolicyHarness();
       one.instances = 60;
       one.seed = rank * 0x9E3779B97F4A7C15L;
       one.layout = new Settings.Layout(1, 1, 1, 1, 0);
       one.start();
-      one.list(ListKind.CHANGES, line("s0", 0, ServerStatus.IN_SERVICE, one.nowMs));
+      one.list(ListUpdate.CHANGES, line("s0", 0, EndpointStatus.IN_SERVICE, one.nowMs));
       one.scan("q", "strict", 1);
       one.pass(1000);
       sent += sent(one.all).size();
@@ -527,7 +527,7 @@
     List<Long> asks = new ArrayList<>();
     Random seeds = new Random(7);
     for (int i = 0; i < fleet; i++) {
-      FakeHost one = new FakeHost();
+      PolicyHarness one = new PolicyHarness();
       one.layout = new Settings.Layout(shards, shards, 5, 1, 0);
       one.limits = new Settings.Limits(4, true, true, false, true, 500 * MS, 100, true);
       one.instances = fleet;
@@ -539,9 +539,9 @@
       // passed.
       long lostAt = one.nowMs;
       for (int loss = 0; loss < 5; loss++) {
-        one.list(ListKind.LOST);
+        one.list(ListUpdate.LOST);
         long now = one.nowMs;
-        while (one.pass(1).stream().noneMatch(Action.Follow.class::isInstance)) {
+        while (one.pass(1).stream().noneMatch(Action.WatchEndpoints.class::isInstance)) {
           assertThat(one.nowMs - now).as("a wait is bounded").isLessThanOrEqualTo(10_000);
         }
       }
@@ -562,7 +562,7 @@
   @Test
   void whatEndsALoneConnectionIsOneFaultAndNoSignOfARestart() {
     for (Outcome outcome : List.of(Outcome.SPOILT, Outcome.BROKEN, Outcome.UNREACHABLE)) {
-      FakeHost one = new FakeHost();
+      PolicyHarness one = new PolicyHarness();
       one.layout = new Settings.Layout(2, 1, 1, 1, 0);
       one.start();
       for (int i = 0; i < 4; i++) {
@@ -585,16 +585,16 @@
     host.scan("a", "once", 1);
     host.end(Outcome.COMPLETED, "a0");
     host.scan("b", "once", 1);
-    assertThat(host.pass(600)).doesNotContain(new Action.Close("s0"));
-    assertThat(host.scan("c", "once", 1)).contains(new Action.Close("s0"));
-    assertThat(host.scan("d", "once", 1)).doesNotContain(new Action.Close("s0"));
+    assertThat(host.pass(600)).doesNotContain(new Action.RetireConnections("s0"));
+    assertThat(host.scan("c", "once", 1)).contains(new Action.RetireConnections("s0"));
+    assertThat(host.scan("d", "once", 1)).doesNotContain(new Action.RetireConnections("s0"));
     // Late, but heard: the server is slow.
     host.end(Outcome.COMPLETED, "c0");
     host.scan("e", "once", 1);
     host.pass(400);
     host.end(Outcome.COMPLETED, "d0");
     host.pass(200);
-    assertThat(host.scan("f", "once", 1)).doesNotContain(new Action.Close("s0"));
+    assertThat(host.scan("f", "once", 1)).doesNotContain(new Action.RetireConnections("s0"));
   }
 
   @Test
@@ -655,14 +655,14 @@
     host.pass(900);
     host.all.clear();
     host.scan("q", "once", 0.25, 0.25, 0.25, 0.25);
-    Action.Close close =
+    Action.RetireConnections close =
         host.all.stream()
-            .filter(Action.Close.class::isInstance)
-            .map(Action.Close.class::cast)
+            .filter(Action.RetireConnections.class::isInstance)
+            .map(Action.RetireConnections.class::cast)
             .findFirst()
             .orElseThrow();
     Action next = host.all.get(host.all.indexOf(close) + 1);
-    assertThat(((Action.Send) next).server()).isEqualTo(close.server());
+    assertThat(((Action.SendAttempt) next).server()).isEqualTo(close.server());
   }
 
   @Test
@@ -692,11 +692,11 @@
     host.start();
     for (int i = 0; i < 50; i++) {
       host.list(
-          ListKind.CHANGES,
-          line("s0", 0, ServerStatus.GONE, 0),
-          line("s1", 1, ServerStatus.GONE, 0),
-          line("n" + i, 0, ServerStatus.IN_SERVICE, 0),
-          line("n" + (i - 1), 0, ServerStatus.GONE, 0));
+          ListUpdate.CHANGES,
+          line("s0", 0, EndpointStatus.GONE, 0),
+          line("s1", 1, EndpointStatus.GONE, 0),
+          line("n" + i, 0, EndpointStatus.IN_SERVICE, 0),
+          line("n" + (i - 1), 0, EndpointStatus.GONE, 0));
     }
     assertThat(servers(host.scan("q", "whole", 1))).containsExactly("n49");
   }
--- a/router/src/test/java/tidebank/ColdServerTest.java
+++ b/router/src/test/java/tidebank/policy/SlowStartTest.java
@@ -1,8 +1,8 @@
-package tidebank;
+package tidebank.policy;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static tidebank.FakeHost.MS;
-import static tidebank.FakeHost.line;
+import static tidebank.policy.PolicyHarness.MS;
+import static tidebank.policy.PolicyHarness.line;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -11,8 +11,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import tidebank.model.Action;
-import tidebank.model.Event.ListKind;
-import tidebank.model.Event.ServerStatus;
+import tidebank.model.Event.ListUpdate;
+import tidebank.model.Event.EndpointStatus;
 import tidebank.model.Outcome;
 
 /**
@@ -20,7 +20,7 @@
  * the length that the settings name. Modules of different seeds against one cold and one warm
  * server, at a demand of their own each.
  */
-class ColdServerTest {
+class SlowStartTest {
   private static final int COLD_MS = 10_000;
   private static final int WINDOW_MS = 1000;
   private static final double COLD_FROM = 0.2;
@@ -37,8 +37,8 @@
     return MULTIPLE * share * WINDOW_MS / WORK_MS;
   }
 
-  private FakeHost gatherer(int instances, int rank, long nowMs, long seed) {
-    FakeHost one = new FakeHost();
+  private PolicyHarness gatherer(int instances, int rank, long nowMs, long seed) {
+    PolicyHarness one = new PolicyHarness();
     one.instances = instances;
     one.rank = rank;
     one.nowMs = nowMs;
@@ -56,7 +56,7 @@
       int instances, double perSecond, int toldLateMs, double restarts, long seed) {
     Random random = new Random(seed);
     long born = 50_000;
-    FakeHost[] fleet = new FakeHost[instances];
+    PolicyHarness[] fleet = new PolicyHarness[instances];
     PriorityQueue<Due> scans = new PriorityQueue<>(java.util.Comparator.comparingLong(Due::atMs));
     for (int rank = 0; rank < instances; rank++) {
       fleet[rank] = gatherer(instances, rank, born, random.nextLong());
@@ -70,17 +70,17 @@
     List<Long> sent = new ArrayList<>();
     for (int id = 0; scans.peek().atMs() < born + COLD_MS; id++) {
       Due due = scans.poll();
-      FakeHost one = fleet[due.gatherer()];
+      PolicyHarness one = fleet[due.gatherer()];
       one.pass(due.atMs() - one.nowMs);
       if (due.part().equals("told")) {
-        one.list(ListKind.CHANGES, line("s0", 0, ServerStatus.IN_SERVICE, born));
+        one.list(ListUpdate.CHANGES, line("s0", 0, EndpointStatus.IN_SERVICE, born));
       } else if (due.part().equals("restart")) {
         one = gatherer(instances, due.gatherer(), due.atMs(), random.nextLong());
-        one.list(ListKind.CHANGES, line("s0", 0, ServerStatus.IN_SERVICE, born));
+        one.list(ListUpdate.CHANGES, line("s0", 0, EndpointStatus.IN_SERVICE, born));
         fleet[due.gatherer()] = one;
       } else if (due.part().isEmpty()) {
         for (Action action : one.scan("q" + id, "strict", 1)) {
-          if (action instanceof Action.Send send) {
+          if (action instanceof Action.SendAttempt send) {
             scans.add(new Due(due.atMs() + WORK_MS, due.gatherer(), send.part(), 0));
             if (send.server().equals("s0") && one.all.contains(action) && toldOf(one)) {
               sent.add(due.atMs() - born);
@@ -96,7 +96,7 @@
   }
 
   /** Rule 4 binds those who were told. */
-  private static boolean toldOf(FakeHost one) {
+  private static boolean toldOf(PolicyHarness one) {
     return one.toldOfStart;
   }
 
--- a/router/src/test/java/tidebank/ListCallsTest.java
+++ b/router/src/test/java/tidebank/policy/WatchTimingsTest.java
@@ -1,22 +1,21 @@
-package tidebank;
+package tidebank.policy;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static tidebank.FakeHost.MS;
-import static tidebank.FakeHost.line;
+import static tidebank.policy.PolicyHarness.MS;
+import static tidebank.policy.PolicyHarness.line;
 
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 import tidebank.model.Action;
-import tidebank.model.Event.ListKind;
-import tidebank.model.Event.ServerStatus;
-import tidebank.model.ListCalls;
+import tidebank.model.Event.ListUpdate;
+import tidebank.model.Event.EndpointStatus;
 import tidebank.model.Settings;
 
 /**
  * The calls to discovery on virtual time, over histories from a seed: what may become of a call,
  * once and in a row.
  */
-class ListCallsTest {
+class WatchTimingsTest {
   private static final int TOLD_MS = 6000;
 
   /** A call that is answered takes so long. */
@@ -34,12 +33,12 @@
   }
 
   /**
-   * The module, and the side that carries out its watch with the times that {@link ListCalls}
+   * The module, and the side that carries out its watch with the times that {@link WatchTimings}
    * names.
    */
   private static final class Gatherer {
-    final FakeHost host = new FakeHost();
-    final ListCalls times;
+    final PolicyHarness host = new PolicyHarness();
+    final WatchTimings times;
     State state = State.UP;
     int calls;
     long heardMs = -1;
@@ -51,9 +50,9 @@
     Gatherer(long seed) {
       host.limits = new Settings.Limits(4, true, true, false, true, 0, 100, true);
       host.seed = seed;
-      times = new ListCalls(host.settings());
+      times = new WatchTimings(host.settings());
       host.start();
-      host.all.stream().filter(Action.Follow.class::isInstance).forEach(follow -> call(false));
+      host.all.stream().filter(Action.WatchEndpoints.class::isInstance).forEach(follow -> call(false));
     }
 
     private void call(boolean again) {
@@ -86,29 +85,29 @@
 
     /** One millisecond; {@code changedMs}: when discovery had the change. */
     void pass(long changedMs) {
-      host.pass(1).stream().filter(Action.Follow.class::isInstance).forEach(follow -> call(false));
+      host.pass(1).stream().filter(Action.WatchEndpoints.class::isInstance).forEach(follow -> call(false));
       boolean waits = begunMs >= 0 && !mute && state == State.UP;
       if (waits
           && heardMs < 0
           && changedMs <= host.nowMs - ANSWER_MS
           && begunMs <= host.nowMs - ANSWER_MS) {
         heardMs = host.nowMs;
-        answered(ListKind.CHANGES);
+        answered(ListUpdate.CHANGES);
       } else if (begunMs >= 0 && host.nowMs >= endsMs) {
         if (waits) {
-          answered(ListKind.CHANGES);
+          answered(ListUpdate.CHANGES);
         } else {
           begunMs = -1;
-          host.list(ListKind.LOST).stream()
-              .filter(Action.Follow.class::isInstance)
+          host.list(ListUpdate.LOST).stream()
+              .filter(Action.WatchEndpoints.class::isInstance)
               .forEach(follow -> call(false));
         }
       }
     }
 
-    private void answered(ListKind kind) {
+    private void answered(ListUpdate kind) {
       host.list(
-          kind, line("s0", 0, heardMs < 0 ? ServerStatus.IN_SERVICE : ServerStatus.DRAINING, 0));
+          kind, line("s0", 0, heardMs < 0 ? EndpointStatus.IN_SERVICE : EndpointStatus.DRAINING, 0));
       call(true);
     }
   }
@@ -169,9 +168,9 @@
 
   @Test
   void settingsThatHoldAnInstanceToItsListForLessBindItsCalls() {
-    FakeHost host = new FakeHost();
+    PolicyHarness host = new PolicyHarness();
     host.rules = new Settings.Rules(0, 1_200_000, 0, 0, 0, 1, 0, 0, 0, 0);
-    ListCalls calls = new ListCalls(host.settings());
+    WatchTimings calls = new WatchTimings(host.settings());
     long watch = calls.waitUs(true) + calls.answerUs(true);
     assertThat(watch + calls.failedUs(watch, 0.99)).isLessThan(1_100_000);
     for (int i = 0; i < 100; i++) {
@@ -185,10 +184,10 @@
   @Test
   void aHundredInstancesAskADiscoveryThatAllShareForNoMoreThanTenIdleCallsASecond() {
     for (int instances : new int[] {1, 25, 100}) {
-      FakeHost host = new FakeHost();
+      PolicyHarness host = new PolicyHarness();
       host.limits = new Settings.Limits(4, true, true, false, true, 0, 100, true);
       host.instances = instances;
-      ListCalls calls = new ListCalls(host.settings());
+      WatchTimings calls = new WatchTimings(host.settings());
       assertThat(calls.waitUs(true) / (double) instances).isGreaterThanOrEqualTo(100_000);
       assertThat(calls.waitUs(true)).isEqualTo(instances == 100 ? 10_000_000 : 2_500_000);
       // Longer than discovery itself lets a call wait, so that nothing is written to who has just
@@ -200,7 +199,7 @@
 
   @Test
   void answersWithNewsOrBehindTheirWaitAreRenewedAtOnce() {
-    ListCalls calls = listOnRequest();
+    WatchTimings calls = listOnRequest();
     long wait = calls.waitUs(true);
     for (int i = 0; i < 10; i++) {
       assertThat(calls.renewalUs(true, 0, wait, 0.99)).isZero();
@@ -212,7 +211,7 @@
 
   @Test
   void earlyAnswersWithoutNewsAreSpacedOutButNoChangeWaitsBeyondTheBound() {
-    ListCalls calls = listOnRequest();
+    WatchTimings calls = listOnRequest();
     long wait = calls.waitUs(true);
     long before = 0;
     int asked = 0;
@@ -230,18 +229,18 @@
 
   @Test
   void newsOfAnAgentThatCountsItAsToldWaitsForAShareOfTheDrainGraceOnly() {
-    FakeHost host = new FakeHost();
+    PolicyHarness host = new PolicyHarness();
     host.rules = new Settings.Rules(0, 5_000_000, 240_000, 0, 0, 1, 0, 0, 0, 0);
     host.limits = new Settings.Limits(4, true, true, false, true, 0, 100, false);
-    ListCalls calls = new ListCalls(host.settings());
+    WatchTimings calls = new WatchTimings(host.settings());
     for (int i = 0; i < 100; i++) {
       assertThat(calls.renewalUs(false, 0, 2_500_000, 0.999)).isBetween(15_000L, 30_000L);
     }
   }
 
-  private static ListCalls listOnRequest() {
-    FakeHost host = new FakeHost();
+  private static WatchTimings listOnRequest() {
+    PolicyHarness host = new PolicyHarness();
     host.limits = new Settings.Limits(4, true, true, false, true, 0, 100, true);
-    return new ListCalls(host.settings());
+    return new WatchTimings(host.settings());
   }
 }
--- a/router/src/test/java/tidebank/runtime/ReadPassesTest.java
+++ b/router/src/test/java/tidebank/runtime/ReadDelayEstimatorTest.java
@@ -5,10 +5,10 @@
 import org.junit.jupiter.api.Test;
 
 /** Since when bytes may have waited, by what the event loop was doing before it read them. */
-class ReadPassesTest {
+class ReadDelayEstimatorTest {
   private static final long REST_US = 5_000;
 
-  private final ReadPasses passes = new ReadPasses(REST_US);
+  private final ReadDelayEstimator passes = new ReadDelayEstimator(REST_US);
 
   private long readAt(long now) {
     passes.active(now);
--- a/router/src/test/java/tidebank/runtime/SampleRequests.java
+++ b/router/src/test/java/tidebank/runtime/SampleRequests.java
@@ -7,11 +7,11 @@
   private SampleRequests() {}
 
   /** Returns a dispatch of the part {@code scan.shard}. */
-  public static DispatchRequest request(String scan, int shard, byte[] text, long stopAt) {
-    ScanRequest.Range range = new ScanRequest.Range(shard, 1, "");
-    ScanRequest request =
-        new ScanRequest(scan, "whole", "a", 0, stopAt, false, "", text, List.of(range));
-    HeldScan held = new HeldScan(request, 1, null);
-    return new DispatchRequest(new HeldScan.HeldPart(held, range), 1, "s" + shard, text, stopAt, 0);
+  public static AttemptRequest request(String scan, int shard, byte[] text, long stopAt) {
+    QueryRequest.ShardRange range = new QueryRequest.ShardRange(shard, 1, "");
+    QueryRequest request =
+        new QueryRequest(scan, "whole", "a", 0, stopAt, false, "", text, List.of(range));
+    PendingQuery held = new PendingQuery(request, 1, null);
+    return new AttemptRequest(new PendingQuery.PendingShardRequest(held, range), 1, "s" + shard, text, stopAt, 0);
   }
 }
--- a/router/src/test/java/tidebank/runtime/ShutdownPlanTest.java
+++ b/router/src/test/java/tidebank/runtime/ShutdownScheduleTest.java
@@ -7,16 +7,16 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
-import tidebank.base.Counters;
-import tidebank.model.Repeat;
+import tidebank.metrics.Counters;
+import tidebank.model.Idempotency;
 import tidebank.model.Settings;
-import tidebank.model.TableType;
+import tidebank.model.QueryClass;
 
 /**
  * The moments of a shutdown against the protocol's: SIGKILL 0.7 s behind the longest query timeout,
  * 3 s at the most.
  */
-class ShutdownPlanTest {
+class ShutdownScheduleTest {
   private static final long MS = 1000;
   private static final long TOLD = 50_000 * MS;
 
@@ -27,8 +27,8 @@
         5 * MS,
         Map.of(
             "a",
-            new TableType(
-                "a", Repeat.REPLAYABLE, 0, longestMs * MS / 2, longestMs * MS, 0, 1, 1, 0)),
+            new QueryClass(
+                "a", Idempotency.REPLAYABLE, 0, longestMs * MS / 2, longestMs * MS, 0, 1, 1, 0)),
         Map.of(),
         0,
         new Settings.Layout(1, 1, 1, 1, 0),
@@ -39,7 +39,7 @@
   @Test
   void nothingIsLetInThatCouldBeLostAndAllIsAnsweredBeforeSigkill() {
     for (long longestMs : List.of(50L, 800L, 2000L, 3000L, 60_000L)) {
-      ShutdownPlan plan = new ShutdownPlan(settings(longestMs), TOLD, 0);
+      ShutdownSchedule plan = new ShutdownSchedule(settings(longestMs), TOLD, 0);
       long sigkill = TOLD + (Math.min(longestMs, 3000) + 700) * MS;
       assertThat(plan.closeAt).isBetween(TOLD + 400 * MS, TOLD + 650 * MS);
       assertThat(plan.endBy).isBetween(Math.max(plan.closeAt - 100 * MS, TOLD), sigkill - 150 * MS);
@@ -50,7 +50,7 @@
   void whoStoodStillReckonsWithASignalAtTheBeginningOfThatAndNeverWithThePast() {
     for (long lateMs : List.of(0L, 300L, 1700L, 2900L, 10_000L)) {
       long now = TOLD + lateMs * MS;
-      ShutdownPlan plan = new ShutdownPlan(settings(2000), now, lateMs * MS);
+      ShutdownSchedule plan = new ShutdownSchedule(settings(2000), now, lateMs * MS);
       assertThat(plan.closeAt)
           .isGreaterThanOrEqualTo(now)
           .isLessThanOrEqualTo(Math.max(now, TOLD + 650 * MS));
@@ -64,7 +64,7 @@
   void whatWasDueAndWaitsTellsForHowLongTheLoopStoodStill() throws Exception {
     DefaultEventLoop loop = new DefaultEventLoop();
     Clock clock = new Clock();
-    Timers timers = new Timers(loop, clock, new Counters());
+    TimerQueue timers = new TimerQueue(loop, clock, new Counters());
     CountDownLatch go = new CountDownLatch(1);
     CountDownLatch rung = new CountDownLatch(1);
     long[] late = new long[3];
@@ -72,8 +72,8 @@
     loop.execute(
         () -> {
           late[0] = timers.latenessUs();
-          timers.set(Timers.timer(() -> late[2] = timers.latenessUs()), due);
-          timers.set(Timers.timer(rung::countDown), due + 10 * MS);
+          timers.set(TimerQueue.timer(() -> late[2] = timers.latenessUs()), due);
+          timers.set(TimerQueue.timer(rung::countDown), due + 10 * MS);
           try {
             go.await();
           } catch (InterruptedException fault) {
--- a/router/src/test/java/tidebank/runtime/TimersTest.java
+++ b/router/src/test/java/tidebank/runtime/TimerQueueTest.java
@@ -9,10 +9,10 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
-import tidebank.base.Counters;
+import tidebank.metrics.Counters;
 
 /** Which wake-ups the timers ask of an event loop that only notes them down. */
-class TimersTest {
+class TimerQueueTest {
   private static final long SECOND = 1_000_000;
 
   /** Between reading the clock here and there; far below what the tests tell apart. */
@@ -30,8 +30,8 @@
 
   private final List<WakeUp> wakeUps = new ArrayList<>();
   private final Clock clock = new Clock();
-  private final Timers timers = new Timers(loop(), clock, new Counters());
-  private final Timers.Timer timer = Timers.timer(() -> {});
+  private final TimerQueue timers = new TimerQueue(loop(), clock, new Counters());
+  private final TimerQueue.Timer timer = TimerQueue.timer(() -> {});
 
   private EventLoop loop() {
     return proxy(
@@ -77,8 +77,8 @@
   @Test
   void anEarlierTimerMovesTheWakeUpForwardAndALaterOneDoesNot() {
     timers.set(timer, clock.now() + 5 * SECOND);
-    timers.set(Timers.timer(() -> {}), clock.now() + 10 * SECOND);
-    timers.set(Timers.timer(() -> {}), clock.now() + 2 * SECOND);
+    timers.set(TimerQueue.timer(() -> {}), clock.now() + 10 * SECOND);
+    timers.set(TimerQueue.timer(() -> {}), clock.now() + 2 * SECOND);
     assertThat(standing()).hasSize(1).allMatch(delay -> delay <= 2 * SECOND);
     assertThat(wakeUps).hasSize(2);
   }
--- a/testbed/src/main/java/tidebank/testbed/account/Account.java
+++ b/testbed/src/main/java/tidebank/testbed/account/Account.java
@@ -29,7 +29,7 @@
     double asked;
     double earned;
 
-    void add(ScanRecord scan) {
+    void add(QueryRecord scan) {
       asked += scan.benefit();
       earned += scan.earned();
     }
@@ -50,13 +50,13 @@
       double worstAccount,
       String worstAccountName,
       long scans,
-      Map<ScanRecord.End, Long> ends) {}
+      Map<QueryRecord.End, Long> ends) {}
 
   private final Sum all = new Sum();
   private final Map<Long, Sum> seconds = new TreeMap<>();
   private final Map<String, Sum> types = new TreeMap<>();
   private final Map<String, Sum> accounts = new TreeMap<>();
-  private final Map<ScanRecord.End, Long> ends = new TreeMap<>();
+  private final Map<QueryRecord.End, Long> ends = new TreeMap<>();
   private long scans;
 
   /** What an end earns of a benefit. */
@@ -73,7 +73,7 @@
     return benefit * inTime * (whole ? 1 : partialShare * share);
   }
 
-  public void add(ScanRecord scan) {
+  public void add(QueryRecord scan) {
     scans++;
     all.add(scan);
     seconds
--- a/testbed/src/main/java/tidebank/testbed/account/ScanRecord.java
+++ b/testbed/src/main/java/tidebank/testbed/account/QueryRecord.java
@@ -14,7 +14,7 @@
  * @param benefit of a whole answer in time
  * @param earned what this end earned of it
  */
-public record ScanRecord(
+public record QueryRecord(
     long number,
     String tableType,
     String account,
--- a/testbed/src/main/java/tidebank/testbed/account/RuleAudit.java
+++ b/testbed/src/main/java/tidebank/testbed/account/RuleAudit.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import tidebank.model.Repeat;
+import tidebank.model.Idempotency;
 
 /**
  * Checks the six rules from the outside: by what clients sent and got, what servers got, and what
@@ -62,7 +62,7 @@
 
   private static final class Held {
     final int gatherer;
-    final Repeat repeat;
+    final Idempotency repeat;
     final double floor;
     final long limitUs;
     final Map<Integer, Double> weights;
@@ -72,7 +72,7 @@
     int answers;
     boolean gathererDied;
 
-    Held(int gatherer, Repeat repeat, double floor, long limitUs, Map<Integer, Double> weights) {
+    Held(int gatherer, Idempotency repeat, double floor, long limitUs, Map<Integer, Double> weights) {
       this.gatherer = gatherer;
       this.repeat = repeat;
       this.floor = floor;
@@ -110,7 +110,7 @@
   public void scanSent(
       String id,
       int gatherer,
-      Repeat repeat,
+      Idempotency repeat,
       double floor,
       long atUs,
       long limitUs,
@@ -362,7 +362,7 @@
           }
         }
       }
-      if (held.repeat == Repeat.NON_REPLAYABLE) {
+      if (held.repeat == Idempotency.NON_REPLAYABLE) {
         boolean ran = false;
         for (Sent one : sent) {
           if (ran) {
--- a/testbed/src/main/java/tidebank/testbed/capture/Replayed.java
+++ b/testbed/src/main/java/tidebank/testbed/capture/CaptureReplay.java
@@ -6,10 +6,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.zip.CRC32C;
-import tidebank.RoutingPolicy;
-import tidebank.capture.Digests;
-import tidebank.capture.Entry;
-import tidebank.capture.Segments;
+import tidebank.policy.RoutingPolicy;
+import tidebank.capture.ActionDigest;
+import tidebank.capture.CaptureRecord;
+import tidebank.capture.CaptureSegments;
 import tidebank.model.Action;
 
 /**
@@ -17,7 +17,7 @@
  * then, turn by turn. What can't be replayed (behind a gap, before the first start that is kept) is
  * counted, never guessed.
  */
-public final class Replayed {
+public final class CaptureReplay {
   /**
    * Where the two parted first.
    *
@@ -61,17 +61,17 @@
 
   /** Takes each turn as it is replayed. */
   public interface Listener {
-    void turn(long number, Entry.Iteration turn, List<Action> now);
+    void turn(long number, CaptureRecord.Iteration turn, List<Action> now);
   }
 
-  private Replayed() {}
+  private CaptureReplay() {}
 
   /** The segments of a folder, or one file. */
   public static List<Path> segments(Path place) throws IOException {
     if (!Files.exists(place)) {
       throw new IOException(place + ": there is no such capture");
     }
-    List<Path> files = Files.isDirectory(place) ? Segments.in(place) : List.of(place);
+    List<Path> files = Files.isDirectory(place) ? CaptureSegments.in(place) : List.of(place);
     if (files.isEmpty()) {
       throw new IOException(place + ": there is no capture in it");
     }
@@ -97,24 +97,24 @@
     RoutingPolicy policy = null;
     long number = -1;
     for (Path file : segments(place)) {
-      Segments.Read read = Segments.read(file);
+      CaptureSegments.Read read = CaptureSegments.read(file);
       if (number >= 0 && read.number() != number + 1) {
         torn.add(file.getFileName() + ": segments before it are missing");
         policy = null;
       }
       number = read.number();
-      for (Entry entry : read.entries()) {
-        if (entry instanceof Entry.Started started) {
+      for (CaptureRecord entry : read.entries()) {
+        if (entry instanceof CaptureRecord.Started started) {
           starts++;
           policy = new RoutingPolicy(started.settings(), started.seed());
-        } else if (entry instanceof Entry.Gap gap) {
+        } else if (entry instanceof CaptureRecord.Gap gap) {
           missing += gap.turns();
           policy = null;
-        } else if (entry instanceof Entry.Failed) {
+        } else if (entry instanceof CaptureRecord.Failed) {
           // A module that failed is half changed; the start that follows is where it goes on.
           failures++;
           policy = null;
-        } else if (entry instanceof Entry.Iteration turn) {
+        } else if (entry instanceof CaptureRecord.Iteration turn) {
           first = turns++ == 0 ? turn.nowUs() : first;
           last = turn.nowUs();
           if (policy == null || divergence != null) {
@@ -122,7 +122,7 @@
             continue;
           }
           List<Action> now = policy.on(turn.nowUs(), turn.events());
-          int found = Digests.of(now);
+          int found = ActionDigest.of(now);
           for (int i = 0; i < 4; i++) {
             digest.update(found >>> 8 * i);
           }
--- a/testbed/src/main/java/tidebank/testbed/chaos/Observer.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/ClusterObserver.java
@@ -11,13 +11,13 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import tidebank.fleet.LeaseCodec;
-import tidebank.lease.LeaseBook;
+import tidebank.lease.LeaseTable;
 
 /**
  * Asks the stewards over and over what holds, past all relays, and writes it into the history. What
  * it saw last is for the script to wait for.
  */
-final class Observer implements AutoCloseable {
+final class ClusterObserver implements AutoCloseable {
   private static final long EVERY_MS = 25;
   private static final Duration ONE = Duration.ofMillis(400);
 
@@ -29,8 +29,8 @@
    * @param round counts the rounds
    * @param scans counted in all published reports
    */
-  record Sight(LeaseBook.State state, int leader, long round, long scans) {
-    LeaseBook.Duty report() {
+  record Sight(LeaseTable.State state, int leader, long round, long scans) {
+    LeaseTable.TaskLease report() {
       return LeaseRules.duty(state, "report");
     }
 
@@ -72,12 +72,12 @@
   private final List<String> addresses;
   private final History history;
   private final Reports reports;
-  private final Stored stored;
+  private final SharedFolderCheck stored;
   private final Thread thread;
   private volatile Sight sight = new Sight(null, -1, 0, 0);
   private volatile boolean closed;
 
-  Observer(List<String> addresses, History history, Reports reports, Stored stored) {
+  ClusterObserver(List<String> addresses, History history, Reports reports, SharedFolderCheck stored) {
     this.stored = stored;
     this.addresses = addresses;
     this.history = history;
@@ -108,14 +108,14 @@
       int steward = (first + i) % addresses.size();
       Set<String> gone = stored.gone();
       long call = history.now();
-      LeaseBook.State state = ask(addresses.get(steward));
+      LeaseTable.State state = ask(addresses.get(steward));
       if (state != null) {
         history.read("observer", call, state);
-        LeaseBook.Duty duty = LeaseRules.duty(state, "report");
+        LeaseTable.TaskLease duty = LeaseRules.duty(state, "report");
         if (duty != null) {
           reports.see(duty);
         }
-        LeaseBook.Duty retention = LeaseRules.duty(state, "retention");
+        LeaseTable.TaskLease retention = LeaseRules.duty(state, "retention");
         if (retention != null) {
           stored.see(retention, gone);
         }
@@ -126,7 +126,7 @@
     sight = new Sight(sight.state(), -1, sight.round() + 1, sight.scans());
   }
 
-  private LeaseBook.State ask(String address) throws InterruptedException {
+  private LeaseTable.State ask(String address) throws InterruptedException {
     try {
       HttpResponse<byte[]> response =
           http.send(
@@ -135,7 +135,7 @@
                   .build(),
               BodyHandlers.ofByteArray());
       return response.statusCode() == 200
-          ? LeaseCodec.read(response.body(), LeaseBook.State.class)
+          ? LeaseCodec.read(response.body(), LeaseTable.State.class)
           : null;
     } catch (IOException noAnswer) {
       return null;
--- a/testbed/src/main/java/tidebank/testbed/chaos/Sockets.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/ConnectionOwners.java
@@ -11,12 +11,12 @@
  * Whose a connection is, by the system's tables (Linux): a relay stands at an address that all
  * processes share, and what is done to a link depends on who calls.
  */
-final class Sockets {
+final class ConnectionOwners {
   private static final int LOCAL = 1;
   private static final int REMOTE = 2;
   private static final int INODE = 9;
 
-  private Sockets() {}
+  private ConnectionOwners() {}
 
   /**
    * The name of the process whose end of a connection this is, or null.
--- a/testbed/src/main/java/tidebank/testbed/chaos/Relays.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/FaultProxy.java
@@ -30,7 +30,7 @@
  * Stands before the addresses of a fleet's processes and carries what goes to them, or does what it
  * is told to the link between two of them. One event loop owns all of it.
  */
-final class Relays implements AutoCloseable {
+final class FaultProxy implements AutoCloseable {
   /** What may wait on one way before its sender is not read from any more. */
   private static final int HELD_MOST = 1 << 20;
 
@@ -47,10 +47,10 @@
   private final History history;
   private final long seed;
   private final List<Channel> doors = new ArrayList<>();
-  private final Map<String, Link> links = new LinkedHashMap<>();
+  private final Map<String, FaultyLink> links = new LinkedHashMap<>();
   private final Set<Pair> pairs = new HashSet<>();
 
-  Relays(Callers callers, History history, long seed) {
+  FaultProxy(Callers callers, History history, long seed) {
     this.callers = callers;
     this.history = history;
     this.seed = seed;
@@ -87,18 +87,18 @@
     return (InetSocketAddress) binding.channel().localAddress();
   }
 
-  private Link link(String from, String to) {
-    return links.computeIfAbsent(from + ">" + to, key -> new Link(seed + key.hashCode()));
+  private FaultyLink link(String from, String to) {
+    return links.computeIfAbsent(from + ">" + to, key -> new FaultyLink(seed + key.hashCode()));
   }
 
   /** Does something to the link between two processes, and comes back once it is done. */
-  void put(String from, String to, Link.Fault fault, long us, long jitterUs, long bytesPerS) {
+  void put(String from, String to, FaultyLink.Fault fault, long us, long jitterUs, long bytesPerS) {
     group
         .next()
         .submit(
             () -> {
-              Link link = link(from, to);
-              if (fault != Link.Fault.RESET && fault != Link.Fault.HALF_OPEN) {
+              FaultyLink link = link(from, to);
+              if (fault != FaultyLink.Fault.RESET && fault != FaultyLink.Fault.HALF_OPEN) {
                 link.heal();
               }
               List<Pair> there = pairs.stream().filter(pair -> pair.link == link).toList();
@@ -133,12 +133,12 @@
         .syncUninterruptibly();
   }
 
-  private void refuse(Link link) {
+  private void refuse(FaultyLink link) {
     link.refusing = true;
     List.copyOf(pairs).stream().filter(pair -> pair.link == link).forEach(Pair::reset);
   }
 
-  private void flap(Link link, int turn) {
+  private void flap(FaultyLink link, int turn) {
     if (link.turn != turn || group.isShuttingDown()) {
       return;
     }
@@ -160,12 +160,12 @@
   private void accepted(
       SocketChannel channel, String to, InetSocketAddress target, boolean tapped) {
     String from = callers.at(channel.remoteAddress().getPort(), channel.localAddress().getPort());
-    Link link = from == null ? null : link(from, to);
+    FaultyLink link = from == null ? null : link(from, to);
     if (link == null || link.refusing) {
       reset(channel);
       return;
     }
-    Pair pair = new Pair(link, channel, tapped ? new Tap(history, from) : null);
+    Pair pair = new Pair(link, channel, tapped ? new TrafficRecorder(history, from) : null);
     pairs.add(pair);
     channel.pipeline().addLast(pair.new End(true));
     new Bootstrap()
@@ -220,15 +220,15 @@
    * each way.
    */
   private final class Pair {
-    private final Link link;
+    private final FaultyLink link;
     private final Channel caller;
-    private final Tap tap;
+    private final TrafficRecorder tap;
     private final Pipe up;
     private final Pipe down;
     private Channel called;
     private boolean half;
 
-    Pair(Link link, Channel caller, Tap tap) {
+    Pair(FaultyLink link, Channel caller, TrafficRecorder tap) {
       this.link = link;
       this.caller = caller;
       this.tap = tap;
@@ -237,8 +237,8 @@
     }
 
     void reset() {
-      Relays.reset(caller);
-      Relays.reset(called);
+      FaultProxy.reset(caller);
+      FaultProxy.reset(called);
       forget();
     }
 
@@ -276,7 +276,7 @@
         this.isUp = isUp;
       }
 
-      private Link.Way way() {
+      private FaultyLink.Way way() {
         return isUp ? link.up : link.down;
       }
 
@@ -306,7 +306,7 @@
       }
 
       private void push(ByteBuf bytes, long takes) {
-        Link.Way way = way();
+        FaultyLink.Way way = way();
         long arrives =
             history.now()
                 + way.delayUs
--- a/testbed/src/main/java/tidebank/testbed/chaos/Link.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/FaultyLink.java
@@ -1,12 +1,12 @@
 package tidebank.testbed.chaos;
 
-import tidebank.model.Chance;
+import tidebank.model.SeededRandom;
 
 /**
  * The state of the way from one process to another: what is done to all its connections. Belongs to
  * the relays' event loop.
  */
-final class Link {
+final class FaultyLink {
   /** What happens in one direction. */
   static final class Way {
     long delayUs;
@@ -58,15 +58,15 @@
 
   final Way up = new Way();
   final Way down = new Way();
-  final Chance chance;
+  final SeededRandom chance;
   boolean refusing;
   long flapUs;
 
   /** Counts what was done, so that a flapping that was ended knows it. */
   int turn;
 
-  Link(long seed) {
-    chance = new Chance(seed);
+  FaultyLink(long seed) {
+    chance = new SeededRandom(seed);
   }
 
   void heal() {
--- a/testbed/src/main/java/tidebank/testbed/chaos/History.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/History.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeSet;
-import tidebank.lease.Answer;
-import tidebank.lease.Command;
-import tidebank.lease.LeaseBook;
+import tidebank.lease.CommandResult;
+import tidebank.lease.LeaseCommand;
+import tidebank.lease.LeaseTable;
 
 /**
  * What went over the links, and what was done to whom, as seen from outside of all processes; in
@@ -27,10 +27,10 @@
    * @param copies how often it was sent
    */
   public record Asked(
-      String from, Command command, long call, long back, Answer answer, int copies) {}
+      String from, LeaseCommand command, long call, long back, CommandResult answer, int copies) {}
 
   /** A state that somebody was told. */
-  public record Read(String from, long call, long back, LeaseBook.State state) {}
+  public record Read(String from, long call, long back, LeaseTable.State state) {}
 
   /** Something that was done or seen, for people. */
   public record Event(long at, String who, String what) {}
@@ -48,11 +48,11 @@
     return (System.nanoTime() - began) / 1000;
   }
 
-  private static String key(Command command) {
+  private static String key(LeaseCommand command) {
     return command.session() + '#' + command.number();
   }
 
-  public synchronized void asked(String from, Command command) {
+  public synchronized void asked(String from, LeaseCommand command) {
     sent.merge(from, 1, Integer::sum);
     Integer row = rows.putIfAbsent(key(command), asked.size());
     if (row == null) {
@@ -76,7 +76,7 @@
   }
 
   /** A decided answer. What only kept a call from being decided is none. */
-  public synchronized void answered(Command command, Answer answer) {
+  public synchronized void answered(LeaseCommand command, CommandResult answer) {
     int row = rows.get(key(command));
     Asked before = asked.get(row);
     if (before.answer() == null) {
@@ -100,7 +100,7 @@
             .filter(
                 one ->
                     one.from().equals(from)
-                        && one.command().kind() == Command.Kind.RENEW
+                        && one.command().kind() == LeaseCommand.Kind.RENEW
                         && one.answer() != null
                         && one.answer().fault() == null)
             .count();
@@ -113,7 +113,7 @@
             .filter(
                 one ->
                     one.from().equals(from)
-                        && one.command().kind() == Command.Kind.CLAIM
+                        && one.command().kind() == LeaseCommand.Kind.CLAIM
                         && one.command().duty().equals(duty))
             .count();
   }
@@ -124,12 +124,12 @@
         asked.stream()
             .filter(
                 one ->
-                    one.command().kind() == Command.Kind.PUBLISH
+                    one.command().kind() == LeaseCommand.Kind.PUBLISH
                         && one.command().duty().equals(duty))
             .count();
   }
 
-  public synchronized void read(String from, long call, LeaseBook.State state) {
+  public synchronized void read(String from, long call, LeaseTable.State state) {
     reads.add(new Read(from, call, now(), state));
   }
 
--- a/testbed/src/main/java/tidebank/testbed/chaos/LeaseRules.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/LeaseRules.java
@@ -4,14 +4,14 @@
 import java.util.List;
 import java.util.TreeSet;
 import java.util.function.UnaryOperator;
-import tidebank.base.TidebankException;
+import tidebank.errors.TidebankException;
 import tidebank.testbed.chaos.History.Asked;
 import tidebank.testbed.chaos.History.Read;
-import tidebank.lease.Answer;
-import tidebank.lease.Command;
-import tidebank.lease.Command.Kind;
-import tidebank.lease.LeaseBook;
-import tidebank.lease.Terms;
+import tidebank.lease.CommandResult;
+import tidebank.lease.LeaseCommand;
+import tidebank.lease.LeaseCommand.Kind;
+import tidebank.lease.LeaseTable;
+import tidebank.lease.LeaseConfig;
 
 /**
  * What must hold for a duty, whatever happened, judged from a history alone: its commands and reads
@@ -25,7 +25,7 @@
   public record Cell(long token, String session, long revision, String value) {
     static final Cell NEW = new Cell(0, "", 0, "");
 
-    private boolean by(Command command) {
+    private boolean by(LeaseCommand command) {
       return token == command.token() && session.equals(command.session());
     }
 
@@ -37,13 +37,13 @@
   private LeaseRules() {}
 
   /** All that is wrong; empty if nothing is. */
-  public static List<String> broken(History history, Terms terms) {
+  public static List<String> broken(History history, LeaseConfig terms) {
     List<String> broken = new ArrayList<>(history.faults());
     TreeSet<String> duties = new TreeSet<>();
     history.reads().forEach(read -> read.state().duties().forEach(duty -> duties.add(duty.name())));
     for (String duty : duties) {
-      Linear.Outcome outcome =
-          Linear.check(operations(history.asked(), history.reads(), duty), Cell.NEW);
+      LinearizabilityChecker.Outcome outcome =
+          LinearizabilityChecker.check(operations(history.asked(), history.reads(), duty), Cell.NEW);
       if (!outcome.holds()) {
         broken.add(duty + " is not linearizable: " + outcome.fault());
       }
@@ -53,15 +53,15 @@
   }
 
   /** What the history says of one duty. */
-  static List<Linear.Operation<Cell>> operations(List<Asked> asked, List<Read> reads, String duty) {
-    List<Linear.Operation<Cell>> operations = new ArrayList<>();
+  static List<LinearizabilityChecker.Operation<Cell>> operations(List<Asked> asked, List<Read> reads, String duty) {
+    List<LinearizabilityChecker.Operation<Cell>> operations = new ArrayList<>();
     for (Asked one : asked) {
       UnaryOperator<Cell> step =
           one.answer() == null
               ? unheard(one.command(), duty)
               : answered(one.command(), one.answer(), duty);
       if (step != null) {
-        operations.add(new Linear.Operation<>(said(one), one.call(), one.back(), step));
+        operations.add(new LinearizabilityChecker.Operation<>(said(one), one.call(), one.back(), step));
       }
     }
     for (Read read : reads) {
@@ -72,7 +72,7 @@
               told -> {
                 Cell cell = new Cell(told.token(), told.session(), told.revision(), told.value());
                 operations.add(
-                    new Linear.Operation<>(
+                    new LinearizabilityChecker.Operation<>(
                         read.from() + " read " + cell,
                         read.call(),
                         read.back(),
@@ -83,7 +83,7 @@
   }
 
   private static String said(Asked one) {
-    Command command = one.command();
+    LeaseCommand command = one.command();
     return command.name()
         + ' '
         + command.kind()
@@ -103,7 +103,7 @@
    * One that nobody knows the outcome of: where it fits it may have had its effect. Null if it has
    * none on the duty.
    */
-  private static UnaryOperator<Cell> unheard(Command command, String duty) {
+  private static UnaryOperator<Cell> unheard(LeaseCommand command, String duty) {
     boolean about = command.duty().equals(duty);
     if (command.kind() == Kind.LEAVE) {
       return now -> now.session().equals(command.session()) ? now.let() : now;
@@ -121,9 +121,9 @@
   }
 
   /** One with its answer. Null if the answer says nothing of the duty. */
-  private static UnaryOperator<Cell> answered(Command command, Answer answer, String duty) {
+  private static UnaryOperator<Cell> answered(LeaseCommand command, CommandResult answer, String duty) {
     UnaryOperator<Cell> step = effect(command, answer, duty);
-    Answer.Grant grant =
+    CommandResult.Grant grant =
         answer.grants() == null
             ? null
             : answer.grants().stream()
@@ -143,7 +143,7 @@
     };
   }
 
-  private static UnaryOperator<Cell> effect(Command command, Answer answer, String duty) {
+  private static UnaryOperator<Cell> effect(LeaseCommand command, CommandResult answer, String duty) {
     TidebankException.Details fault = answer.fault();
     if (command.kind() == Kind.LEAVE && fault == null) {
       return now -> now.session().equals(command.session()) ? now.let() : now;
@@ -155,7 +155,7 @@
       case CLAIM ->
           fault == null
               ? now -> claimed(now, command, answer, duty)
-              : fault.is(TidebankException.DutyHeld.class)
+              : fault.is(TidebankException.LeaseHeldByOther.class)
                   ? now ->
                       now.session().equals(command.session()) || now.session().isEmpty()
                           ? null
@@ -171,18 +171,18 @@
                           && answer.revision() == now.revision() + 1
                       ? new Cell(now.token(), now.session(), now.revision() + 1, command.value())
                       : null
-              : fault.is(TidebankException.RevisionMoved.class)
+              : fault.is(TidebankException.RevisionConflict.class)
                   ? now -> now.by(command) && now.revision() != command.revision() ? now : null
                   : refused(command, fault);
       default -> null;
     };
   }
 
-  private static Cell claimed(Cell now, Command command, Answer answer, String duty) {
+  private static Cell claimed(Cell now, LeaseCommand command, CommandResult answer, String duty) {
     long token =
         answer.grants().stream()
             .filter(grant -> grant.duty().equals(duty))
-            .mapToLong(Answer.Grant::token)
+            .mapToLong(CommandResult.Grant::token)
             .findFirst()
             .orElse(-1);
     boolean again = token == now.token() && now.session().equals(command.session());
@@ -193,10 +193,10 @@
             : null;
   }
 
-  private static UnaryOperator<Cell> refused(Command command, TidebankException.Details fault) {
-    return fault.is(TidebankException.TokenOld.class)
+  private static UnaryOperator<Cell> refused(LeaseCommand command, TidebankException.Details fault) {
+    return fault.is(TidebankException.StaleFencingToken.class)
         ? now -> now.by(command) ? null : now
-        : fault.is(TidebankException.LeaseOver.class) ? now -> now.by(command) ? now : null : null;
+        : fault.is(TidebankException.LeaseExpired.class) ? now -> now.by(command) ? now : null : null;
   }
 
   /**
@@ -205,7 +205,7 @@
    * before, by a clock that is 1 - drift slow at the worst. No successor may have its answer
    * before, unless the owner let go.
    */
-  static List<String> early(List<Asked> asked, String duty, Terms terms) {
+  static List<String> early(List<Asked> asked, String duty, LeaseConfig terms) {
     List<String> early = new ArrayList<>();
     long lasts = (long) (terms.leaseUs() / (1 + terms.drift()));
     for (Asked next : asked) {
@@ -245,7 +245,7 @@
         ? 0
         : one.answer().grants().stream()
             .filter(grant -> grant.duty().equals(duty))
-            .mapToLong(Answer.Grant::token)
+            .mapToLong(CommandResult.Grant::token)
             .findFirst()
             .orElse(0);
   }
@@ -263,7 +263,7 @@
   }
 
   /** A duty in a state, if it is there. */
-  static LeaseBook.Duty duty(LeaseBook.State state, String name) {
+  static LeaseTable.TaskLease duty(LeaseTable.State state, String name) {
     return state == null
         ? null
         : state.duties().stream().filter(duty -> duty.name().equals(name)).findFirst().orElse(null);
--- a/testbed/src/main/java/tidebank/testbed/chaos/Linear.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/LinearizabilityChecker.java
@@ -15,7 +15,7 @@
  * between its call and its return. The search of Wing and Gong, which never comes twice to the same
  * operations done with the same state (Lowe).
  */
-public final class Linear {
+public final class LinearizabilityChecker {
   /** Operations tried before a history counts as undecided. */
   private static final int MOST = 2_000_000;
 
@@ -45,7 +45,7 @@
 
   private record Seen<S>(BitSet done, S state) {}
 
-  private Linear() {}
+  private LinearizabilityChecker() {}
 
   public static <S> Outcome check(List<Operation<S>> history, S first) {
     List<Operation<S>> all = new ArrayList<>(history);
--- a/testbed/src/main/java/tidebank/testbed/chaos/Drawn.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/RandomScript.java
@@ -7,29 +7,29 @@
 import tidebank.testbed.chaos.Script.Await;
 import tidebank.testbed.chaos.Script.Do;
 import tidebank.testbed.chaos.Script.Step;
-import tidebank.model.Chance;
+import tidebank.model.SeededRandom;
 
 /** Scripts drawn from a seed: the same seed, the same script. */
-public final class Drawn {
+public final class RandomScript {
   private static final int LEAST = 3;
   private static final int SPREAD = 4;
   private static final long LEASE_MS = 800;
   private static final double DRIFT = 0.05;
 
-  private final Chance chance;
+  private final SeededRandom chance;
   private final List<Step> steps = new ArrayList<>();
   private final int stewards;
   private final int members;
 
-  private Drawn(long seed) {
-    chance = new Chance(seed);
+  private RandomScript(long seed) {
+    chance = new SeededRandom(seed);
     stewards = pick(3) == 0 ? 1 : 3;
     members = 2 + pick(3);
   }
 
   /** The script of a seed. */
   public static Script script(long seed) {
-    Drawn drawn = new Drawn(seed);
+    RandomScript drawn = new RandomScript(seed);
     Map<String, Double> clocks = new TreeMap<>();
     if (drawn.pick(3) == 0) {
       // Clocks that are as wrong as they may be, either way.
@@ -109,7 +109,7 @@
                 1,
                 called,
                 "stewards",
-                one(List.of(Link.Fault.SILENT_UP, Link.Fault.SILENT_DOWN, Link.Fault.CUT)),
+                one(List.of(FaultyLink.Fault.SILENT_UP, FaultyLink.Fault.SILENT_DOWN, FaultyLink.Fault.CUT)),
                 0));
         steps.add(heal(then, called, "stewards"));
       }
@@ -120,7 +120,7 @@
                 1,
                 "members",
                 "stewards",
-                one(List.of(Link.Fault.RESET, Link.Fault.HALF_OPEN)),
+                one(List.of(FaultyLink.Fault.RESET, FaultyLink.Fault.HALF_OPEN)),
                 0));
         steps.add(Step.of(Await.PUBLICATIONS, 1, Do.NOTHING, "owner", ""));
       }
@@ -131,7 +131,7 @@
                 1,
                 "members",
                 "stewards",
-                one(List.of(Link.Fault.DELAY, Link.Fault.FLAP, Link.Fault.TRICKLE)),
+                one(List.of(FaultyLink.Fault.DELAY, FaultyLink.Fault.FLAP, FaultyLink.Fault.TRICKLE)),
                 20 + pick(80)));
         steps.add(heal(meanwhile(), "members", "stewards"));
       }
@@ -159,7 +159,7 @@
                 "stewards",
                 one(
                     List.of(
-                        Link.Fault.CUT, Link.Fault.SILENT_UP, Link.Fault.DELAY, Link.Fault.RESET)),
+                        FaultyLink.Fault.CUT, FaultyLink.Fault.SILENT_UP, FaultyLink.Fault.DELAY, FaultyLink.Fault.RESET)),
                 20 + pick(30)));
         steps.add(heal(meanwhile(), "all", "stewards"));
       }
@@ -172,6 +172,6 @@
 
   private Step heal(Await await, String from, String to) {
     return new Step(
-        await, 1 + pick(6), 1, "members", Do.LINK, from, "", to, Link.Fault.HEAL, 0, 0, 400, 1);
+        await, 1 + pick(6), 1, "members", Do.LINK, from, "", to, FaultyLink.Fault.HEAL, 0, 0, 400, 1);
   }
 }
--- a/testbed/src/main/java/tidebank/testbed/chaos/Reports.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/Reports.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import tidebank.fleet.FleetReport;
 import tidebank.fleet.LeaseCodec;
-import tidebank.lease.LeaseBook;
+import tidebank.lease.LeaseTable;
 
 /**
  * The fleet's reports as they are published one after the other, read by somebody who is none of
@@ -29,7 +29,7 @@
   }
 
   /** What is published now; whatever came since the last time is gone through. */
-  void see(LeaseBook.Duty duty) {
+  void see(LeaseTable.TaskLease duty) {
     List<FleetReport> newer = new ArrayList<>();
     try {
       for (String name = duty.value(); !name.equals(last); ) {
--- a/testbed/src/main/java/tidebank/testbed/chaos/RunFiles.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/RunArtifacts.java
@@ -11,23 +11,23 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import tidebank.base.TidebankException;
+import tidebank.errors.TidebankException;
 import tidebank.testbed.chaos.History.Asked;
 import tidebank.testbed.chaos.History.Event;
-import tidebank.testbed.chaos.Play.Verdict;
-import tidebank.lease.Command.Kind;
+import tidebank.testbed.chaos.ScriptRunner.Verdict;
+import tidebank.lease.LeaseCommand.Kind;
 
 /**
  * What is left of a run: script, verdict, history, a timeline as a picture, and a page of them.
  * Logs stand beside.
  */
-public final class RunFiles {
+public final class RunArtifacts {
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final int LEFT = 90;
   private static final int WIDTH = 1000;
   private static final int LANE = 34;
 
-  private RunFiles() {}
+  private RunArtifacts() {}
 
   static void write(Path folder, Script script, History history, Verdict verdict)
       throws IOException {
@@ -213,7 +213,7 @@
             again(verdict, folder)));
     if (!verdict.gaps().isEmpty()) {
       page.append("<p>Without an owner of the report, after ")
-          .append(Gaps.said(verdict.gaps()))
+          .append(UnownedIntervals.said(verdict.gaps()))
           .append("</p>\n");
     }
     page.append(picture)
--- a/testbed/src/main/java/tidebank/testbed/chaos/Script.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/Script.java
@@ -14,8 +14,8 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.regex.Pattern;
-import tidebank.base.TidebankException;
-import tidebank.config.Malformed;
+import tidebank.errors.TidebankException;
+import tidebank.config.MalformedInputException;
 import tidebank.config.Toml;
 
 /**
@@ -147,7 +147,7 @@
       String who,
       String as,
       String to,
-      Link.Fault fault,
+      FaultyLink.Fault fault,
       long ms,
       long jitterMs,
       long bytesPerS,
@@ -164,7 +164,7 @@
       return new Step(await, count, 1, "members", act, who, as, "", null, 0, 0, 0, 1);
     }
 
-    static Step link(Await await, int count, String from, String to, Link.Fault fault, long ms) {
+    static Step link(Await await, int count, String from, String to, FaultyLink.Fault fault, long ms) {
       return new Step(await, count, 1, "members", Do.LINK, from, "", to, fault, ms, ms / 2, 400, 1);
     }
 
@@ -213,7 +213,7 @@
     }
   }
 
-  static Script read(Toml file, String name) throws Malformed {
+  static Script read(Toml file, String name) throws MalformedInputException {
     Toml.Table root = file.root();
     Map<String, Double> clocks = new TreeMap<>();
     root.table("clocks")
@@ -243,7 +243,7 @@
               step.text("who", ""),
               step.text("as", ""),
               step.text("to", ""),
-              step.choice("fault", null, Link.Fault.class),
+              step.choice("fault", null, FaultyLink.Fault.class),
               step.whole("ms", 0, 0, 60_000),
               step.whole("jitter_ms", 0, 0, 60_000),
               step.whole("bytes_s", 400, 1, 1 << 30),
--- a/testbed/src/main/java/tidebank/testbed/chaos/Play.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/ScriptRunner.java
@@ -14,20 +14,20 @@
 import java.util.function.Consumer;
 import java.util.function.ToIntFunction;
 import java.util.stream.Stream;
-import tidebank.base.TidebankException;
+import tidebank.errors.TidebankException;
 import tidebank.testbed.chaos.Script.Step;
-import tidebank.lease.Answer;
-import tidebank.lease.Command;
-import tidebank.lease.Command.Kind;
-import tidebank.lease.LeaseBook;
-import tidebank.lease.Terms;
-import tidebank.coordinator.StewardClient;
+import tidebank.lease.CommandResult;
+import tidebank.lease.LeaseCommand;
+import tidebank.lease.LeaseCommand.Kind;
+import tidebank.lease.LeaseTable;
+import tidebank.lease.LeaseConfig;
+import tidebank.coordinator.CoordinatorClient;
 
 /**
  * Plays a script on a fleet of its own and judges what was seen. Every step waits for something,
  * for a bounded time; what never came is a fault of the run like any other.
  */
-public final class Play {
+public final class ScriptRunner {
   private static final long PATIENCE_MS = 30_000;
   private static final long LOOK_MS = 5;
   private static final Duration ONE = Duration.ofMillis(800);
@@ -75,17 +75,17 @@
   private final History history = new History();
   private final Map<String, List<String>> called = new HashMap<>();
   private final List<String> broken = new ArrayList<>();
-  private Rig rig;
-  private Stored stored;
-  private Observer observer;
-  private StewardClient operator;
+  private TestCluster rig;
+  private SharedFolderCheck stored;
+  private ClusterObserver observer;
+  private CoordinatorClient operator;
   private Mark mark;
 
   /**
    * @param folder the run's own, which is to be there and empty
    * @param told hears how it goes, a line at a time
    */
-  public Play(Script script, long seed, Path folder, Consumer<String> told) {
+  public ScriptRunner(Script script, long seed, Path folder, Consumer<String> told) {
     this.script = script;
     this.seed = seed;
     this.folder = folder;
@@ -97,13 +97,13 @@
     Files.writeString(folder.resolve("script.toml"), script.toml());
     Reports reports = null;
     int sent = 0;
-    try (Rig fleet = new Rig(folder, script, history, seed)) {
+    try (TestCluster fleet = new TestCluster(folder, script, history, seed)) {
       rig = fleet;
       reports = new Reports(rig.shared());
-      stored = new Stored(rig.shared());
-      try (Observer looking = new Observer(rig.direct(), history, reports, stored)) {
+      stored = new SharedFolderCheck(rig.shared());
+      try (ClusterObserver looking = new ClusterObserver(rig.direct(), history, reports, stored)) {
         observer = looking;
-        operator = new StewardClient(rig.direct(), PATIENCE_MS, ONE);
+        operator = new CoordinatorClient(rig.direct(), PATIENCE_MS, ONE);
         steps();
         settle();
       } catch (IOException | UncheckedIOException fault) {
@@ -118,7 +118,7 @@
     broken.addAll(reports.faults());
     broken.addAll(stored.faults());
     broken.addAll(
-        LeaseRules.broken(history, new Terms(script.leaseMs() * 1000, script.drift(), 0, 0)));
+        LeaseRules.broken(history, new LeaseConfig(script.leaseMs() * 1000, script.drift(), 0, 0)));
     Verdict verdict =
         new Verdict(
             script.name(),
@@ -130,8 +130,8 @@
             history.asked().size(),
             history.reads().size(),
             reports.count(),
-            Gaps.of(history.events(), history.asked(), "report"));
-    RunFiles.write(folder, script, history, verdict);
+            UnownedIntervals.of(history.events(), history.asked(), "report"));
+    RunArtifacts.write(folder, script, history, verdict);
     return verdict;
   }
 
@@ -208,19 +208,19 @@
     }
   }
 
-  private LeaseBook.Duty report() {
+  private LeaseTable.TaskLease report() {
     return observer.sight().report();
   }
 
   private long alive() {
-    LeaseBook.State state = observer.sight().state();
+    LeaseTable.State state = observer.sight().state();
     return state == null || observer.sight().leader() < 0
         ? 0
         : state.members().stream().filter(member -> member.aliveUntil() > state.now()).count();
   }
 
   private boolean owned() {
-    LeaseBook.State state = observer.sight().state();
+    LeaseTable.State state = observer.sight().state();
     return state != null
         && observer.sight().leader() >= 0
         && !state.duties().isEmpty()
@@ -229,7 +229,7 @@
   }
 
   private void mark() {
-    Observer.Sight sight = observer.sight();
+    ClusterObserver.Sight sight = observer.sight();
     Map<String, Integer> sent = new HashMap<>();
     Map<String, Integer> renewals = new HashMap<>();
     Map<String, Integer> claims = new HashMap<>();
@@ -251,8 +251,8 @@
   }
 
   private boolean seen(Step step) {
-    LeaseBook.Duty duty = report();
-    Observer.Sight sight = observer.sight();
+    LeaseTable.TaskLease duty = report();
+    ClusterObserver.Sight sight = observer.sight();
     return switch (step.await()) {
       case NOTHING -> true;
       case PUBLICATIONS -> duty.revision() >= mark.revision() + step.count();
@@ -281,7 +281,7 @@
   // ---- who is meant
 
   private String owner() {
-    LeaseBook.Duty duty = report();
+    LeaseTable.TaskLease duty = report();
     return duty == null || duty.owner().isEmpty() ? rig.memberNames().get(0) : duty.owner();
   }
 
@@ -293,7 +293,7 @@
     return switch (name) {
       case "owner" -> List.of(owner());
       case "remover" -> {
-        LeaseBook.Duty duty = LeaseRules.duty(observer.sight().state(), "retention");
+        LeaseTable.TaskLease duty = LeaseRules.duty(observer.sight().state(), "retention");
         yield List.of(duty == null || duty.owner().isEmpty() ? owner() : duty.owner());
       }
       case "other" ->
@@ -359,9 +359,9 @@
           }
         }
       }
-      case COPY_DISK -> Rig.copy(rig.disk(name), folder.resolve("kept-" + name));
-      case OLDER_DISK -> Rig.copy(folder.resolve("kept-" + name), rig.disk(name));
-      case EMPTY_DISK -> Rig.clear(rig.disk(name));
+      case COPY_DISK -> TestCluster.copy(rig.disk(name), folder.resolve("kept-" + name));
+      case OLDER_DISK -> TestCluster.copy(folder.resolve("kept-" + name), rig.disk(name));
+      case EMPTY_DISK -> TestCluster.clear(rig.disk(name));
       case DAMAGED_DISK -> damage(rig.disk(name));
       case DRAIN -> operate(Kind.DRAIN, name);
       case ADMIT -> operate(Kind.ADMIT, name);
@@ -371,9 +371,9 @@
   }
 
   private void operate(Kind kind, String name) throws IOException {
-    Answer answer = operator.operate(kind, name, kind == Command.Kind.MOVE ? "report" : "");
+    CommandResult answer = operator.operate(kind, name, kind == LeaseCommand.Kind.MOVE ? "report" : "");
     if (answer.fault() != null) {
-      throw new TidebankException.Refused(answer.fault());
+      throw new TidebankException.RequestRejected(answer.fault());
     }
   }
 
--- a/testbed/src/main/java/tidebank/testbed/chaos/Stored.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/SharedFolderCheck.java
@@ -12,14 +12,14 @@
 import java.util.Set;
 import tidebank.fleet.LeaseCodec;
 import tidebank.fleet.Retention;
-import tidebank.lease.LeaseBook;
+import tidebank.lease.LeaseTable;
 
 /**
  * Files of the fleet's folder, some kept too long, and what becomes of them: none may go that no
  * published list had named before, and none that was not too old. Written to by the script, looked
  * at by the observer, each under this object's lock.
  */
-final class Stored {
+final class SharedFolderCheck {
   private static final Duration OLD = Duration.ofDays(60);
   private static final Duration YOUNG = Duration.ofDays(2);
 
@@ -32,7 +32,7 @@
   private String last = "";
   private int batches;
 
-  Stored(Path folder) {
+  SharedFolderCheck(Path folder) {
     this.folder = folder;
   }
 
@@ -59,7 +59,7 @@
   }
 
   /** What is published, after {@code gone} was seen. */
-  synchronized void see(LeaseBook.Duty duty, Set<String> gone) {
+  synchronized void see(LeaseTable.TaskLease duty, Set<String> gone) {
     try {
       for (String name = duty.value(); !name.equals(last) && !name.isEmpty(); ) {
         Retention list =
--- a/testbed/src/main/java/tidebank/testbed/chaos/SkewedClock.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/SkewedClock.java
@@ -2,7 +2,7 @@
 
 /**
  * A monotonic clock that runs at another rate than the machine's; stands in for it in processes
- * started by {@link Skewed}.
+ * started by {@link SkewedClockLauncher}.
  */
 public final class SkewedClock {
   private static final double RATE =
--- a/testbed/src/main/java/tidebank/testbed/chaos/Skewed.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/SkewedClockLauncher.java
@@ -20,8 +20,8 @@
  * SkewedClock}, by the rate that the property {@code tidebank.chaos.rate} gives. Arguments: the
  * program's main class and its own.
  */
-public final class Skewed {
-  private Skewed() {}
+public final class SkewedClockLauncher {
+  private SkewedClockLauncher() {}
 
   public static void main(String[] args)
       throws ReflectiveOperationException, MalformedURLException {
--- a/testbed/src/main/java/tidebank/testbed/chaos/Rig.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/TestCluster.java
@@ -25,18 +25,18 @@
 import java.util.stream.Stream;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tidebank.testbed.fleet.Members;
-import tidebank.testbed.fleet.Stewards;
-import tidebank.testbed.process.Guarded;
-import tidebank.testbed.replay.GathererProcess;
+import tidebank.testbed.fleet.RouterProcesses;
+import tidebank.testbed.fleet.CoordinatorProcesses;
+import tidebank.testbed.process.ChildProcess;
+import tidebank.testbed.replay.RouterProcess;
 
 /**
  * Stewards and gatherers as processes, with a relay before every address of a steward, so that
  * whatever one process asks of another can be seen and broken. Signals go only to processes that it
  * started. The script's thread owns it; relays only look up who calls.
  */
-final class Rig implements AutoCloseable {
-  private static final Logger LOG = LoggerFactory.getLogger(Rig.class);
+final class TestCluster implements AutoCloseable {
+  private static final Logger LOG = LoggerFactory.getLogger(TestCluster.class);
   private static final long EVERY_MS = 250;
   private static final Duration SCAN = Duration.ofSeconds(8);
   private static final String SELF = "rig";
@@ -44,11 +44,11 @@
   private final Path folder;
   private final Script script;
   private final History history;
-  private final Relays relays;
-  private final Stewards stewards;
-  private final Map<String, GathererProcess> members = new LinkedHashMap<>();
-  private final Map<String, Guarded> processes = new ConcurrentHashMap<>();
-  private final Map<Guarded, Long> pids = new ConcurrentHashMap<>();
+  private final FaultProxy relays;
+  private final CoordinatorProcesses stewards;
+  private final Map<String, RouterProcess> members = new LinkedHashMap<>();
+  private final Map<String, ChildProcess> processes = new ConcurrentHashMap<>();
+  private final Map<ChildProcess, Long> pids = new ConcurrentHashMap<>();
   private final Set<String> stopped = new HashSet<>();
   private final Map<String, Integer> scans = new TreeMap<>();
   private final HttpClient http =
@@ -57,14 +57,14 @@
   private int sent;
   private int untold;
 
-  Rig(Path folder, Script script, History history, long seed) throws IOException {
+  TestCluster(Path folder, Script script, History history, long seed) throws IOException {
     this.folder = folder;
     this.script = script;
     this.history = history;
     Files.createDirectories(folder.resolve("logs"));
-    relays = new Relays(this::caller, history, seed);
+    relays = new FaultProxy(this::caller, history, seed);
     stewards =
-        new Stewards(
+        new CoordinatorProcesses(
             folder,
             script.stewards(),
             "[duties]\n"
@@ -110,7 +110,7 @@
                     })));
     known.values().removeIf(pid -> pid == null);
     known.put(SELF, ProcessHandle.current().pid());
-    return Sockets.owner(port, relay, known);
+    return ConnectionOwners.owner(port, relay, known);
   }
 
   private double rate(String name) {
@@ -122,7 +122,7 @@
     List<String> launcher =
         clock == 1
             ? List.of()
-            : List.of("-Dtidebank.chaos.rate=" + clock, "tidebank.testbed.chaos.Skewed");
+            : List.of("-Dtidebank.chaos.rate=" + clock, "tidebank.testbed.chaos.SkewedClockLauncher");
     BufferedWriter log =
         Files.newBufferedWriter(
             folder.resolve("logs").resolve(name + ".log"),
@@ -143,9 +143,9 @@
       stewards.start(steward, launcher, told);
       processes.put(name, stewards.process(steward));
     } else {
-      GathererProcess member =
-          Members.start(folder, name, stewards.told(), EVERY_MS, List.of(), launcher, told);
-      GathererProcess before = members.put(name, member);
+      RouterProcess member =
+          RouterProcesses.start(folder, name, stewards.told(), EVERY_MS, List.of(), launcher, told);
+      RouterProcess before = members.put(name, member);
       if (before != null) {
         before.close();
       }
@@ -176,7 +176,7 @@
   }
 
   Path shared() {
-    return Members.shared(folder);
+    return RouterProcesses.shared(folder);
   }
 
   void stop(String name) throws IOException {
@@ -205,7 +205,7 @@
     }
   }
 
-  void link(String from, String to, Link.Fault fault, long ms, long jitterMs, long bytesPerS) {
+  void link(String from, String to, FaultyLink.Fault fault, long ms, long jitterMs, long bytesPerS) {
     relays.put(from, to, fault, ms * 1000, jitterMs * 1000, bytesPerS);
   }
 
@@ -284,7 +284,7 @@
   void mend() throws IOException {
     for (String from : processes.keySet()) {
       for (String to : stewardNames()) {
-        link(from, to, Link.Fault.HEAL, 0, 0, 0);
+        link(from, to, FaultyLink.Fault.HEAL, 0, 0, 0);
       }
     }
     for (String name : new ArrayList<>(processes.keySet())) {
@@ -298,7 +298,7 @@
 
   @Override
   public void close() {
-    members.values().forEach(GathererProcess::close);
+    members.values().forEach(RouterProcess::close);
     stewards.close();
     relays.close();
     for (BufferedWriter log : logs) {
--- a/testbed/src/main/java/tidebank/testbed/chaos/Tap.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/TrafficRecorder.java
@@ -14,20 +14,20 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import tidebank.fleet.LeaseCodec;
-import tidebank.lease.Answer;
-import tidebank.lease.Command;
-import tidebank.lease.LeaseBook;
+import tidebank.lease.CommandResult;
+import tidebank.lease.LeaseCommand;
+import tidebank.lease.LeaseTable;
 
 /**
  * Reads along on one connection to a steward, and tells the history what was asked and answered.
  * Belongs to one event loop.
  */
-final class Tap {
-  private static final Logger LOG = LoggerFactory.getLogger(Tap.class);
+final class TrafficRecorder {
+  private static final Logger LOG = LoggerFactory.getLogger(TrafficRecorder.class);
   private static final int BODY = 1 << 22;
 
   /** A call that is not answered yet; of a command, or of the state. */
-  private record Call(Command command, boolean ofState, long at) {}
+  private record Call(LeaseCommand command, boolean ofState, long at) {}
 
   private final History history;
   private final String from;
@@ -37,7 +37,7 @@
       new EmbeddedChannel(new HttpResponseDecoder(), new HttpObjectAggregator(BODY));
   private final Deque<Call> calls = new ArrayDeque<>();
 
-  Tap(History history, String from) {
+  TrafficRecorder(History history, String from) {
     this.history = history;
     this.from = from;
   }
@@ -46,7 +46,7 @@
   void up(ByteBuf bytes) {
     up.writeInbound(bytes.copy());
     for (FullHttpRequest request = up.readInbound(); request != null; request = up.readInbound()) {
-      Command command = null;
+      LeaseCommand command = null;
       try {
         if (request.uri().equals("/fleet/command")) {
           command = LeaseCodec.command(ByteBufUtil.getBytes(request.content()));
@@ -70,9 +70,9 @@
       try {
         if (call != null && response.status().code() == 200) {
           byte[] body = ByteBufUtil.getBytes(response.content());
-          Answer answer = call.command() == null ? null : LeaseCodec.read(body, Answer.class);
+          CommandResult answer = call.command() == null ? null : LeaseCodec.read(body, CommandResult.class);
           if (call.ofState()) {
-            history.read(from, call.at(), LeaseCodec.read(body, LeaseBook.State.class));
+            history.read(from, call.at(), LeaseCodec.read(body, LeaseTable.State.class));
           } else if (answer != null && answer.terms() != null) {
             history.answered(call.command(), answer);
           }
--- a/testbed/src/main/java/tidebank/testbed/chaos/Gaps.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/UnownedIntervals.java
@@ -8,16 +8,16 @@
 import java.util.regex.Pattern;
 import tidebank.testbed.chaos.History.Asked;
 import tidebank.testbed.chaos.History.Event;
-import tidebank.lease.Command.Kind;
+import tidebank.lease.LeaseCommand.Kind;
 
 /** How long a duty was without anybody who could act for it, by what had happened to its owner. */
-public final class Gaps {
+public final class UnownedIntervals {
   private static final Pattern LOSS =
       Pattern.compile("(kill|term|stop) .*|link .* to stewards: (cut|silent up|silent down)");
 
   private record Grant(long token, String to, long at) {}
 
-  private Gaps() {}
+  private UnownedIntervals() {}
 
   /**
    * For each kind of loss, from the loss to the answer of the next grant, in microseconds, in the
--- a/testbed/src/main/java/tidebank/testbed/deployment/Site.java
+++ b/testbed/src/main/java/tidebank/testbed/deployment/Deployment.java
@@ -9,16 +9,16 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import tidebank.config.Malformed;
+import tidebank.config.MalformedInputException;
 import tidebank.config.Toml;
-import tidebank.model.Repeat;
+import tidebank.model.Idempotency;
 
 /**
  * What a replay plays against: table types, how the shards lie on servers, the servers' figures,
  * limits, rules and how clients behave. Read from TOML over the defaults that are built in; handed
  * to gatherers in the platform's form.
  */
-public record Site(
+public record Deployment(
     Map<String, Type> types,
     int shards,
     int width,
@@ -38,7 +38,7 @@
    */
   public record Type(
       String name,
-      Repeat repeat,
+      Idempotency repeat,
       long targetUs,
       long timeoutUs,
       double lateShare,
@@ -91,17 +91,17 @@
    * The built-in site: three table types like those of pallet movement queries, 24 shards on three
    * servers each.
    */
-  public static Site standard() {
+  public static Deployment standard() {
     Map<String, Type> types = new LinkedHashMap<>();
     for (Type type :
         List.of(
-            new Type("network-trace", Repeat.REPLAYABLE, 1000 * MS, 3000 * MS, 0.1, 0.4, 0.9, 3),
-            new Type("depot-manifest", Repeat.REPLAYABLE, 800 * MS, 3000 * MS, 0.1, 1, 0.9, 1),
+            new Type("network-trace", Idempotency.REPLAYABLE, 1000 * MS, 3000 * MS, 0.1, 0.4, 0.9, 3),
+            new Type("depot-manifest", Idempotency.REPLAYABLE, 800 * MS, 3000 * MS, 0.1, 1, 0.9, 1),
             new Type(
-                "delivery-confirm", Repeat.NON_REPLAYABLE, 800 * MS, 3000 * MS, 0.3, 1, 0.9, 2))) {
+                "delivery-confirm", Idempotency.NON_REPLAYABLE, 800 * MS, 3000 * MS, 0.3, 1, 0.9, 2))) {
       types.put(type.name(), type);
     }
-    return new Site(
+    return new Deployment(
         types,
         24,
         3,
@@ -111,12 +111,12 @@
         new Clients(2, 100 * MS));
   }
 
-  public static Site read(Path path) throws Malformed {
+  public static Deployment read(Path path) throws MalformedInputException {
     return read(Toml.read(path));
   }
 
-  static Site read(Toml file) throws Malformed {
-    Site base = standard();
+  static Deployment read(Toml file) throws MalformedInputException {
+    Deployment base = standard();
     Toml.Table root = file.root();
     Map<String, Type> types = new LinkedHashMap<>();
     for (Toml.Table row : root.tables("table_type")) {
@@ -124,7 +124,7 @@
       Type type =
           new Type(
               row.needText("name"),
-              row.choice("repeat", Repeat.NON_REPLAYABLE, Repeat.class),
+              row.choice("repeat", Idempotency.NON_REPLAYABLE, Idempotency.class),
               target,
               row.whole("timeout_ms", 3 * target / MS, 1, 600_000) * MS,
               row.number("late_share", 0, 0, 1),
@@ -134,7 +134,7 @@
       if (type.timeoutUs() < target) {
         row.fault("timeout_ms", "is below target_ms");
       }
-      if (type.repeat() == Repeat.KEYED) {
+      if (type.repeat() == Idempotency.KEYED) {
         row.fault("repeat", "keyed table types have no place in the platform's frames yet");
       }
       if (types.put(type.name(), type) != null) {
@@ -145,8 +145,8 @@
     Toml.Table limits = root.table("limits");
     Toml.Table rules = root.table("rules");
     Toml.Table clients = root.table("clients");
-    Site site =
-        new Site(
+    Deployment site =
+        new Deployment(
             types.isEmpty() ? base.types : types,
             (int) root.whole("shards", base.shards, 1, 100_000),
             (int) root.whole("width", base.width, 1, 100),
@@ -214,7 +214,7 @@
       services
           .addObject()
           .put("name", type.name())
-          .put("semantics", type.repeat() == Repeat.REPLAYABLE ? "read_like" : "non_idempotent")
+          .put("semantics", type.repeat() == Idempotency.REPLAYABLE ? "read_like" : "non_idempotent")
           .put("onTimeMs", type.targetUs() / MS)
           .put("deadlineMs", type.timeoutUs() / MS)
           .put("lateWorth", type.lateShare())
--- a/testbed/src/main/java/tidebank/testbed/emulator/DiscoveryStandIn.java
+++ b/testbed/src/main/java/tidebank/testbed/emulator/DiscoveryEmulator.java
@@ -39,7 +39,7 @@
  * Discovery's stand-in on loopback, with an address of its own for each gatherer. All of it belongs
  * to one event loop.
  */
-public final class DiscoveryStandIn {
+public final class DiscoveryEmulator {
   private static final long WAIT_MOST_MS = 60_000;
   private static final int CHANGES_KEPT = 256;
 
@@ -57,7 +57,7 @@
   private static final ObjectMapper JSON = new ObjectMapper();
 
   /** What was told to whom, for an audit; null where nobody audits. */
-  private final Ledger ledger;
+  private final EmulatorLog ledger;
 
   private final Clock clock;
   private final EventLoop loop;
@@ -76,10 +76,10 @@
    *
    * @param ledger takes what was told to whom; may be null, then nothing is kept of it
    */
-  public DiscoveryStandIn(
+  public DiscoveryEmulator(
       List<? extends ListedServer> servers,
       int gatherers,
-      Ledger ledger,
+      EmulatorLog ledger,
       Clock clock,
       EventLoop loop) {
     this.ledger = ledger;
@@ -231,7 +231,7 @@
       boolean named = told.contains(entry.getValue());
       if (named || whole) {
         ledger.add(
-            new Ledger.Told(
+            new EmulatorLog.Told(
                 gatherer, entry.getKey(), named && entry.getValue().health == Health.Ready, now));
       }
     }
--- a/testbed/src/main/java/tidebank/testbed/emulator/Ledger.java
+++ b/testbed/src/main/java/tidebank/testbed/emulator/EmulatorLog.java
@@ -5,7 +5,7 @@
 import tidebank.testbed.account.RuleAudit;
 
 /** What the stand-ins saw, handed from their threads to the one that audits. */
-public final class Ledger {
+public final class EmulatorLog {
   /** Something seen. */
   public sealed interface Entry permits Dispatched, Work, Told {}
 
--- a/testbed/src/main/java/tidebank/testbed/emulator/ShardStandIn.java
+++ b/testbed/src/main/java/tidebank/testbed/emulator/ShardServerEmulator.java
@@ -27,7 +27,7 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import tidebank.testbed.account.RuleAudit;
-import tidebank.testbed.deployment.Site;
+import tidebank.testbed.deployment.Deployment;
 import tidebank.runtime.Clock;
 
 /**
@@ -35,17 +35,17 @@
  * each gatherer, so that what comes is known by who sent it. All of its state belongs to one event
  * loop.
  */
-public final class ShardStandIn implements ListedServer {
+public final class ShardServerEmulator implements ListedServer {
   private static final int FRAME_MOST = 1 << 20;
   private static final long WORK_ABSENT_US = 20_000;
 
   private record Out(Channel channel, String id) {}
 
   private final int number;
-  private final Site site;
+  private final Deployment site;
   private final int servers;
   private final ServerModel model;
-  private final Ledger ledger;
+  private final EmulatorLog ledger;
   private final Clock clock;
   private final EventLoop loop;
   private final List<Channel> listeners = new ArrayList<>();
@@ -59,13 +59,13 @@
   private boolean silent;
 
   /** Server of this number among so many; it stands at the cell of its number. */
-  public ShardStandIn(
+  public ShardServerEmulator(
       int number,
       int servers,
       int gatherers,
-      Site site,
+      Deployment site,
       ServerModel model,
-      Ledger ledger,
+      EmulatorLog ledger,
       Clock clock,
       EventLoop loop) {
     this.number = number;
@@ -309,7 +309,7 @@
         answer(new Out(context.channel(), id), mine ? "later" : "bad", "");
       }
       ledger.add(
-          new Ledger.Dispatched(
+          new EmulatorLog.Dispatched(
               dot < 0 ? id : id.substring(0, dot),
               shard,
               gatherer,
@@ -318,7 +318,7 @@
               taken ? RuleAudit.Run.RAN : RuleAudit.Run.NEVER_RAN));
       double warmth = model.warmth(now);
       if (warmth < 1) {
-        ledger.add(new Ledger.Work(number, now, work, model.capacityUsPerS(), warmth));
+        ledger.add(new EmulatorLog.Work(number, now, work, model.capacityUsPerS(), warmth));
       }
     }
 
@@ -343,8 +343,8 @@
   }
 
   /** A group of its own for stand-ins, of daemon threads that end with the process. */
-  public static void closeAll(List<ShardStandIn> all, EventLoopGroup group) {
-    all.forEach(ShardStandIn::close);
+  public static void closeAll(List<ShardServerEmulator> all, EventLoopGroup group) {
+    all.forEach(ShardServerEmulator::close);
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 }
--- a/testbed/src/main/java/tidebank/testbed/fleet/Load.java
+++ b/testbed/src/main/java/tidebank/testbed/fleet/CoordinatorLoad.java
@@ -18,15 +18,15 @@
 import java.util.stream.Stream;
 import org.HdrHistogram.ConcurrentHistogram;
 import tidebank.fleet.LeaseCodec;
-import tidebank.lease.Answer;
-import tidebank.lease.Command;
-import tidebank.coordinator.StewardClient;
+import tidebank.lease.CommandResult;
+import tidebank.lease.LeaseCommand;
+import tidebank.coordinator.CoordinatorClient;
 
 /**
  * What stewards bear: agents that each join, and then renew as fast as they are answered, one call
  * at a time. Each steward is a process; the agents are this one.
  */
-public final class Load {
+public final class CoordinatorLoad {
   private static final Duration ONE = Duration.ofSeconds(10);
   private static final long PATIENCE_MS = 30_000;
 
@@ -60,7 +60,7 @@
   private volatile URI leader;
   private volatile boolean over;
 
-  private Load() {}
+  private CoordinatorLoad() {}
 
   /**
    * Runs it on a fleet of its own.
@@ -69,17 +69,17 @@
    */
   public static Result run(Path folder, int stewards, int agents, long most, long seconds)
       throws IOException {
-    try (Stewards fleet =
-        new Stewards(
+    try (CoordinatorProcesses fleet =
+        new CoordinatorProcesses(
             folder,
             stewards,
             "[duties]\nnames = [\"report\"]\n[lease]\nms = 30000\n[limits]\nmembers = 5000\n")) {
-      return new Load().on(fleet, agents, most, seconds);
+      return new CoordinatorLoad().on(fleet, agents, most, seconds);
     }
   }
 
-  private Result on(Stewards fleet, int agents, long most, long seconds) throws IOException {
-    new StewardClient(fleet.addresses(), PATIENCE_MS).state();
+  private Result on(CoordinatorProcesses fleet, int agents, long most, long seconds) throws IOException {
+    new CoordinatorClient(fleet.addresses(), PATIENCE_MS).state();
     find(fleet);
     List<CompletableFuture<Void>> ends = new ArrayList<>();
     long began = System.nanoTime();
@@ -123,7 +123,7 @@
   }
 
   /** Who leads, as the stewards say. */
-  private void find(Stewards fleet) throws IOException {
+  private void find(CoordinatorProcesses fleet) throws IOException {
     for (String address : fleet.addresses()) {
       try {
         HttpResponse<byte[]> response =
@@ -149,8 +149,8 @@
       end.complete(null);
       return;
     }
-    Command command =
-        Command.of(number == 1 ? Command.Kind.JOIN : Command.Kind.RENEW, name, number, name);
+    LeaseCommand command =
+        LeaseCommand.of(number == 1 ? LeaseCommand.Kind.JOIN : LeaseCommand.Kind.RENEW, name, number, name);
     long before = System.nanoTime();
     http.sendAsync(
             HttpRequest.newBuilder(leader)
@@ -173,7 +173,7 @@
 
   private static boolean done(byte[] body) {
     try {
-      return LeaseCodec.read(body, Answer.class).fault() == null;
+      return LeaseCodec.read(body, CommandResult.class).fault() == null;
     } catch (IOException fault) {
       return false;
     }
--- a/testbed/src/main/java/tidebank/testbed/fleet/Stewards.java
+++ b/testbed/src/main/java/tidebank/testbed/fleet/CoordinatorProcesses.java
@@ -10,13 +10,13 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.function.Consumer;
-import tidebank.testbed.process.Guarded;
+import tidebank.testbed.process.ChildProcess;
 
 /**
  * Stewards in processes of their own, as operators start them, on loopback ports of the system's
  * choice.
  */
-public final class Stewards implements AutoCloseable {
+public final class CoordinatorProcesses implements AutoCloseable {
   private static final List<String> FLAGS =
       List.of(
           "-XX:+UseSerialGC",
@@ -37,7 +37,7 @@
   private final List<String> http = new ArrayList<>();
   private final List<String> toldRaft = new ArrayList<>();
   private final List<String> toldHttp = new ArrayList<>();
-  private final List<Guarded> processes = new ArrayList<>();
+  private final List<ChildProcess> processes = new ArrayList<>();
 
   /**
    * Starts them.
@@ -46,7 +46,7 @@
    * @param count one, three or five
    * @param settings further tables of their file
    */
-  public Stewards(Path folder, int count, String settings) throws IOException {
+  public CoordinatorProcesses(Path folder, int count, String settings) throws IOException {
     this(folder, count, settings, (steward, isRaft, address) -> address);
     for (int i = 0; i < count; i++) {
       start(i);
@@ -54,7 +54,7 @@
   }
 
   /** Only gets their addresses; each is started by {@link #start}. */
-  public Stewards(Path folder, int count, String settings, Doors doors) throws IOException {
+  public CoordinatorProcesses(Path folder, int count, String settings, Doors doors) throws IOException {
     this.folder = folder;
     this.settings = settings;
     // An address of our own in the loopback range: a call that goes out meanwhile can't be given
@@ -130,16 +130,16 @@
     List<String> arguments = new ArrayList<>(FLAGS);
     arguments.addAll(List.of("-cp", System.getProperty("java.class.path")));
     arguments.addAll(launcher);
-    arguments.addAll(List.of("tidebank.coordinator.StewardMain", "--config", config.toString()));
+    arguments.addAll(List.of("tidebank.coordinator.CoordinatorMain", "--config", config.toString()));
     processes.set(
-        steward, Guarded.java("s" + steward, arguments, Map.of(), told, () -> {}, fileBytes));
+        steward, ChildProcess.java("s" + steward, arguments, Map.of(), told, () -> {}, fileBytes));
   }
 
   public Path disk(int steward) {
     return folder.resolve("disk-s" + steward);
   }
 
-  public Guarded process(int steward) {
+  public ChildProcess process(int steward) {
     return processes.get(steward);
   }
 
@@ -159,6 +159,6 @@
 
   @Override
   public void close() {
-    processes.stream().filter(Objects::nonNull).forEach(Guarded::close);
+    processes.stream().filter(Objects::nonNull).forEach(ChildProcess::close);
   }
 }
--- a/testbed/src/main/java/tidebank/testbed/fleet/Members.java
+++ b/testbed/src/main/java/tidebank/testbed/fleet/RouterProcesses.java
@@ -5,20 +5,20 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.function.Consumer;
-import tidebank.testbed.replay.GathererProcess;
+import tidebank.testbed.replay.RouterProcess;
 
 /**
  * Gatherers in processes of their own that know of no shard server, and so throttle and count what
  * they are sent.
  */
-public final class Members {
+public final class RouterProcesses {
   private static final String FILE =
       "{'name':'%s','listen':'127.0.0.1:0','discovery':'127.0.0.1:1','seed':'8c1f30d27a5be964',"
           + "'settings':{'discovery':'ask','services':["
           + "{'name':'checkout','semantics':'read_like','onTimeMs':1000,'deadlineMs':3000}],"
           + "'specifics':{'slices':1,'positions':1,'width':1},'limits':{'maxAttempts':2}}}";
 
-  private Members() {}
+  private RouterProcesses() {}
 
   /**
    * Starts one.
@@ -28,7 +28,7 @@
    * @param everyMs how often it tells its counters
    * @param jvm further flags of its process
    */
-  public static GathererProcess start(
+  public static RouterProcess start(
       Path folder, String name, List<String> stewards, long everyMs, List<String> jvm)
       throws IOException {
     return start(folder, name, stewards, everyMs, jvm, List.of(), line -> {});
@@ -40,7 +40,7 @@
    * @param launcher a main class and its flags before the gatherer's own, or none
    * @param told hears each line of its output
    */
-  public static GathererProcess start(
+  public static RouterProcess start(
       Path folder,
       String name,
       List<String> stewards,
@@ -59,7 +59,7 @@
                 + "\"\nevery_ms = "
                 + everyMs
                 + "\n");
-    return GathererProcess.start(
+    return RouterProcess.start(
         name,
         FILE.formatted(name).replace('\'', '"'),
         stewards.isEmpty() ? null : own,
--- a/testbed/src/main/java/tidebank/testbed/process/Guarded.java
+++ b/testbed/src/main/java/tidebank/testbed/process/ChildProcess.java
@@ -16,7 +16,7 @@
  * that kills the child when its own standard input ends. Signals go to the child alone, which this
  * one has started.
  */
-public final class Guarded implements AutoCloseable {
+public final class ChildProcess implements AutoCloseable {
   /** A shell gives what it starts behind itself no standard input, hence the third descriptor. */
   private static final String GUARD =
       "exec 3<&0; \"$@\" < /dev/null 3<&- & child=$!; { cat <&3 > /dev/null; kill -9 $child; } 2>"
@@ -30,7 +30,7 @@
   private final Deque<String> lines = new ArrayDeque<>();
   private volatile boolean ended;
 
-  private Guarded(String name, Process shell) {
+  private ChildProcess(String name, Process shell) {
     this.name = name;
     this.shell = shell;
   }
@@ -42,7 +42,7 @@
    * @param told hears each line of its output, on a thread of its own
    * @param end run on that thread once there is no more
    */
-  public static Guarded java(
+  public static ChildProcess java(
       String name,
       List<String> arguments,
       Map<String, String> environment,
@@ -57,7 +57,7 @@
    *
    * @param fileBytes the most that any file of it may have; a multiple of 512
    */
-  public static Guarded java(
+  public static ChildProcess java(
       String name,
       List<String> arguments,
       Map<String, String> environment,
@@ -78,7 +78,7 @@
     ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
     builder.environment().keySet().removeIf(key -> key.startsWith("NODE_"));
     builder.environment().putAll(environment);
-    Guarded guarded = new Guarded(name, builder.start());
+    ChildProcess guarded = new ChildProcess(name, builder.start());
     Thread reader = new Thread(() -> guarded.read(told, end), "log of " + name);
     reader.setDaemon(true);
     reader.start();
--- a/testbed/src/main/java/tidebank/testbed/replay/ClientRules.java
+++ b/testbed/src/main/java/tidebank/testbed/replay/ClientRules.java
@@ -2,7 +2,7 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.zip.CRC32;
-import tidebank.model.Repeat;
+import tidebank.model.Idempotency;
 
 /**
  * Decides what a client does after a try: ask again and when, or give up. A request that must not
@@ -58,11 +58,11 @@
   }
 
   /** Whether trying again can do no harm: proved never to have run, or may run again. */
-  static boolean harmless(Repeat repeat, Came came) {
+  static boolean harmless(Idempotency repeat, Came came) {
     return switch (came) {
       case ANSWERED, TIMED_OUT -> false;
       case THROTTLED, NOT_REACHED -> true;
-      case FAILED, BROKEN_OFF -> repeat == Repeat.REPLAYABLE;
+      case FAILED, BROKEN_OFF -> repeat == Idempotency.REPLAYABLE;
     };
   }
 
@@ -75,7 +75,7 @@
    * @param limitUs when the client's time is over
    */
   public long again(
-      String name, Repeat repeat, Came came, int tries, long nowUs, long holdOffUs, long limitUs) {
+      String name, Idempotency repeat, Came came, int tries, long nowUs, long holdOffUs, long limitUs) {
     if (tries > retries || !harmless(repeat, came)) {
       return -1;
     }
--- a/testbed/src/main/java/tidebank/testbed/replay/Clients.java
+++ b/testbed/src/main/java/tidebank/testbed/replay/Clients.java
@@ -44,9 +44,9 @@
 import org.HdrHistogram.Histogram;
 import tidebank.testbed.account.Account;
 import tidebank.testbed.account.RuleAudit;
-import tidebank.testbed.account.ScanRecord;
+import tidebank.testbed.account.QueryRecord;
 import tidebank.testbed.replay.ClientRules.Came;
-import tidebank.testbed.deployment.Site;
+import tidebank.testbed.deployment.Deployment;
 import tidebank.testbed.emulator.Values;
 import tidebank.testbed.trace.TraceRow;
 import tidebank.runtime.Clock;
@@ -85,7 +85,7 @@
   private static final class Scan {
     final long number;
     final TraceRow row;
-    final Site.Type type;
+    final Deployment.Type type;
     final long intended;
     final long limit;
     final Map<Integer, Double> weights = new HashMap<>();
@@ -93,7 +93,7 @@
     long sent = -1;
     int tries;
 
-    Scan(long number, TraceRow row, Site.Type type, long intended, int shards) {
+    Scan(long number, TraceRow row, Deployment.Type type, long intended, int shards) {
       this.number = number;
       this.row = row;
       this.type = type;
@@ -142,14 +142,14 @@
     }
   }
 
-  private final Site site;
+  private final Deployment site;
   private final List<Target> targets;
   private final ClientRules rules;
   private final RuleAudit audit;
   private final Clock clock;
   private final EventLoop loop;
   private final String seedText;
-  private final Consumer<ScanRecord> to;
+  private final Consumer<QueryRecord> to;
   private final ObjectMapper json = new ObjectMapper();
   private final Bootstrap bootstrap;
   private final BlockingQueue<Scan> ahead = new ArrayBlockingQueue<>(AHEAD);
@@ -163,14 +163,14 @@
   private long turn;
 
   Clients(
-      Site site,
+      Deployment site,
       List<Target> targets,
       ClientRules rules,
       RuleAudit audit,
       Clock clock,
       EventLoop loop,
       String seedText,
-      Consumer<ScanRecord> to) {
+      Consumer<QueryRecord> to) {
     this.site = site;
     this.targets = targets;
     this.rules = rules;
@@ -212,7 +212,7 @@
                 long number = 0;
                 while (rows.hasNext() && !ended.isDone()) {
                   TraceRow row = rows.next();
-                  Site.Type type = site.types().get(row.tableType());
+                  Deployment.Type type = site.types().get(row.tableType());
                   if (type == null) {
                     throw new IOException(
                         "table type \""
@@ -418,14 +418,14 @@
       loop.schedule(() -> send(scan), again - now, TimeUnit.MICROSECONDS);
       return;
     }
-    ScanRecord.End end =
+    QueryRecord.End end =
         switch (came) {
-          case ANSWERED -> ScanRecord.End.COMPLETED;
-          case THROTTLED -> ScanRecord.End.THROTTLED;
-          case FAILED -> ScanRecord.End.ABANDONED;
-          case NOT_REACHED -> ScanRecord.End.NOT_REACHED;
-          case BROKEN_OFF -> ScanRecord.End.BROKEN_OFF;
-          case TIMED_OUT -> ScanRecord.End.TIMED_OUT;
+          case ANSWERED -> QueryRecord.End.COMPLETED;
+          case THROTTLED -> QueryRecord.End.THROTTLED;
+          case FAILED -> QueryRecord.End.ABANDONED;
+          case NOT_REACHED -> QueryRecord.End.NOT_REACHED;
+          case BROKEN_OFF -> QueryRecord.End.BROKEN_OFF;
+          case TIMED_OUT -> QueryRecord.End.TIMED_OUT;
         };
     record(scan, end, now, 0, false);
   }
@@ -438,17 +438,17 @@
     record(
         one.scan,
         took <= one.scan.type.targetUs()
-            ? ScanRecord.End.COMPLETED
+            ? QueryRecord.End.COMPLETED
             : took <= one.scan.type.timeoutUs()
-                ? ScanRecord.End.COMPLETED_LATE
-                : ScanRecord.End.TIMED_OUT,
+                ? QueryRecord.End.COMPLETED_LATE
+                : QueryRecord.End.TIMED_OUT,
         now,
         share,
         whole);
   }
 
-  private void record(Scan scan, ScanRecord.End end, long now, double share, boolean whole) {
-    boolean completed = end == ScanRecord.End.COMPLETED || end == ScanRecord.End.COMPLETED_LATE;
+  private void record(Scan scan, QueryRecord.End end, long now, double share, boolean whole) {
+    boolean completed = end == QueryRecord.End.COMPLETED || end == QueryRecord.End.COMPLETED_LATE;
     long took = now - scan.intended;
     if (completed) {
       latency.recordValue(Math.min(latency.getHighestTrackableValue(), took));
@@ -467,7 +467,7 @@
             : 0;
     held--;
     to.accept(
-        new ScanRecord(
+        new QueryRecord(
             scan.number,
             scan.type.name(),
             scan.row.account(),
--- a/testbed/src/main/java/tidebank/testbed/replay/Replay.java
+++ b/testbed/src/main/java/tidebank/testbed/replay/Replay.java
@@ -25,13 +25,13 @@
 import org.slf4j.LoggerFactory;
 import tidebank.testbed.account.Account;
 import tidebank.testbed.account.RuleAudit;
-import tidebank.testbed.account.ScanRecord;
-import tidebank.testbed.deployment.Site;
-import tidebank.testbed.emulator.DiscoveryStandIn;
-import tidebank.testbed.emulator.DiscoveryStandIn.Health;
-import tidebank.testbed.emulator.Ledger;
+import tidebank.testbed.account.QueryRecord;
+import tidebank.testbed.deployment.Deployment;
+import tidebank.testbed.emulator.DiscoveryEmulator;
+import tidebank.testbed.emulator.DiscoveryEmulator.Health;
+import tidebank.testbed.emulator.EmulatorLog;
 import tidebank.testbed.emulator.ServerModel;
-import tidebank.testbed.emulator.ShardStandIn;
+import tidebank.testbed.emulator.ShardServerEmulator;
 import tidebank.testbed.emulator.SlotsModel;
 import tidebank.testbed.trace.TraceRow;
 import tidebank.runtime.Clock;
@@ -65,14 +65,14 @@
    * @param jvm what the gatherers' JVMs are told beside the deployment's flags
    */
   public record Plan(
-      Site site,
+      Deployment site,
       int gatherers,
       int servers,
       long seed,
       List<Incident> incidents,
       Path captures,
       List<String> jvm) {
-    public Plan(Site site, int gatherers, int servers, long seed, List<Incident> incidents) {
+    public Plan(Deployment site, int gatherers, int servers, long seed, List<Incident> incidents) {
       this(site, gatherers, servers, seed, incidents, null, List.of());
     }
 
@@ -106,16 +106,16 @@
   }
 
   private final Plan plan;
-  private final Consumer<ScanRecord> records;
+  private final Consumer<QueryRecord> records;
   private final LongConsumer progress;
   private final Account account = new Account();
-  private final List<GathererProcess> processes = new ArrayList<>();
+  private final List<RouterProcess> processes = new ArrayList<>();
   private final Map<String, Integer> exits = new TreeMap<>();
   private volatile boolean ending;
   private volatile Clients clients;
 
   /** Records are handed on as scans end, on an event loop; the progress is told the scans sent. */
-  public Replay(Plan plan, Consumer<ScanRecord> records, LongConsumer progress) {
+  public Replay(Plan plan, Consumer<QueryRecord> records, LongConsumer progress) {
     this.plan = plan;
     this.records = records;
     this.progress = progress;
@@ -133,15 +133,15 @@
   public void kill() {
     ending = true;
     synchronized (processes) {
-      processes.forEach(GathererProcess::close);
+      processes.forEach(RouterProcess::close);
     }
   }
 
   /** Plays the rows to their end. */
   public Outcome run(Iterator<TraceRow> rows) throws IOException {
-    Site site = plan.site();
+    Deployment site = plan.site();
     Clock clock = new Clock();
-    Ledger ledger = new Ledger();
+    EmulatorLog ledger = new EmulatorLog();
     RuleAudit audit =
         new RuleAudit(
             new RuleAudit.Figures(
@@ -158,7 +158,7 @@
             2, new DefaultThreadFactory("replay", true), NioIoHandler.newFactory());
     EventLoop front = group.next();
     EventLoop back = group.next();
-    List<ShardStandIn> servers = new ArrayList<>();
+    List<ShardServerEmulator> servers = new ArrayList<>();
     Thread onExit = new Thread(this::kill);
     Runtime.getRuntime().addShutdownHook(onExit);
     try {
@@ -169,13 +169,13 @@
                 site.server().queue(),
                 site.server().coldFrom(),
                 site.server().warmUs());
-        ShardStandIn server =
-            new ShardStandIn(i, plan.servers(), plan.gatherers(), site, model, ledger, clock, back);
+        ShardServerEmulator server =
+            new ShardServerEmulator(i, plan.servers(), plan.gatherers(), site, model, ledger, clock, back);
         server.open();
         servers.add(server);
       }
-      DiscoveryStandIn discovery =
-          new DiscoveryStandIn(servers, plan.gatherers(), ledger, clock, back);
+      DiscoveryEmulator discovery =
+          new DiscoveryEmulator(servers, plan.gatherers(), ledger, clock, back);
       discovery.open();
       List<Clients.Target> targets = startGatherers(discovery);
       ClientRules rules =
@@ -245,12 +245,12 @@
       } catch (IllegalStateException exiting) {
         // The process is on its way out, and the hook runs already.
       }
-      ShardStandIn.closeAll(servers, group);
+      ShardServerEmulator.closeAll(servers, group);
     }
   }
 
-  private List<Clients.Target> startGatherers(DiscoveryStandIn discovery) throws IOException {
-    List<GathererProcess> started = new ArrayList<>();
+  private List<Clients.Target> startGatherers(DiscoveryEmulator discovery) throws IOException {
+    List<RouterProcess> started = new ArrayList<>();
     for (int i = 0; i < plan.gatherers(); i++) {
       started.add(start(i, "127.0.0.1:0", discovery));
     }
@@ -262,12 +262,12 @@
     return targets;
   }
 
-  private GathererProcess start(int number, String listen, DiscoveryStandIn discovery)
+  private RouterProcess start(int number, String listen, DiscoveryEmulator discovery)
       throws IOException {
     String seed = String.format("%016x", plan.seed() * 31 + number);
     InetSocketAddress from = discovery.address(number);
-    GathererProcess process =
-        GathererProcess.start(
+    RouterProcess process =
+        RouterProcess.start(
             "g" + number,
             plan.site()
                 .gathererFile(
@@ -304,7 +304,7 @@
         "[capture]\nfolder = '" + folder + "'\nactions = \"whole\"\n");
   }
 
-  private GathererProcess latest(int number) {
+  private RouterProcess latest(int number) {
     synchronized (processes) {
       for (int i = processes.size() - 1; i >= 0; i--) {
         if (processes.get(i).name().equals("g" + number)) {
@@ -318,8 +318,8 @@
   private void play(
       long start,
       Clock clock,
-      List<ShardStandIn> servers,
-      DiscoveryStandIn discovery,
+      List<ShardServerEmulator> servers,
+      DiscoveryEmulator discovery,
       List<Clients.Target> targets,
       RuleAudit audit,
       EventLoop front,
@@ -353,8 +353,8 @@
   private void happen(
       Incident incident,
       Clock clock,
-      List<ShardStandIn> servers,
-      DiscoveryStandIn discovery,
+      List<ShardServerEmulator> servers,
+      DiscoveryEmulator discovery,
       List<Clients.Target> targets,
       RuleAudit audit,
       EventLoop front)
@@ -374,7 +374,7 @@
       case SERVER_SILENT -> servers.get(number).silent(true);
       case SERVER_SPEAKS -> servers.get(number).silent(false);
       case GATHERER_KILLED, GATHERER_RESTARTED -> {
-        GathererProcess old = latest(number);
+        RouterProcess old = latest(number);
         Clients.Target target = targets.get(number);
         if (incident.kind() == Incident.Kind.GATHERER_KILLED) {
           old.kill();
@@ -386,7 +386,7 @@
           old.terminate();
           exits.put("g" + number + " restarted", old.waitFor(10_000));
         }
-        GathererProcess fresh = start(number, "127.0.0.1:" + target.address.getPort(), discovery);
+        RouterProcess fresh = start(number, "127.0.0.1:" + target.address.getPort(), discovery);
         fresh.ready();
         target.address = fresh.address();
         target.admitted = true;
@@ -396,13 +396,13 @@
 
   /** SIGTERM to all; each has the time that the platform gives. */
   private void stopGatherers() {
-    List<GathererProcess> all;
+    List<RouterProcess> all;
     synchronized (processes) {
       all = new ArrayList<>(processes);
     }
-    List<GathererProcess> alive = all.stream().filter(GathererProcess::alive).toList();
-    alive.forEach(GathererProcess::terminate);
-    for (GathererProcess process : alive) {
+    List<RouterProcess> alive = all.stream().filter(RouterProcess::alive).toList();
+    alive.forEach(RouterProcess::terminate);
+    for (RouterProcess process : alive) {
       int code = process.waitFor(10_000);
       exits.put(process.name(), code);
       if (code != 0) {
--- a/testbed/src/main/java/tidebank/testbed/replay/GathererProcess.java
+++ b/testbed/src/main/java/tidebank/testbed/replay/RouterProcess.java
@@ -17,10 +17,10 @@
 import java.util.function.Consumer;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import tidebank.testbed.process.Guarded;
+import tidebank.testbed.process.ChildProcess;
 
 /** A gatherer in a process of its own, started as operators start one, that ends with this one. */
-public final class GathererProcess implements AutoCloseable {
+public final class RouterProcess implements AutoCloseable {
   /** Flags of the deployment's own command; small, so that many fit one machine. */
   private static final List<String> FLAGS =
       List.of(
@@ -40,9 +40,9 @@
   private final String name;
   private final Path config;
   private final CompletableFuture<InetSocketAddress> address = new CompletableFuture<>();
-  private Guarded process;
+  private ChildProcess process;
 
-  private GathererProcess(String name, Path config) {
+  private RouterProcess(String name, Path config) {
     this.name = name;
     this.config = config;
   }
@@ -51,7 +51,7 @@
    * Starts one with this configuration file's content, an operator's own file or null, and further
    * flags of its JVM.
    */
-  public static GathererProcess start(String name, String file, Path own, List<String> jvm)
+  public static RouterProcess start(String name, String file, Path own, List<String> jvm)
       throws IOException {
     return start(name, file, own, jvm, List.of(), line -> {});
   }
@@ -62,7 +62,7 @@
    * @param launcher a main class and its flags before the gatherer's own, or none
    * @param told hears each line of its output
    */
-  public static GathererProcess start(
+  public static RouterProcess start(
       String name,
       String file,
       Path own,
@@ -77,9 +77,9 @@
     if (own != null) {
       command.addAll(List.of("--config", own.toString()));
     }
-    GathererProcess started = new GathererProcess(name, config);
+    RouterProcess started = new RouterProcess(name, config);
     started.process =
-        Guarded.java(
+        ChildProcess.java(
             name,
             command,
             Map.of("NODE_CONFIG", config.toString()),
@@ -168,7 +168,7 @@
   }
 
   /** The process itself. */
-  public Guarded process() {
+  public ChildProcess process() {
     return process;
   }
 
--- a/testbed/src/main/java/tidebank/testbed/report/RunFolder.java
+++ b/testbed/src/main/java/tidebank/testbed/report/RunFolder.java
@@ -25,7 +25,7 @@
 import org.HdrHistogram.HistogramLogWriter;
 import tidebank.testbed.account.Account;
 import tidebank.testbed.account.RuleAudit;
-import tidebank.testbed.account.ScanRecord;
+import tidebank.testbed.account.QueryRecord;
 import tidebank.testbed.replay.Replay;
 
 /**
@@ -43,7 +43,7 @@
   private final Path folder;
   private final Table scans;
   private final Map<Long, Map<String, Long>> ends = new TreeMap<>();
-  private final BlockingQueue<Optional<ScanRecord>> waiting =
+  private final BlockingQueue<Optional<QueryRecord>> waiting =
       new ArrayBlockingQueue<>(WAITING_MOST);
   private final Thread writer = new Thread(this::write, "rows of the run");
   private volatile IOException fault;
@@ -90,7 +90,7 @@
    * lateness is measured. A row that finds no room is not kept, and the report says how many were
    * not; the account has them all.
    */
-  public void add(ScanRecord scan) {
+  public void add(QueryRecord scan) {
     if (!waiting.offer(Optional.of(scan))) {
       notKept++;
     }
@@ -98,7 +98,7 @@
 
   private void write() {
     try {
-      for (Optional<ScanRecord> next = waiting.take(); next.isPresent(); next = waiting.take()) {
+      for (Optional<QueryRecord> next = waiting.take(); next.isPresent(); next = waiting.take()) {
         if (fault == null) {
           write(next.get());
         }
@@ -108,7 +108,7 @@
     }
   }
 
-  private void write(ScanRecord scan) {
+  private void write(QueryRecord scan) {
     try {
       scans.add(
           scan.number(),
--- a/testbed/src/main/java/tidebank/testbed/scale/DiscoveryRig.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/DiscoveryRig.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.stream.IntStream;
-import tidebank.testbed.emulator.DiscoveryStandIn;
+import tidebank.testbed.emulator.DiscoveryEmulator;
 import tidebank.runtime.Clock;
 
 /**
@@ -20,15 +20,15 @@
 
   private final EventLoopThread thread = new EventLoopThread();
   private final Exchanges exchanges;
-  private final DiscoveryStandIn discovery;
+  private final DiscoveryEmulator discovery;
   private final ListChanges changes;
   private long version = FIRST_VERSION;
 
   DiscoveryRig(Size size, long seed) {
     exchanges = new Exchanges(size.gatherers());
-    List<HollowServer> servers =
-        IntStream.range(0, size.servers()).mapToObj(HollowServer::new).toList();
-    discovery = new DiscoveryStandIn(servers, size.gatherers(), null, new Clock(), thread.loop());
+    List<SimulatedServer> servers =
+        IntStream.range(0, size.servers()).mapToObj(SimulatedServer::new).toList();
+    discovery = new DiscoveryEmulator(servers, size.gatherers(), null, new Clock(), thread.loop());
     discovery.observe(
         (gatherer, pipeline) -> ExchangeRecorder.record(gatherer, pipeline, exchanges));
     changes = new ListChanges(discovery, size.servers(), seed);
--- a/testbed/src/main/java/tidebank/testbed/scale/ListChanges.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/ListChanges.java
@@ -1,8 +1,8 @@
 package tidebank.testbed.scale;
 
 import java.util.SplittableRandom;
-import tidebank.testbed.emulator.DiscoveryStandIn;
-import tidebank.testbed.emulator.DiscoveryStandIn.Health;
+import tidebank.testbed.emulator.DiscoveryEmulator;
+import tidebank.testbed.emulator.DiscoveryEmulator.Health;
 
 /**
  * The changes of the list, drawn from a seed: a server drains, and with the next change is back.
@@ -10,12 +10,12 @@
 final class ListChanges {
   private static final long BORN_AS_BEFORE = 0;
 
-  private final DiscoveryStandIn discovery;
+  private final DiscoveryEmulator discovery;
   private final int servers;
   private final SplittableRandom chance;
   private int draining = -1;
 
-  ListChanges(DiscoveryStandIn discovery, int servers, long seed) {
+  ListChanges(DiscoveryEmulator discovery, int servers, long seed) {
     this.discovery = discovery;
     this.servers = servers;
     chance = new SplittableRandom(seed);
--- a/testbed/src/main/java/tidebank/testbed/scale/Measurement.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/Measurement.java
@@ -10,12 +10,12 @@
   private Measurement() {}
 
   static Observed of(Size size, int listChanges, long seed) throws IOException {
-    try (HollowFleet fleet = new HollowFleet(size, seed)) {
+    try (SimulatedFleet fleet = new SimulatedFleet(size, seed)) {
       return observe(fleet, size, listChanges);
     }
   }
 
-  private static Observed observe(HollowFleet fleet, Size size, int listChanges)
+  private static Observed observe(SimulatedFleet fleet, Size size, int listChanges)
       throws IOException {
     DiscoveryRig discovery = fleet.discovery();
     long descriptorsAtRest = ProcessFigures.descriptors();
@@ -49,7 +49,7 @@
     return new Descriptors(more - accepted, listeners + accepted);
   }
 
-  private static void checkNoCallFailed(HollowFleet fleet, Size size) throws IOException {
+  private static void checkNoCallFailed(SimulatedFleet fleet, Size size) throws IOException {
     long failed = fleet.callsFailed();
     if (failed > 0) {
       throw new IOException(
--- a/testbed/src/main/java/tidebank/testbed/scale/Profile.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/Profile.java
@@ -6,7 +6,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import tidebank.config.Malformed;
+import tidebank.config.MalformedInputException;
 import tidebank.config.Toml;
 
 /**
@@ -36,11 +36,11 @@
   private static final int REPEATS_MOST = 100;
   private static final int CHANGES_MOST = 10_000;
 
-  public static Profile read(Path path) throws Malformed {
+  public static Profile read(Path path) throws MalformedInputException {
     return read(Toml.read(path));
   }
 
-  static Profile read(Toml file) throws Malformed {
+  static Profile read(Toml file) throws MalformedInputException {
     Toml.Table root = file.root();
     Toml.Table gatherers = root.table("gatherers");
     Toml.Table servers = root.table("shard_servers");
--- a/testbed/src/main/java/tidebank/testbed/scale/RecordingShardPort.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/RecordingShardPort.java
@@ -1,14 +1,14 @@
 package tidebank.testbed.scale;
 
 import java.util.List;
-import tidebank.runtime.DispatchRequest;
-import tidebank.runtime.ShardPort;
+import tidebank.runtime.AttemptRequest;
+import tidebank.runtime.BackendPort;
 
 /**
  * The side of shard servers without a socket: it counts what it is told of the list. A hollow
  * gatherer holds no scans, so whatever would need a connection is a fault of the run.
  */
-final class RecordingShardPort implements ShardPort {
+final class RecordingShardPort implements BackendPort {
   private long wholeLists;
   private long changes;
   private long entries;
@@ -24,7 +24,7 @@
   }
 
   @Override
-  public DispatchRequest.Handle send(DispatchRequest request) {
+  public AttemptRequest.Handle send(AttemptRequest request) {
     throw new IllegalStateException("a hollow gatherer sent a dispatch");
   }
 
--- a/testbed/src/main/java/tidebank/testbed/scale/GathererFiles.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/RouterFiles.java
@@ -5,20 +5,20 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
-import tidebank.config.NodeConfig;
-import tidebank.testbed.deployment.Site;
+import tidebank.config.RouterConfig;
+import tidebank.testbed.deployment.Deployment;
 
 /** The configuration of the gatherers of a scale run; a hollow and a real one read the same. */
-final class GathererFiles {
+final class RouterFiles {
   private static final int SOCKETS = 1024;
   private static final String ANY_PORT = "127.0.0.1:0";
 
-  private GathererFiles() {}
+  private RouterFiles() {}
 
-  static NodeConfig config(Size size, int gatherer, InetSocketAddress discovery, long seed)
+  static RouterConfig config(Size size, int gatherer, InetSocketAddress discovery, long seed)
       throws IOException {
     String text =
-        Site.standard()
+        Deployment.standard()
             .gathererFile(
                 "g" + gatherer,
                 ANY_PORT,
@@ -30,7 +30,7 @@
     Path file = Files.createTempFile("tidebank-scale-", ".json");
     try {
       Files.writeString(file, text);
-      return NodeConfig.read(Map.of("NODE_CONFIG", file.toString()));
+      return RouterConfig.read(Map.of("NODE_CONFIG", file.toString()));
     } finally {
       Files.delete(file);
     }
--- a/testbed/src/main/java/tidebank/testbed/scale/HollowFleet.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/SimulatedFleet.java
@@ -6,15 +6,15 @@
 import tidebank.testbed.scale.Observed.ProcessorTime;
 
 /** Hollow gatherers on one event loop, with discovery on another. */
-final class HollowFleet implements AutoCloseable {
+final class SimulatedFleet implements AutoCloseable {
   private final Size size;
   private final long seed;
   private final DiscoveryRig discovery;
   private final EventLoopThread thread = new EventLoopThread();
-  private final List<HollowGatherer> gatherers = new ArrayList<>();
+  private final List<SimulatedRouter> gatherers = new ArrayList<>();
 
   /** Opens discovery; no gatherer is there yet. */
-  HollowFleet(Size size, long seed) {
+  SimulatedFleet(Size size, long seed) {
     this.size = size;
     this.seed = seed;
     discovery = new DiscoveryRig(size, seed);
@@ -28,13 +28,13 @@
   void begin() throws IOException {
     for (int i = 0; i < size.gatherers(); i++) {
       gatherers.add(
-          new HollowGatherer(
-              GathererFiles.config(size, i, discovery.address(i), seed), thread.loop()));
+          new SimulatedRouter(
+              RouterFiles.config(size, i, discovery.address(i), seed), thread.loop()));
     }
-    gatherers.forEach(HollowGatherer::begin);
+    gatherers.forEach(SimulatedRouter::begin);
   }
 
-  HollowGatherer gatherer(int number) {
+  SimulatedRouter gatherer(int number) {
     return gatherers.get(number);
   }
 
@@ -45,12 +45,12 @@
 
   /** How many calls to discovery came to nothing. */
   long callsFailed() {
-    return gatherers.stream().mapToLong(HollowGatherer::callsFailed).sum();
+    return gatherers.stream().mapToLong(SimulatedRouter::callsFailed).sum();
   }
 
   @Override
   public void close() {
-    gatherers.forEach(HollowGatherer::close);
+    gatherers.forEach(SimulatedRouter::close);
     thread.close();
     discovery.close();
   }
--- a/testbed/src/main/java/tidebank/testbed/scale/HollowGatherer.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/SimulatedRouter.java
@@ -5,38 +5,38 @@
 import io.netty.channel.EventLoop;
 import io.netty.channel.socket.nio.NioSocketChannel;
 import java.util.List;
-import tidebank.base.Counters;
-import tidebank.config.NodeConfig;
-import tidebank.discovery.DiscoverySide;
-import tidebank.model.Event.ListKind;
+import tidebank.metrics.Counters;
+import tidebank.config.RouterConfig;
+import tidebank.discovery.DiscoveryClient;
+import tidebank.model.Event.ListUpdate;
 import tidebank.runtime.Clock;
-import tidebank.runtime.PolicyDriver;
-import tidebank.runtime.Timers;
+import tidebank.runtime.PolicyExecutor;
+import tidebank.runtime.TimerQueue;
 
 /**
  * A gatherer without sockets to clients and shard servers. Its decisions, its timers and its client
  * of discovery are the product's own; many share an event loop.
  */
-final class HollowGatherer {
+final class SimulatedRouter {
   private static final long NO_VERSION = -1;
 
   private final EventLoop loop;
   private final Counters counters = new Counters();
-  private final PolicyDriver driver;
+  private final PolicyExecutor driver;
   private final RecordingShardPort shards;
-  private final DiscoverySide discovery;
+  private final DiscoveryClient discovery;
 
-  HollowGatherer(NodeConfig config, EventLoop loop) {
+  SimulatedRouter(RouterConfig config, EventLoop loop) {
     this.loop = loop;
     Clock clock = new Clock();
-    Timers timers = new Timers(loop, clock, counters);
-    driver = new PolicyDriver(config.settings(), config.seed(), clock, timers, loop, counters);
+    TimerQueue timers = new TimerQueue(loop, clock, counters);
+    driver = new PolicyExecutor(config.settings(), config.seed(), clock, timers, loop, counters);
     shards = new RecordingShardPort();
-    discovery = new DiscoverySide(config, template(config), driver, clock, timers, counters);
+    discovery = new DiscoveryClient(config, template(config), driver, clock, timers, counters);
     driver.connect(shards, discovery);
   }
 
-  private Bootstrap template(NodeConfig config) {
+  private Bootstrap template(RouterConfig config) {
     int connectMs = (int) (config.transport().connectTimeoutUs() / 1000);
     return new Bootstrap()
         .group(loop)
@@ -49,7 +49,7 @@
   void begin() {
     loop.execute(
         () -> {
-          driver.listSeen(ListKind.REMEMBERED, List.of());
+          driver.listSeen(ListUpdate.REMEMBERED, List.of());
           discovery.begin(NO_VERSION);
         });
   }
--- a/testbed/src/main/java/tidebank/testbed/scale/Target.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/Target.java
@@ -1,7 +1,7 @@
 package tidebank.testbed.scale;
 
 import java.nio.file.Path;
-import tidebank.config.Malformed;
+import tidebank.config.MalformedInputException;
 import tidebank.config.Toml;
 
 /**
@@ -37,11 +37,11 @@
   private static final double KB = 1e3;
   private static final double MOST = 1e9;
 
-  public static Target read(Path path) throws Malformed {
+  public static Target read(Path path) throws MalformedInputException {
     return read(Toml.read(path));
   }
 
-  static Target read(Toml file) throws Malformed {
+  static Target read(Toml file) throws MalformedInputException {
     Toml.Table root = file.root();
     Target target =
         new Target(
--- a/testbed/src/main/java/tidebank/testbed/trace/Tally.java
+++ b/testbed/src/main/java/tidebank/testbed/trace/RowAccounting.java
@@ -8,7 +8,7 @@
  * to beyond itself, equal rows out, plus rejects and rows left out on purpose, both by cause.
  * {@link #check} holds that.
  */
-public final class Tally {
+public final class RowAccounting {
   private long in;
   private long expanded;
   private long out;
--- a/testbed/src/main/java/tidebank/testbed/trace/mapping/Mapping.java
+++ b/testbed/src/main/java/tidebank/testbed/trace/mapping/Mapping.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import tidebank.config.Malformed;
+import tidebank.config.MalformedInputException;
 import tidebank.config.Toml;
 import tidebank.testbed.trace.TraceRow;
 import tidebank.testbed.trace.expr.Compiler;
@@ -62,7 +62,7 @@
   private final Expression work;
   private final Expression account;
 
-  private Mapping(String name, String text) throws Malformed {
+  private Mapping(String name, String text) throws MalformedInputException {
     this.text = text;
     file = Toml.read(name, text);
     Toml.Table root = file.root();
@@ -121,13 +121,13 @@
     return source == null ? null : new Expression(path, source);
   }
 
-  public static Mapping read(Path path) throws Malformed {
+  public static Mapping read(Path path) throws MalformedInputException {
     try {
       return read(path.toString(), java.nio.file.Files.readString(path));
-    } catch (Malformed fault) {
+    } catch (MalformedInputException fault) {
       throw fault;
     } catch (java.io.IOException fault) {
-      throw new Malformed(path + ": cannot be read: " + fault.getClass().getSimpleName());
+      throw new MalformedInputException(path + ": cannot be read: " + fault.getClass().getSimpleName());
     }
   }
 
@@ -135,7 +135,7 @@
    * Reads and checks a mapping as far as that needs no file: its keys and, for a layout of known
    * columns, all types.
    */
-  public static Mapping read(String name, String text) throws Malformed {
+  public static Mapping read(String name, String text) throws MalformedInputException {
     Mapping mapping = new Mapping(name, text);
     if (mapping.layout != null && !mapping.layout.columns().isEmpty()) {
       mapping.bind(mapping.layout.columns(), false);
@@ -144,7 +144,7 @@
     return mapping;
   }
 
-  public static Mapping standard(Layout layout) throws Malformed {
+  public static Mapping standard(Layout layout) throws MalformedInputException {
     return read("the default mapping of " + layout.name(), layout.defaultMapping());
   }
 
@@ -175,7 +175,7 @@
    * A reader of a file whose header, if its layout has one, is this. Columns that mean something
    * else are renamed here.
    */
-  public Layout.Reader open(List<String> header) throws Malformed {
+  public Layout.Reader open(List<String> header) throws MalformedInputException {
     List<String> names = header;
     if (!order.isEmpty()) {
       names = order;
@@ -192,7 +192,7 @@
     try {
       return layout.open(names);
     } catch (RowException fault) {
-      throw new Malformed(
+      throw new MalformedInputException(
           "the file is not of layout "
               + layout.name()
               + ": "
@@ -205,13 +205,13 @@
    * The mapping for a file of these columns; every fault of an expression is named by key, line and
    * column.
    */
-  public Bound bind(List<Column> columns) throws Malformed {
+  public Bound bind(List<Column> columns) throws MalformedInputException {
     Bound bound = bind(columns, true);
     file.check();
     return bound;
   }
 
-  private Bound bind(List<Column> columns, boolean all) throws Malformed {
+  private Bound bind(List<Column> columns, boolean all) throws MalformedInputException {
     List<Quantiles> quantiles = new ArrayList<>();
     Bound bound =
         new Bound(
--- a/testbed/src/main/java/tidebank/testbed/trace/order/Unwrap.java
+++ b/testbed/src/main/java/tidebank/testbed/trace/order/CounterUnwrapper.java
@@ -4,13 +4,13 @@
  * Makes one clock out of a counter that wraps. A step back by more than half the period is a wrap,
  * one forward by more than half is a straggler from before the last wrap. Pure.
  */
-public final class Unwrap {
+public final class CounterUnwrapper {
   private final double period;
   private long wraps;
   private double last = Double.NaN;
 
   /** For a counter of this period in microseconds; 0 for a clock that never wraps. */
-  public Unwrap(double period) {
+  public CounterUnwrapper(double period) {
     this.period = period;
   }
 
--- a/testbed/src/main/java/tidebank/testbed/trace/order/Once.java
+++ b/testbed/src/main/java/tidebank/testbed/trace/order/DuplicateFilter.java
@@ -7,7 +7,7 @@
  * Tells an event that is told twice: same time, same identity. Holds the identities of one instant
  * only. Pure.
  */
-public final class Once {
+public final class DuplicateFilter {
   private long now = Long.MIN_VALUE;
   private final Set<Long> seen = new HashSet<>();
 
--- a/testbed/src/main/java/tidebank/testbed/trace/read/Importer.java
+++ b/testbed/src/main/java/tidebank/testbed/trace/read/Importer.java
@@ -8,7 +8,7 @@
 import java.util.Iterator;
 import java.util.List;
 import java.util.function.LongConsumer;
-import tidebank.testbed.trace.Tally;
+import tidebank.testbed.trace.RowAccounting;
 import tidebank.testbed.trace.TraceRow;
 import tidebank.testbed.trace.layout.Layout;
 import tidebank.testbed.trace.layout.RawRow;
@@ -18,8 +18,8 @@
 import tidebank.testbed.trace.order.Item;
 import tidebank.testbed.trace.order.Lateness;
 import tidebank.testbed.trace.order.Merge;
-import tidebank.testbed.trace.order.Once;
-import tidebank.testbed.trace.order.Unwrap;
+import tidebank.testbed.trace.order.DuplicateFilter;
+import tidebank.testbed.trace.order.CounterUnwrapper;
 import tidebank.testbed.trace.order.Window;
 import tidebank.testbed.trace.store.TraceFile;
 import tidebank.testbed.trace.store.TraceMeta;
@@ -42,7 +42,7 @@
   }
 
   /** What came of it. */
-  public record Result(TraceMeta meta, Tally tally, long sortedOnDisk, int spilledRuns) {}
+  public record Result(TraceMeta meta, RowAccounting tally, long sortedOnDisk, int spilledRuns) {}
 
   private static final int PROGRESS_EVERY = 8192;
 
@@ -114,7 +114,7 @@
     }
   }
 
-  private static TraceMeta told(TraceMeta meta, Tally tally, long onDisk) {
+  private static TraceMeta told(TraceMeta meta, RowAccounting tally, long onDisk) {
     return meta.note("lines_in", tally.linesIn())
         .note("expanded", tally.expandedRows())
         .note("rejected", tally.rejected())
@@ -124,7 +124,7 @@
 
   /** Stragglers into the first file's rows; what is one event told twice shows only now. */
   private static TraceMeta merge(
-      Path first, ExternalSort spill, Path to, TraceMeta meta, Tally tally) throws IOException {
+      Path first, ExternalSort spill, Path to, TraceMeta meta, RowAccounting tally) throws IOException {
     try (TraceFile.Reader inOrder = new TraceFile.Reader(first);
         TraceFile.Writer writer = new TraceFile.Writer(to, meta)) {
       long origin = inOrder.meta().originUs();
@@ -141,7 +141,7 @@
               return new Item(item.row().at(item.row().timeUs() + origin), item.event());
             }
           };
-      Once once = new Once();
+      DuplicateFilter once = new DuplicateFilter();
       long twice = 0;
       Iterator<Item> merged = Merge.of(List.of(absolute, spill.sorted()), Item.ORDER);
       while (merged.hasNext()) {
@@ -167,11 +167,11 @@
 
   /** One pass over the lines. */
   private final class Pass implements Source.Lines {
-    private final Tally tally = new Tally();
+    private final RowAccounting tally = new RowAccounting();
     private final Rejects rejects;
     private final ExternalSort spill;
-    private final Once once = new Once();
-    private final Unwrap clock = new Unwrap(mapping.wrapsAtUs());
+    private final DuplicateFilter once = new DuplicateFilter();
+    private final CounterUnwrapper clock = new CounterUnwrapper(mapping.wrapsAtUs());
     private TraceFile.Writer writer;
     private Window window;
     private Layout.Reader reader;
--- a/testbed/src/main/java/tidebank/testbed/trace/shape/Rows.java
+++ b/testbed/src/main/java/tidebank/testbed/trace/shape/RowSource.java
@@ -15,7 +15,7 @@
  * Rows that can be opened again and again, at any window, in order of time: a file, or a shape of
  * other rows. What a shape gives depends on its rows and its seed only.
  */
-public interface Rows {
+public interface RowSource {
   /** How long they go on, in microseconds; all times are below it. */
   long lengthUs();
 
@@ -34,9 +34,9 @@
   }
 
   /** A file of the normal form. */
-  static Rows file(Path path) throws IOException {
+  static RowSource file(Path path) throws IOException {
     var meta = TraceFile.meta(path);
-    return new Rows() {
+    return new RowSource() {
       @Override
       public long lengthUs() {
         return meta.endUs() + 1;
@@ -81,7 +81,7 @@
   }
 
   /** Rows in memory, in order. */
-  static Rows of(List<TraceRow> rows, long lengthUs) {
+  static RowSource of(List<TraceRow> rows, long lengthUs) {
     return made(
         lengthUs,
         rows.size(),
@@ -94,8 +94,8 @@
     Iterator<TraceRow> open(long fromUs, long untilUs);
   }
 
-  static Rows made(long lengthUs, double count, Opener opener) {
-    return new Rows() {
+  static RowSource made(long lengthUs, double count, Opener opener) {
+    return new RowSource() {
       @Override
       public long lengthUs() {
         return lengthUs;
--- a/testbed/src/main/java/tidebank/testbed/trace/shape/Shapes.java
+++ b/testbed/src/main/java/tidebank/testbed/trace/shape/Shapes.java
@@ -30,30 +30,30 @@
   private Shapes() {}
 
   /** Only a part of the time, which then starts at 0. */
-  public static Rows window(Rows of, long fromUs, long untilUs) {
+  public static RowSource window(RowSource of, long fromUs, long untilUs) {
     long from = Math.max(0, Math.min(fromUs, of.lengthUs()));
     long until = Math.max(from, Math.min(untilUs, of.lengthUs()));
     double share = of.lengthUs() == 0 ? 0 : (double) (until - from) / of.lengthUs();
-    return Rows.made(
+    return RowSource.made(
         until - from,
         of.count() * share,
         (a, b) ->
-            Rows.mapped(
+            RowSource.mapped(
                 of.open(from + a, Math.min(until, from + b)), row -> row.at(row.timeUs() - from)));
   }
 
   /** All times by a factor: 2 is twice as slow. */
-  public static Rows warp(Rows of, double factor) {
+  public static RowSource warp(RowSource of, double factor) {
     if (!(factor > 0) || Double.isInfinite(factor)) {
       throw new IllegalArgumentException("a time warp wants a factor above 0, found " + factor);
     }
     long length = Math.max(1, (long) Math.ceil(of.lengthUs() * factor));
-    return Rows.made(
+    return RowSource.made(
         length,
         of.count(),
         (a, b) ->
-            Rows.filtered(
-                Rows.mapped(
+            RowSource.filtered(
+                RowSource.mapped(
                     // One microsecond more at each end, as times are rounded down.
                     of.open((long) Math.floor(a / factor), (long) Math.ceil(b / factor) + 1),
                     row -> row.at((long) (row.timeUs() * factor))),
@@ -61,19 +61,19 @@
   }
 
   /** Only a share of the rows, by chance. */
-  public static Rows thin(Rows of, double share, By by, long seed) {
+  public static RowSource thin(RowSource of, double share, By by, long seed) {
     if (!(share > 0 && share <= 1)) {
       throw new IllegalArgumentException(
           "thinning wants a share above 0 and at most 1, found " + share);
     }
-    return Rows.made(
+    return RowSource.made(
         of.lengthUs(),
         of.count() * share,
         (a, b) -> {
           // Rows alike at one instant are told apart by how many of them came before.
           long[] alike = {0};
           TraceRow[] before = {null};
-          return Rows.filtered(
+          return RowSource.filtered(
               of.open(a, b),
               row -> {
                 alike[0] = row.equals(before[0]) ? alike[0] + 1 : 0;
@@ -101,11 +101,11 @@
    * So many copies at once, each turned round in time by an offset of its own, so that their bursts
    * do not coincide.
    */
-  public static Rows superpose(Rows of, int copies, long seed) {
+  public static RowSource superpose(RowSource of, int copies, long seed) {
     if (copies < 1) {
       throw new IllegalArgumentException("superposition wants one copy at least, found " + copies);
     }
-    List<Rows> all = new ArrayList<>();
+    List<RowSource> all = new ArrayList<>();
     for (int i = 0; i < copies; i++) {
       all.add(i == 0 ? of : turned(of, (long) (chance(seed, "copy " + i) * of.lengthUs())));
     }
@@ -113,31 +113,31 @@
   }
 
   /** Turned round in time: what came at the offset comes at 0, what came before it comes last. */
-  static Rows turned(Rows of, long offset) {
+  static RowSource turned(RowSource of, long offset) {
     long length = of.lengthUs();
-    return Rows.made(
+    return RowSource.made(
         length,
         of.count(),
         (a, b) -> {
           long cut = length - offset;
-          return Rows.chained(
+          return RowSource.chained(
               2,
               piece ->
                   piece == 0
-                      ? Rows.mapped(
+                      ? RowSource.mapped(
                           of.open(Math.min(length, a + offset), Math.min(length, b + offset)),
                           row -> row.at(row.timeUs() - offset))
-                      : Rows.mapped(
+                      : RowSource.mapped(
                           of.open(Math.max(0, a - cut), Math.max(0, b - cut)),
                           row -> row.at(row.timeUs() + cut)));
         });
   }
 
   /** Several traces at once, as long as the longest. */
-  public static Rows merge(List<Rows> all) {
-    long length = all.stream().mapToLong(Rows::lengthUs).max().orElse(0);
-    double count = all.stream().mapToDouble(Rows::count).sum();
-    return Rows.made(
+  public static RowSource merge(List<RowSource> all) {
+    long length = all.stream().mapToLong(RowSource::lengthUs).max().orElse(0);
+    double count = all.stream().mapToDouble(RowSource::count).sum();
+    return RowSource.made(
         length,
         count,
         (a, b) -> {
@@ -148,20 +148,20 @@
   }
 
   /** Over and over, until this time. */
-  public static Rows loop(Rows of, long untilUs) {
+  public static RowSource loop(RowSource of, long untilUs) {
     long length = Math.max(1, of.lengthUs());
-    return Rows.made(
+    return RowSource.made(
         untilUs,
         of.count() * untilUs / length,
         (a, b) -> {
           long end = Math.min(b, untilUs);
           long first = a / length;
           int rounds = end <= a ? 0 : (int) ((end - 1) / length - first + 1);
-          return Rows.chained(
+          return RowSource.chained(
               rounds,
               round -> {
                 long base = (first + round) * length;
-                return Rows.mapped(
+                return RowSource.mapped(
                     of.open(Math.max(0, a - base), Math.min(length, end - base)),
                     row -> row.at(row.timeUs() + base));
               });
@@ -172,7 +172,7 @@
    * To a rate in rows a second, either by time alone or by copies (and by thinning what is too
    * much).
    */
-  public static Rows scale(Rows of, double perS, Scale how, long seed) {
+  public static RowSource scale(RowSource of, double perS, Scale how, long seed) {
     if (!(perS > 0)) {
       throw new IllegalArgumentException("a rate wants to be above 0, found " + perS);
     }
@@ -189,7 +189,7 @@
       return warp(of, 1 / factor);
     }
     int copies = Math.max(1, (int) Math.ceil(factor - 1e-9));
-    Rows more = copies == 1 ? of : superpose(of, copies, seed);
+    RowSource more = copies == 1 ? of : superpose(of, copies, seed);
     double share = factor / copies;
     return share >= 1 - 1e-9 ? more : thin(more, share, By.ROW, seed);
   }
--- a/testbed/src/main/java/tidebank/testbed/trace/store/Damaged.java
+++ b/testbed/src/main/java/tidebank/testbed/trace/store/CorruptTraceException.java
@@ -3,14 +3,14 @@
 import java.io.IOException;
 
 /** A trace file that is cut, changed or of another form. */
-public final class Damaged extends IOException {
+public final class CorruptTraceException extends IOException {
   private static final long serialVersionUID = 1L;
 
-  Damaged(String what) {
+  CorruptTraceException(String what) {
     super(what);
   }
 
-  Damaged(String what, Throwable cause) {
+  CorruptTraceException(String what, Throwable cause) {
     super(what, cause);
   }
 }
--- a/testbed/src/main/java/tidebank/testbed/trace/store/TraceFile.java
+++ b/testbed/src/main/java/tidebank/testbed/trace/store/TraceFile.java
@@ -281,14 +281,14 @@
                 .build())) {
       json = reader.getFileMetaData().getKeyValueMetaData().get(TraceMeta.KEY);
     } catch (RuntimeException | IOException fault) {
-      throw new Damaged(path + ": no whole Parquet file: " + fault.getMessage(), fault);
+      throw new CorruptTraceException(path + ": no whole Parquet file: " + fault.getMessage(), fault);
     }
     if (json == null) {
-      throw new Damaged(path + ": a Parquet file, but no trace of ours");
+      throw new CorruptTraceException(path + ": a Parquet file, but no trace of ours");
     }
     TraceMeta meta = TraceMeta.read(json);
     if (meta.schema() > TraceMeta.SCHEMA) {
-      throw new Damaged(
+      throw new CorruptTraceException(
           path + ": its form " + meta.schema() + " is newer than the known " + TraceMeta.SCHEMA);
     }
     return meta;
@@ -341,7 +341,7 @@
         next = reader.read();
       } catch (IOException | RuntimeException fault) {
         throw new UncheckedIOException(
-            new Damaged(path + ": damaged after row " + rows + ": " + fault.getMessage(), fault));
+            new CorruptTraceException(path + ": damaged after row " + rows + ": " + fault.getMessage(), fault));
       }
       if (next != null) {
         rows++;
@@ -351,7 +351,7 @@
       } else if (digest != null
           && (rows != meta.rows() || !digest.hex().equals(meta.rowsDigest()))) {
         throw new UncheckedIOException(
-            new Damaged(
+            new CorruptTraceException(
                 path
                     + ": damaged: "
                     + rows
--- a/testbed/src/main/java/tidebank/testbed/trace/store/TraceMeta.java
+++ b/testbed/src/main/java/tidebank/testbed/trace/store/TraceMeta.java
@@ -74,11 +74,11 @@
     }
   }
 
-  static TraceMeta read(String json) throws Damaged {
+  static TraceMeta read(String json) throws CorruptTraceException {
     try {
       return JSON.readValue(json, TraceMeta.class);
     } catch (JsonProcessingException fault) {
-      throw new Damaged("its description can't be read");
+      throw new CorruptTraceException("its description can't be read");
     }
   }
 }
--- a/testbed/src/test/java/tidebank/coordinator/CoordinatorFixturesTest.java
+++ b/testbed/src/test/java/tidebank/coordinator/CoordinatorFixturesTest.java
@@ -31,7 +31,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import tidebank.testbed.fleet.Stewards;
+import tidebank.testbed.fleet.CoordinatorProcesses;
 
 /**
  * A coordinator's data directory and its HTTP interface as of an earlier release: a process starts
@@ -84,7 +84,7 @@
   }
 
   /** Until it leads and the tasks of its file are in the state. */
-  private void untilItServes(Stewards stewards) throws Exception {
+  private void untilItServes(CoordinatorProcesses stewards) throws Exception {
     until(
         stewards.addresses().get(0),
         "/fleet/state",
@@ -223,7 +223,7 @@
   @Tag("fixture-writer")
   void writeHttpFixture() throws Exception {
     StringBuilder lines = new StringBuilder();
-    try (Stewards stewards = new Stewards(folder, 1, SETTINGS)) {
+    try (CoordinatorProcesses stewards = new CoordinatorProcesses(folder, 1, SETTINGS)) {
       untilItServes(stewards);
       for (Exchange one : exchanges()) {
         lines
@@ -240,7 +240,7 @@
     List<String> lines =
         new String(fixture("http.jsonl").readAllBytes(), StandardCharsets.UTF_8).lines().toList();
     assertThat(lines).hasSize(exchanges().size());
-    try (Stewards stewards = new Stewards(folder, 1, SETTINGS)) {
+    try (CoordinatorProcesses stewards = new CoordinatorProcesses(folder, 1, SETTINGS)) {
       untilItServes(stewards);
       for (String line : lines) {
         JsonNode stored = JSON.readTree(line);
@@ -258,7 +258,7 @@
 
   @Test
   void aFollowerAnswersMisdirectedAndNamesTheLeader() throws Exception {
-    try (Stewards stewards = new Stewards(folder, 3, SETTINGS)) {
+    try (CoordinatorProcesses stewards = new CoordinatorProcesses(folder, 3, SETTINGS)) {
       for (String address : stewards.addresses()) {
         until(address, "/health/ready", response -> response.statusCode() == 200);
       }
@@ -289,7 +289,7 @@
     }
   }
 
-  private void accepted(Stewards stewards, String body) throws Exception {
+  private void accepted(CoordinatorProcesses stewards, String body) throws Exception {
     HttpResponse<String> response =
         call(stewards.addresses().get(0), "POST", "/fleet/command", body);
     assertThat(response.statusCode()).as(response.body()).isEqualTo(200);
@@ -297,7 +297,7 @@
   }
 
   /** Members, leases, a published value and an operator, before the snapshot and after it. */
-  private void fill(Stewards stewards) throws Exception {
+  private void fill(CoordinatorProcesses stewards) throws Exception {
     untilItServes(stewards);
     accepted(stewards, command("JOIN", "a", 1, ",\"name\":\"g0\""));
     accepted(stewards, command("CLAIM", "a", 2, ",\"name\":\"g0\",\"duty\":\"report\""));
@@ -325,14 +325,14 @@
   }
 
   /** The state without the clock, which goes on. */
-  private String storedState(Stewards stewards) throws Exception {
+  private String storedState(CoordinatorProcesses stewards) throws Exception {
     ObjectNode state =
         (ObjectNode)
             JSON.readTree(call(stewards.addresses().get(0), "GET", "/fleet/state", "").body());
     return state.put("now", "*").toString();
   }
 
-  private String history(Stewards stewards) throws Exception {
+  private String history(CoordinatorProcesses stewards) throws Exception {
     return call(stewards.addresses().get(0), "GET", "/fleet/history", "").body();
   }
 
@@ -362,7 +362,7 @@
   @Tag("fixture-writer")
   void writeDataDirectoryFixture() throws Exception {
     Files.createDirectories(SOURCES);
-    try (Stewards stewards = new Stewards(folder, 1, SETTINGS)) {
+    try (CoordinatorProcesses stewards = new CoordinatorProcesses(folder, 1, SETTINGS)) {
       fill(stewards);
       Files.writeString(SOURCES.resolve("data-directory-state.json"), storedState(stewards));
       Files.writeString(SOURCES.resolve("data-directory-history.json"), history(stewards));
@@ -374,8 +374,8 @@
 
   @Test
   void aCoordinatorStartsOnTheStoredDataDirectoryWithAllThatWasDecided() throws Exception {
-    try (Stewards stewards =
-        new Stewards(folder, 1, SETTINGS, (steward, raft, address) -> address)) {
+    try (CoordinatorProcesses stewards =
+        new CoordinatorProcesses(folder, 1, SETTINGS, (steward, raft, address) -> address)) {
       unpack(fixture("data-directory.zip"), stewards.disk(0));
       assertThat(hasSnapshot(stewards.disk(0))).isTrue();
       stewards.start(0);
@@ -393,8 +393,8 @@
 
   @Test
   void onTheStoredDataDirectoryARepeatedCommandGetsItsFirstAnswer() throws Exception {
-    try (Stewards stewards =
-        new Stewards(folder, 1, SETTINGS, (steward, raft, address) -> address)) {
+    try (CoordinatorProcesses stewards =
+        new CoordinatorProcesses(folder, 1, SETTINGS, (steward, raft, address) -> address)) {
       unpack(fixture("data-directory.zip"), stewards.disk(0));
       stewards.start(0);
       untilItServes(stewards);
--- a/testbed/src/test/java/tidebank/coordinator/LeaseFixturesTest.java
+++ b/testbed/src/test/java/tidebank/coordinator/LeaseFixturesTest.java
@@ -23,14 +23,14 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import tidebank.fleet.LeaseCodec;
-import tidebank.lease.Answer;
-import tidebank.lease.Command;
-import tidebank.lease.Command.Kind;
-import tidebank.lease.LeaseBook;
-import tidebank.lease.Terms;
-import tidebank.coordinator.LeaseMachine.Kept;
-import tidebank.coordinator.LeaseMachine.Stamped;
-import tidebank.coordinator.StewardClient.Past;
+import tidebank.lease.CommandResult;
+import tidebank.lease.LeaseCommand;
+import tidebank.lease.LeaseCommand.Kind;
+import tidebank.lease.LeaseTable;
+import tidebank.lease.LeaseConfig;
+import tidebank.coordinator.LeaseStateMachine.SnapshotContent;
+import tidebank.coordinator.LeaseStateMachine.LogRecord;
+import tidebank.coordinator.CoordinatorClient.AuditEntry;
 
 /**
  * Commands, results, state, log records and snapshots as an earlier release wrote them: read, and
@@ -40,7 +40,7 @@
  */
 class LeaseFixturesTest {
   private static final Path SOURCES = Path.of("src/test/resources/fixtures/control");
-  private static final Terms TERMS = new Terms(1_000_000, 0.05, 10, 100);
+  private static final LeaseConfig TERMS = new LeaseConfig(1_000_000, 0.05, 10, 100);
   private static final int SNAPSHOT_HEADER = Integer.BYTES + Long.BYTES;
 
   /** Keys with sentences for people, which may be worded anew. */
@@ -81,10 +81,10 @@
 
   // ---- the script that the fixtures were made by
 
-  private static List<Stamped> script() {
-    List<Stamped> records = new ArrayList<>();
+  private static List<LogRecord> script() {
+    List<LogRecord> records = new ArrayList<>();
     Map<String, Long> numbers = new TreeMap<>();
-    Command.Plan plan = new Command.Plan(TERMS, List.of("probe/a", "report", "retention"));
+    LeaseCommand.Plan plan = new LeaseCommand.Plan(TERMS, List.of("probe/a", "report", "retention"));
     record(records, numbers, 1, 0, Kind.PLAN, "plan of s0", "", "", 0, 0, "", plan);
     member(records, numbers, 10, Kind.JOIN, "g0", "", 0, 0, "");
     member(records, numbers, 20, Kind.CLAIM, "g0", "probe/a", 0, 0, "");
@@ -109,7 +109,7 @@
   }
 
   private static void member(
-      List<Stamped> records,
+      List<LogRecord> records,
       Map<String, Long> numbers,
       long atMs,
       Kind kind,
@@ -134,7 +134,7 @@
   }
 
   private static void record(
-      List<Stamped> records,
+      List<LogRecord> records,
       Map<String, Long> numbers,
       long term,
       long atMs,
@@ -145,36 +145,36 @@
       long token,
       long revision,
       String value,
-      Command.Plan plan) {
+      LeaseCommand.Plan plan) {
     long number = numbers.merge(session, 1L, Long::sum);
     records.add(
-        new Stamped(
+        new LogRecord(
             term,
             atMs * 1000,
             1_700_000_000_000L + atMs,
-            new Command(kind, session, number, name, duty, token, revision, value, plan)));
+            new LeaseCommand(kind, session, number, name, duty, token, revision, value, plan)));
   }
 
   /** What a state machine makes of log records, as the coordinator applies them. */
   private static final class Applied {
-    private final LeaseBook book = new LeaseBook(TERMS);
-    private final DutyHistory history = new DutyHistory(Map.of());
-    private final List<Answer> answers = new ArrayList<>();
+    private final LeaseTable book = new LeaseTable(TERMS);
+    private final LeaseAuditLog history = new LeaseAuditLog(Map.of());
+    private final List<CommandResult> answers = new ArrayList<>();
 
-    Applied(List<Stamped> records) {
-      for (Stamped record : records) {
-        LeaseBook.State before = book.state();
+    Applied(List<LogRecord> records) {
+      for (LogRecord record : records) {
+        LeaseTable.State before = book.state();
         answers.add(book.apply(record.term(), record.at(), record.command()));
         history.applied(before, book.state(), record.wallMs());
       }
     }
 
-    Kept kept() {
-      return new Kept(book.state(), history.all());
+    SnapshotContent kept() {
+      return new SnapshotContent(book.state(), history.all());
     }
   }
 
-  private static byte[] snapshotOfVersion1(LeaseBook.State state) {
+  private static byte[] snapshotOfVersion1(LeaseTable.State state) {
     byte[] json = LeaseCodec.bytes(state);
     CRC32C crc = new CRC32C();
     crc.update(json);
@@ -197,17 +197,17 @@
   @Test
   @Tag("fixture-writer")
   void writeFixtures() throws IOException {
-    List<Stamped> records = script();
+    List<LogRecord> records = script();
     Applied applied = new Applied(records);
     Files.createDirectories(SOURCES);
     Files.write(SOURCES.resolve("log-records.jsonl"), jsonLines(records));
     Files.write(
         SOURCES.resolve("commands.jsonl"),
-        jsonLines(records.stream().map(Stamped::command).toList()));
+        jsonLines(records.stream().map(LogRecord::command).toList()));
     Files.write(SOURCES.resolve("results.jsonl"), jsonLines(applied.answers));
     Files.write(SOURCES.resolve("state.json"), LeaseCodec.bytes(applied.book.state()));
     Files.write(SOURCES.resolve("history.json"), LeaseCodec.bytes(applied.history.all()));
-    Files.write(SOURCES.resolve("snapshot-version-2.bin"), LeaseMachine.packed(applied.kept()));
+    Files.write(SOURCES.resolve("snapshot-version-2.bin"), LeaseStateMachine.packed(applied.kept()));
     Files.write(
         SOURCES.resolve("snapshot-version-1.bin"), snapshotOfVersion1(applied.book.state()));
   }
@@ -216,7 +216,7 @@
 
   @Test
   void everyKindOfCommandIsReadAndWrittenToTheSameBytes() throws IOException {
-    List<Command> commands = readAndWriteAgain("commands.jsonl", Command.class);
+    List<LeaseCommand> commands = readAndWriteAgain("commands.jsonl", LeaseCommand.class);
     Set<String> words = new HashSet<>();
     for (byte[] line : lines("commands.jsonl")) {
       words.add(new ObjectMapper().readTree(line).path("kind").asText());
@@ -225,14 +225,14 @@
         .containsExactlyInAnyOrder(
             "JOIN", "RENEW", "LEAVE", "CLAIM", "RELEASE", "PUBLISH", "MOVE", "DRAIN", "ADMIT",
             "RETIRE", "PLAN");
-    assertThat(commands.stream().map(Command::kind).distinct().toList())
+    assertThat(commands.stream().map(LeaseCommand::kind).distinct().toList())
         .containsExactlyInAnyOrder(Kind.values());
     assertThat(commands.get(0).plan().duties()).containsExactly("probe/a", "report", "retention");
     assertThat(commands.get(0).plan().terms()).isEqualTo(TERMS);
-    Command publish = commands.get(6);
+    LeaseCommand publish = commands.get(6);
     assertThat(publish)
         .isEqualTo(
-            new Command(
+            new LeaseCommand(
                 Kind.PUBLISH,
                 "session of g0",
                 4,
@@ -246,7 +246,7 @@
 
   @Test
   void aCommandFromOutsideMayLeaveOutWhatItsKindDoesNotNeed() throws Exception {
-    Command command =
+    LeaseCommand command =
         LeaseCodec.command(
             "{\"kind\":\"CLAIM\",\"session\":\"x\",\"number\":3,\"name\":\"g9\",\"duty\":\"report\"}"
                 .getBytes(StandardCharsets.UTF_8));
@@ -258,9 +258,9 @@
 
   @Test
   void resultsAreReadAndWrittenToTheSameBytes() throws IOException {
-    List<Answer> answers = readAndWriteAgain("results.jsonl", Answer.class);
+    List<CommandResult> answers = readAndWriteAgain("results.jsonl", CommandResult.class);
     assertThat(answers.get(3).grants())
-        .containsExactly(new Answer.Grant("probe/a", 1), new Answer.Grant("report", 1));
+        .containsExactly(new CommandResult.Grant("probe/a", 1), new CommandResult.Grant("report", 1));
     assertThat(answers.get(1).wanted()).containsExactly("probe/a", "report", "retention");
     assertThat(answers.get(1).terms()).isEqualTo(TERMS);
     assertThat(answers.get(6).revision()).isEqualTo(1);
@@ -274,13 +274,13 @@
 
   @Test
   void theStateIsReadAndWrittenToTheSameBytes() throws IOException {
-    LeaseBook.State state = readAndWriteAgain("state.json", LeaseBook.State.class).get(0);
+    LeaseTable.State state = readAndWriteAgain("state.json", LeaseTable.State.class).get(0);
     assertThat(state.term()).isEqualTo(1);
     assertThat(state.now()).isEqualTo(190_000);
     assertThat(state.tokenFloor()).isZero();
-    assertThat(state.members().stream().map(LeaseBook.Member::name).toList())
+    assertThat(state.members().stream().map(LeaseTable.Member::name).toList())
         .containsExactly("g0", "g1", "g2", "g3");
-    LeaseBook.Member member = state.members().get(2);
+    LeaseTable.Member member = state.members().get(2);
     assertThat(member.draining()).isTrue();
     assertThat(member.retired()).isFalse();
     assertThat(member.session()).isEqualTo("session of g2");
@@ -290,10 +290,10 @@
     assertThat(member.number()).isEqualTo(1);
     assertThat(member.answer().fault()).isNull();
     assertThat(state.members().get(3).retired()).isTrue();
-    LeaseBook.Duty report = state.duties().get(1);
+    LeaseTable.TaskLease report = state.duties().get(1);
     assertThat(report)
         .isEqualTo(
-            new LeaseBook.Duty(
+            new LeaseTable.TaskLease(
                 "report",
                 1,
                 "g0",
@@ -305,7 +305,7 @@
                 1,
                 "report-1-by-1.json"));
     assertThat(state.duties().get(2).pinned()).isEqualTo("g1");
-    assertThat(state.operators().stream().map(LeaseBook.Operator::session).toList())
+    assertThat(state.operators().stream().map(LeaseTable.Operator::session).toList())
         .containsExactly("plan of s0", "operator-2", "operator");
     assertThat(state.operators().get(1).answer().fault().code()).isEqualTo("TB-1001");
   }
@@ -314,7 +314,7 @@
   void theHistoryIsReadAndWrittenToTheSameBytes() throws IOException {
     JsonNode json = new ObjectMapper().readTree(fixture("history.json"));
     assertThat(json.fieldNames()).toIterable().containsExactly("probe/a", "report", "retention");
-    TreeMap<String, List<Past>> history = new TreeMap<>();
+    TreeMap<String, List<AuditEntry>> history = new TreeMap<>();
     json.fieldNames()
         .forEachRemaining(
             duty -> {
@@ -324,7 +324,7 @@
                     Arrays.asList(
                         LeaseCodec.read(
                             json.get(duty).toString().getBytes(StandardCharsets.UTF_8),
-                            Past[].class)));
+                            AuditEntry[].class)));
               } catch (IOException fault) {
                 throw new AssertionError(fault);
               }
@@ -332,19 +332,19 @@
     assertThat(LeaseCodec.bytes(history)).isEqualTo(fixture("history.json"));
     assertThat(history.get("probe/a"))
         .containsExactly(
-            new Past(1_700_000_000_020L, 1, "g0", "granted"),
-            new Past(1_700_000_000_160L, 1, "g0", "let go"));
+            new AuditEntry(1_700_000_000_020L, 1, "g0", "granted"),
+            new AuditEntry(1_700_000_000_160L, 1, "g0", "let go"));
     assertThat(history.get("retention"))
         .containsExactly(
-            new Past(1_700_000_000_080L, 0, "g1", "moved to"),
-            new Past(1_700_000_000_090L, 1, "g1", "granted"));
+            new AuditEntry(1_700_000_000_080L, 0, "g1", "moved to"),
+            new AuditEntry(1_700_000_000_090L, 1, "g1", "granted"));
   }
 
   // ---- the log and snapshots
 
   @Test
   void logRecordsAreReadWrittenToTheSameBytesAndLeadToTheSameResults() throws IOException {
-    List<Stamped> records = readAndWriteAgain("log-records.jsonl", Stamped.class);
+    List<LogRecord> records = readAndWriteAgain("log-records.jsonl", LogRecord.class);
     assertThat(records.get(1).term()).isEqualTo(1);
     assertThat(records.get(1).at()).isEqualTo(10_000);
     assertThat(records.get(1).wallMs()).isEqualTo(1_700_000_000_010L);
@@ -362,8 +362,8 @@
   @Test
   void aSnapshotIsReadAndWrittenToTheSameBytes() throws Exception {
     byte[] bytes = fixture("snapshot-version-2.bin");
-    Kept kept = LeaseMachine.unpacked("s", bytes);
-    assertThat(LeaseMachine.packed(kept)).isEqualTo(bytes);
+    SnapshotContent kept = LeaseStateMachine.unpacked("s", bytes);
+    assertThat(LeaseStateMachine.packed(kept)).isEqualTo(bytes);
     assertThat(LeaseCodec.bytes(kept.state())).isEqualTo(fixture("state.json"));
     assertThat(LeaseCodec.bytes(new TreeMap<>(kept.history()))).isEqualTo(fixture("history.json"));
   }
@@ -371,10 +371,10 @@
   @Test
   void aSnapshotOfTheVersionBeforeIsReadAndWrittenAsThisOneWithoutHistory() throws Exception {
     byte[] bytes = fixture("snapshot-version-1.bin");
-    Kept kept = LeaseMachine.unpacked("s", bytes);
+    SnapshotContent kept = LeaseStateMachine.unpacked("s", bytes);
     assertThat(kept.history()).isEmpty();
     assertThat(snapshotOfVersion1(kept.state())).isEqualTo(bytes);
-    byte[] written = LeaseMachine.packed(kept);
+    byte[] written = LeaseStateMachine.packed(kept);
     assertThat(ByteBuffer.wrap(written).getInt()).isEqualTo(2);
     String state = new String(fixture("state.json"), StandardCharsets.UTF_8);
     assertThat(
--- a/testbed/src/test/java/tidebank/coordinator/SnapshotTest.java
+++ b/testbed/src/test/java/tidebank/coordinator/SnapshotTest.java
@@ -9,31 +9,31 @@
 import java.util.Map;
 import java.util.zip.CRC32C;
 import org.junit.jupiter.api.Test;
-import tidebank.base.TidebankException;
+import tidebank.errors.TidebankException;
 import tidebank.fleet.LeaseCodec;
-import tidebank.lease.Command;
-import tidebank.lease.Command.Kind;
-import tidebank.lease.LeaseBook;
-import tidebank.lease.Terms;
-import tidebank.coordinator.LeaseMachine.Kept;
-import tidebank.coordinator.StewardClient.Past;
+import tidebank.lease.LeaseCommand;
+import tidebank.lease.LeaseCommand.Kind;
+import tidebank.lease.LeaseTable;
+import tidebank.lease.LeaseConfig;
+import tidebank.coordinator.LeaseStateMachine.SnapshotContent;
+import tidebank.coordinator.CoordinatorClient.AuditEntry;
 
 /**
  * A snapshot whole, cut, spoilt and of an older version; and what became of duties, which stands in
  * it.
  */
 class SnapshotTest {
-  private static final Terms TERMS = new Terms(1_000_000, 0.05, 10, 100);
+  private static final LeaseConfig TERMS = new LeaseConfig(1_000_000, 0.05, 10, 100);
 
-  private final LeaseBook book = new LeaseBook(TERMS);
-  private final DutyHistory history = new DutyHistory(Map.of());
+  private final LeaseTable book = new LeaseTable(TERMS);
+  private final LeaseAuditLog history = new LeaseAuditLog(Map.of());
   private int number;
 
   private void apply(long at, Kind kind, String who, String duty, long token) {
-    LeaseBook.State before = book.state();
-    Command.Plan plan = kind == Kind.PLAN ? new Command.Plan(TERMS, List.of("report")) : null;
+    LeaseTable.State before = book.state();
+    LeaseCommand.Plan plan = kind == Kind.PLAN ? new LeaseCommand.Plan(TERMS, List.of("report")) : null;
     book.apply(
-        1, at * 1000, new Command(kind, "of " + who, ++number, who, duty, token, 0, "", plan));
+        1, at * 1000, new LeaseCommand(kind, "of " + who, ++number, who, duty, token, 0, "", plan));
     history.applied(before, book.state(), at);
   }
 
@@ -56,10 +56,10 @@
             Map.of(
                 "report",
                 List.of(
-                    new Past(20, 1, "g0", "granted"),
-                    new Past(2010, 2, "g1", "granted, as the lease of g0 was over"),
-                    new Past(2020, 2, "g1", "moved to"),
-                    new Past(2030, 2, "g1", "let go"))));
+                    new AuditEntry(20, 1, "g0", "granted"),
+                    new AuditEntry(2010, 2, "g1", "granted, as the lease of g0 was over"),
+                    new AuditEntry(2020, 2, "g1", "moved to"),
+                    new AuditEntry(2030, 2, "g1", "let go"))));
   }
 
   @Test
@@ -69,27 +69,27 @@
       apply(3000 + i, Kind.MOVE, i % 2 == 0 ? "" : "g1", "report", 0);
     }
     assertThat(history.all().get("report"))
-        .hasSize(DutyHistory.KEPT)
+        .hasSize(LeaseAuditLog.KEPT)
         .last()
-        .isEqualTo(new Past(3099, 2, "g1", "moved to"));
+        .isEqualTo(new AuditEntry(3099, 2, "g1", "moved to"));
   }
 
   @Test
   void aSnapshotCutAtAnyByteOrWithAnyBitTurnedIsDamagedAndAWholeOneIsNot() throws Exception {
     some();
-    Kept kept = new Kept(book.state(), history.all());
-    byte[] whole = LeaseMachine.packed(kept);
-    assertThat(LeaseMachine.unpacked("s", whole)).isEqualTo(kept);
+    SnapshotContent kept = new SnapshotContent(book.state(), history.all());
+    byte[] whole = LeaseStateMachine.packed(kept);
+    assertThat(LeaseStateMachine.unpacked("s", whole)).isEqualTo(kept);
     for (int length = 0; length < whole.length; length++) {
       byte[] cut = Arrays.copyOf(whole, length);
-      assertThatThrownBy(() -> LeaseMachine.unpacked("s", cut))
+      assertThatThrownBy(() -> LeaseStateMachine.unpacked("s", cut))
           .as("cut to " + length)
-          .isInstanceOf(TidebankException.SnapshotDamaged.class);
+          .isInstanceOf(TidebankException.CorruptSnapshot.class);
       byte[] turned = whole.clone();
       turned[length] ^= (byte) (1 << length % 8);
-      assertThatThrownBy(() -> LeaseMachine.unpacked("s", turned))
+      assertThatThrownBy(() -> LeaseStateMachine.unpacked("s", turned))
           .as("turned at " + length)
-          .isInstanceOf(TidebankException.SnapshotDamaged.class);
+          .isInstanceOf(TidebankException.CorruptSnapshot.class);
     }
   }
 
@@ -101,6 +101,6 @@
     crc.update(json);
     byte[] old =
         ByteBuffer.allocate(12 + json.length).putInt(1).putLong(crc.getValue()).put(json).array();
-    assertThat(LeaseMachine.unpacked("s", old)).isEqualTo(new Kept(book.state(), Map.of()));
+    assertThat(LeaseStateMachine.unpacked("s", old)).isEqualTo(new SnapshotContent(book.state(), Map.of()));
   }
 }
--- a/testbed/src/test/java/tidebank/fleet/SharedFolderFixturesTest.java
+++ b/testbed/src/test/java/tidebank/fleet/SharedFolderFixturesTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import tidebank.fleet.FleetReport.Told;
+import tidebank.fleet.FleetReport.MemberCounters;
 import tidebank.fleet.Retention.Bounds;
 import tidebank.fleet.Retention.Item;
 import tidebank.fleet.Retention.Stock;
@@ -40,12 +40,12 @@
 
   /** Counters of two members, two reports that follow each other, and two lists of removals. */
   private static void writeAll(Path to) throws IOException {
-    FleetFolder fleet = new FleetFolder(to);
-    Told first = new Told("start-1", 1, counters(10, 1));
+    SharedFolder fleet = new SharedFolder(to);
+    MemberCounters first = new MemberCounters("start-1", 1, counters(10, 1));
     FleetReport report = FleetReport.NONE.next("", 3, List.of("g0", "g1"), Map.of("g0", first));
     assertThat(fleet.write(report)).isEqualTo(FIRST_REPORT);
-    fleet.tell("g0", new Told("start-1", 2, counters(17, 1)));
-    fleet.tell("g1", new Told("start-2", 1, counters(4, 0)));
+    fleet.tell("g0", new MemberCounters("start-1", 2, counters(17, 1)));
+    fleet.tell("g1", new MemberCounters("start-2", 1, counters(4, 0)));
     FleetReport next = report.next(FIRST_REPORT, 4, List.of("g0", "g1", "g2"), fleet.told());
     assertThat(fleet.write(next)).isEqualTo(SECOND_REPORT);
     Bounds bounds = new Bounds(1000, 100);
@@ -89,14 +89,14 @@
   }
 
   /** A copy, as reading opens the folder and makes what is not there. */
-  private FleetFolder stored() throws IOException {
+  private SharedFolder stored() throws IOException {
     Path copy = folder.resolve("stored");
     for (Map.Entry<String, String> file : files(FIXTURES).entrySet()) {
       Path to = copy.resolve(file.getKey());
       Files.createDirectories(to.getParent());
       Files.writeString(to, file.getValue());
     }
-    return new FleetFolder(copy);
+    return new SharedFolder(copy);
   }
 
   @Test
@@ -109,15 +109,15 @@
 
   @Test
   void countersAreReadAndWrittenToTheSameBytes() throws IOException {
-    Map<String, Told> told = stored().told();
+    Map<String, MemberCounters> told = stored().told();
     assertThat(told)
         .isEqualTo(
             Map.of(
-                "g0", new Told("start-1", 2, counters(17, 1)),
-                "g1", new Told("start-2", 1, counters(4, 0))));
+                "g0", new MemberCounters("start-1", 2, counters(17, 1)),
+                "g1", new MemberCounters("start-2", 1, counters(4, 0))));
     Path again = Files.createDirectory(folder.resolve("again"));
-    FleetFolder fleet = new FleetFolder(again);
-    for (Map.Entry<String, Told> member : told.entrySet()) {
+    SharedFolder fleet = new SharedFolder(again);
+    for (Map.Entry<String, MemberCounters> member : told.entrySet()) {
       fleet.tell(member.getKey(), member.getValue());
     }
     SortedMap<String, String> stored = files(FIXTURES);
@@ -128,7 +128,7 @@
 
   @Test
   void reportsAreReadAndWrittenToTheSameBytes() throws IOException {
-    FleetFolder fleet = stored();
+    SharedFolder fleet = stored();
     FleetReport report = fleet.read(SECOND_REPORT);
     assertThat(report.number()).isEqualTo(2);
     assertThat(report.follows()).isEqualTo(FIRST_REPORT);
@@ -138,7 +138,7 @@
     assertThat(report.members().get("g0").sequence()).isEqualTo(2);
     assertThat(fleet.read("")).isEqualTo(FleetReport.NONE);
     Path again = Files.createDirectory(folder.resolve("again"));
-    FleetFolder copy = new FleetFolder(again);
+    SharedFolder copy = new SharedFolder(again);
     for (String name : List.of(FIRST_REPORT, SECOND_REPORT)) {
       assertThat(copy.write(fleet.read(name))).isEqualTo(name);
       assertThat(files(again).get("reports/" + name))
@@ -148,14 +148,14 @@
 
   @Test
   void removalListsAreReadAndWrittenToTheSameBytes() throws IOException {
-    FleetFolder fleet = stored();
+    SharedFolder fleet = stored();
     assertThat(fleet.removal(SECOND_LIST))
         .isEqualTo(
             new Retention(
                 2, FIRST_LIST, 6, List.of("reports/report-1-by-3.json", "captures/g0/2.tbc")));
     assertThat(fleet.removal("")).isEqualTo(Retention.NONE);
     Path again = Files.createDirectory(folder.resolve("again"));
-    FleetFolder copy = new FleetFolder(again);
+    SharedFolder copy = new SharedFolder(again);
     for (String name : List.of(FIRST_LIST, SECOND_LIST)) {
       assertThat(copy.write(fleet.removal(name))).isEqualTo(name);
       assertThat(files(again).get("removals/" + name))
--- a/testbed/src/test/java/tidebank/lease/LeaseModel.java
+++ b/testbed/src/test/java/tidebank/lease/LeaseModel.java
@@ -6,7 +6,7 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 import java.util.stream.Collectors;
-import tidebank.base.TidebankException;
+import tidebank.errors.TidebankException;
 import tidebank.testbed.explore.Explorer;
 
 /**
@@ -19,7 +19,7 @@
   static final int MEMBERS = 3;
   static final List<String> DUTIES = List.of("probe", "report");
   private static final long TICK = 1_000_000;
-  static final Terms TERMS = new Terms(3 * TICK, 0.05, 8, 64);
+  static final LeaseConfig TERMS = new LeaseConfig(3 * TICK, 0.05, 8, 64);
 
   /** How fast the clocks of the members and of the leaders by term run. */
   private static final double[] MEMBER_RATES = {0.95, 1.05, 1};
@@ -48,16 +48,16 @@
   record World(
       int tick,
       int term,
-      LeaseBook.State book,
-      List<Holder> holders,
-      List<Command> commands,
+      LeaseTable.State book,
+      List<LeaseHolder> holders,
+      List<LeaseCommand> commands,
       List<Sent> answers,
       int lost,
       int disturbed,
       TreeMap<String, String> ghosts,
       String wrong) {}
 
-  record Sent(int to, String session, long number, Answer answer) {}
+  record Sent(int to, String session, long number, CommandResult answer) {}
 
   private final Flaw flaw;
   private final int losses;
@@ -75,7 +75,7 @@
     this.disturbed = disturbed;
   }
 
-  private final class Book extends LeaseBook {
+  private final class Book extends LeaseTable {
     private long at;
 
     Book(State state) {
@@ -83,7 +83,7 @@
     }
 
     @Override
-    public Answer apply(long in, long clock, Command command) {
+    public CommandResult apply(long in, long clock, LeaseCommand command) {
       at = clock;
       return super.apply(in, clock, command);
     }
@@ -96,7 +96,7 @@
     }
 
     @Override
-    protected boolean over(Duty duty) {
+    protected boolean over(TaskLease duty) {
       return super.over(duty) || flaw == Flaw.TAKEN_OVER_TOO_EARLY && at >= duty.until() - TICK;
     }
 
@@ -106,23 +106,23 @@
     }
 
     @Override
-    protected long nextToken(Duty duty) {
+    protected long nextToken(TaskLease duty) {
       return flaw == Flaw.TOKEN_DOES_NOT_GROW ? 1 : super.nextToken(duty);
     }
 
     @Override
-    protected boolean current(Duty duty, Command command) {
+    protected boolean current(TaskLease duty, LeaseCommand command) {
       return flaw == Flaw.TOKEN_NOT_COMPARED || super.current(duty, command);
     }
   }
 
-  private final class Member extends Holder {
+  private final class Member extends LeaseHolder {
     Member(String name, String session) {
       super(name, session);
     }
 
     @Override
-    protected Holder blank(String called, String in) {
+    protected LeaseHolder blank(String called, String in) {
       return new Member(called, in);
     }
 
@@ -141,12 +141,12 @@
     }
 
     @Override
-    protected long lasts(Terms terms) {
+    protected long lasts(LeaseConfig terms) {
       return flaw == Flaw.DRIFT_LEFT_OUT ? terms.leaseUs() : super.lasts(terms);
     }
 
     @Override
-    protected boolean inTime(Owned one, long now, long margin) {
+    protected boolean inTime(HeldLease one, long now, long margin) {
       return flaw == Flaw.DEADLINE_NOT_CHECKED || super.inTime(one, now, margin);
     }
 
@@ -180,7 +180,7 @@
         new World(
             0,
             1,
-            new LeaseBook(TERMS).state(),
+            new LeaseTable(TERMS).state(),
             List.of(),
             List.of(),
             List.of(),
@@ -192,12 +192,12 @@
     book.apply(
         1,
         leaderClock(world),
-        new Command(
-            Command.Kind.PLAN, "steward", 1, "", "", 0, 0, "", new Command.Plan(TERMS, DUTIES)));
-    List<Holder> holders = new ArrayList<>();
+        new LeaseCommand(
+            LeaseCommand.Kind.PLAN, "steward", 1, "", "", 0, 0, "", new LeaseCommand.Plan(TERMS, DUTIES)));
+    List<LeaseHolder> holders = new ArrayList<>();
     for (int i = 0; i < MEMBERS; i++) {
-      Holder holder = new Member("m" + i, "s" + i);
-      Command join = holder.ask(memberClock(world, i));
+      LeaseHolder holder = new Member("m" + i, "s" + i);
+      LeaseCommand join = holder.ask(memberClock(world, i));
       holder.answered(
           join.number(), book.apply(1, leaderClock(world), join), memberClock(world, i));
       holders.add(holder);
@@ -252,8 +252,8 @@
       World moved =
           taken(
                   world,
-                  new Command(
-                      Command.Kind.MOVE, "operator", 1, "m1", DUTIES.get(0), 0, 0, "", null),
+                  new LeaseCommand(
+                      LeaseCommand.Kind.MOVE, "operator", 1, "m1", DUTIES.get(0), 0, 0, "", null),
                   null)
               .world;
       next.accept(
@@ -273,7 +273,7 @@
     for (int i = 0; i < MEMBERS; i++) {
       asks(world, i, next);
       if (world.disturbed == 0) {
-        List<Holder> holders = new ArrayList<>(world.holders);
+        List<LeaseHolder> holders = new ArrayList<>(world.holders);
         holders.set(i, new Member("m" + i, "s" + i + "'"));
         next.accept(
             "m" + i + " is killed and starts again",
@@ -290,12 +290,12 @@
                 null));
       }
     }
-    for (Command command : world.commands) {
+    for (LeaseCommand command : world.commands) {
       next.accept("late: " + text(command) + " comes", taken(world, command, null).world);
     }
     for (Sent sent : world.answers) {
-      List<Holder> holders = new ArrayList<>(world.holders);
-      Holder holder = holders.get(sent.to).copy();
+      List<LeaseHolder> holders = new ArrayList<>(world.holders);
+      LeaseHolder holder = holders.get(sent.to).copy();
       if (holder.toString().startsWith("m" + sent.to + sent.session)) {
         holder.answered(sent.number, sent.answer, memberClock(world, sent.to));
         holders.set(sent.to, holder);
@@ -322,28 +322,28 @@
    */
   private void asks(World world, int i, BiConsumer<String, World> next) {
     for (boolean publish : new boolean[] {false, true}) {
-      Holder asking = world.holders.get(i).copy();
+      LeaseHolder asking = world.holders.get(i).copy();
       long clock = memberClock(world, i);
-      Command command = null;
+      LeaseCommand command = null;
       if (!publish) {
         command = asking.ask(clock);
       } else if (asking.mayAct(DUTIES.get(0), clock, 0) > 0) {
         long revision = world.book.duties().get(0).revision();
-        Command before = asking.copy().ask(clock);
+        LeaseCommand before = asking.copy().ask(clock);
         command = asking.publish(DUTIES.get(0), revision, "by m" + i, clock);
         command = command == null || command.equals(before) ? null : command;
       }
       if (command == null) {
         continue;
       }
-      List<Holder> holders = new ArrayList<>(world.holders);
+      List<LeaseHolder> holders = new ArrayList<>(world.holders);
       Taken taken = taken(world, command, null);
-      Holder answered = asking.copy();
+      LeaseHolder answered = asking.copy();
       answered.answered(command.number(), taken.answer, clock);
       holders.set(i, answered);
       next.accept("m" + i + ": " + text(command) + ", answered", with(taken.world, holders));
       if (world.lost < losses) {
-        List<Holder> waiting = new ArrayList<>(world.holders);
+        List<LeaseHolder> waiting = new ArrayList<>(world.holders);
         waiting.set(i, asking);
         Sent sent = new Sent(i, command.session(), command.number(), taken.answer);
         World lost = taken(world, command, sent).world;
@@ -360,7 +360,7 @@
                 lost.disturbed,
                 lost.ghosts,
                 lost.wrong));
-        List<Command> commands = new ArrayList<>(world.commands);
+        List<LeaseCommand> commands = new ArrayList<>(world.commands);
         commands.add(command);
         next.accept(
             "m" + i + ": " + text(command) + ", on its way",
@@ -379,7 +379,7 @@
     }
   }
 
-  private static World with(World world, List<Holder> holders) {
+  private static World with(World world, List<LeaseHolder> holders) {
     return new World(
         world.tick,
         world.term,
@@ -406,7 +406,7 @@
     return ghosts;
   }
 
-  private static String call(Command command) {
+  private static String call(LeaseCommand command) {
     return call(command.session(), command.number());
   }
 
@@ -414,7 +414,7 @@
     return "call " + session + " " + number;
   }
 
-  private static String text(Command command) {
+  private static String text(LeaseCommand command) {
     return command.kind()
         + (command.duty().isEmpty() ? "" : " " + command.duty())
         + " ("
@@ -424,22 +424,22 @@
         + ")";
   }
 
-  private record Taken(World world, Answer answer) {}
+  private record Taken(World world, CommandResult answer) {}
 
   /** The stewards take a command. Beside it, what an observer at the resource notes down. */
-  private Taken taken(World world, Command command, Sent sent) {
+  private Taken taken(World world, LeaseCommand command, Sent sent) {
     Book book =
         new Book(
             flaw == Flaw.NEW_LEADER_FORGETS && world.term > world.book.term()
                 ? forgotten(world.book)
                 : world.book);
-    Answer answer = book.apply(world.term, leaderClock(world), command);
-    LeaseBook.State after = book.state();
+    CommandResult answer = book.apply(world.term, leaderClock(world), command);
+    LeaseTable.State after = book.state();
     TreeMap<String, String> ghosts = new TreeMap<>(world.ghosts);
     String wrong = null;
     for (int i = 0; i < DUTIES.size(); i++) {
-      LeaseBook.Duty was = world.book.duties().get(i);
-      LeaseBook.Duty is = after.duties().get(i);
+      LeaseTable.TaskLease was = world.book.duties().get(i);
+      LeaseTable.TaskLease is = after.duties().get(i);
       if (is.token() < was.token()
           || !is.session().isEmpty()
               && !is.session().equals(was.session())
@@ -457,7 +457,7 @@
     // without effect.
     boolean past =
         answer.fault() != null
-            && (answer.fault().is(TidebankException.CallOld.class)
+            && (answer.fault().is(TidebankException.StaleSequenceNumber.class)
                 || answer.fault().is(TidebankException.MemberUnknown.class)
                 || answer.fault().is(TidebankException.NameTaken.class));
     if (!past && !outcome.equals(ghosts.getOrDefault(call, outcome))) {
@@ -486,8 +486,8 @@
   }
 
   /** The state with every lease over. */
-  private static LeaseBook.State forgotten(LeaseBook.State state) {
-    return new LeaseBook.State(
+  private static LeaseTable.State forgotten(LeaseTable.State state) {
+    return new LeaseTable.State(
         state.terms(),
         state.term(),
         state.now(),
@@ -496,7 +496,7 @@
         state.duties().stream()
             .map(
                 duty ->
-                    new LeaseBook.Duty(
+                    new LeaseTable.TaskLease(
                         duty.name(),
                         duty.token(),
                         duty.owner(),
