--- a/testbed/src/test/java/tidebank/lease/LeaseBookTest.java
+++ b/testbed/src/test/java/tidebank/lease/LeaseTableTest.java
@@ -8,15 +8,15 @@
 import java.util.Map;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import tidebank.lease.Command.Kind;
-import tidebank.lease.LeaseBook.Duty;
+import tidebank.lease.LeaseCommand.Kind;
+import tidebank.lease.LeaseTable.TaskLease;
 
 /** What members, operators and new leaders make of the stewards' state. Times are in ms here. */
-class LeaseBookTest {
+class LeaseTableTest {
   private static final long MS = 1000;
-  private static final Terms TERMS = new Terms(3000 * MS, 0.05, 50, 64);
+  private static final LeaseConfig TERMS = new LeaseConfig(3000 * MS, 0.05, 50, 64);
 
-  private final LeaseBook book = new LeaseBook(TERMS);
+  private final LeaseTable book = new LeaseTable(TERMS);
   private final Map<String, Long> numbers = new HashMap<>();
   private long term = 1;
   private long now = 7_000;
@@ -28,7 +28,7 @@
 
   private void plan(List<String> duties) {
     apply(
-        new Command(
+        new LeaseCommand(
             Kind.PLAN,
             "steward",
             number("steward"),
@@ -37,37 +37,37 @@
             0,
             0,
             "",
-            new Command.Plan(TERMS, duties)));
+            new LeaseCommand.Plan(TERMS, duties)));
   }
 
   private long number(String session) {
     return numbers.merge(session, 1L, Long::sum);
   }
 
-  private Answer apply(Command command) {
+  private CommandResult apply(LeaseCommand command) {
     return book.apply(term, now * MS, command);
   }
 
   /** A member's session is its name with a tick for each start. */
-  private Answer ask(Kind kind, String session) {
-    return apply(Command.of(kind, session, number(session), session.replace("'", "")));
+  private CommandResult ask(Kind kind, String session) {
+    return apply(LeaseCommand.of(kind, session, number(session), session.replace("'", "")));
   }
 
-  private Answer about(Kind kind, String session, String duty, long token) {
+  private CommandResult about(Kind kind, String session, String duty, long token) {
     return apply(
-        new Command(
+        new LeaseCommand(
             kind, session, number(session), session.replace("'", ""), duty, token, 0, "x", null));
   }
 
   private String operate(Kind kind, String name, String duty) {
-    return code(apply(new Command(kind, "op", number("op"), name, duty, 0, 0, "", null)));
+    return code(apply(new LeaseCommand(kind, "op", number("op"), name, duty, 0, 0, "", null)));
   }
 
-  private static String code(Answer answer) {
+  private static String code(CommandResult answer) {
     return answer.fault() == null ? "" : answer.fault().code();
   }
 
-  private Duty duty(String name) {
+  private TaskLease duty(String name) {
     return book.state().duties().stream()
         .filter(duty -> duty.name().equals(name))
         .findFirst()
@@ -78,7 +78,7 @@
   void aDutyIsClaimedRenewedReleasedAndHeldByOneOnly() {
     assertThat(ask(Kind.JOIN, "a").wanted()).containsExactly("probe/a", "report");
     assertThat(about(Kind.CLAIM, "a", "report", 0).grants())
-        .containsExactly(new Answer.Grant("report", 1));
+        .containsExactly(new CommandResult.Grant("report", 1));
     assertThat(code(about(Kind.CLAIM, "a", "nothing", 0))).isEqualTo("TB-1001");
     ask(Kind.JOIN, "b");
     assertThat(code(about(Kind.CLAIM, "b", "report", 0))).isEqualTo("TB-1002");
@@ -110,7 +110,7 @@
     assertThat(ask(Kind.RENEW, "a").grants()).isEmpty();
     assertThat(code(about(Kind.PUBLISH, "a", "report", 1))).isEqualTo("TB-1005");
     assertThat(about(Kind.CLAIM, "a", "report", 0).grants())
-        .containsExactly(new Answer.Grant("report", 2));
+        .containsExactly(new CommandResult.Grant("report", 2));
   }
 
   @Test
@@ -124,7 +124,7 @@
     now += 1500;
     assertThat(ask(Kind.RENEW, "b").wanted()).contains("report");
     assertThat(about(Kind.CLAIM, "b", "report", 0).grants())
-        .contains(new Answer.Grant("report", 2));
+        .contains(new CommandResult.Grant("report", 2));
     assertThat(code(ask(Kind.JOIN, "a'"))).isEmpty();
     assertThat(code(ask(Kind.RENEW, "a"))).isEqualTo("TB-1007");
   }
@@ -167,7 +167,7 @@
     assertThat(code(about(Kind.CLAIM, "b", held, 0))).isEqualTo("TB-1002");
     now += 10;
     ask(Kind.RENEW, "b");
-    assertThat(about(Kind.CLAIM, "b", held, 0).grants()).contains(new Answer.Grant(held, 2));
+    assertThat(about(Kind.CLAIM, "b", held, 0).grants()).contains(new CommandResult.Grant(held, 2));
     term = 3;
     now = 1_000_000;
     ask(Kind.RENEW, "b");
@@ -204,7 +204,7 @@
     plan(List.of("probe/a"));
     plan(List.of("probe/a", "report"));
     assertThat(about(Kind.CLAIM, "a", "report", 0).grants())
-        .contains(new Answer.Grant("report", 3));
+        .contains(new CommandResult.Grant("report", 3));
   }
 
   @Test
@@ -244,10 +244,10 @@
   void itsStateTakenUpAnewGoesOnAsIfNothingHadBeen() {
     ask(Kind.JOIN, "a");
     about(Kind.CLAIM, "a", "report", 0);
-    Command published =
-        new Command(Kind.PUBLISH, "a", number("a"), "a", "report", 1, 0, "report-1", null);
-    Answer first = apply(published);
-    LeaseBook again = new LeaseBook(book.state());
+    LeaseCommand published =
+        new LeaseCommand(Kind.PUBLISH, "a", number("a"), "a", "report", 1, 0, "report-1", null);
+    CommandResult first = apply(published);
+    LeaseTable again = new LeaseTable(book.state());
     assertThat(again.state()).isEqualTo(book.state());
     assertThat(again.apply(term, now * MS + 5, published)).isEqualTo(first);
     assertThat(
@@ -255,7 +255,7 @@
                 again.apply(
                     term,
                     now * MS + 5,
-                    new Command(Kind.PUBLISH, "a", 90, "a", "report", 1, 0, "report-2", null))))
+                    new LeaseCommand(Kind.PUBLISH, "a", 90, "a", "report", 1, 0, "report-2", null))))
         .isEqualTo("TB-1011");
   }
 }
--- a/testbed/src/test/java/tidebank/testbed/ArchitectureTest.java
+++ b/testbed/src/test/java/tidebank/testbed/ArchitectureTest.java
@@ -26,19 +26,19 @@
   /** The classes that decide. A new one is added here. */
   private static final Set<String> DECIDE =
       Set.of(
-          "tidebank.RoutingPolicy",
-          "tidebank.capture.Codec",
-          "tidebank.capture.Keeping",
+          "tidebank.policy.RoutingPolicy",
+          "tidebank.capture.CaptureCodec",
+          "tidebank.capture.SegmentRetention",
           "tidebank.fleet.FleetReport",
           "tidebank.fleet.Retention",
           "tidebank.runtime.Readiness",
-          "tidebank.runtime.ReadPasses",
-          "tidebank.runtime.ShutdownPlan",
+          "tidebank.runtime.ReadDelayEstimator",
+          "tidebank.runtime.ShutdownSchedule",
           "tidebank.testbed.account.Account",
-          "tidebank.testbed.chaos.Drawn",
-          "tidebank.testbed.chaos.Gaps",
+          "tidebank.testbed.chaos.RandomScript",
+          "tidebank.testbed.chaos.UnownedIntervals",
           "tidebank.testbed.chaos.LeaseRules",
-          "tidebank.testbed.chaos.Linear",
+          "tidebank.testbed.chaos.LinearizabilityChecker",
           "tidebank.testbed.account.RuleAudit",
           "tidebank.testbed.replay.ClientRules",
           "tidebank.testbed.scale.Budgets",
@@ -47,11 +47,11 @@
           "tidebank.testbed.scale.MemoryNeed",
           "tidebank.testbed.scale.Quantities",
           "tidebank.testbed.emulator.SlotsModel",
-          "tidebank.testbed.trace.Tally",
+          "tidebank.testbed.trace.RowAccounting",
           "tidebank.testbed.trace.order.Lateness",
           "tidebank.testbed.trace.order.Merge",
-          "tidebank.testbed.trace.order.Once",
-          "tidebank.testbed.trace.order.Unwrap",
+          "tidebank.testbed.trace.order.DuplicateFilter",
+          "tidebank.testbed.trace.order.CounterUnwrapper",
           "tidebank.testbed.trace.stats.TraceStats",
           "tidebank.testbed.trace.synth.Arrivals");
 
@@ -170,7 +170,7 @@
                 JavaClass.Predicates.resideInAnyPackage("tidebank.lease..", "java..")
                     .or(
                         JavaClass.Predicates.belongToAnyOf(
-                            tidebank.base.TidebankException.class, tidebank.model.Chance.class))));
+                            tidebank.errors.TidebankException.class, tidebank.model.SeededRandom.class))));
   }
 
   @Test
@@ -201,7 +201,7 @@
     holds(
         classes()
             .that()
-            .haveFullyQualifiedName("tidebank.RoutingPolicy")
+            .haveFullyQualifiedName("tidebank.policy.RoutingPolicy")
             .or()
             .resideInAPackage("tidebank.model")
             .should()
--- a/testbed/src/test/java/tidebank/testbed/ReplayedTest.java
+++ b/testbed/src/test/java/tidebank/testbed/CaptureReplayTest.java
@@ -13,37 +13,37 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import tidebank.RoutingPolicy;
-import tidebank.capture.Recorder;
-import tidebank.capture.Segments;
-import tidebank.testbed.capture.Replayed;
+import tidebank.policy.RoutingPolicy;
+import tidebank.capture.CaptureRecorder;
+import tidebank.capture.CaptureSegments;
+import tidebank.testbed.capture.CaptureReplay;
 import tidebank.model.Action;
 import tidebank.model.Event;
-import tidebank.model.Event.ListKind;
-import tidebank.model.Event.Listed;
-import tidebank.model.Event.ServerStatus;
+import tidebank.model.Event.ListUpdate;
+import tidebank.model.Event.Endpoint;
+import tidebank.model.Event.EndpointStatus;
 import tidebank.model.Outcome;
-import tidebank.model.Repeat;
+import tidebank.model.Idempotency;
 import tidebank.model.Settings;
-import tidebank.model.TableType;
+import tidebank.model.QueryClass;
 
 /**
  * A capture drives a fresh module to the same decisions; where it can't, it says so and guesses
  * nothing.
  */
-class ReplayedTest {
+class CaptureReplayTest {
   private static final long MS = 1000;
 
   @TempDir Path folder;
   private long now = 1_000_000;
 
   private static Settings settings() {
-    Map<String, TableType> types = new LinkedHashMap<>();
+    Map<String, QueryClass> types = new LinkedHashMap<>();
     types.put(
-        "part", new TableType("part", Repeat.REPLAYABLE, 0, 1000 * MS, 3000 * MS, 0.1, 0.5, 1, 0));
+        "part", new QueryClass("part", Idempotency.REPLAYABLE, 0, 1000 * MS, 3000 * MS, 0.1, 0.5, 1, 0));
     types.put(
         "once",
-        new TableType("once", Repeat.NON_REPLAYABLE, 0, 1000 * MS, 3000 * MS, 0.1, 1, 1, 0));
+        new QueryClass("once", Idempotency.NON_REPLAYABLE, 0, 1000 * MS, 3000 * MS, 0.1, 1, 1, 0));
     return new Settings(
         2,
         0,
@@ -60,16 +60,16 @@
   /**
    * Plays a rough little day through a module and records it; returns how many turns there were.
    */
-  private int day(Recorder recorder, long seed, int scans) {
+  private int day(CaptureRecorder recorder, long seed, int scans) {
     RoutingPolicy policy = new RoutingPolicy(settings(), seed);
     recorder.started(settings(), seed);
     SplittableRandom chance = new SplittableRandom(seed);
     List<Event> list = new ArrayList<>();
-    List<Listed> lines = new ArrayList<>();
+    List<Endpoint> lines = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
-      lines.add(new Listed("s" + i, i, ServerStatus.IN_SERVICE, 0, 1));
+      lines.add(new Endpoint("s" + i, i, EndpointStatus.IN_SERVICE, 0, 1));
     }
-    list.add(new Event.ListSeen(ListKind.REMEMBERED, lines));
+    list.add(new Event.EndpointListReceived(ListUpdate.REMEMBERED, lines));
     List<Action> todo = new ArrayList<>(turn(policy, recorder, list));
     Map<String, Integer> tries = new LinkedHashMap<>();
     int turns = 1;
@@ -77,22 +77,22 @@
       now += 1 + chance.nextInt(20_000);
       List<Event> events = new ArrayList<>();
       for (Action action : todo) {
-        if (action instanceof Action.Send send) {
+        if (action instanceof Action.SendAttempt send) {
           int number = tries.merge(send.part(), 1, Integer::sum) - 1;
           Outcome outcome =
               chance.nextInt(5) == 0
                   ? Outcome.FULL
                   : chance.nextInt(9) == 0 ? Outcome.TIMED_OUT : Outcome.COMPLETED;
           events.add(
-              new Event.DispatchEnded(
+              new Event.AttemptCompleted(
                   send.part(), number, outcome, 1000 + chance.nextInt(90_000), false, Map.of()));
         } else if (action instanceof Action.SetTimer timer && timer.waitUs() < 20_000) {
-          events.add(new Event.TimerDue(timer.token()));
+          events.add(new Event.TimerFired(timer.token()));
         }
       }
       String id = "q" + scan;
       events.add(
-          new Event.ScanTaken(
+          new Event.QueryReceived(
               id,
               scan,
               chance.nextInt(4) == 0 ? "once" : "part",
@@ -102,7 +102,7 @@
               false,
               "k" + scan % 7));
       for (int shard = 0; shard < 4; shard++) {
-        events.add(new Event.PartTaken(id + "." + shard, scan, shard, 0.25, ""));
+        events.add(new Event.ShardRequestReceived(id + "." + shard, scan, shard, 0.25, ""));
       }
       todo = turn(policy, recorder, events);
       turns++;
@@ -110,29 +110,29 @@
     return turns;
   }
 
-  private List<Action> turn(RoutingPolicy policy, Recorder recorder, List<Event> events) {
+  private List<Action> turn(RoutingPolicy policy, CaptureRecorder recorder, List<Event> events) {
     List<Action> actions = policy.on(now, events);
     recorder.turn(now, events, actions);
     return actions;
   }
 
-  private Recorder recorder(boolean whole, long segment) throws IOException {
-    return new Recorder(
-        new Recorder.Plan(folder.resolve("c"), whole, 100_000, segment, 1L << 30, false),
+  private CaptureRecorder recorder(boolean whole, long segment) throws IOException {
+    return new CaptureRecorder(
+        new CaptureRecorder.Plan(folder.resolve("c"), whole, 100_000, segment, 1L << 30, false),
         () -> now);
   }
 
-  private Replayed.Result replay() throws IOException {
-    return Replayed.replay(folder.resolve("c"), (number, turn, actions) -> {});
+  private CaptureReplay.Result replay() throws IOException {
+    return CaptureReplay.replay(folder.resolve("c"), (number, turn, actions) -> {});
   }
 
   @Test
   void aCaptureReplaysToTheSameDecisionsTwice() throws IOException {
     int turns;
-    try (Recorder recorder = recorder(false, 1 << 20)) {
+    try (CaptureRecorder recorder = recorder(false, 1 << 20)) {
       turns = day(recorder, 3, 500);
     }
-    Replayed.Result first = replay();
+    CaptureReplay.Result first = replay();
     assertThat(first.turns()).isEqualTo(turns).isEqualTo(first.same());
     assertThat(first.torn()).isEmpty();
     assertThat(replay()).isEqualTo(first);
@@ -140,39 +140,39 @@
 
   @Test
   void adecisionThatWentOtherwiseIsNamedWithBothSides() throws IOException {
-    try (Recorder recorder = recorder(true, 1 << 20)) {
+    try (CaptureRecorder recorder = recorder(true, 1 << 20)) {
       recorder.started(settings(), 5);
       RoutingPolicy policy = new RoutingPolicy(settings(), 5);
       List<Event> list =
           List.of(
-              new Event.ListSeen(
-                  ListKind.REMEMBERED,
-                  List.of(new Listed("s0", 0, ServerStatus.IN_SERVICE, 0, 1))));
+              new Event.EndpointListReceived(
+                  ListUpdate.REMEMBERED,
+                  List.of(new Endpoint("s0", 0, EndpointStatus.IN_SERVICE, 0, 1))));
       recorder.turn(now, list, policy.on(now, list));
       List<Event> scan =
           List.of(
-              new Event.ScanTaken("a", 1, "part", "", now, now + 3000 * MS, false, "k"),
-              new Event.PartTaken("a.0", 1, 0, 1, ""));
+              new Event.QueryReceived("a", 1, "part", "", now, now + 3000 * MS, false, "k"),
+              new Event.ShardRequestReceived("a.0", 1, 0, 1, ""));
       // Another build of the module turned it away.
       recorder.turn(now + 5, scan, List.of(new Action.Throttle("a", 0)));
     }
-    Replayed.Result result = replay();
+    CaptureReplay.Result result = replay();
     assertThat(result.alike()).isFalse();
     assertThat(result.divergence().turn()).isEqualTo(1);
     assertThat(result.divergence().then()).containsExactly(new Action.Throttle("a", 0));
     assertThat(result.divergence().now())
-        .anyMatch(action -> action instanceof Action.Send send && send.part().equals("a.0"));
+        .anyMatch(action -> action instanceof Action.SendAttempt send && send.part().equals("a.0"));
   }
 
   @Test
   void afterARestartOfTheModuleItGoesOnFromThere() throws IOException {
     int turns;
-    try (Recorder recorder = recorder(false, 1 << 20)) {
+    try (CaptureRecorder recorder = recorder(false, 1 << 20)) {
       turns = day(recorder, 3, 50);
       recorder.failed(now, List.of(), new IllegalStateException("as the test wants it"));
       turns += day(recorder, 4, 50);
     }
-    Replayed.Result result = replay();
+    CaptureReplay.Result result = replay();
     assertThat(result.same()).isEqualTo(turns);
     assertThat(result.starts()).isEqualTo(2);
     assertThat(result.failures()).isEqualTo(1);
@@ -183,21 +183,21 @@
     int turns = 0;
     for (int i = 0; i < 3; i++) {
       // Each recorder begins a segment of its own.
-      try (Recorder recorder = recorder(false, 1 << 20)) {
+      try (CaptureRecorder recorder = recorder(false, 1 << 20)) {
         turns += day(recorder, 3 + i, 200);
       }
     }
-    List<Path> files = Segments.in(folder.resolve("c"));
+    List<Path> files = CaptureSegments.in(folder.resolve("c"));
     assertThat(files).hasSize(3);
     assertThat(replay().same()).isEqualTo(turns);
     byte[] tail = Files.readAllBytes(files.get(2));
     Files.write(files.get(2), java.util.Arrays.copyOf(tail, tail.length - 1));
-    Replayed.Result cut = replay();
+    CaptureReplay.Result cut = replay();
     assertThat(cut.same()).isEqualTo(cut.turns()).isLessThan(turns);
     assertThat(cut.torn()).singleElement().asString().contains("cut");
     Files.write(files.get(2), tail);
     Files.delete(files.get(1));
-    Replayed.Result holed = replay();
+    CaptureReplay.Result holed = replay();
     assertThat(holed.torn()).singleElement().asString().contains("segments before it are missing");
     assertThat(holed.same()).isEqualTo(2L * 201);
     assertThat(holed.alike()).isTrue();
--- a/testbed/src/test/java/tidebank/testbed/ErrorsTest.java
+++ b/testbed/src/test/java/tidebank/testbed/ErrorsTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
-import tidebank.base.TidebankException;
+import tidebank.errors.TidebankException;
 
 /** The page of errors and the types say the same. */
 class ErrorsTest {
@@ -23,7 +23,7 @@
         .containsExactlyElementsOf(types.stream().sorted().toList());
     for (Class<?> type : TidebankException.class.getPermittedSubclasses()) {
       TidebankException.Entry entry = type.getAnnotation(TidebankException.Entry.class);
-      if (type != TidebankException.Refused.class) {
+      if (type != TidebankException.RequestRejected.class) {
         assertThat(entry.advice()).as(type.getSimpleName()).hasSizeGreaterThan(30);
         assertThat(page)
             .contains("## " + entry.code() + " " + type.getSimpleName() + "\n")
--- a/testbed/src/test/java/tidebank/testbed/ExpressionTest.java
+++ b/testbed/src/test/java/tidebank/testbed/ExpressionTest.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import tidebank.config.Malformed;
+import tidebank.config.MalformedInputException;
 import tidebank.testbed.trace.expr.Compiler;
 import tidebank.testbed.trace.expr.Quantiles;
 import tidebank.testbed.trace.expr.Value;
@@ -133,7 +133,7 @@
                     depot = 'job_idd'
                     work_ms = '20 + user'
                     """))
-        .isInstanceOf(Malformed.class)
+        .isInstanceOf(MalformedInputException.class)
         .hasMessageContaining("m.toml:2: depoots: unknown key; did you mean \"depots\"?")
         .hasMessageContaining("m.toml:4: map.table_type: gives a number, wanted a text")
         .hasMessageContaining(
--- a/testbed/src/test/java/tidebank/testbed/ImportTest.java
+++ b/testbed/src/test/java/tidebank/testbed/ImportTest.java
@@ -30,7 +30,7 @@
 import tidebank.testbed.trace.read.Importer;
 import tidebank.testbed.trace.read.Sniffer;
 import tidebank.testbed.trace.read.Source;
-import tidebank.testbed.trace.store.Damaged;
+import tidebank.testbed.trace.store.CorruptTraceException;
 import tidebank.testbed.trace.store.TraceFile;
 
 /**
@@ -410,6 +410,6 @@
         .hasMessageContaining("no-number-time");
     assertThat(folder.resolve("out.parquet")).doesNotExist();
     assertThatThrownBy(() -> TraceFile.meta(file(folder, "f", text("PAR1 no"))))
-        .isInstanceOf(Damaged.class);
+        .isInstanceOf(CorruptTraceException.class);
   }
 }
--- a/testbed/src/test/java/tidebank/testbed/ReplayTest.java
+++ b/testbed/src/test/java/tidebank/testbed/ReplayTest.java
@@ -12,14 +12,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import tidebank.config.Malformed;
-import tidebank.testbed.account.ScanRecord;
+import tidebank.config.MalformedInputException;
+import tidebank.testbed.account.QueryRecord;
 import tidebank.testbed.replay.Incident;
 import tidebank.testbed.replay.Incident.Kind;
 import tidebank.testbed.replay.Replay;
 import tidebank.testbed.report.Comparison;
 import tidebank.testbed.report.RunFolder;
-import tidebank.testbed.deployment.Site;
+import tidebank.testbed.deployment.Deployment;
 import tidebank.testbed.trace.TraceRow;
 
 /**
@@ -55,7 +55,7 @@
   private Replay.Outcome play(List<TraceRow> rows, List<Incident> incidents, RunFolder to)
       throws Exception {
     Replay replay =
-        new Replay(new Replay.Plan(Site.standard(), 2, 6, 1, incidents), to::add, sent -> {});
+        new Replay(new Replay.Plan(Deployment.standard(), 2, 6, 1, incidents), to::add, sent -> {});
     return replay.run(rows.iterator());
   }
 
@@ -64,7 +64,7 @@
     RunFolder run = RunFolder.create(folder, "calm");
     Replay.Outcome outcome = play(rows(2, 60), List.of(), run);
     assertThat(outcome.broken()).isEmpty();
-    assertThat(outcome.figures().ends()).isEqualTo(Map.of(ScanRecord.End.COMPLETED, 120L));
+    assertThat(outcome.figures().ends()).isEqualTo(Map.of(QueryRecord.End.COMPLETED, 120L));
     assertThat(outcome.figures().score()).isEqualTo(1);
     assertThat(outcome.scansJudged()).isEqualTo(120);
     assertThat(outcome.dispatches()).isGreaterThanOrEqualTo(30 + 30 * 3 + 60 * 8);
@@ -103,8 +103,8 @@
   void oneSeedSendsTheSameScansAtTheSameIntendedTimes() throws Exception {
     List<List<String>> sent = new ArrayList<>();
     for (int round = 0; round < 2; round++) {
-      ConcurrentLinkedQueue<ScanRecord> records = new ConcurrentLinkedQueue<>();
-      new Replay(new Replay.Plan(Site.standard(), 1, 4, 5, List.of()), records::add, count -> {})
+      ConcurrentLinkedQueue<QueryRecord> records = new ConcurrentLinkedQueue<>();
+      new Replay(new Replay.Plan(Deployment.standard(), 1, 4, 5, List.of()), records::add, count -> {})
           .run(rows(1, 50).iterator());
       sent.add(
           records.stream()
@@ -121,7 +121,7 @@
     assertThatThrownBy(
             () ->
                 new Replay(
-                        new Replay.Plan(Site.standard(), 1, 3, 1, List.of()),
+                        new Replay.Plan(Deployment.standard(), 1, 3, 1, List.of()),
                         record -> {},
                         sent -> {})
                     .run(rows.iterator()))
@@ -141,10 +141,10 @@
             folder.resolve("site.toml"),
             "shards = 8\n[servers]\nslots = 2\n[[table_type]]\n"
                 + "name = 'a'\nrepeat = 'replayable'\ntarget_ms = 300\ntimeout_ms = 900\n");
-    Site site = Site.read(file);
+    Deployment site = Deployment.read(file);
     assertThat(site.shards()).isEqualTo(8);
     assertThat(site.types()).containsOnlyKeys("a");
-    assertThat(site.width()).isEqualTo(Site.standard().width());
+    assertThat(site.width()).isEqualTo(Deployment.standard().width());
     Files.writeString(
         file,
         "shard = 8\n"
@@ -153,8 +153,8 @@
             + "repeat = 'keyed'\n"
             + "target_ms = 300\n"
             + "timeout_ms = 9\n");
-    assertThatThrownBy(() -> Site.read(file))
-        .isInstanceOf(Malformed.class)
+    assertThatThrownBy(() -> Deployment.read(file))
+        .isInstanceOf(MalformedInputException.class)
         .hasMessageContaining("site.toml:1: shard: unknown key; did you mean \"shards\"?")
         .hasMessageContaining("site.toml:4: table_type[0].repeat")
         .hasMessageContaining("site.toml:6: table_type[0].timeout_ms");
--- a/testbed/src/test/java/tidebank/testbed/ShapesTest.java
+++ b/testbed/src/test/java/tidebank/testbed/ShapesTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 import tidebank.testbed.trace.TraceRow;
-import tidebank.testbed.trace.shape.Rows;
+import tidebank.testbed.trace.shape.RowSource;
 import tidebank.testbed.trace.shape.Shapes;
 import tidebank.testbed.trace.stats.TraceStats;
 import tidebank.testbed.trace.synth.Arrivals;
@@ -24,7 +24,7 @@
   private static final long S = 1_000_000;
 
   /** A bursty trace: second by second at one of two rates, with skewed keys. */
-  private static Rows trace(int seconds, long seed) {
+  private static RowSource trace(int seconds, long seed) {
     SplittableRandom chance = new SplittableRandom(seed);
     List<TraceRow> rows = new ArrayList<>();
     boolean busy = false;
@@ -47,7 +47,7 @@
                 "x"));
       }
     }
-    return Rows.of(rows, seconds * S);
+    return RowSource.of(rows, seconds * S);
   }
 
   private static List<TraceRow> all(Iterator<TraceRow> rows) {
@@ -56,13 +56,13 @@
     return list;
   }
 
-  private static TraceStats.Summary stats(Rows rows) {
+  private static TraceStats.Summary stats(RowSource rows) {
     TraceStats stats = new TraceStats();
     rows.open().forEachRemaining(stats::add);
     return stats.summary();
   }
 
-  private static List<Rows> shapes(Rows rows, long seed) {
+  private static List<RowSource> shapes(RowSource rows, long seed) {
     return List.of(
         Shapes.window(rows, 3 * S, 17 * S),
         Shapes.warp(rows, 0.37),
@@ -77,7 +77,7 @@
 
   @Property(tries = 20, seed = "17")
   void everyShapeIsInOrderWithinItsLengthAndTheSameEachTime(@ForAll long seed) {
-    for (Rows shape : shapes(trace(20, seed), seed)) {
+    for (RowSource shape : shapes(trace(20, seed), seed)) {
       List<TraceRow> rows = all(shape.open());
       assertThat(rows).isNotEmpty().isEqualTo(all(shape.open()));
       long before = 0;
@@ -93,7 +93,7 @@
       @ForAll long seed,
       @ForAll @DoubleRange(min = 0, max = 1) double a,
       @ForAll @DoubleRange(min = 0, max = 1) double b) {
-    for (Rows shape : shapes(trace(20, seed), seed)) {
+    for (RowSource shape : shapes(trace(20, seed), seed)) {
       long from = (long) (Math.min(a, b) * shape.lengthUs());
       long until = (long) (Math.max(a, b) * shape.lengthUs());
       assertThat(all(shape.open(from, until)))
@@ -107,7 +107,7 @@
   @Property(tries = 10, seed = "17")
   void copiesKeepEveryRowAndLoopsRepeatThemAll(
       @ForAll long seed, @ForAll @IntRange(min = 1, max = 5) int times) {
-    Rows rows = trace(10, seed);
+    RowSource rows = trace(10, seed);
     int count = all(rows.open()).size();
     assertThat(all(Shapes.superpose(rows, times, seed).open())).hasSize(times * count);
     assertThat(all(Shapes.loop(rows, times * rows.lengthUs()).open())).hasSize(times * count);
@@ -115,7 +115,7 @@
 
   @Test
   void copiesKeepBurstinessAndSkewAndARateIsReached() {
-    Rows rows = trace(8000, 5);
+    RowSource rows = trace(8000, 5);
     TraceStats.Summary before = stats(rows);
     TraceStats.Summary copies = stats(Shapes.superpose(rows, 4, 9));
     assertThat(copies.dispersion().get(1))
@@ -156,7 +156,7 @@
 
   @Test
   void whatIsMadeAfterATraceIsLikeItAndTheSameForOneSeed() {
-    Rows rows = trace(900, 11);
+    RowSource rows = trace(900, 11);
     Synthesis synthesis = new Synthesis();
     rows.open().forEachRemaining(synthesis::learn);
     synthesis.learned();
--- a/testbed/src/test/java/tidebank/testbed/bench/StewardBench.java
+++ b/testbed/src/test/java/tidebank/testbed/bench/CoordinatorBench.java
@@ -8,26 +8,26 @@
 import java.util.List;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.atomic.AtomicBoolean;
-import tidebank.testbed.fleet.Members;
-import tidebank.testbed.fleet.Stewards;
-import tidebank.testbed.replay.GathererProcess;
-import tidebank.lease.Command;
-import tidebank.lease.Command.Kind;
-import tidebank.lease.LeaseBook;
-import tidebank.coordinator.StewardClient;
+import tidebank.testbed.fleet.RouterProcesses;
+import tidebank.testbed.fleet.CoordinatorProcesses;
+import tidebank.testbed.replay.RouterProcess;
+import tidebank.lease.LeaseCommand;
+import tidebank.lease.LeaseCommand.Kind;
+import tidebank.lease.LeaseTable;
+import tidebank.coordinator.CoordinatorClient;
 
 /**
  * Figures for the results page, by hand: renewals a second of 100 members against 1, 3 and 5
  * stewards, and how long the fleet's report has no owner after the owner is killed, stopped or
  * ended, with the default lease and three gatherers.
  */
-public final class StewardBench {
+public final class CoordinatorBench {
   private static final String SETTINGS = "[duties]\nnames = [\"report\"]\n";
   private static final int SECONDS = 5;
   private static final int MEMBERS = 100;
   private static final int LOSSES = 10;
 
-  private StewardBench() {}
+  private CoordinatorBench() {}
 
   public static void main(String[] args) throws Exception {
     for (int stewards : new int[] {1, 3, 5}) {
@@ -40,8 +40,8 @@
 
   private static void renewals(int count) throws Exception {
     Path folder = Files.createTempDirectory("stewards");
-    try (Stewards stewards = new Stewards(folder, count, SETTINGS)) {
-      StewardClient first = new StewardClient(stewards.addresses(), 20_000);
+    try (CoordinatorProcesses stewards = new CoordinatorProcesses(folder, count, SETTINGS)) {
+      CoordinatorClient first = new CoordinatorClient(stewards.addresses(), 20_000);
       first.state();
       AtomicBoolean on = new AtomicBoolean(true);
       ConcurrentLinkedQueue<Long> took = new ConcurrentLinkedQueue<>();
@@ -50,7 +50,7 @@
         String name = "m" + i;
         threads.add(
             new Thread(
-                () -> renew(new StewardClient(stewards.addresses(), 20_000), name, on, took)));
+                () -> renew(new CoordinatorClient(stewards.addresses(), 20_000), name, on, took)));
         threads.get(i).start();
       }
       Thread.sleep(2000);
@@ -72,13 +72,13 @@
   }
 
   private static void renew(
-      StewardClient client, String name, AtomicBoolean on, ConcurrentLinkedQueue<Long> took) {
+      CoordinatorClient client, String name, AtomicBoolean on, ConcurrentLinkedQueue<Long> took) {
     try {
       long number = 0;
-      client.command(Command.of(Kind.JOIN, name, ++number, name));
+      client.command(LeaseCommand.of(Kind.JOIN, name, ++number, name));
       while (on.get()) {
         long from = System.nanoTime();
-        client.command(Command.of(Kind.RENEW, name, ++number, name));
+        client.command(LeaseCommand.of(Kind.RENEW, name, ++number, name));
         took.add(System.nanoTime() - from);
       }
     } catch (IOException fault) {
@@ -89,14 +89,14 @@
   private static void gaps(String loss) throws Exception {
     Path folder = Files.createTempDirectory("gaps");
     long[] gaps = new long[LOSSES];
-    try (Stewards stewards = new Stewards(folder, 3, SETTINGS)) {
-      StewardClient client = new StewardClient(stewards.addresses(), 20_000);
-      List<GathererProcess> gatherers = new ArrayList<>();
+    try (CoordinatorProcesses stewards = new CoordinatorProcesses(folder, 3, SETTINGS)) {
+      CoordinatorClient client = new CoordinatorClient(stewards.addresses(), 20_000);
+      List<RouterProcess> gatherers = new ArrayList<>();
       for (int i = 0; i < 3; i++) {
-        gatherers.add(Members.start(folder, "g" + i, stewards.addresses(), 60_000, List.of()));
+        gatherers.add(RouterProcesses.start(folder, "g" + i, stewards.addresses(), 60_000, List.of()));
       }
       for (int round = 0; round < LOSSES; round++) {
-        LeaseBook.Duty duty = owned(client, 0);
+        LeaseTable.TaskLease duty = owned(client, 0);
         int owner = Integer.parseInt(duty.owner().substring(1, 2));
         Thread.sleep(500 + 137 * round);
         long from = System.nanoTime();
@@ -115,10 +115,10 @@
           gatherers.get(owner).waitFor(10_000);
           gatherers.get(owner).close();
           gatherers.set(
-              owner, Members.start(folder, "g" + owner, stewards.addresses(), 60_000, List.of()));
+              owner, RouterProcesses.start(folder, "g" + owner, stewards.addresses(), 60_000, List.of()));
         }
       }
-      gatherers.forEach(GathererProcess::close);
+      gatherers.forEach(RouterProcess::close);
     }
     Arrays.sort(gaps);
     System.out.printf(
@@ -126,10 +126,10 @@
         loss, LOSSES, gaps[LOSSES / 2] / 1_000_000, gaps[LOSSES - 1] / 1_000_000);
   }
 
-  private static LeaseBook.Duty owned(StewardClient client, long after) throws Exception {
+  private static LeaseTable.TaskLease owned(CoordinatorClient client, long after) throws Exception {
     while (true) {
-      LeaseBook.State state = client.state();
-      for (LeaseBook.Duty duty : state.duties()) {
+      LeaseTable.State state = client.state();
+      for (LeaseTable.TaskLease duty : state.duties()) {
         if (duty.token() > after && !duty.owner().isEmpty() && duty.until() > state.now()) {
           return duty;
         }
--- a/testbed/src/test/java/tidebank/testbed/capture/StoredCaptureReplayTest.java
+++ b/testbed/src/test/java/tidebank/testbed/capture/StoredCaptureReplayTest.java
@@ -14,7 +14,7 @@
   @ParameterizedTest
   @CsvSource({"digest, 150, bddd1296", "whole, 150, 113b3e21", "busy, 4000, e9e356d4"})
   void everyTurnIsDecidedAsItWas(String name, long turns, String digest) throws Exception {
-    Replayed.Result result = Replayed.replay(CAPTURES.resolve(name), (number, turn, actions) -> {});
+    CaptureReplay.Result result = CaptureReplay.replay(CAPTURES.resolve(name), (number, turn, actions) -> {});
 
     assertThat(result.turns()).isEqualTo(turns);
     assertThat(result.same()).isEqualTo(turns);
--- a/testbed/src/test/java/tidebank/testbed/chaos/ChaosTest.java
+++ b/testbed/src/test/java/tidebank/testbed/chaos/ChaosTest.java
@@ -34,15 +34,15 @@
     return Script.known().stream().filter(name -> !NAMED.contains(name));
   }
 
-  private Play.Verdict play(Script script) throws IOException {
-    return new Play(script, 0, folder, line -> {}).run();
+  private ScriptRunner.Verdict play(Script script) throws IOException {
+    return new ScriptRunner(script, 0, folder, line -> {}).run();
   }
 
   @Execution(ExecutionMode.CONCURRENT)
   @ParameterizedTest
   @MethodSource("scripts")
   void allThatIsPromisedHolds(String name) throws Exception {
-    Play.Verdict verdict = play(Script.read(name));
+    ScriptRunner.Verdict verdict = play(Script.read(name));
     assertThat(verdict.broken()).isEmpty();
     assertThat(verdict.publications()).isGreaterThanOrEqualTo(3);
   }
@@ -87,9 +87,9 @@
             good.drift(),
             Map.of("s0", 1.9),
             good.steps());
-    Play.Verdict verdict = play(wrong);
+    ScriptRunner.Verdict verdict = play(wrong);
     assertThat(verdict.broken()).isNotEmpty().allMatch(one -> one.contains("was granted at"));
-    assertThat(RunFiles.verdict(folder)).isEqualTo(verdict);
+    assertThat(RunArtifacts.verdict(folder)).isEqualTo(verdict);
     assertThat(Files.readString(folder.resolve("report.html")))
         .contains("broken")
         .contains("bin/tidebank chaos run owner-unheard");
--- a/testbed/src/test/java/tidebank/testbed/chaos/RelaysTest.java
+++ b/testbed/src/test/java/tidebank/testbed/chaos/FaultProxyTest.java
@@ -19,11 +19,11 @@
 
 /** One door before a server that sends back what it gets, and what may be done to the link. */
 @Timeout(30)
-class RelaysTest {
+class FaultProxyTest {
   private final History history = new History();
   private final List<Socket> sockets = new ArrayList<>();
   private final Map<String, Long> processes = Map.of("me", ProcessHandle.current().pid());
-  private Relays relays;
+  private FaultProxy relays;
   private ServerSocket server;
   private InetSocketAddress door;
 
@@ -54,7 +54,7 @@
             });
     echo.setDaemon(true);
     echo.start();
-    relays = new Relays((port, relay) -> Sockets.owner(port, relay, processes), history, 1);
+    relays = new FaultProxy((port, relay) -> ConnectionOwners.owner(port, relay, processes), history, 1);
     door = relays.open("echo", (InetSocketAddress) server.getLocalSocketAddress(), false);
   }
 
@@ -82,7 +82,7 @@
     return new String(socket.getInputStream().readNBytes(bytes));
   }
 
-  private void put(Link.Fault fault, long ms, long bytesPerS) {
+  private void put(FaultyLink.Fault fault, long ms, long bytesPerS) {
     relays.put("me", "echo", fault, ms * 1000, 0, bytesPerS);
   }
 
@@ -91,14 +91,14 @@
     Socket socket = connect();
     send(socket, "one");
     assertThat(got(socket, 3)).isEqualTo("one");
-    for (Link.Fault fault : List.of(Link.Fault.SILENT_UP, Link.Fault.SILENT_DOWN, Link.Fault.CUT)) {
+    for (FaultyLink.Fault fault : List.of(FaultyLink.Fault.SILENT_UP, FaultyLink.Fault.SILENT_DOWN, FaultyLink.Fault.CUT)) {
       put(fault, 0, 0);
       send(socket, "two");
       socket.setSoTimeout(50);
       assertThatThrownBy(() -> got(socket, 1))
           .as(fault.name())
           .isInstanceOf(SocketTimeoutException.class);
-      put(Link.Fault.HEAL, 0, 0);
+      put(FaultyLink.Fault.HEAL, 0, 0);
       socket.setSoTimeout(10_000);
       assertThat(got(socket, 3)).isEqualTo("two");
     }
@@ -107,12 +107,12 @@
   @Test
   void delaysAddUpAndTricklesTakeTheirTimeAndNothingIsLostOrSwapped() throws Exception {
     Socket socket = connect();
-    put(Link.Fault.DELAY, 40, 0);
+    put(FaultyLink.Fault.DELAY, 40, 0);
     long before = System.nanoTime();
     send(socket, "there and back");
     assertThat(got(socket, 14)).isEqualTo("there and back");
     assertThat(System.nanoTime() - before).isGreaterThanOrEqualTo(80_000_000L);
-    put(Link.Fault.TRICKLE, 0, 1000);
+    put(FaultyLink.Fault.TRICKLE, 0, 1000);
     before = System.nanoTime();
     String text = "0123456789".repeat(20);
     send(socket, text);
@@ -127,18 +127,18 @@
     Socket first = connect();
     send(first, "x");
     got(first, 1);
-    put(Link.Fault.RESET, 0, 0);
+    put(FaultyLink.Fault.RESET, 0, 0);
     assertThatThrownBy(() -> got(first, 1))
         .isInstanceOf(IOException.class)
         .hasMessageContaining("reset");
     Socket second = connect();
     send(second, "y");
     assertThat(got(second, 1)).isEqualTo("y");
-    put(Link.Fault.HALF_OPEN, 0, 0);
+    put(FaultyLink.Fault.HALF_OPEN, 0, 0);
     send(second, "z");
     second.setSoTimeout(50);
     assertThatThrownBy(() -> got(second, 1)).isInstanceOf(SocketTimeoutException.class);
-    put(Link.Fault.REFUSE, 0, 0);
+    put(FaultyLink.Fault.REFUSE, 0, 0);
     assertThatThrownBy(
             () -> {
               Socket third = connect();
@@ -148,7 +148,7 @@
               got(third, 1);
             })
         .isInstanceOf(IOException.class);
-    put(Link.Fault.HEAL, 0, 0);
+    put(FaultyLink.Fault.HEAL, 0, 0);
     Socket fourth = connect();
     send(fourth, "w");
     assertThat(got(fourth, 1)).isEqualTo("w");
@@ -159,8 +159,8 @@
     Socket socket = connect();
     send(socket, "x");
     got(socket, 1);
-    assertThat(Sockets.owner(socket.getLocalPort(), door.getPort(), processes)).isEqualTo("me");
-    assertThat(Sockets.owner(socket.getLocalPort(), door.getPort(), Map.of("other", 1L))).isNull();
-    assertThat(Sockets.owner(1, door.getPort(), processes)).isNull();
+    assertThat(ConnectionOwners.owner(socket.getLocalPort(), door.getPort(), processes)).isEqualTo("me");
+    assertThat(ConnectionOwners.owner(socket.getLocalPort(), door.getPort(), Map.of("other", 1L))).isNull();
+    assertThat(ConnectionOwners.owner(1, door.getPort(), processes)).isNull();
   }
 }
--- a/testbed/src/test/java/tidebank/testbed/chaos/LeaseRulesTest.java
+++ b/testbed/src/test/java/tidebank/testbed/chaos/LeaseRulesTest.java
@@ -6,21 +6,21 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import tidebank.base.TidebankException;
+import tidebank.errors.TidebankException;
 import tidebank.testbed.chaos.History.Asked;
-import tidebank.lease.Answer;
-import tidebank.lease.Answer.Grant;
-import tidebank.lease.Command;
-import tidebank.lease.Command.Kind;
-import tidebank.lease.LeaseBook;
-import tidebank.lease.Terms;
+import tidebank.lease.CommandResult;
+import tidebank.lease.CommandResult.Grant;
+import tidebank.lease.LeaseCommand;
+import tidebank.lease.LeaseCommand.Kind;
+import tidebank.lease.LeaseTable;
+import tidebank.lease.LeaseConfig;
 
 /**
  * Histories of a duty, a good one and ones with a planted fault each. Times in milliseconds; the
  * lease lasts a second.
  */
 class LeaseRulesTest {
-  private static final Terms TERMS = new Terms(1_000_000, 0.05, 100, 100);
+  private static final LeaseConfig TERMS = new LeaseConfig(1_000_000, 0.05, 100, 100);
   private static final String DUTY = "report";
 
   private final List<Asked> asked = new ArrayList<>();
@@ -36,8 +36,8 @@
       TidebankException fault,
       Grant grant,
       long now) {
-    Command command =
-        new Command(
+    LeaseCommand command =
+        new LeaseCommand(
             kind,
             who,
             ++number,
@@ -47,8 +47,8 @@
             revision,
             who + revision,
             null);
-    Answer answer =
-        new Answer(
+    CommandResult answer =
+        new CommandResult(
             fault == null ? null : fault.told(),
             grant == null ? List.of() : List.of(grant),
             List.of(),
@@ -75,7 +75,7 @@
   }
 
   private boolean linear() {
-    return Linear.check(LeaseRules.operations(asked, List.of(), DUTY), LeaseRules.Cell.NEW).holds();
+    return LinearizabilityChecker.check(LeaseRules.operations(asked, List.of(), DUTY), LeaseRules.Cell.NEW).holds();
   }
 
   private List<String> early() {
@@ -91,7 +91,7 @@
     renew(300, 310, "a", 1);
     claim(1300, 1310, "b", 2);
     publish(1320, 1330, "b", 2, 1);
-    refused(1400, 1410, "a", 1, 1, new TidebankException.TokenOld(DUTY, 1, 2));
+    refused(1400, 1410, "a", 1, 1, new TidebankException.StaleFencingToken(DUTY, 1, 2));
     renew(1500, 1510, "a", 0);
   }
 
@@ -139,15 +139,15 @@
             new History.Event(310_000, "a", "stop owner as x"),
             new History.Event(320_000, "a", "scans 2"),
             new History.Event(1_400_000, "b", "link b to stewards: cut"));
-    assertThat(Gaps.of(events, asked, DUTY)).isEqualTo(Map.of("stop", List.of(1_000_000L)));
-    assertThat(Gaps.said(Map.of("stop", List.of(9000L, 1000L, 5000L))))
+    assertThat(UnownedIntervals.of(events, asked, DUTY)).isEqualTo(Map.of("stop", List.of(1_000_000L)));
+    assertThat(UnownedIntervals.said(Map.of("stop", List.of(9000L, 1000L, 5000L))))
         .isEqualTo("stop 3: median 5 ms, most 9 ms");
   }
 
   @Test
   void aRefusalWithoutAReasonIsFound() {
     claim(0, 10, "a", 1);
-    refused(20, 30, "a", 1, 0, new TidebankException.TokenOld(DUTY, 1, 1));
+    refused(20, 30, "a", 1, 0, new TidebankException.StaleFencingToken(DUTY, 1, 1));
     assertThat(linear()).isFalse();
   }
 
@@ -166,7 +166,7 @@
         1,
         new Asked(
             "a",
-            new Command(Kind.RELEASE, "a", 99, "a", DUTY, 1, 0, "", null),
+            new LeaseCommand(Kind.RELEASE, "a", 99, "a", DUTY, 1, 0, "", null),
             1_100_000,
             Long.MAX_VALUE,
             null,
@@ -177,18 +177,18 @@
   @Test
   void whatAReaderIsToldMustHaveBeenSoThen() {
     good();
-    LeaseBook.Duty cell = new LeaseBook.Duty(DUTY, 1, "a", "a", 0, "a", "", 1, 1, "a0");
-    LeaseBook.State state =
-        new LeaseBook.State(TERMS, 1, 0, 0, List.of(), List.of(cell), List.of());
+    LeaseTable.TaskLease cell = new LeaseTable.TaskLease(DUTY, 1, "a", "a", 0, "a", "", 1, 1, "a0");
+    LeaseTable.State state =
+        new LeaseTable.State(TERMS, 1, 0, 0, List.of(), List.of(cell), List.of());
     assertThat(
-            Linear.check(
+            LinearizabilityChecker.check(
                     LeaseRules.operations(
                         asked, List.of(new History.Read("o", 1_000_000, 1_100_000, state)), DUTY),
                     LeaseRules.Cell.NEW)
                 .holds())
         .isTrue();
     assertThat(
-            Linear.check(
+            LinearizabilityChecker.check(
                     LeaseRules.operations(
                         asked, List.of(new History.Read("o", 1_340_000, 1_390_000, state)), DUTY),
                     LeaseRules.Cell.NEW)
@@ -200,19 +200,19 @@
   @Test
   void twoAnswersToOneCommandAreFoundAndALateCopyIsNone() {
     History history = new History();
-    Command command = new Command(Kind.CLAIM, "a", 1, "a", DUTY, 0, 0, "", null);
+    LeaseCommand command = new LeaseCommand(Kind.CLAIM, "a", 1, "a", DUTY, 0, 0, "", null);
     history.asked("a", command);
     history.asked("a", command);
-    Answer first = new Answer(null, List.of(new Grant(DUTY, 1)), List.of(), TERMS, 0);
+    CommandResult first = new CommandResult(null, List.of(new Grant(DUTY, 1)), List.of(), TERMS, 0);
     history.answered(command, first);
     history.answered(command, first);
     history.answered(
         command,
-        new Answer(
-            new TidebankException.CallOld("a", 1, 2).told(), List.of(), List.of(), TERMS, 0));
+        new CommandResult(
+            new TidebankException.StaleSequenceNumber("a", 1, 2).told(), List.of(), List.of(), TERMS, 0));
     assertThat(history.faults()).isEmpty();
     assertThat(history.asked()).singleElement().matches(one -> one.copies() == 2);
-    history.answered(command, new Answer(null, List.of(new Grant(DUTY, 2)), List.of(), TERMS, 0));
+    history.answered(command, new CommandResult(null, List.of(new Grant(DUTY, 2)), List.of(), TERMS, 0));
     assertThat(history.faults()).singleElement().asString().contains("two answers");
   }
 }
--- a/testbed/src/test/java/tidebank/testbed/chaos/LinearTest.java
+++ b/testbed/src/test/java/tidebank/testbed/chaos/LinearizabilityCheckerTest.java
@@ -5,27 +5,27 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import tidebank.model.Chance;
+import tidebank.model.SeededRandom;
 
 /** A register with compare-and-set, in histories that can and that can't have been. */
-class LinearTest {
+class LinearizabilityCheckerTest {
   private static final long NEVER = Long.MAX_VALUE;
 
-  private static Linear.Operation<Integer> read(long call, long back, int value) {
-    return new Linear.Operation<>("read " + value, call, back, now -> now == value ? now : null);
+  private static LinearizabilityChecker.Operation<Integer> read(long call, long back, int value) {
+    return new LinearizabilityChecker.Operation<>("read " + value, call, back, now -> now == value ? now : null);
   }
 
-  private static Linear.Operation<Integer> set(
+  private static LinearizabilityChecker.Operation<Integer> set(
       long call, long back, int from, int to, boolean done) {
-    return new Linear.Operation<>(
+    return new LinearizabilityChecker.Operation<>(
         "set " + from + " to " + to,
         call,
         back,
         now -> done == (now == from) ? done ? to : now : null);
   }
 
-  private static boolean holds(List<Linear.Operation<Integer>> history) {
-    return Linear.check(history, 0).holds();
+  private static boolean holds(List<LinearizabilityChecker.Operation<Integer>> history) {
+    return LinearizabilityChecker.check(history, 0).holds();
   }
 
   @Test
@@ -45,19 +45,19 @@
 
   @Test
   void oneWithoutAnAnswerMayHaveTakenEffectOnceAtAnyTimeLaterOrNever() {
-    Linear.Operation<Integer> unheard =
-        new Linear.Operation<>("unheard", 0, NEVER, now -> now == 0 ? 1 : now);
+    LinearizabilityChecker.Operation<Integer> unheard =
+        new LinearizabilityChecker.Operation<>("unheard", 0, NEVER, now -> now == 0 ? 1 : now);
     assertThat(holds(List.of(unheard, read(5, 6, 0)))).isTrue();
     assertThat(holds(List.of(unheard, read(5, 6, 0), read(7, 8, 1)))).isTrue();
     assertThat(holds(List.of(unheard, read(5, 6, 1), read(7, 8, 0)))).isFalse();
-    assertThat(holds(List.of(read(1, 2, 1), new Linear.Operation<>("later", 5, NEVER, now -> 1))))
+    assertThat(holds(List.of(read(1, 2, 1), new LinearizabilityChecker.Operation<>("later", 5, NEVER, now -> 1))))
         .as("before it was asked")
         .isFalse();
   }
 
   @Test
   void itSaysWhereItStoodStill() {
-    Linear.Outcome outcome = Linear.check(List.of(set(0, 2, 0, 1, true), read(3, 4, 7)), 0);
+    LinearizabilityChecker.Outcome outcome = LinearizabilityChecker.check(List.of(set(0, 2, 0, 1, true), read(3, 4, 7)), 0);
     assertThat(outcome.fault())
         .isEqualTo("after 1 of 2 operations, with 1, none of these fits: read 7");
   }
@@ -66,8 +66,8 @@
   void historiesMadeByARealRegisterHoldAndWithOneAnswerChangedTheyDoNot() {
     int found = 0;
     for (long seed = 0; seed < 200; seed++) {
-      Chance chance = new Chance(seed);
-      List<Linear.Operation<Integer>> history = new ArrayList<>();
+      SeededRandom chance = new SeededRandom(seed);
+      List<LinearizabilityChecker.Operation<Integer>> history = new ArrayList<>();
       int value = 0;
       int last = 0;
       for (int i = 0; i < 300; i++) {
--- a/testbed/src/test/java/tidebank/testbed/chaos/ScriptTest.java
+++ b/testbed/src/test/java/tidebank/testbed/chaos/ScriptTest.java
@@ -6,8 +6,8 @@
 import java.util.HashSet;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import tidebank.base.TidebankException;
-import tidebank.config.Malformed;
+import tidebank.errors.TidebankException;
+import tidebank.config.MalformedInputException;
 import tidebank.config.Toml;
 
 /** Scripts as files and as drawn from seeds. */
@@ -27,8 +27,8 @@
   void theSameSeedDrawsTheSameScriptAndTogetherTheyDrawAllThatCanBeDone() throws Exception {
     Set<Object> done = new HashSet<>();
     for (long seed = 1; seed <= 200; seed++) {
-      Script script = Drawn.script(seed);
-      assertThat(Drawn.script(seed)).isEqualTo(script);
+      Script script = RandomScript.script(seed);
+      assertThat(RandomScript.script(seed)).isEqualTo(script);
       assertThat(Script.read(Toml.read("drawn", script.toml()), script.name())).isEqualTo(script);
       script
           .steps()
@@ -42,15 +42,15 @@
             Script.Do.TERM,
             Script.Do.START,
             Script.Do.SCANS,
-            Link.Fault.SILENT_UP,
-            Link.Fault.SILENT_DOWN,
-            Link.Fault.CUT,
-            Link.Fault.RESET,
-            Link.Fault.HALF_OPEN,
-            Link.Fault.DELAY,
-            Link.Fault.FLAP,
-            Link.Fault.TRICKLE,
-            Link.Fault.HEAL);
+            FaultyLink.Fault.SILENT_UP,
+            FaultyLink.Fault.SILENT_DOWN,
+            FaultyLink.Fault.CUT,
+            FaultyLink.Fault.RESET,
+            FaultyLink.Fault.HALF_OPEN,
+            FaultyLink.Fault.DELAY,
+            FaultyLink.Fault.FLAP,
+            FaultyLink.Fault.TRICKLE,
+            FaultyLink.Fault.HEAL);
   }
 
   @Test
@@ -69,7 +69,7 @@
             + "who = \"ownr\"\n"
             + "asif = 1\n";
     assertThatThrownBy(() -> Script.read(Toml.read("x.toml", text), "x"))
-        .isInstanceOf(Malformed.class)
+        .isInstanceOf(MalformedInputException.class)
         .hasMessageContainingAll(
             "x.toml:1: stewards",
             "x.toml:3: clocks.g0",
--- a/testbed/src/test/java/tidebank/testbed/chaos/StoredTest.java
+++ b/testbed/src/test/java/tidebank/testbed/chaos/SharedFolderCheckTest.java
@@ -11,33 +11,33 @@
 import org.junit.jupiter.api.io.TempDir;
 import tidebank.fleet.LeaseCodec;
 import tidebank.fleet.Retention;
-import tidebank.lease.LeaseBook;
+import tidebank.lease.LeaseTable;
 
 /** Removals that a list had named before, and ones that none had. */
-class StoredTest {
+class SharedFolderCheckTest {
   private static final String OLD = "captures/of-1/0.tbc";
   private static final String YOUNG = "captures/of-1/1.tbc";
 
   @TempDir Path folder;
-  private Stored stored;
+  private SharedFolderCheck stored;
 
   @BeforeEach
   void litter() throws Exception {
-    stored = new Stored(folder);
+    stored = new SharedFolderCheck(folder);
     stored.litter(1);
     Files.createDirectories(folder.resolve("removals"));
   }
 
-  private LeaseBook.Duty published(String... names) throws Exception {
+  private LeaseTable.TaskLease published(String... names) throws Exception {
     Files.write(
         folder.resolve("removals/removal-1-by-1.json"),
         LeaseCodec.bytes(new Retention(1, "", 1, List.of(names))));
-    return new LeaseBook.Duty("retention", 1, "g0", "x", 0, "g0", "", 1, 1, "removal-1-by-1.json");
+    return new LeaseTable.TaskLease("retention", 1, "g0", "x", 0, "g0", "", 1, 1, "removal-1-by-1.json");
   }
 
   @Test
   void whatAPublishedListNamesMayGo() throws Exception {
-    LeaseBook.Duty duty = published(OLD);
+    LeaseTable.TaskLease duty = published(OLD);
     assertThat(stored.gone()).isEmpty();
     Files.delete(folder.resolve(OLD));
     stored.see(duty, stored.gone());
@@ -49,7 +49,7 @@
   void whatGoesBeforeItsListIsPublishedIsFound() throws Exception {
     Files.delete(folder.resolve(OLD));
     Set<String> gone = stored.gone();
-    stored.see(new LeaseBook.Duty("retention", 1, "g0", "x", 0, "g0", "", 0, 0, ""), gone);
+    stored.see(new LeaseTable.TaskLease("retention", 1, "g0", "x", 0, "g0", "", 0, 0, ""), gone);
     stored.see(published(OLD), gone);
     assertThat(stored.faults())
         .containsExactly(OLD + " was removed, and no published list names it");
@@ -57,7 +57,7 @@
 
   @Test
   void whatAListNamesThatIsNotTooOldIsFound() throws Exception {
-    LeaseBook.Duty duty = published(YOUNG);
+    LeaseTable.TaskLease duty = published(YOUNG);
     Files.delete(folder.resolve(YOUNG));
     stored.see(duty, stored.gone());
     assertThat(stored.faults()).containsExactly(YOUNG + " was removed, and was not too old");
--- a/testbed/src/test/java/tidebank/testbed/chaos/SkewedTest.java
+++ b/testbed/src/test/java/tidebank/testbed/chaos/SkewedClockLauncherTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A class that is led to another clock, and knows nothing of it. */
-class SkewedTest {
+class SkewedClockLauncherTest {
   /** Reads the clock as any class does. */
   public static final class Reader {
     public static long now() {
@@ -23,7 +23,7 @@
     Class<?> define(Class<?> one, boolean changed) throws Exception {
       try (InputStream in =
           one.getResourceAsStream("/" + one.getName().replace('.', '/') + ".class")) {
-        byte[] bytes = changed ? Skewed.changed(in.readAllBytes()) : in.readAllBytes();
+        byte[] bytes = changed ? SkewedClockLauncher.changed(in.readAllBytes()) : in.readAllBytes();
         return defineClass(one.getName(), bytes, 0, bytes.length);
       }
     }
--- a/testbed/src/test/java/tidebank/testbed/chaos/StoredRunTest.java
+++ b/testbed/src/test/java/tidebank/testbed/chaos/StoredRunTest.java
@@ -10,12 +10,12 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import tidebank.base.TidebankException;
+import tidebank.errors.TidebankException;
 import tidebank.config.Toml;
-import tidebank.lease.Answer;
-import tidebank.lease.Command;
-import tidebank.lease.LeaseBook;
-import tidebank.lease.Terms;
+import tidebank.lease.CommandResult;
+import tidebank.lease.LeaseCommand;
+import tidebank.lease.LeaseTable;
+import tidebank.lease.LeaseConfig;
 
 /**
  * The files of a run as an earlier build stored them: what is read from them, and that they are
@@ -23,15 +23,15 @@
  */
 class StoredRunTest {
   private static final Path STORED = Path.of("src/test/resources/fixtures/chaos/run");
-  private static final Terms TERMS = new Terms(1_000_000, 0.05, 12, 4096);
+  private static final LeaseConfig TERMS = new LeaseConfig(1_000_000, 0.05, 12, 4096);
 
   @TempDir private Path folder;
 
-  private static Play.Verdict verdict() {
+  private static ScriptRunner.Verdict verdict() {
     Map<String, List<Long>> gaps = new LinkedHashMap<>();
     gaps.put("kill", List.of(1_234_567L, 2L));
     gaps.put("silent up", List.of(5L));
-    return new Play.Verdict(
+    return new ScriptRunner.Verdict(
         "owner-killed",
         7,
         List.of("report 3 stands in place 2"),
@@ -49,9 +49,9 @@
     history.event("g0", "kill g0");
     history.event("", "over");
     long number = 0;
-    for (Command.Kind kind : Command.Kind.values()) {
-      Command command =
-          new Command(
+    for (LeaseCommand.Kind kind : LeaseCommand.Kind.values()) {
+      LeaseCommand command =
+          new LeaseCommand(
               kind,
               "session-g0",
               ++number,
@@ -60,17 +60,17 @@
               3,
               4,
               "report-1.json",
-              kind == Command.Kind.PLAN
-                  ? new Command.Plan(TERMS, List.of("report", "retention"))
+              kind == LeaseCommand.Kind.PLAN
+                  ? new LeaseCommand.Plan(TERMS, List.of("report", "retention"))
                   : null);
       history.asked("g0", command);
-      if (kind == Command.Kind.CLAIM) {
+      if (kind == LeaseCommand.Kind.CLAIM) {
         history.answered(
             command,
-            new Answer(
-                null, List.of(new Answer.Grant("report", 3)), List.of("retention"), TERMS, 4));
-      } else if (kind == Command.Kind.PUBLISH) {
-        history.answered(command, new Answer(refused(), null, null, null, 5));
+            new CommandResult(
+                null, List.of(new CommandResult.Grant("report", 3)), List.of("retention"), TERMS, 4));
+      } else if (kind == LeaseCommand.Kind.PUBLISH) {
+        history.answered(command, new CommandResult(refused(), null, null, null, 5));
       }
     }
     history.read("g1", 0, state());
@@ -82,26 +82,26 @@
         "TB-1004", "the token is old", TidebankException.Retry.LATER, "Nothing needs doing.");
   }
 
-  private static LeaseBook.State state() {
-    Answer answer = new Answer(null, List.of(), List.of(), TERMS, 0);
-    return new LeaseBook.State(
+  private static LeaseTable.State state() {
+    CommandResult answer = new CommandResult(null, List.of(), List.of(), TERMS, 0);
+    return new LeaseTable.State(
         TERMS,
         2,
         1_500_000,
         9,
         List.of(
-            new LeaseBook.Member(
+            new LeaseTable.Member(
                 "g0", "session-g0", 2_000_000, 1_700_000, 1, false, true, 12, answer)),
         List.of(
-            new LeaseBook.Duty(
+            new LeaseTable.TaskLease(
                 "report", 3, "g0", "session-g0", 2_100_000, "g1", "g0", 4, 3, "report-1.json")),
-        List.of(new LeaseBook.Operator("session-op", 2, answer)));
+        List.of(new LeaseTable.Operator("session-op", 2, answer)));
   }
 
   private void write(Path to) throws Exception {
     Script script = Script.read("owner-killed");
     Files.writeString(to.resolve("script.toml"), script.toml());
-    RunFiles.write(to, script, history(), verdict());
+    RunArtifacts.write(to, script, history(), verdict());
     Path lines = to.resolve("history.jsonl");
     Files.writeString(lines, untimed(Files.readString(lines)));
   }
@@ -129,8 +129,8 @@
 
   @Test
   void theVerdictOfAStoredRunIsRead() throws Exception {
-    assertThat(RunFiles.verdict(STORED)).isEqualTo(verdict());
-    assertThat(RunFiles.again(verdict(), STORED)).isEqualTo("bin/tidebank chaos run owner-killed");
+    assertThat(RunArtifacts.verdict(STORED)).isEqualTo(verdict());
+    assertThat(RunArtifacts.again(verdict(), STORED)).isEqualTo("bin/tidebank chaos run owner-killed");
   }
 
   @Test
@@ -150,7 +150,7 @@
     assertThat(script.toml()).isEqualTo(Files.readString(all));
     assertThat(script.steps().stream().map(Script.Step::await)).contains(Script.Await.values());
     assertThat(script.steps().stream().map(Script.Step::act)).contains(Script.Do.values());
-    assertThat(script.steps().stream().map(Script.Step::fault)).contains(Link.Fault.values());
+    assertThat(script.steps().stream().map(Script.Step::fault)).contains(FaultyLink.Fault.values());
   }
 
   @Test
@@ -158,7 +158,7 @@
     Path drawn = STORED.resolveSibling("drawn.toml");
     StringBuilder all = new StringBuilder();
     for (long seed = 1; seed <= 20; seed++) {
-      all.append("# ").append(seed).append('\n').append(Drawn.script(seed).toml()).append('\n');
+      all.append("# ").append(seed).append('\n').append(RandomScript.script(seed).toml()).append('\n');
     }
 
     if ("write".equals(System.getProperty("tidebank.fixtures"))) {
--- a/testbed/src/test/java/tidebank/testbed/fleet/StewardsTest.java
+++ b/testbed/src/test/java/tidebank/testbed/fleet/CoordinatorProcessesTest.java
@@ -25,17 +25,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import tidebank.base.TidebankException;
-import tidebank.lease.Answer;
-import tidebank.lease.Command;
-import tidebank.lease.Command.Kind;
-import tidebank.lease.Holder;
-import tidebank.lease.LeaseBook;
-import tidebank.coordinator.StewardClient;
+import tidebank.errors.TidebankException;
+import tidebank.lease.CommandResult;
+import tidebank.lease.LeaseCommand;
+import tidebank.lease.LeaseCommand.Kind;
+import tidebank.lease.LeaseHolder;
+import tidebank.lease.LeaseTable;
+import tidebank.coordinator.CoordinatorClient;
 
 /** Stewards as processes, killed, stopped and woken, emptied and damaged between calls. */
 @Timeout(120)
-class StewardsTest {
+class CoordinatorProcessesTest {
   private static final String SETTINGS =
       "[duties]\nnames = [\"report\", \"probe/a\"]\n[lease]\nms = 1500\n"
           + "[election]\nms = 200\n[snapshot]\nevery = 20\n";
@@ -44,11 +44,11 @@
 
   /** A member that is only its rules: it asks when it is told to. */
   private static final class Member {
-    private final Holder holder;
-    private final StewardClient client;
+    private final LeaseHolder holder;
+    private final CoordinatorClient client;
 
-    Member(String name, String session, StewardClient client) {
-      holder = new Holder(name, session);
+    Member(String name, String session, CoordinatorClient client) {
+      holder = new LeaseHolder(name, session);
       this.client = client;
     }
 
@@ -56,12 +56,12 @@
       return System.nanoTime() / 1000;
     }
 
-    Answer step() throws IOException {
-      Command command = holder.ask(now());
+    CommandResult step() throws IOException {
+      LeaseCommand command = holder.ask(now());
       if (command == null) {
         return null;
       }
-      Answer answer = client.command(command);
+      CommandResult answer = client.command(command);
       holder.answered(command.number(), answer, now());
       return answer;
     }
@@ -77,11 +77,11 @@
     }
   }
 
-  private static StewardClient client(Stewards stewards) {
-    return new StewardClient(stewards.addresses(), PATIENCE_MS);
+  private static CoordinatorClient client(CoordinatorProcesses stewards) {
+    return new CoordinatorClient(stewards.addresses(), PATIENCE_MS);
   }
 
-  private static LeaseBook.Duty duty(StewardClient client, String name) throws IOException {
+  private static LeaseTable.TaskLease duty(CoordinatorClient client, String name) throws IOException {
     return client.state().duties().stream()
         .filter(duty -> duty.name().equals(name))
         .findFirst()
@@ -89,7 +89,7 @@
   }
 
   /** The steward that leads, as it says itself. */
-  private static int leader(Stewards stewards) throws Exception {
+  private static int leader(CoordinatorProcesses stewards) throws Exception {
     return until(
         () -> {
           for (int i = 0; i < stewards.count(); i++) {
@@ -121,12 +121,12 @@
 
   @Test
   void oneStewardDecidesRemembersAcrossAKillAndNamesEachFault() throws Exception {
-    try (Stewards stewards = new Stewards(folder, 1, SETTINGS)) {
-      StewardClient client = client(stewards);
+    try (CoordinatorProcesses stewards = new CoordinatorProcesses(folder, 1, SETTINGS)) {
+      CoordinatorClient client = client(stewards);
       Member member = new Member("g0", "first", client);
       long token = member.own("report");
-      Command published = member.holder.publish("report", 0, "fleet-1." + token, Member.now());
-      Answer first = client.command(published);
+      LeaseCommand published = member.holder.publish("report", 0, "fleet-1." + token, Member.now());
+      CommandResult first = client.command(published);
       assertThat(first.revision()).isEqualTo(1);
       stewards.process(0).kill();
       stewards.process(0).waitFor(5000);
@@ -199,8 +199,8 @@
 
   @Test
   void aKilledLeaderIsFollowedByAnotherAndAnOwnerKeepsItsDuty() throws Exception {
-    try (Stewards stewards = new Stewards(folder, 3, SETTINGS)) {
-      StewardClient client = client(stewards);
+    try (CoordinatorProcesses stewards = new CoordinatorProcesses(folder, 3, SETTINGS)) {
+      CoordinatorClient client = client(stewards);
       Member owner = new Member("g0", "first", client);
       long token = owner.own("report");
       int leader = leader(stewards);
@@ -226,8 +226,8 @@
 
   @Test
   void aLeaderThatIsStoppedAndWokenDecidesNothingAsASecondLeader() throws Exception {
-    try (Stewards stewards = new Stewards(folder, 3, SETTINGS)) {
-      StewardClient client = client(stewards);
+    try (CoordinatorProcesses stewards = new CoordinatorProcesses(folder, 3, SETTINGS)) {
+      CoordinatorClient client = client(stewards);
       Member owner = new Member("g0", "first", client);
       long token = owner.own("report");
       int old = leader(stewards);
@@ -236,7 +236,7 @@
           new Member(
               "g1",
               "second",
-              new StewardClient(
+              new CoordinatorClient(
                   stewards.addresses().stream()
                       .filter(address -> !address.equals(stewards.addresses().get(old)))
                       .toList(),
@@ -249,8 +249,8 @@
       stewards.process(old).wake();
       // What the woken one says is never that the old owner may publish, whether it thinks that it
       // leads or not.
-      Command late =
-          new Command(Kind.PUBLISH, "first", 99, "g0", "report", token, 0, "too late", null);
+      LeaseCommand late =
+          new LeaseCommand(Kind.PUBLISH, "first", 99, "g0", "report", token, 0, "too late", null);
       HttpResponse<String> said =
           until(
               () ->
@@ -264,7 +264,7 @@
       assertThat(
               client
                   .command(
-                      new Command(
+                      new LeaseCommand(
                           Kind.PUBLISH, "first", 100, "g0", "report", token, 0, "too late", null))
                   .fault()
                   .code())
@@ -276,8 +276,8 @@
 
   @Test
   void oneWithAnEmptiedOrADamagedDiskLearnsAllFromTheOthersOrSaysWhatToDo() throws Exception {
-    try (Stewards stewards = new Stewards(folder, 3, SETTINGS)) {
-      StewardClient client = client(stewards);
+    try (CoordinatorProcesses stewards = new CoordinatorProcesses(folder, 3, SETTINGS)) {
+      CoordinatorClient client = client(stewards);
       Member owner = new Member("g0", "first", client);
       long token = owner.own("report");
       for (int i = 0; i < 60; i++) {
@@ -326,13 +326,13 @@
 
   @Test
   void whoWaitsForADutyHearsOfItAsSoonAsItIsFreeAndOthersDoNot() throws Exception {
-    try (Stewards stewards =
-        new Stewards(
+    try (CoordinatorProcesses stewards =
+        new CoordinatorProcesses(
             folder, 1, SETTINGS.replace(", \"probe/a\"", "").replace("ms = 1500", "ms = 60000"))) {
-      StewardClient client = client(stewards);
+      CoordinatorClient client = client(stewards);
       Member owner = new Member("g0", "first", client);
       owner.own("report");
-      client.command(Command.of(Kind.JOIN, "second", 1, "g1"));
+      client.command(LeaseCommand.of(Kind.JOIN, "second", 1, "g1"));
       String address = stewards.addresses().get(0);
       assertThat(call(address, "GET", "/fleet/wanted?name=g1&wait_ms=1", "").body())
           .isEqualTo("[]");
@@ -365,14 +365,14 @@
 
   @Test
   void aFullDiskIsNamedEndsItAndLosesNothingThatWasAnswered() throws Exception {
-    try (Stewards stewards =
-        new Stewards(
+    try (CoordinatorProcesses stewards =
+        new CoordinatorProcesses(
             folder,
             1,
             SETTINGS.replace("every = 20", "every = 1000000"),
             (one, raft, address) -> address)) {
       stewards.start(0, List.of(), line -> {}, 100 * 1024);
-      StewardClient client = new StewardClient(stewards.addresses(), 5000);
+      CoordinatorClient client = new CoordinatorClient(stewards.addresses(), 5000);
       until(() -> stewards.process(0).lastLines(), lines -> lines.contains("leads"));
       client.state();
       long answered = 0;
@@ -380,16 +380,16 @@
         while (answered < 5000
             && client
                     .command(
-                        Command.of(answered == 0 ? Kind.JOIN : Kind.RENEW, "x", answered + 1, "g0"))
+                        LeaseCommand.of(answered == 0 ? Kind.JOIN : Kind.RENEW, "x", answered + 1, "g0"))
                     .fault()
                 == null) {
           answered++;
         }
-      } catch (TidebankException.StewardsUnreached ended) {
+      } catch (TidebankException.CoordinatorUnavailable ended) {
         // As it was to: the one steward there is can't decide any more.
-      } catch (TidebankException.Refused refused) {
+      } catch (TidebankException.RequestRejected refused) {
         // A call that comes between the failed write and the exit is answered with the cause.
-        assertThat(refused.told().is(TidebankException.FolderUnusable.class))
+        assertThat(refused.told().is(TidebankException.DataDirectoryUnusable.class))
             .as(refused.getMessage())
             .isTrue();
       }
@@ -413,16 +413,16 @@
 
   @Test
   void whatKeepsAStewardFromStartingIsSaidWithWhatToDo() throws Exception {
-    try (Stewards stewards = new Stewards(folder, 1, SETTINGS)) {
+    try (CoordinatorProcesses stewards = new CoordinatorProcesses(folder, 1, SETTINGS)) {
       leader(stewards);
       // A second one on the same folder and addresses.
-      try (Stewards twin =
-          new Stewards(folder, 1, SETTINGS.replace("ms = 200", "ms = 200 # another"))) {
+      try (CoordinatorProcesses twin =
+          new CoordinatorProcesses(folder, 1, SETTINGS.replace("ms = 200", "ms = 200 # another"))) {
         assertThat(twin.process(0).waitFor(15_000)).as(twin.process(0).lastLines()).isEqualTo(1);
         assertThat(twin.process(0).lastLines()).contains("TB-1108").contains("what to do: ");
       }
-      assertThatThrownBy(() -> new StewardClient(List.of("127.0.0.1:1"), 100).state())
-          .isInstanceOf(TidebankException.StewardsUnreached.class);
+      assertThatThrownBy(() -> new CoordinatorClient(List.of("127.0.0.1:1"), 100).state())
+          .isInstanceOf(TidebankException.CoordinatorUnavailable.class);
     }
   }
 }
--- a/testbed/src/test/java/tidebank/testbed/fleet/DutiesTest.java
+++ b/testbed/src/test/java/tidebank/testbed/fleet/TasksTest.java
@@ -22,33 +22,33 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import tidebank.fleet.FleetReport;
-import tidebank.testbed.replay.GathererProcess;
-import tidebank.lease.Command.Kind;
-import tidebank.lease.LeaseBook;
-import tidebank.coordinator.StewardClient;
+import tidebank.testbed.replay.RouterProcess;
+import tidebank.lease.LeaseCommand.Kind;
+import tidebank.lease.LeaseTable;
+import tidebank.coordinator.CoordinatorClient;
 
 /**
  * Gatherers and a steward as processes; owners of the report are stopped, woken, killed and ended
  * amid their work.
  */
 @Timeout(120)
-class DutiesTest {
+class TasksTest {
 
   @TempDir private Path folder;
-  private Stewards stewards;
-  private StewardClient client;
-  private final List<GathererProcess> gatherers = new ArrayList<>();
+  private CoordinatorProcesses stewards;
+  private CoordinatorClient client;
+  private final List<RouterProcess> gatherers = new ArrayList<>();
   private final HttpClient http = HttpClient.newHttpClient();
   private int sent;
 
   @BeforeEach
   void start() throws Exception {
     stewards =
-        new Stewards(
+        new CoordinatorProcesses(
             folder,
             1,
             "[duties]\nnames = [\"report\"]\n[lease]\nms = 1000\n[election]\nms = 200\n");
-    client = new StewardClient(stewards.addresses(), PATIENCE_MS);
+    client = new CoordinatorClient(stewards.addresses(), PATIENCE_MS);
     for (int i = 0; i < 3; i++) {
       gatherers.add(gatherer("g" + i, stewards.addresses(), List.of()));
     }
@@ -57,16 +57,16 @@
 
   @AfterEach
   void end() {
-    gatherers.forEach(GathererProcess::close);
+    gatherers.forEach(RouterProcess::close);
     stewards.close();
   }
 
-  private GathererProcess gatherer(String name, List<String> asks, List<String> flags)
+  private RouterProcess gatherer(String name, List<String> asks, List<String> flags)
       throws IOException {
-    return Members.start(folder, name, asks, 250, flags);
+    return RouterProcesses.start(folder, name, asks, 250, flags);
   }
 
-  private LeaseBook.Duty report() throws Exception {
+  private LeaseTable.TaskLease report() throws Exception {
     return until(client::state, state -> !state.duties().isEmpty()).duties().get(0);
   }
 
@@ -80,7 +80,7 @@
   }
 
   /** A scan that a gatherer without shard servers throttles, and counts. */
-  private void scan(GathererProcess gatherer) throws Exception {
+  private void scan(RouterProcess gatherer) throws Exception {
     InetSocketAddress at = gatherer.address();
     int status =
         http.send(
@@ -118,7 +118,7 @@
   private FleetReport read(String name) throws IOException {
     return new ObjectMapper()
         .readValue(
-            Members.shared(folder).resolve("reports").resolve(name).toFile(), FleetReport.class);
+            RouterProcesses.shared(folder).resolve("reports").resolve(name).toFile(), FleetReport.class);
   }
 
   private void allCounted() throws Exception {
@@ -129,7 +129,7 @@
   void anOwnerStoppedPastItsLeaseAndWokenAfterItsSuccessorsFirstReportDoesNoHarm()
       throws Exception {
     for (int round = 0; round < 3; round++) {
-      for (GathererProcess gatherer : gatherers) {
+      for (RouterProcess gatherer : gatherers) {
         scan(gatherer);
       }
       int owner = owner();
@@ -170,7 +170,7 @@
     long token = report().token();
     gatherers.get(owner).terminate();
     assertThat(gatherers.get(owner).waitFor(10_000)).isZero();
-    LeaseBook.Duty next = until(this::report, duty -> duty.publishedBy() > token);
+    LeaseTable.TaskLease next = until(this::report, duty -> duty.publishedBy() > token);
     assertThat(next.owner()).isNotEqualTo("g" + owner);
     int silent = 3 - owner - owner();
     gatherers.get(silent).stop();
@@ -184,7 +184,7 @@
     long before = published();
     stewards.process(0).kill();
     stewards.process(0).waitFor(5000);
-    for (GathererProcess gatherer : gatherers) {
+    for (RouterProcess gatherer : gatherers) {
       scan(gatherer);
     }
     gatherers.add(gatherer("g3", stewards.addresses(), List.of()));
@@ -200,14 +200,14 @@
   @Test
   void switchedOffNothingOfItIsLoadedAndNoThreadOfItRuns() throws Exception {
     Path loaded = folder.resolve("classes.log");
-    GathererProcess plain =
+    RouterProcess plain =
         gatherer("plain", List.of(), List.of("-Xlog:class+load:file=" + loaded));
     gatherers.add(plain);
     scan(plain);
     plain.terminate();
     assertThat(plain.waitFor(10_000)).isZero();
     assertThat(Files.readString(loaded))
-        .contains("tidebank.RoutingPolicy")
+        .contains("tidebank.policy.RoutingPolicy")
         .doesNotContain("tidebank.fleet.")
         .doesNotContain("tidebank.lease.");
   }
--- a/testbed/src/test/java/tidebank/testbed/scale/ProfileTest.java
+++ b/testbed/src/test/java/tidebank/testbed/scale/ProfileTest.java
@@ -5,7 +5,7 @@
 
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
-import tidebank.config.Malformed;
+import tidebank.config.MalformedInputException;
 import tidebank.config.Toml;
 
 /**
@@ -26,18 +26,18 @@
       beside_gatherers = 2
       """;
 
-  private static Profile profile(String text) throws Malformed {
+  private static Profile profile(String text) throws MalformedInputException {
     return Profile.read(Toml.read("p.toml", text));
   }
 
   private static void refused(String text, String... parts) {
     assertThatThrownBy(() -> profile(text))
-        .isInstanceOf(Malformed.class)
+        .isInstanceOf(MalformedInputException.class)
         .hasMessageContainingAll(parts);
   }
 
   @Test
-  void eachSizeStandsOnceAndSmallOnesComeFirst() throws Malformed {
+  void eachSizeStandsOnceAndSmallOnesComeFirst() throws MalformedInputException {
     Profile profile = profile(GOOD);
 
     assertThat(profile.fixed()).isEqualTo(new Size(2, 10));
@@ -78,7 +78,7 @@
   }
 
   @Test
-  void theProfileAndTheTargetOfTheRepositoryAreRead() throws Malformed {
+  void theProfileAndTheTargetOfTheRepositoryAreRead() throws MalformedInputException {
     Profile profile = Profile.read(Path.of("..", "deploy", "scale", "small.toml"));
     Target target = Target.read(Path.of("..", "deploy", "scale", "target.toml"));
 
@@ -92,7 +92,7 @@
   void aTargetHasNoDefaults() {
     assertThatThrownBy(
             () -> Target.read(Toml.read("t.toml", "[today]\ngatherers = 1\nserver = 2\n")))
-        .isInstanceOf(Malformed.class)
+        .isInstanceOf(MalformedInputException.class)
         .hasMessageContainingAll(
             "today.shard_servers: is missing",
             "t.toml:3",
--- a/testbed/src/test/java/tidebank/testbed/scale/HollowGathererTest.java
+++ b/testbed/src/test/java/tidebank/testbed/scale/SimulatedRouterTest.java
@@ -14,13 +14,13 @@
 import org.junit.jupiter.api.Test;
 import tidebank.testbed.scale.Observed.Descriptors;
 import tidebank.testbed.scale.Observed.ProcessorTime;
-import tidebank.runtime.Gatherer;
+import tidebank.runtime.QueryRouter;
 
 /**
  * Hollow gatherers stand for real ones, and what they cost grows as it should: counted bytes and
  * messages, no times.
  */
-class HollowGathererTest {
+class SimulatedRouterTest {
   private static final long SEED = 39;
   private static final int CHANGES = 6;
   private static final Percentage TENTH = Percentage.withPercentage(10);
@@ -33,7 +33,7 @@
   }
 
   private static Calls hollow(Size size) throws IOException {
-    try (HollowFleet fleet = new HollowFleet(size, SEED)) {
+    try (SimulatedFleet fleet = new SimulatedFleet(size, SEED)) {
       fleet.begin();
       Calls calls = Calls.of(fleet.discovery());
       assertThat(fleet.callsFailed()).isZero();
@@ -59,15 +59,15 @@
   }
 
   private static Calls real(Size size) throws Exception {
-    List<Gatherer> gatherers = new ArrayList<>();
+    List<QueryRouter> gatherers = new ArrayList<>();
     try (DiscoveryRig discovery = new DiscoveryRig(size, SEED)) {
       for (int i = 0; i < size.gatherers(); i++) {
-        gatherers.add(Gatherer.start(GathererFiles.config(size, i, discovery.address(i), SEED)));
+        gatherers.add(QueryRouter.start(RouterFiles.config(size, i, discovery.address(i), SEED)));
       }
       return Calls.of(discovery);
     } finally {
       CompletableFuture<?>[] ends =
-          gatherers.stream().map(Gatherer::stop).toArray(CompletableFuture[]::new);
+          gatherers.stream().map(QueryRouter::stop).toArray(CompletableFuture[]::new);
       CompletableFuture.allOf(ends).get(20, TimeUnit.SECONDS);
     }
   }
@@ -191,7 +191,7 @@
   @Test
   void aHollowGathererTakesEachEntryOnce() throws IOException {
     Size size = new Size(1, 100);
-    try (HollowFleet fleet = new HollowFleet(size, SEED)) {
+    try (SimulatedFleet fleet = new SimulatedFleet(size, SEED)) {
       fleet.begin();
       Calls.of(fleet.discovery());
       RecordingShardPort shards = fleet.gatherer(0).shards();
--- a/testbed/src/test/java/tidebank/threads/HandoverThreadsTest.java
+++ b/testbed/src/test/java/tidebank/threads/AgentMailboxThreadsTest.java
@@ -8,17 +8,17 @@
 import org.jetbrains.lincheck.datastructures.ModelCheckingOptions;
 import org.jetbrains.lincheck.datastructures.Operation;
 import org.junit.jupiter.api.Test;
-import tidebank.fleet.Handover;
+import tidebank.fleet.AgentMailbox;
 
 /** What loop and agent hand each other, under all interleavings of a few of their steps. */
-class HandoverThreadsTest {
+class AgentMailboxThreadsTest {
   private static SortedMap<String, Long> counters(long scans) {
     return new TreeMap<>(java.util.Map.of("scans", scans));
   }
 
   /** As it is. */
   public static class Real {
-    private final Handover handover = new Handover();
+    private final AgentMailbox handover = new AgentMailbox();
 
     @Operation(nonParallelGroup = "agent")
     public boolean ask() {
--- a/testbed/src/test/java/tidebank/threads/LineBoundThreadsTest.java
+++ b/testbed/src/test/java/tidebank/threads/LogRateLimiterThreadsTest.java
@@ -6,13 +6,13 @@
 import org.jetbrains.lincheck.datastructures.ModelCheckingOptions;
 import org.jetbrains.lincheck.datastructures.Operation;
 import org.junit.jupiter.api.Test;
-import tidebank.base.LineBound;
+import tidebank.logging.LogRateLimiter;
 
 /** The log's bound under all interleavings of a few lines. */
-class LineBoundThreadsTest {
+class LogRateLimiterThreadsTest {
   /** As it is. */
   public static class Real {
-    private final LineBound bound = new LineBound(1);
+    private final LogRateLimiter bound = new LogRateLimiter(1);
 
     @Operation
     public long now() {
@@ -48,7 +48,7 @@
       }
       if (lines >= 1) {
         left++;
-        return LineBound.DENIED;
+        return LogRateLimiter.DENIED;
       }
       lines++;
       long tell = left;
