--- a/cli/src/main/java/tidebank/cli/FleetCommands.java
+++ b/cli/src/main/java/tidebank/cli/FleetCommands.java
@@ -131,8 +131,8 @@
 
     protected int operate(Kind kind, String name, String duty, String done) throws IOException {
       CommandResult answer = client().operate(kind, name, duty);
-      if (answer.fault() != null) {
-        throw new TidebankException.RequestRejected(answer.fault());
+      if (answer.error() != null) {
+        throw new TidebankException.RequestRejected(answer.error());
       }
       out().println(json ? "{\"done\":true}" : done);
       return Tidebank.DONE;
@@ -145,16 +145,16 @@
     protected static String member(LeaseTable.State state, LeaseTable.Member member) {
       return member.retired()
           ? "retired"
-          : member.aliveUntil() <= state.now()
+          : member.expiresAt() <= state.leaderClock()
               ? "silent"
               : member.draining()
                   ? "drained"
-                  : member.calmAt() > state.now() ? "held off" : "alive";
+                  : member.eligibleAt() > state.leaderClock() ? "held off" : "alive";
     }
 
     /** The owner at the moment of the last command that the stewards decided, or a dash. */
     protected static String owner(LeaseTable.State state, LeaseTable.TaskLease duty) {
-      return duty.owner().isEmpty() || duty.until() <= state.now() ? "-" : duty.owner();
+      return duty.holder().isEmpty() || duty.expiresAt() <= state.leaderClock() ? "-" : duty.holder();
     }
   }
 
@@ -183,9 +183,9 @@
       Map<String, Integer> members = new TreeMap<>();
       state.members().forEach(member -> members.merge(member(state, member), 1, Integer::sum));
       List<String> without =
-          state.duties().stream()
+          state.tasks().stream()
               .filter(duty -> owner(state, duty).equals("-"))
-              .map(LeaseTable.TaskLease::name)
+              .map(LeaseTable.TaskLease::task)
               .toList();
       Map<String, Object> whole =
           Map.of(
@@ -194,11 +194,11 @@
               "members",
               members,
               "duties",
-              state.duties().size(),
+              state.tasks().size(),
               "without_owner",
               without,
               "lease_ms",
-              state.terms().leaseUs() / 1000);
+              state.config().leaseUs() / 1000);
       return show(
           whole,
           List.of("term", "members", "duties", "without owner", "lease"),
@@ -206,9 +206,9 @@
               List.of(
                   String.valueOf(state.term()),
                   members.isEmpty() ? "none" : members.toString().replaceAll("[{}]", ""),
-                  String.valueOf(state.duties().size()),
+                  String.valueOf(state.tasks().size()),
                   without.isEmpty() ? "none" : String.join(", ", without),
-                  state.terms().leaseUs() / 1000 + " ms")));
+                  state.config().leaseUs() / 1000 + " ms")));
     }
   }
 
@@ -228,9 +228,9 @@
                           member(state, member),
                           String.join(
                               ", ",
-                              state.duties().stream()
+                              state.tasks().stream()
                                   .filter(duty -> owner(state, duty).equals(member.name()))
-                                  .map(LeaseTable.TaskLease::name)
+                                  .map(LeaseTable.TaskLease::task)
                                   .toList()))));
     }
   }
@@ -244,17 +244,17 @@
     int once() throws IOException {
       LeaseTable.State state = client().state();
       return show(
-          state.duties(),
+          state.tasks(),
           List.of("duty", "owner", "token", "meant for", "pinned to", "revision", "published"),
-          state.duties().stream()
+          state.tasks().stream()
               .map(
                   duty ->
                       List.of(
-                          duty.name(),
+                          duty.task(),
                           owner(state, duty),
-                          String.valueOf(duty.token()),
-                          dash(duty.meant()),
-                          dash(duty.pinned()),
+                          String.valueOf(duty.fencingToken()),
+                          dash(duty.assignedMember()),
+                          dash(duty.stickyMember()),
                           String.valueOf(duty.revision()),
                           dash(duty.value()))));
     }
@@ -281,10 +281,10 @@
               .map(
                   one ->
                       List.of(
-                          Instant.ofEpochMilli(one.wallMs()).toString(),
-                          String.valueOf(one.token()),
-                          one.what(),
-                          dash(one.who()))));
+                          Instant.ofEpochMilli(one.timestampMs()).toString(),
+                          String.valueOf(one.fencingToken()),
+                          one.event(),
+                          dash(one.member()))));
     }
   }
 
--- a/cli/src/main/java/tidebank/cli/FleetDemo.java
+++ b/cli/src/main/java/tidebank/cli/FleetDemo.java
@@ -53,33 +53,33 @@
       say("three stewards and three gatherers started; their files are in " + folder);
       LeaseTable.TaskLease first = until(client, duty -> duty.revision() >= 2);
       say(
-          first.owner()
+          first.holder()
               + " owns the report by token "
-              + first.token()
+              + first.fencingToken()
               + " and has published "
               + first.value());
-      RouterProcess owner = gatherers.get(Integer.parseInt(first.owner().substring(1)));
+      RouterProcess owner = gatherers.get(Integer.parseInt(first.holder().substring(1)));
       owner.stop();
       say(owner.name() + " is stopped (SIGSTOP): it neither renews nor knows that it does not");
-      LeaseTable.TaskLease second = until(client, duty -> duty.publishedBy() > first.token());
+      LeaseTable.TaskLease second = until(client, duty -> duty.publishingToken() > first.fencingToken());
       say(
           "its lease has ended; "
-              + second.owner()
+              + second.holder()
               + " owns the report by token "
-              + second.token()
+              + second.fencingToken()
               + " and has published "
               + second.value());
       owner.wake();
       say(owner.name() + " is woken and goes on where it stood");
       LeaseTable.TaskLease third = until(client, duty -> duty.revision() >= second.revision() + 3);
-      boolean harm = third.publishedBy() < second.token();
+      boolean harm = third.publishingToken() < second.fencingToken();
       say(
           "three reports later: "
               + third.value()
               + "; "
               + (harm
                   ? "an old token was believed"
-                  : "nothing by token " + first.token() + " was believed since"));
+                  : "nothing by token " + first.fencingToken() + " was believed since"));
       return harm ? Tidebank.FAILED : Tidebank.DONE;
     } finally {
       gatherers.forEach(RouterProcess::close);
@@ -90,7 +90,7 @@
       throws IOException {
     long end = System.nanoTime() + PATIENCE_MS * 1_000_000;
     while (System.nanoTime() < end) {
-      for (LeaseTable.TaskLease duty : client.state().duties()) {
+      for (LeaseTable.TaskLease duty : client.state().tasks()) {
         if (wanted.test(duty)) {
           return duty;
         }
@@ -103,6 +103,6 @@
       }
     }
     throw new IOException(
-        "the duty did not come so far in " + PATIENCE_MS / 1000 + " s: " + client.state().duties());
+        "the duty did not come so far in " + PATIENCE_MS / 1000 + " s: " + client.state().tasks());
   }
 }
--- a/cli/src/main/java/tidebank/cli/Tidebank.java
+++ b/cli/src/main/java/tidebank/cli/Tidebank.java
@@ -85,8 +85,8 @@
                 .getErr()
                 .println(
                     json
-                        ? new ObjectMapper().writeValueAsString(known.told())
-                        : known.told().lines());
+                        ? new ObjectMapper().writeValueAsString(known.details())
+                        : known.details().lines());
             return FAILED;
           }
           String text =
--- a/cli/src/main/java/tidebank/cli/Watch.java
+++ b/cli/src/main/java/tidebank/cli/Watch.java
@@ -43,7 +43,7 @@
     try {
       shown.once();
     } catch (TidebankException fault) {
-      return fault.told().lines().lines().toList();
+      return fault.details().lines().lines().toList();
     } finally {
       line.setOut(before);
     }
--- a/cli/src/test/java/tidebank/cli/FleetJsonFixturesTest.java
+++ b/cli/src/test/java/tidebank/cli/FleetJsonFixturesTest.java
@@ -65,7 +65,7 @@
             "[duties]\nnames = [\"report\"]\n[lease]\nms = 600000\n[election]\nms = 200\n")) {
       String at = stewards.addresses().get(0);
       CoordinatorClient client = new CoordinatorClient(stewards.addresses(), 20_000);
-      while (client.state().duties().isEmpty()) {
+      while (client.state().tasks().isEmpty()) {
         Thread.onSpinWait();
       }
       client.command(LeaseCommand.of(Kind.JOIN, "a", 1, "g0"));
--- a/coordinator/src/main/java/tidebank/coordinator/CoordinatorClient.java
+++ b/coordinator/src/main/java/tidebank/coordinator/CoordinatorClient.java
@@ -32,7 +32,7 @@
    * One thing that became of a duty: when, in milliseconds since 1970 by the leading steward's
    * clock; by which token; who; what.
    */
-  public record AuditEntry(long wallMs, long token, String who, String what) {}
+  public record AuditEntry(long timestampMs, long fencingToken, String member, String event) {}
 
   /** As it comes over the wire. */
   private static final class History extends TreeMap<String, List<AuditEntry>> {
@@ -85,7 +85,7 @@
    * being decided.
    */
   public CommandResult command(LeaseCommand command) throws IOException {
-    return LeaseCodec.read(call("/fleet/command", LeaseCodec.bytes(command)), CommandResult.class);
+    return LeaseCodec.read(call("/fleet/command", LeaseCodec.write(command)), CommandResult.class);
   }
 
   private byte[] call(String path, byte[] body) throws IOException {
@@ -101,12 +101,12 @@
             return response.body();
           }
           CommandResult answer = LeaseCodec.read(response.body(), CommandResult.class);
-          if (answer.fault() != null && answer.fault().again() == TidebankException.Retry.NO) {
-            throw new TidebankException.RequestRejected(answer.fault());
+          if (answer.error() != null && answer.error().retry() == TidebankException.Retry.NO) {
+            throw new TidebankException.RequestRejected(answer.error());
           }
           tried.put(
               address,
-              answer.fault() == null ? "status " + response.statusCode() : answer.fault().what());
+              answer.error() == null ? "status " + response.statusCode() : answer.error().message());
           response
               .headers()
               .firstValue("location")
--- a/coordinator/src/main/java/tidebank/coordinator/CoordinatorMain.java
+++ b/coordinator/src/main/java/tidebank/coordinator/CoordinatorMain.java
@@ -25,7 +25,7 @@
       System.exit(2);
     } catch (IOException fault) {
       System.err.println(
-          fault instanceof TidebankException known ? known.told().lines() : "tidebank: " + fault);
+          fault instanceof TidebankException known ? known.details().lines() : "tidebank: " + fault);
       System.exit(1);
     }
   }
@@ -45,7 +45,7 @@
                 }));
     // SIGTERM ends the process from the hook; this comes back only where the steward can't go on.
     TidebankException fault = steward.ended().join();
-    System.err.println(fault.told().lines());
+    System.err.println(fault.details().lines());
     Runtime.getRuntime().halt(1);
     return 1;
   }
--- a/coordinator/src/main/java/tidebank/coordinator/CoordinatorServer.java
+++ b/coordinator/src/main/java/tidebank/coordinator/CoordinatorServer.java
@@ -160,7 +160,7 @@
    * TidebankException}.
    */
   CompletableFuture<byte[]> command(LeaseCommand command) {
-    return submit(RaftClientRequest.writeRequestType(), LeaseCodec.bytes(command));
+    return submit(RaftClientRequest.writeRequestType(), LeaseCodec.write(command));
   }
 
   /** The state as most of the stewards know it, as JSON. */
@@ -204,7 +204,7 @@
     for (Waiter waiter : free.isEmpty() ? List.<Waiter>of() : List.copyOf(waiters)) {
       List<String> duties = free.get(waiter.name());
       if (duties != null) {
-        waiter.answer().complete(LeaseCodec.bytes(duties));
+        waiter.answer().complete(LeaseCodec.write(duties));
       }
     }
   }
@@ -291,8 +291,8 @@
     LeaseCommand.Plan wanted = new LeaseCommand.Plan(file.terms(), file.duties().stream().sorted().toList());
     LeaseTable.State now = machine.seen();
     LOG.info("steward " + file.name() + " leads");
-    if (!now.terms().equals(wanted.terms())
-        || !now.duties().stream().map(LeaseTable.TaskLease::name).toList().equals(wanted.duties())) {
+    if (!now.config().equals(wanted.config())
+        || !now.tasks().stream().map(LeaseTable.TaskLease::task).toList().equals(wanted.tasks())) {
       plan(
           new LeaseCommand(
               LeaseCommand.Kind.PLAN,
@@ -338,7 +338,7 @@
         new TidebankException.DataDirectoryUnusable(
             file.folder().toString(), "its log can't be written: " + root);
     if (ended.complete(fault)) {
-      LOG.error(fault.told().lines().replace('\n', ' '));
+      LOG.error(fault.details().lines().replace('\n', ' '));
     }
   }
 
--- a/coordinator/src/main/java/tidebank/coordinator/HttpServer.java
+++ b/coordinator/src/main/java/tidebank/coordinator/HttpServer.java
@@ -132,7 +132,7 @@
           throw new TidebankException.MalformedRequest("it is no HTTP/1.1");
         }
         if (path.equals("/fleet/command") && request.method().equals(HttpMethod.POST)) {
-          return steward.command(LeaseCodec.command(ByteBufUtil.getBytes(request.content())));
+          return steward.command(LeaseCodec.readCommand(ByteBufUtil.getBytes(request.content())));
         } else if (path.equals("/fleet/state") && request.method().equals(HttpMethod.GET)) {
           return steward.state();
         } else if (path.startsWith("/fleet/wanted?") && request.method().equals(HttpMethod.GET)) {
@@ -144,7 +144,7 @@
             throw new TidebankException.NoMajority("no leader is known");
           }
           return CompletableFuture.completedFuture(
-              LeaseCodec.bytes(Map.of("leader", steward.leader())));
+              LeaseCodec.write(Map.of("leader", steward.leader())));
         }
         throw new TidebankException.PathUnknown(request.method().name(), path);
       } catch (TidebankException fault) {
@@ -211,6 +211,6 @@
 
   /** What went wrong, in the form of an answer, so that a caller reads one form only. */
   private static byte[] told(Throwable thrown) {
-    return LeaseCodec.bytes(new CommandResult(fault(thrown).told(), null, null, null, 0));
+    return LeaseCodec.write(new CommandResult(fault(thrown).details(), null, null, null, 0));
   }
 }
--- a/coordinator/src/main/java/tidebank/coordinator/LeaseAuditLog.java
+++ b/coordinator/src/main/java/tidebank/coordinator/LeaseAuditLog.java
@@ -28,34 +28,34 @@
 
   /** A command was taken that led from one state to another. */
   void applied(LeaseTable.State before, LeaseTable.State after, long wallMs) {
-    if (before.duties().equals(after.duties())) {
+    if (before.tasks().equals(after.tasks())) {
       return;
     }
     Map<String, TaskLease> then = new HashMap<>();
-    before.duties().forEach(duty -> then.put(duty.name(), duty));
-    for (TaskLease now : after.duties()) {
-      TaskLease was = then.remove(now.name());
+    before.tasks().forEach(duty -> then.put(duty.task(), duty));
+    for (TaskLease now : after.tasks()) {
+      TaskLease was = then.remove(now.task());
       if (was == null) {
-        duties.putIfAbsent(now.name(), new ArrayDeque<>());
+        duties.putIfAbsent(now.task(), new ArrayDeque<>());
         continue;
       }
-      if (now.token() != was.token()) {
+      if (now.fencingToken() != was.fencingToken()) {
         String late =
-            was.owner().isEmpty() || was.token() == 0
+            was.holder().isEmpty() || was.fencingToken() == 0
                 ? ""
-                : ", as the lease of " + was.owner() + " was over";
-        add(now.name(), new AuditEntry(wallMs, now.token(), now.owner(), "granted" + late));
-      } else if (now.owner().isEmpty() && !was.owner().isEmpty()) {
-        add(now.name(), new AuditEntry(wallMs, now.token(), was.owner(), "let go"));
+                : ", as the lease of " + was.holder() + " was over";
+        add(now.task(), new AuditEntry(wallMs, now.fencingToken(), now.holder(), "granted" + late));
+      } else if (now.holder().isEmpty() && !was.holder().isEmpty()) {
+        add(now.task(), new AuditEntry(wallMs, now.fencingToken(), was.holder(), "let go"));
       }
-      if (!now.pinned().equals(was.pinned())) {
+      if (!now.stickyMember().equals(was.stickyMember())) {
         add(
-            now.name(),
+            now.task(),
             new AuditEntry(
                 wallMs,
-                now.token(),
-                now.pinned(),
-                now.pinned().isEmpty() ? "moved to anywhere" : "moved to"));
+                now.fencingToken(),
+                now.stickyMember(),
+                now.stickyMember().isEmpty() ? "moved to anywhere" : "moved to"));
       }
     }
     then.keySet().forEach(duties::remove);
--- a/coordinator/src/main/java/tidebank/coordinator/LeaseStateMachine.java
+++ b/coordinator/src/main/java/tidebank/coordinator/LeaseStateMachine.java
@@ -58,10 +58,10 @@
   private static final int HEAD = Integer.BYTES + Long.BYTES;
 
   /** What stands in the log. */
-  record LogRecord(long term, long at, long wallMs, LeaseCommand command) {}
+  record LogRecord(long term, long leaderClock, long timestampMs, LeaseCommand command) {}
 
   /** What stands in a snapshot. */
-  record SnapshotContent(LeaseTable.State state, Map<String, List<CoordinatorClient.AuditEntry>> history) {}
+  record SnapshotContent(LeaseTable.State state, Map<String, List<CoordinatorClient.AuditEntry>> auditLog) {}
 
   /** A query for the history of all duties; any other is for the state. */
   static final ByteString HISTORY = ByteString.copyFromUtf8("history");
@@ -111,7 +111,7 @@
     byte[] bytes = Files.readAllBytes(file.toPath());
     SnapshotContent kept = unpacked(file.getName(), bytes);
     book = new LeaseTable(kept.state());
-    history = new LeaseAuditLog(kept.history());
+    history = new LeaseAuditLog(kept.auditLog());
     seen = book.state();
     setLastAppliedTermIndex(snapshot.getTermIndex());
     LOG.info(
@@ -120,7 +120,7 @@
             + ": "
             + seen.members().size()
             + " members, "
-            + seen.duties().size()
+            + seen.tasks().size()
             + " duties");
   }
 
@@ -149,7 +149,7 @@
   }
 
   static byte[] packed(SnapshotContent kept) {
-    byte[] json = LeaseCodec.bytes(kept);
+    byte[] json = LeaseCodec.write(kept);
     ByteBuffer buffer =
         ByteBuffer.allocate(HEAD + json.length).putInt(VERSION).putLong(check(json, 0)).put(json);
     return buffer.array();
@@ -206,7 +206,7 @@
     LeaseCommand command =
         LeaseCodec.read(request.getMessage().getContent().toByteArray(), LeaseCommand.class);
     byte[] stamped =
-        LeaseCodec.bytes(new LogRecord(term, clock(), System.currentTimeMillis(), command));
+        LeaseCodec.write(new LogRecord(term, clock(), System.currentTimeMillis(), command));
     return TransactionContext.newBuilder()
         .setServerRole(RaftPeerRole.LEADER)
         .setStateMachine(this)
@@ -226,20 +226,20 @@
       synchronized (this) {
         answer =
             stamped.term() == entry.getTerm()
-                ? book.apply(entry.getTerm(), stamped.at(), stamped.command())
+                ? book.apply(entry.getTerm(), stamped.leaderClock(), stamped.command())
                 : new CommandResult(
-                    new TidebankException.LeaderChanged(stamped.term(), entry.getTerm()).told(),
+                    new TidebankException.LeaderChanged(stamped.term(), entry.getTerm()).details(),
                     null,
                     null,
                     null,
                     0);
-        history.applied(seen, book.state(), stamped.wallMs());
+        history.applied(seen, book.state(), stamped.timestampMs());
         seen = book.state();
         updateLastAppliedTermIndex(entry.getTerm(), entry.getIndex());
       }
       changed.run();
       return CompletableFuture.completedFuture(
-          Message.valueOf(ByteString.copyFrom(LeaseCodec.bytes(answer))));
+          Message.valueOf(ByteString.copyFrom(LeaseCodec.write(answer))));
     } catch (IOException | RuntimeException fault) {
       // The same on every steward, as the log is; the command has no effect.
       LOG.error(
@@ -259,18 +259,18 @@
     if (request.getContent().equals(HISTORY)) {
       synchronized (this) {
         return CompletableFuture.completedFuture(
-            Message.valueOf(ByteString.copyFrom(LeaseCodec.bytes(history.all()))));
+            Message.valueOf(ByteString.copyFrom(LeaseCodec.write(history.all()))));
       }
     }
     LeaseTable.State now = seen;
     try {
       long term = getServer().join().getDivision(getGroupId()).getInfo().getCurrentTerm();
-      now = term == now.term() ? now.at(clock()) : now;
+      now = term == now.term() ? now.asOf(clock()) : now;
     } catch (IOException fault) {
       return CompletableFuture.failedFuture(fault);
     }
     return CompletableFuture.completedFuture(
-        Message.valueOf(ByteString.copyFrom(LeaseCodec.bytes(now))));
+        Message.valueOf(ByteString.copyFrom(LeaseCodec.write(now))));
   }
 
   private static long clock() {
--- a/router/src/main/java/tidebank/Main.java
+++ b/router/src/main/java/tidebank/Main.java
@@ -72,7 +72,7 @@
                 }));
     QueryRouter gatherer;
     try {
-      Log.style(own.log());
+      Log.style(own.logging());
       RouterConfig config = RouterConfig.read(System.getenv());
       starting.set(true);
       gatherer = QueryRouter.start(config, own);
--- a/router/src/main/java/tidebank/backend/ConnectionPool.java
+++ b/router/src/main/java/tidebank/backend/ConnectionPool.java
@@ -30,12 +30,12 @@
 
   void closeFrom(long at) {
     closedFrom = at;
-    side.timers.set(this, at);
+    side.timers.schedule(this, at);
   }
 
   void openAgain() {
     closedFrom = Long.MAX_VALUE;
-    side.timers.clear(this);
+    side.timers.cancel(this);
   }
 
   /** Its drain grace is over. */
@@ -52,7 +52,7 @@
     }
     InFlightAttempt inFlight = new InFlightAttempt(request, gathering);
     gathering.flights.add(inFlight);
-    side.timers.set(inFlight, request.stopAt);
+    side.timers.schedule(inFlight, request.deadline);
     return inFlight;
   }
 
@@ -67,7 +67,7 @@
     }
     ShardConnection connection = withRoom();
     if (connection == null) {
-      side.counters.fault("shard.no-connection-to-spare", "server " + id);
+      side.counters.recordFault("shard.no-connection-to-spare", "server " + id);
       endAll(call, Outcome.UNREACHABLE);
       side.forgetIfGone(this);
       return;
@@ -79,7 +79,7 @@
   void probe(byte letter) {
     ShardConnection connection = withRoom();
     if (connection == null) {
-      side.driver.probed(id, Outcome.UNREACHABLE, 0, Map.of());
+      side.driver.healthCheckCompleted(id, Outcome.UNREACHABLE, 0, Map.of());
       return;
     }
     connection.probe(letter);
@@ -118,13 +118,13 @@
       return;
     }
     inFlight.stage = InFlightAttempt.Stage.ENDED;
-    side.timers.clear(inFlight);
+    side.timers.cancel(inFlight);
     RequestBatch call = inFlight.call;
     call.flights.remove(inFlight);
     if (call.connection != null) {
       call.connection.forget(inFlight);
     }
-    side.driver.dispatchEnded(inFlight.request, outcome, value, report);
+    side.driver.attemptCompleted(inFlight.request, outcome, value, report);
   }
 
   void removed(ShardConnection connection) {
--- a/router/src/main/java/tidebank/backend/FrameCodec.java
+++ b/router/src/main/java/tidebank/backend/FrameCodec.java
@@ -37,18 +37,18 @@
     ByteBuf frame = allocator.directBuffer(256);
     frame.writeByte(CALL);
     for (InFlightAttempt inFlight : flights) {
-      long waitMs = Math.max(1, (inFlight.request.stopAt - now) / 1000);
+      long waitMs = Math.max(1, (inFlight.request.deadline - now) / 1000);
       ByteBufUtil.writeAscii(
           frame,
-          inFlight.request.part
+          inFlight.request.requestId
               + ' '
               + inFlight.request.shard
               + " d="
               + waitMs
               + ' '
-              + inFlight.request.text.length
+              + inFlight.request.body.length
               + '\n');
-      frame.writeBytes(inFlight.request.text);
+      frame.writeBytes(inFlight.request.body);
     }
     return frame;
   }
@@ -80,7 +80,7 @@
         switch (words[1]) {
           case "good" -> Outcome.COMPLETED;
           case "bad" -> Outcome.ERROR;
-          case "later" -> Outcome.FULL;
+          case "later" -> Outcome.OVERLOADED;
           default -> throw new MalformedInputException("an answer's end '" + words[1] + "'");
         };
     if (outcome == Outcome.COMPLETED && !ByteBufUtil.isText(frame, UTF_8)) {
--- a/router/src/main/java/tidebank/backend/InFlightAttempt.java
+++ b/router/src/main/java/tidebank/backend/InFlightAttempt.java
@@ -35,7 +35,7 @@
 
   private void stop(Outcome ifWritten) {
     if (stage == Stage.WAITING) {
-      call.server.end(this, Outcome.NEVER_SENT, null);
+      call.server.end(this, Outcome.NOT_SENT, null);
     } else if (stage != Stage.ENDED) {
       call.connection.giveUp(this);
       call.server.end(this, ifWritten, null);
@@ -45,7 +45,7 @@
   @Override
   public void dropUnsent() {
     if (stage == Stage.WAITING) {
-      call.server.end(this, Outcome.NEVER_SENT, null);
+      call.server.end(this, Outcome.NOT_SENT, null);
     } else if (stage == Stage.WRITING) {
       call.connection.stopWriting();
     }
--- a/router/src/main/java/tidebank/backend/ShardClient.java
+++ b/router/src/main/java/tidebank/backend/ShardClient.java
@@ -47,8 +47,8 @@
       Counters counters) {
     this.config = config;
     this.transport = config.transport();
-    this.mayGiveUp = config.settings().limits().cancel();
-    this.slowestUs = config.settings().slowestUs();
+    this.mayGiveUp = config.settings().limits().cancellation();
+    this.slowestUs = config.settings().longestTimeoutUs();
     this.template = template;
     this.driver = driver;
     this.clock = clock;
@@ -74,7 +74,7 @@
   }
 
   int bundleMost() {
-    return config.settings().layout().bundleMax();
+    return config.settings().layout().maxBatchSize();
   }
 
   void pending(RequestBatch call) {
@@ -87,22 +87,22 @@
   }
 
   @Override
-  public void listed(List<Member> members, boolean full) {
+  public void updateEndpoints(List<Member> members, boolean full) {
     long now = clock.now();
     Set<String> named = new HashSet<>();
     for (Member member : members) {
-      String id = member.line().server();
+      String id = member.endpoint().server();
       named.add(id);
       ConnectionPool server = servers.computeIfAbsent(id, absent -> new ConnectionPool(id, this));
-      if (member.line().status() == EndpointStatus.IN_SERVICE) {
+      if (member.endpoint().status() == EndpointStatus.IN_SERVICE) {
         server.openAgain();
         server.gone = false;
         if (!member.address().equals(server.address)) {
           server.address = member.address();
-          retire(id);
+          retireConnections(id);
         }
       } else {
-        leaves(server, now, member.line().status() == EndpointStatus.GONE);
+        leaves(server, now, member.endpoint().status() == EndpointStatus.GONE);
       }
     }
     if (full) {
@@ -147,7 +147,7 @@
   }
 
   @Override
-  public void retire(String id) {
+  public void retireConnections(String id) {
     ConnectionPool server = servers.get(id);
     if (server != null) {
       for (ShardConnection connection : List.copyOf(server.connections)) {
@@ -157,10 +157,10 @@
   }
 
   @Override
-  public void probe(String id) {
+  public void checkHealth(String id) {
     ConnectionPool server = servers.get(id);
     if (server == null) {
-      driver.probed(id, Outcome.UNREACHABLE, 0, Map.of());
+      driver.healthCheckCompleted(id, Outcome.UNREACHABLE, 0, Map.of());
     } else {
       server.probe(transport.probeForLoad() ? FrameCodec.PROBE_LOAD : FrameCodec.PROBE);
     }
--- a/router/src/main/java/tidebank/backend/ShardConnection.java
+++ b/router/src/main/java/tidebank/backend/ShardConnection.java
@@ -109,7 +109,7 @@
   }
 
   void take(RequestBatch call) {
-    side.timers.clear(idle);
+    side.timers.cancel(idle);
     call.connection = this;
     calls.add(call);
     waiting.add(call);
@@ -125,7 +125,7 @@
       long now = side.clock.now();
       if (now >= server.closedFrom) {
         side.counters.add("shard.dropped-for-drain");
-        server.endAll(call, Outcome.NEVER_SENT);
+        server.endAll(call, Outcome.NOT_SENT);
       }
       // What lapses here leaves the call.
       List.copyOf(call.flights).forEach(inFlight -> side.driver.aboutToWrite(inFlight.request));
@@ -135,7 +135,7 @@
       writing = call;
       for (InFlightAttempt inFlight : call.flights) {
         inFlight.stage = InFlightAttempt.Stage.WRITING;
-        out.put(inFlight.request.part, inFlight);
+        out.put(inFlight.request.requestId, inFlight);
       }
       lastUsed = now;
       channel.writeAndFlush(FrameCodec.call(channel.alloc(), call.flights, now)).addListener(written);
@@ -178,7 +178,7 @@
   void dropWaiting() {
     for (RequestBatch call : List.copyOf(waiting)) {
       side.counters.add("shard.dropped-for-drain");
-      server.endAll(call, Outcome.NEVER_SENT);
+      server.endAll(call, Outcome.NOT_SENT);
     }
   }
 
@@ -186,24 +186,24 @@
   void giveUp(InFlightAttempt inFlight) {
     long now = side.clock.now();
     givenUp.values().removeIf(until -> until <= now);
-    givenUp.put(inFlight.request.part, now + side.slowestUs);
+    givenUp.put(inFlight.request.requestId, now + side.slowestUs);
     if (side.mayGiveUp && channel.isActive()) {
       lastUsed = side.clock.now();
       channel.writeAndFlush(
-          FrameCodec.giveUp(channel.alloc(), inFlight.request.part), channel.voidPromise());
+          FrameCodec.giveUp(channel.alloc(), inFlight.request.requestId), channel.voidPromise());
     }
   }
 
   /** A inFlight has ended. */
   void forget(InFlightAttempt inFlight) {
-    out.remove(inFlight.request.part, inFlight);
+    out.remove(inFlight.request.requestId, inFlight);
     if (inFlight.call.flights.isEmpty()) {
       calls.remove(inFlight.call);
       waiting.remove(inFlight.call);
       if (isIdle() && retired) {
         close();
       } else if (isIdle() && !closed) {
-        side.timers.set(idle, unusableFrom());
+        side.timers.schedule(idle, unusableFrom());
       }
     }
   }
@@ -230,7 +230,7 @@
                 FrameCodec.probe(channel.alloc(), probe.letter()), channel.voidPromise()));
     write();
     if (isIdle()) {
-      side.timers.set(idle, unusableFrom());
+      side.timers.schedule(idle, unusableFrom());
     }
   }
 
@@ -287,12 +287,12 @@
       return;
     }
     if (!reader.begun()) {
-      side.timers.clear(neverWhole);
+      side.timers.cancel(neverWhole);
       release();
     } else if (isIdle() && givenUp.isEmpty()) {
       spoilt("more than was asked for");
     } else {
-      side.timers.set(neverWhole, side.clock.now() + side.transport.connectTimeoutUs());
+      side.timers.schedule(neverWhole, side.clock.now() + side.transport.connectTimeoutUs());
     }
   }
 
@@ -301,9 +301,9 @@
     if (probe == null || probe.letter() != letter) {
       throw new MalformedInputException("an answer to no probe");
     }
-    side.timers.clear(probeLate);
+    side.timers.cancel(probeLate);
     boolean good = !text.equals("bad");
-    side.driver.probed(
+    side.driver.healthCheckCompleted(
         server.id,
         good ? Outcome.COMPLETED : Outcome.ERROR,
         side.clock.now() - probe.askedAt(),
@@ -314,7 +314,7 @@
   }
 
   private void awaitProbe() {
-    side.timers.set(probeLate, side.clock.now() + side.transport.connectTimeoutUs());
+    side.timers.schedule(probeLate, side.clock.now() + side.transport.connectTimeoutUs());
   }
 
   @Override
@@ -331,11 +331,11 @@
    */
   private void spoilt(String why) {
     if (!closed) {
-      side.counters.fault("shard.spoilt", "server " + server.id + ": " + why);
+      side.counters.recordFault("shard.spoilt", "server " + server.id + ": " + why);
       held = null;
       for (InFlightAttempt inFlight : List.copyOf(out.values())) {
         if (inFlight.stage == InFlightAttempt.Stage.OUT) {
-          server.end(inFlight, Outcome.SPOILT, null);
+          server.end(inFlight, Outcome.PROTOCOL_ERROR, null);
         }
       }
       close();
@@ -360,22 +360,22 @@
       return;
     }
     closed = true;
-    side.timers.clear(idle);
-    side.timers.clear(probeLate);
-    side.timers.clear(neverWhole);
+    side.timers.cancel(idle);
+    side.timers.cancel(probeLate);
+    side.timers.cancel(neverWhole);
     server.removed(this);
     for (RequestBatch call : new ArrayList<>(calls)) {
       for (InFlightAttempt inFlight : List.copyOf(call.flights)) {
         server.end(
             inFlight,
-            inFlight.stage == InFlightAttempt.Stage.OUT ? Outcome.BROKEN : Outcome.UNREACHABLE,
+            inFlight.stage == InFlightAttempt.Stage.OUT ? Outcome.CONNECTION_LOST : Outcome.UNREACHABLE,
             null);
       }
     }
     for (Probe probe : probes) {
-      side.driver.probed(
+      side.driver.healthCheckCompleted(
           server.id,
-          up ? Outcome.BROKEN : Outcome.UNREACHABLE,
+          up ? Outcome.CONNECTION_LOST : Outcome.UNREACHABLE,
           side.clock.now() - probe.askedAt(),
           Map.of());
     }
@@ -392,7 +392,7 @@
   private void probeLate() {
     Probe late = probes.peek();
     if (late != null) {
-      side.driver.probed(server.id, Outcome.TIMED_OUT, side.clock.now() - late.askedAt(), Map.of());
+      side.driver.healthCheckCompleted(server.id, Outcome.TIMED_OUT, side.clock.now() - late.askedAt(), Map.of());
       probes.clear();
       close();
     }
--- a/router/src/main/java/tidebank/capture/CaptureCodec.java
+++ b/router/src/main/java/tidebank/capture/CaptureCodec.java
@@ -132,48 +132,48 @@
       int at;
       if (event instanceof Event.EndpointListReceived seen) {
         at = begin(1);
-        octet(seen.kind().ordinal());
-        whole(seen.entries().size());
-        for (Endpoint line : seen.entries()) {
+        octet(seen.update().ordinal());
+        whole(seen.endpoints().size());
+        for (Endpoint line : seen.endpoints()) {
           int inner = begin(0);
           text(line.server());
           signed(line.position());
           octet(line.status().ordinal());
           signed(line.startedAt());
-          number(line.rating());
+          number(line.capacity());
           end(inner);
         }
       } else if (event instanceof Event.QueryReceived scan) {
         at = begin(2);
         text(scan.id());
         signed(scan.number());
-        text(scan.type());
-        text(scan.account());
-        signed(scan.limitAt() - now);
-        octet(scan.resent() ? 1 : 0);
+        text(scan.queryClass());
+        text(scan.tenant());
+        signed(scan.deadline() - now);
+        octet(scan.clientRetry() ? 1 : 0);
         text(scan.key());
-        signed(now - scan.askedAt());
+        signed(now - scan.receivedAt());
       } else if (event instanceof Event.ShardRequestReceived part) {
         at = begin(3);
         text(part.id());
-        signed(part.number());
+        signed(part.queryNumber());
         signed(part.shard());
         number(part.weight());
         text(part.key());
       } else if (event instanceof Event.AttemptCompleted ended) {
         at = begin(4);
-        text(ended.part());
-        signed(ended.dispatch());
+        text(ended.shardRequest());
+        signed(ended.attempt());
         octet(ended.outcome().ordinal());
-        signed(ended.tookUs());
-        octet(ended.closed() ? 1 : 0);
-        report(ended.report());
+        signed(ended.durationUs());
+        octet(ended.requestClosed() ? 1 : 0);
+        report(ended.loadReport());
       } else if (event instanceof Event.ClientDisconnected lapsed) {
         at = begin(5);
-        text(lapsed.id());
+        text(lapsed.query());
       } else if (event instanceof Event.ShutdownRequested ending) {
         at = begin(6);
-        signed(ending.at() - now);
+        signed(ending.deadline() - now);
       } else if (event instanceof Event.TimerFired due) {
         at = begin(7);
         signed(due.token());
@@ -181,8 +181,8 @@
         at = begin(8);
         text(probed.server());
         octet(probed.outcome().ordinal());
-        signed(probed.tookUs());
-        report(probed.report());
+        signed(probed.durationUs());
+        report(probed.loadReport());
       } else {
         throw new IllegalStateException("no form for " + event);
       }
@@ -193,27 +193,27 @@
       int at;
       if (action instanceof Action.SendAttempt send) {
         at = begin(1);
-        text(send.part());
+        text(send.shardRequest());
         text(send.server());
-        signed(send.stopAt() - now);
+        signed(send.deadline() - now);
       } else if (action instanceof Action.CancelAttempt cancel) {
         at = begin(2);
-        text(cancel.part());
-        signed(cancel.dispatch());
+        text(cancel.shardRequest());
+        signed(cancel.attempt());
       } else if (action instanceof Action.Respond answer) {
         at = begin(3);
-        text(answer.scan());
-        octet(answer.whole() ? 1 : 0);
+        text(answer.query());
+        octet(answer.complete() ? 1 : 0);
       } else if (action instanceof Action.Throttle throttle) {
         at = begin(4);
-        text(throttle.scan());
-        signed(throttle.holdOffUs());
+        text(throttle.query());
+        signed(throttle.retryAfterUs());
       } else if (action instanceof Action.Fail abandon) {
         at = begin(5);
-        text(abandon.scan());
+        text(abandon.query());
       } else if (action instanceof Action.SetTimer timer) {
         at = begin(6);
-        signed(timer.waitUs());
+        signed(timer.delayUs());
         signed(timer.token());
       } else if (action instanceof Action.CheckHealth probe) {
         at = begin(7);
@@ -223,10 +223,10 @@
         text(close.server());
       } else if (action instanceof Action.WatchEndpoints follow) {
         at = begin(9);
-        octet(follow.on() ? 1 : 0);
+        octet(follow.enabled() ? 1 : 0);
       } else if (action instanceof Action.LogNote note) {
         at = begin(10);
-        text(note.text());
+        text(note.message());
       } else {
         throw new IllegalStateException("no form for " + action);
       }
@@ -427,11 +427,11 @@
                   : new Event.QueryReceived(
                       scan.id(),
                       scan.number(),
-                      scan.type(),
-                      scan.account(),
+                      scan.queryClass(),
+                      scan.tenant(),
                       now - signed(),
-                      scan.limitAt(),
-                      scan.resent(),
+                      scan.deadline(),
+                      scan.clientRetry(),
                       scan.key());
             }
             case 3 -> new Event.ShardRequestReceived(text(), signed(), (int) signed(), number(), text());
--- a/router/src/main/java/tidebank/config/JsonFields.java
+++ b/router/src/main/java/tidebank/config/JsonFields.java
@@ -10,7 +10,7 @@
 
   private JsonFields() {}
 
-  public static JsonNode need(JsonNode node, String field) throws MalformedInputException {
+  public static JsonNode required(JsonNode node, String field) throws MalformedInputException {
     JsonNode value = node.get(field);
     if (value == null || value.isNull()) {
       throw new MalformedInputException("field '" + field + "' is missing in " + brief(node));
@@ -19,7 +19,7 @@
   }
 
   public static String text(JsonNode node, String field) throws MalformedInputException {
-    JsonNode value = need(node, field);
+    JsonNode value = required(node, field);
     if (!value.isTextual()) {
       throw new MalformedInputException("field '" + field + "': found " + brief(value) + ", wanted a text");
     }
@@ -32,7 +32,7 @@
   }
 
   public static double number(JsonNode node, String field) throws MalformedInputException {
-    JsonNode value = need(node, field);
+    JsonNode value = required(node, field);
     if (!value.isNumber()) {
       throw new MalformedInputException("field '" + field + "': found " + brief(value) + ", wanted a number");
     }
@@ -44,11 +44,11 @@
     return value == null || value.isNull() ? absent : number(node, field);
   }
 
-  public static long whole(JsonNode node, String field) throws MalformedInputException {
+  public static long integer(JsonNode node, String field) throws MalformedInputException {
     return (long) number(node, field);
   }
 
-  public static int whole(JsonNode node, String field, int absent) throws MalformedInputException {
+  public static int integer(JsonNode node, String field, int absent) throws MalformedInputException {
     return (int) number(node, field, absent);
   }
 
@@ -74,7 +74,7 @@
   }
 
   /** A length of time, which is never below 0. */
-  public static long span(JsonNode node, String field, double absentMs) throws MalformedInputException {
+  public static long duration(JsonNode node, String field, double absentMs) throws MalformedInputException {
     long span = micros(node, field, absentMs);
     if (span < 0) {
       throw new MalformedInputException(
--- a/router/src/main/java/tidebank/config/OperatorConfig.java
+++ b/router/src/main/java/tidebank/config/OperatorConfig.java
@@ -13,13 +13,13 @@
  * The operator's own file (deploy/gatherer.toml): what a gatherer does beyond its platform's
  * configuration. All of it is off or at its default where the file or a key is absent.
  *
- * @param log how the process logs
+ * @param logging how the process logs
  * @param countersEveryUs how often the counters are logged, in microseconds
  * @param capture how everything that the module is told is recorded, or null
  * @param fleet how the gatherer takes part in its fleet's duties, or null
  */
 public record OperatorConfig(
-    Log.Style log, long countersEveryUs, CaptureRecorder.Plan capture, FleetAgent.Plan fleet) {
+    Log.Style logging, long countersEveryUs, CaptureRecorder.Plan capture, FleetAgent.Plan fleet) {
   public static final OperatorConfig DEFAULT =
       new OperatorConfig(Log.Style.DEFAULT, 60_000_000, null, null);
   private static final long MB = 1 << 20;
@@ -71,7 +71,7 @@
     DEBUG
   }
 
-  /** How a process logs, by the table {@code log} of its file. */
+  /** How a process logs, by the table {@code logging} of its file. */
   public static Log.Style style(Toml.Table log) {
     LogLevel level = log.choice("level", LogLevel.INFO, LogLevel.class);
     return new Log.Style(
--- a/router/src/main/java/tidebank/config/RouterConfig.java
+++ b/router/src/main/java/tidebank/config/RouterConfig.java
@@ -91,9 +91,9 @@
     static Transport of(JsonNode settings) throws MalformedInputException {
       JsonNode limits = settings.path("limits");
       return new Transport(
-          Math.max(1000, JsonFields.span(limits, "connectTimeoutMs", 250)),
-          JsonFields.span(limits, "keepaliveMs", 15_000),
-          Math.max(1, JsonFields.whole(limits, "maxStreams", 100)),
+          Math.max(1000, JsonFields.duration(limits, "connectTimeoutMs", 250)),
+          JsonFields.duration(limits, "keepaliveMs", 15_000),
+          Math.max(1, JsonFields.integer(limits, "maxStreams", 100)),
           JsonFields.text(settings.path("report"), "how", "off").equals("on_probe"),
           BODY_MOST,
           // A client is owed an error or an end within 3 s of connecting; half a second stays free.
@@ -131,12 +131,12 @@
     } catch (MalformedInputException fault) {
       throw new MalformedInputException("settings: " + fault.getMessage());
     }
-    if (settings.tableTypes().isEmpty()) {
+    if (settings.queryClasses().isEmpty()) {
       throw wrong("settings.services", "none", "a list of table types");
     }
     if (settings.layout().shards() < 1
         || settings.layout().positions() < 1
-        || settings.layout().width() < 1) {
+        || settings.layout().replicationSpan() < 1) {
       throw wrong(
           "settings.specifics",
           String.valueOf(settings.layout()),
--- a/router/src/main/java/tidebank/config/SettingsReader.java
+++ b/router/src/main/java/tidebank/config/SettingsReader.java
@@ -35,47 +35,47 @@
       }
     }
     return new Settings(
-        Math.max(1, JsonFields.whole(config, "instances", 1)),
-        JsonFields.whole(config, "rank", -1),
-        Math.max(1, JsonFields.span(config, "tickMs", 1)),
+        Math.max(1, JsonFields.integer(config, "instances", 1)),
+        JsonFields.integer(config, "rank", -1),
+        Math.max(1, JsonFields.duration(config, "tickMs", 1)),
         types,
         allowances,
         JsonFields.number(config, "overShareWorth", 1),
         new Settings.Layout(
-            Math.max(0, JsonFields.whole(layout, "slices", 0)),
-            Math.max(0, JsonFields.whole(layout, "positions", 0)),
-            Math.max(0, JsonFields.whole(layout, "width", 0)),
-            Math.max(1, JsonFields.whole(layout, "bundleMax", 1)),
-            JsonFields.span(layout, "callMs", 0)),
+            Math.max(0, JsonFields.integer(layout, "slices", 0)),
+            Math.max(0, JsonFields.integer(layout, "positions", 0)),
+            Math.max(0, JsonFields.integer(layout, "width", 0)),
+            Math.max(1, JsonFields.integer(layout, "bundleMax", 1)),
+            JsonFields.duration(layout, "callMs", 0)),
         new Settings.Limits(
-            Math.max(1, JsonFields.whole(limits, "maxAttempts", 1)),
+            Math.max(1, JsonFields.integer(limits, "maxAttempts", 1)),
             JsonFields.flag(limits, "secondCopies"),
             JsonFields.flag(limits, "cancel"),
             JsonFields.flag(limits, "mayProbe"),
             JsonFields.flag(limits, "retryAfter"),
-            JsonFields.span(limits, "maxRetryAfterMs", 0),
-            JsonFields.whole(limits, "mostHeld", Integer.MAX_VALUE),
+            JsonFields.duration(limits, "maxRetryAfterMs", 0),
+            JsonFields.integer(limits, "mostHeld", Integer.MAX_VALUE),
             JsonFields.text(config, "discovery", "push").equals("ask")),
         new Settings.Rules(
-            JsonFields.span(rules, "answerSlackMs", 0),
-            JsonFields.span(rules, "askEveryMs", MS_NEVER),
-            JsonFields.span(rules, "stopSendingWithinMs", 0),
+            JsonFields.duration(rules, "answerSlackMs", 0),
+            JsonFields.duration(rules, "askEveryMs", MS_NEVER),
+            JsonFields.duration(rules, "stopSendingWithinMs", 0),
             JsonFields.number(rules, "coldFrom", 0),
-            JsonFields.span(rules, "coldMs", 0),
+            JsonFields.duration(rules, "coldMs", 0),
             JsonFields.number(rules, "fallMultiple", 1),
-            JsonFields.span(rules, "tipAfterMs", 0),
+            JsonFields.duration(rules, "tipAfterMs", 0),
             JsonFields.number(rules, "freeResends", 0),
             JsonFields.number(rules, "extraRatio", 0),
-            JsonFields.span(rules, "ratioSpanMs", 0)));
+            JsonFields.duration(rules, "ratioSpanMs", 0)));
   }
 
   private static QueryClass tableType(JsonNode service, JsonNode layout, int row) throws MalformedInputException {
     return new QueryClass(
         JsonFields.text(service, "name"),
         repeat(JsonFields.text(service, "semantics", "")),
-        JsonFields.span(service, "windowMs", 0),
-        JsonFields.span(service, "onTimeMs", JsonFields.number(service, "deadlineMs", 0)),
-        JsonFields.span(service, "deadlineMs", 0),
+        JsonFields.duration(service, "windowMs", 0),
+        JsonFields.duration(service, "onTimeMs", JsonFields.number(service, "deadlineMs", 0)),
+        JsonFields.duration(service, "deadlineMs", 0),
         JsonFields.number(service, "lateWorth", 0),
         perRow(layout, "floorByClass", row, 1),
         perRow(layout, "classNeed", row, 1),
@@ -84,9 +84,9 @@
 
   private static Idempotency repeat(String semantics) {
     return switch (semantics) {
-      case "read_like" -> Idempotency.REPLAYABLE;
-      case "idempotency_key" -> Idempotency.KEYED;
-      default -> Idempotency.NON_REPLAYABLE;
+      case "read_like" -> Idempotency.IDEMPOTENT;
+      case "idempotency_key" -> Idempotency.WITH_KEY;
+      default -> Idempotency.NON_IDEMPOTENT;
     };
   }
 
--- a/router/src/main/java/tidebank/discovery/DiscoveryClient.java
+++ b/router/src/main/java/tidebank/discovery/DiscoveryClient.java
@@ -56,7 +56,7 @@
   private final TimerQueue timers;
   private final Counters counters;
   private final TimerQueue.Timer late = TimerQueue.timer(() -> lost("no answer in time"));
-  private final TimerQueue.Timer again = TimerQueue.timer(() -> follow(true));
+  private final TimerQueue.Timer again = TimerQueue.timer(() -> watch(true));
   private final TimerQueue.Timer renewal = TimerQueue.timer(this::call);
   private final boolean unasked;
   private final WatchTimings times;
@@ -90,7 +90,7 @@
     this.address = config.discovery();
     this.times = new WatchTimings(config.settings());
     this.chance = new SeededRandom(config.seed());
-    this.unasked = !config.settings().limits().listOnRequest();
+    this.unasked = !config.settings().limits().watchOnRequest();
     this.template = template;
     this.driver = driver;
     this.clock = clock;
@@ -109,12 +109,12 @@
 
   private void begin() {
     if (unasked) {
-      follow(true);
+      watch(true);
     }
   }
 
   @Override
-  public void follow(boolean on) {
+  public void watch(boolean on) {
     close();
     following = on;
     confirmed = false;
@@ -135,16 +135,16 @@
     address = to;
     version = -1;
     close();
-    driver.listSeen(ListUpdate.MOVED, List.of());
+    driver.endpointListReceived(ListUpdate.DISCOVERY_MOVED, List.of());
     begin();
   }
 
   /** Ends the watch without a word. */
   public void close() {
     following = false;
-    timers.clear(late);
-    timers.clear(again);
-    timers.clear(renewal);
+    timers.cancel(late);
+    timers.cancel(again);
+    timers.cancel(renewal);
     Link old = link;
     link = null;
     if (old != null && old.channel != null) {
@@ -155,8 +155,8 @@
   private void call() {
     boolean watch = version >= 0;
     calledAt = clock.now();
-    waitUs = watch ? times.waitUs(confirmed) : 0;
-    timers.set(late, calledAt + waitUs + times.answerUs(confirmed));
+    waitUs = watch ? times.watchTimeoutUs(confirmed) : 0;
+    timers.schedule(late, calledAt + waitUs + times.responseTimeoutUs(confirmed));
     String path = !watch ? PATH : PATH + "?after=" + version + "&wait_ms=" + waitUs / 1000;
     if (link == null) {
       link = new Link(path);
@@ -178,9 +178,9 @@
       LOG.info("the watch on discovery is lost: " + why);
       close();
       if (unasked) {
-        timers.set(again, clock.now() + times.failedUnaskedUs(chance.next()));
+        timers.schedule(again, clock.now() + times.pushedBackoffUs(chance.nextDouble()));
       } else {
-        driver.listSeen(ListUpdate.LOST, List.of());
+        driver.endpointListReceived(ListUpdate.WATCH_LOST, List.of());
       }
     }
   }
@@ -194,7 +194,7 @@
     try (InputStream in = new ByteBufInputStream(response.content())) {
       list = EndpointListParser.read(mapper.readTree(in));
     } catch (IOException fault) {
-      counters.fault("list.malformed", fault.getMessage());
+      counters.recordFault("list.malformed", fault.getMessage());
       astray("a list that can't be read");
       return;
     }
@@ -210,7 +210,7 @@
     version = list.version();
     if (!confirmed || list.whole() || !list.members().isEmpty()) {
       confirmed = true;
-      driver.listSeen(list.whole() ? ListUpdate.FULL : ListUpdate.CHANGES, list.members());
+      driver.endpointListReceived(list.whole() ? ListUpdate.SNAPSHOT : ListUpdate.DELTA, list.members());
     }
     // An answer without a length ends with its connection.
     if (!HttpUtil.isKeepAlive(response) || !link.channel.isActive()) {
@@ -225,12 +225,12 @@
    * Makes the next call of the watch: at once, or after a pause where answers come without need.
    */
   private void renew(boolean news) {
-    timers.clear(late);
-    long pauseUs = times.renewalUs(news, clock.now() - calledAt, waitUs, chance.next());
+    timers.cancel(late);
+    long pauseUs = times.renewalDelayUs(news, clock.now() - calledAt, waitUs, chance.nextDouble());
     if (pauseUs == 0) {
       call();
     } else {
-      timers.set(renewal, clock.now() + pauseUs);
+      timers.schedule(renewal, clock.now() + pauseUs);
     }
   }
 
--- a/router/src/main/java/tidebank/discovery/EndpointListParser.java
+++ b/router/src/main/java/tidebank/discovery/EndpointListParser.java
@@ -21,8 +21,8 @@
   private EndpointListParser() {}
 
   public static Members read(JsonNode list) throws MalformedInputException {
-    JsonNode whole = JsonFields.need(list, "whole");
-    JsonNode hosts = JsonFields.need(list, "hosts");
+    JsonNode whole = JsonFields.required(list, "whole");
+    JsonNode hosts = JsonFields.required(list, "hosts");
     if (!whole.isBoolean() || !hosts.isArray()) {
       throw new MalformedInputException("field 'whole' is no flag or 'hosts' no list");
     }
@@ -30,12 +30,12 @@
     Set<String> named = new HashSet<>();
     for (JsonNode host : hosts) {
       Member member = member(host);
-      if (!named.add(member.line().server())) {
-        throw new MalformedInputException("host '" + member.line().server() + "' stands twice in a list");
+      if (!named.add(member.endpoint().server())) {
+        throw new MalformedInputException("host '" + member.endpoint().server() + "' stands twice in a list");
       }
       members.add(member);
     }
-    return new Members(JsonFields.whole(list, "seq"), whole.booleanValue(), members);
+    return new Members(JsonFields.integer(list, "seq"), whole.booleanValue(), members);
   }
 
   private static Member member(JsonNode host) throws MalformedInputException {
@@ -50,7 +50,7 @@
     Endpoint line =
         new Endpoint(
             id,
-            (int) JsonFields.whole(host, "block"),
+            (int) JsonFields.integer(host, "block"),
             status,
             Clock.ofUnixMillis(Math.max(0, Math.round(JsonFields.number(host, "born_ms", 0)))),
             JsonFields.number(host, "share", 1));
--- a/router/src/main/java/tidebank/errors/TidebankException.java
+++ b/router/src/main/java/tidebank/errors/TidebankException.java
@@ -31,14 +31,14 @@
   public @interface Entry {
     String code();
 
-    Retry again();
+    Retry retry();
 
     /** What an operator can do: a command, a key, a file or a limit. */
     String advice();
   }
 
   /** A fault as it is told over a wire, where only its fields are left of it. */
-  public record Details(String code, String what, Retry again, String advice) {
+  public record Details(String code, String message, Retry retry, String advice) {
     public boolean is(Class<? extends TidebankException> type) {
       return type.getAnnotation(Entry.class).code().equals(code);
     }
@@ -46,7 +46,7 @@
     /** For people, one line a field. */
     public String lines() {
       String retry =
-          switch (again) {
+          switch (retry) {
             case NO -> "does not help";
             case LATER -> "later may help";
             case ELSEWHERE -> "elsewhere may help";
@@ -54,7 +54,7 @@
       return "tidebank: "
           + code
           + ": "
-          + what
+          + message
           + "\n  trying again: "
           + retry
           + "\n  what to do: "
@@ -72,19 +72,19 @@
     private final transient Details told;
 
     public RequestRejected(Details told) {
-      super(told.what());
+      super(told.message());
       this.told = told;
     }
 
     @Override
-    public Details told() {
+    public Details details() {
       return told;
     }
   }
 
-  public Details told() {
+  public Details details() {
     Entry entry = getClass().getAnnotation(Entry.class);
-    return new Details(entry.code(), getMessage(), entry.again(), entry.advice());
+    return new Details(entry.code(), getMessage(), entry.retry(), entry.advice());
   }
 
   /** The entry of a code, if there is such a condition. */
@@ -105,7 +105,7 @@
   /** No duty of this name is configured. */
   @Entry(
       code = "TB-1001",
-      again = Retry.NO,
+      retry = Retry.NO,
       advice =
           "Compare the name with those under duties.names in deploy/steward.toml; add it there and"
               + " restart the stewards one after the other.")
@@ -120,7 +120,7 @@
   /** Another member holds the lease of the duty. */
   @Entry(
       code = "TB-1002",
-      again = Retry.LATER,
+      retry = Retry.LATER,
       advice =
           "Nothing needs doing: an owner that has gone loses the duty when its lease ends. tidebank"
               + " fleet duties shows who holds it.")
@@ -135,7 +135,7 @@
   /** The duty is assigned to another member. */
   @Entry(
       code = "TB-1003",
-      again = Retry.NO,
+      retry = Retry.NO,
       advice =
           "Nothing needs doing where a duty was moved. To have it at a member of your choice:"
               + " tidebank fleet move DUTY --to NAME.")
@@ -156,7 +156,7 @@
   /** The fencing token is not the current one of the duty. */
   @Entry(
       code = "TB-1004",
-      again = Retry.NO,
+      retry = Retry.NO,
       advice =
           "Nothing needs doing: a successor is at work, and what the old owner wanted to do was"
               + " kept from taking effect. If it comes often, see why owners stall: their log,"
@@ -172,7 +172,7 @@
   /** The lease under this token has expired. */
   @Entry(
       code = "TB-1005",
-      again = Retry.LATER,
+      retry = Retry.LATER,
       advice =
           "Nothing needs doing: the duty is claimed anew with a new token. If it comes often,"
               + " renewals take longer than the lease: raise lease.ms in deploy/steward.toml, or"
@@ -188,7 +188,7 @@
   /** Another live process is a member under the same name. */
   @Entry(
       code = "TB-1006",
-      again = Retry.LATER,
+      retry = Retry.LATER,
       advice =
           "A member that was restarted gets its name once the old process's lease has ended. If it"
               + " lasts, two processes run under one name: give one of them another NODE_NAME.")
@@ -208,7 +208,7 @@
   /** The member is not registered, or its session was replaced. */
   @Entry(
       code = "TB-1007",
-      again = Retry.LATER,
+      retry = Retry.LATER,
       advice =
           "Nothing needs doing: the member joins again. If it comes often, its calls take longer"
               + " than the lease: see its log and the way between it and the stewards.")
@@ -223,7 +223,7 @@
   /** An operator retired the member. */
   @Entry(
       code = "TB-1008",
-      again = Retry.NO,
+      retry = Retry.NO,
       advice =
           "The name was retired by an operator. Start the process under another NODE_NAME, or stop"
               + " it.")
@@ -238,7 +238,7 @@
   /** The configured limit of members is reached. */
   @Entry(
       code = "TB-1009",
-      again = Retry.LATER,
+      retry = Retry.LATER,
       advice =
           "Raise limits.members in deploy/steward.toml and restart the stewards one after the"
               + " other. Names that fell silent make room by themselves, retired ones do not.")
@@ -253,7 +253,7 @@
   /** A call of a session arrived after a newer one of the same session. */
   @Entry(
       code = "TB-1010",
-      again = Retry.NO,
+      retry = Retry.NO,
       advice =
           "An older call of a session came after a newer one. If it is not a late copy, two"
               + " processes share a session: restart one.")
@@ -268,7 +268,7 @@
   /** A conditional write named a revision that is no longer current. */
   @Entry(
       code = "TB-1011",
-      again = Retry.NO,
+      retry = Retry.NO,
       advice =
           "Read what is published now, and decide again: tidebank fleet duties --json shows"
               + " revision and value.")
@@ -289,7 +289,7 @@
   /** A field is longer than allowed. */
   @Entry(
       code = "TB-1012",
-      again = Retry.NO,
+      retry = Retry.NO,
       advice =
           "Shorten what is published: it is to name a file of the fleet's folder, not to hold it.")
   public static final class ValueTooLarge extends TidebankException {
@@ -303,7 +303,7 @@
   /** The name is not allowed for a member. */
   @Entry(
       code = "TB-1013",
-      again = Retry.NO,
+      retry = Retry.NO,
       advice =
           "Give the gatherer a NODE_NAME of letters, digits, and . _ - within, as a file of the"
               + " fleet's folder is named after it.")
@@ -318,7 +318,7 @@
   /** The fleet's shared folder cannot be read or written. */
   @Entry(
       code = "TB-1014",
-      again = Retry.LATER,
+      retry = Retry.LATER,
       advice =
           "See that fleet.folder in deploy/gatherer.toml is there, the same for all members,"
               + " writable for the gatherer's user, and has space. Scans are served meanwhile; the"
@@ -334,7 +334,7 @@
   /** A command names a member that does not exist. */
   @Entry(
       code = "TB-1015",
-      again = Retry.NO,
+      retry = Retry.NO,
       advice = "Compare the name with those that tidebank fleet members lists.")
   public static final class MemberNotFound extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
@@ -349,7 +349,7 @@
   /** The steward that was asked is not the leader. */
   @Entry(
       code = "TB-1101",
-      again = Retry.ELSEWHERE,
+      retry = Retry.ELSEWHERE,
       advice =
           "Ask the steward that is named; the fleet commands do so by themselves. If none is named,"
               + " an election is under way: ask again within some seconds.")
@@ -368,7 +368,7 @@
   /** The stewards did not reach a quorum in time. */
   @Entry(
       code = "TB-1102",
-      again = Retry.LATER,
+      retry = Retry.LATER,
       advice =
           "Most of the stewards have to run and reach each other. Start those that are down; see"
               + " each one's log for its peers. Serving goes on meanwhile.")
@@ -383,7 +383,7 @@
   /** The leader changed between taking a call and committing it. */
   @Entry(
       code = "TB-1103",
-      again = Retry.LATER,
+      retry = Retry.LATER,
       advice = "Nothing needs doing: the same call, sent again, takes effect once.")
   public static final class LeaderChanged extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
@@ -396,7 +396,7 @@
   /** The body of a call cannot be parsed. */
   @Entry(
       code = "TB-1104",
-      again = Retry.NO,
+      retry = Retry.NO,
       advice =
           "Correct the body: docs/fleet-control.md shows one of each kind. A body has 64 KiB at"
               + " most.")
@@ -411,7 +411,7 @@
   /** The steward has no resource at this method and path. */
   @Entry(
       code = "TB-1105",
-      again = Retry.NO,
+      retry = Retry.NO,
       advice =
           "Use POST /fleet/command, GET /fleet/state, GET /fleet/history, GET"
               + " /fleet/wanted?name=NAME&wait_ms=MS or GET /health/ready.")
@@ -426,7 +426,7 @@
   /** No steward accepted a connection. */
   @Entry(
       code = "TB-1106",
-      again = Retry.ELSEWHERE,
+      retry = Retry.ELSEWHERE,
       advice =
           "See that the stewards run and that the addresses given by --stewards are those of http"
               + " in deploy/steward.toml.")
@@ -441,7 +441,7 @@
   /** A snapshot of the replicated log's state is unreadable. */
   @Entry(
       code = "TB-1107",
-      again = Retry.NO,
+      retry = Retry.NO,
       advice =
           "Bring the folder back from a copy. Without one, and only while all other stewards run:"
               + " move it away, start this steward empty, then restart the one that leads, and wait"
@@ -457,7 +457,7 @@
   /** The steward's storage folder cannot be read or written. */
   @Entry(
       code = "TB-1108",
-      again = Retry.NO,
+      retry = Retry.NO,
       advice =
           "Make the folder of deploy/steward.toml writable for the steward's user, free some space"
               + " in it, or name another one; and end any other steward that uses it.")
@@ -472,7 +472,7 @@
   /** The address to listen on is in use or not available. */
   @Entry(
       code = "TB-1109",
-      again = Retry.NO,
+      retry = Retry.NO,
       advice =
           "End the other program, or give the address of http or of the steward's own line under"
               + " peers in deploy/steward.toml another port.")
@@ -489,7 +489,7 @@
   /** No chaos script has this name. */
   @Entry(
       code = "TB-1201",
-      again = Retry.NO,
+      retry = Retry.NO,
       advice =
           "Give the path of a script's file, or one of the names that tidebank chaos list shows.")
   public static final class ScriptUnknown extends TidebankException {
@@ -503,7 +503,7 @@
   /** The folder does not hold a recorded chaos run. */
   @Entry(
       code = "TB-1202",
-      again = Retry.NO,
+      retry = Retry.NO,
       advice =
           "Give the folder of a run, as tidebank chaos run named it; runs that held leave none"
               + " unless it is asked to keep them by --keep.")
--- a/router/src/main/java/tidebank/fleet/CoordinatorSession.java
+++ b/router/src/main/java/tidebank/fleet/CoordinatorSession.java
@@ -35,7 +35,7 @@
    * again.
    */
   Optional<CommandResult> command(LeaseCommand command) throws IOException {
-    byte[] body = call("/fleet/command", LeaseCodec.bytes(command), TIMEOUT_MS);
+    byte[] body = call("/fleet/command", LeaseCodec.write(command), TIMEOUT_MS);
     return body == null ? Optional.empty() : Optional.of(LeaseCodec.read(body, CommandResult.class));
   }
 
@@ -79,8 +79,8 @@
           return answer;
         }
         TidebankException.Details told =
-            answer.length == 0 ? null : LeaseCodec.read(answer, CommandResult.class).fault();
-        if (told != null && told.again() == TidebankException.Retry.NO) {
+            answer.length == 0 ? null : LeaseCodec.read(answer, CommandResult.class).error();
+        if (told != null && told.retry() == TidebankException.Retry.NO) {
           throw new TidebankException.RequestRejected(told);
         }
         String leader = call.getHeaderField("Location");
--- a/router/src/main/java/tidebank/fleet/FleetAgent.java
+++ b/router/src/main/java/tidebank/fleet/FleetAgent.java
@@ -106,13 +106,13 @@
   }
 
   private void run() {
-    while (!holder.left()) {
+    while (!holder.hasLeft()) {
       try {
         if (handover.leaving()) {
           holder.leave();
         }
         if (handover.takeNews()) {
-          holder.hearSoon(now());
+          holder.renewSoon(now());
         }
         boolean idle = !ask();
         if (idle && !handover.leaving()) {
@@ -130,7 +130,7 @@
                 ? known
                 : new TidebankException.FleetFolderUnusable(
                     plan.folder().toString(), fault.toString());
-        say(named.told());
+        say(named.details());
         pause();
       } catch (RuntimeException fault) {
         // Such as counters asked for while the gatherer ends.
@@ -162,7 +162,7 @@
 
   /** One call, if there is one to make; false if there is none. */
   private boolean ask() throws IOException {
-    return call(holder.ask(now())) != null;
+    return call(holder.nextCommand(now())) != null;
   }
 
   private CommandResult call(LeaseCommand command) throws IOException {
@@ -171,18 +171,18 @@
     }
     while (true) {
       Optional<CommandResult> answer = link.command(command);
-      if (answer.isPresent() && answer.get().terms() != null) {
-        holder.answered(command.number(), answer.get(), now());
-        if (answer.get().fault() != null) {
-          say(answer.get().fault());
+      if (answer.isPresent() && answer.get().config() != null) {
+        holder.handleResult(command.sequence(), answer.get(), now());
+        if (answer.get().error() != null) {
+          say(answer.get().error());
         } else {
           said = "";
           if (command.kind() == LeaseCommand.Kind.CLAIM) {
             LOG.info(
                 "owns duty "
-                    + command.duty()
+                    + command.task()
                     + " by token "
-                    + holder.mayAct(command.duty(), now(), 0));
+                    + holder.tokenIfHeld(command.task(), now(), 0));
           }
         }
         return answer.get();
@@ -232,7 +232,7 @@
    * refuse the old token or the old revision, and the file is of no account.
    */
   private void report() throws IOException {
-    long token = holder.mayAct(REPORT, now(), 0);
+    long token = holder.tokenIfHeld(REPORT, now(), 0);
     if (token == 0 || now() - reportAt < plan.everyUs()) {
       return;
     }
@@ -244,14 +244,14 @@
     }
     List<String> alive =
         state.get().members().stream()
-            .filter(member -> member.aliveUntil() > state.get().now())
+            .filter(member -> member.expiresAt() > state.get().leaderClock())
             .map(LeaseTable.Member::name)
             .toList();
     FleetReport next =
         folder().read(duty.value()).next(duty.value(), token, alive, folder().told());
     String written = folder().write(next);
     CommandResult answer = call(holder.publish(REPORT, duty.revision(), written, now()));
-    if (answer != null && answer.fault() == null) {
+    if (answer != null && answer.error() == null) {
       LOG.info("published " + written);
       folder().tidy(next);
     }
@@ -260,7 +260,7 @@
   private static LeaseTable.TaskLease duty(Optional<LeaseTable.State> state, String name) {
     return state
         .flatMap(
-            known -> known.duties().stream().filter(one -> one.name().equals(name)).findFirst())
+            known -> known.tasks().stream().filter(one -> one.task().equals(name)).findFirst())
         .orElse(null);
   }
 
@@ -270,7 +270,7 @@
    * names. Whoever stands still in between removes late what was to go, or has its list refused.
    */
   private void retain() throws IOException {
-    long token = holder.mayAct(RETENTION, now(), 0);
+    long token = holder.tokenIfHeld(RETENTION, now(), 0);
     if (token == 0 || now() - retainAt < plan.everyUs()) {
       return;
     }
@@ -294,7 +294,7 @@
       return;
     }
     CommandResult answer = call(holder.publish(RETENTION, duty.revision(), folder().write(next), now()));
-    if (answer != null && answer.fault() == null && holder.mayAct(RETENTION, now(), 0) == token) {
+    if (answer != null && answer.error() == null && holder.tokenIfHeld(RETENTION, now(), 0) == token) {
       LOG.info(
           "removed "
               + folder().remove(next)
--- a/router/src/main/java/tidebank/fleet/FleetReport.java
+++ b/router/src/main/java/tidebank/fleet/FleetReport.java
@@ -13,18 +13,18 @@
  * member that was killed loses what it had not yet told.
  *
  * @param number 1 for the first, as the stewards publish it
- * @param follows the name under which the one before it was published; none before the first
- * @param token by which its maker owned the duty
+ * @param previous the name under which the one before it was published; none before the first
+ * @param fencingToken by which its maker owned the duty
  * @param window what the fleet counted since the report before
- * @param missing members of which nothing new was heard since the report before
+ * @param silentMembers members of which nothing new was heard since the report before
  * @param members what each had counted, by name
  */
 public record FleetReport(
     long number,
-    String follows,
-    long token,
+    String previous,
+    long fencingToken,
     SortedMap<String, Long> window,
-    List<String> missing,
+    List<String> silentMembers,
     SortedMap<String, MemberCounters> members) {
   /**
    * What a member told: which start of it, the how manieth time, and all it has counted since that
--- a/router/src/main/java/tidebank/fleet/LeaseCodec.java
+++ b/router/src/main/java/tidebank/fleet/LeaseCodec.java
@@ -14,7 +14,7 @@
 
   private LeaseCodec() {}
 
-  public static byte[] bytes(Object value) {
+  public static byte[] write(Object value) {
     try {
       return MAPPER.writeValueAsBytes(value);
     } catch (JsonProcessingException fault) {
@@ -29,7 +29,7 @@
   /**
    * A command from outside: any text is possible, and no field may be missing that its kind needs.
    */
-  public static LeaseCommand command(byte[] body) throws TidebankException.MalformedRequest {
+  public static LeaseCommand readCommand(byte[] body) throws TidebankException.MalformedRequest {
     LeaseCommand command;
     try {
       command = read(body, LeaseCommand.class);
@@ -45,18 +45,18 @@
         new LeaseCommand(
             command.kind(),
             text(command.session()),
-            command.number(),
-            text(command.name()),
-            text(command.duty()),
-            command.token(),
+            command.sequence(),
+            text(command.member()),
+            text(command.task()),
+            command.fencingToken(),
             command.revision(),
             text(command.value()),
             null);
-    if (whole.session().isEmpty() || whole.session().length() > 128 || whole.number() < 1) {
+    if (whole.session().isEmpty() || whole.session().length() > 128 || whole.sequence() < 1) {
       throw new TidebankException.MalformedRequest(
           "field 'session' is to be a text of 1 to 128 characters, 'number' to be from 1 up");
     }
-    if (whole.name().isEmpty() && command.kind() != LeaseCommand.Kind.MOVE) {
+    if (whole.member().isEmpty() && command.kind() != LeaseCommand.Kind.MOVE) {
       throw new TidebankException.MalformedRequest("field 'name' is missing");
     }
     return whole;
--- a/router/src/main/java/tidebank/fleet/Retention.java
+++ b/router/src/main/java/tidebank/fleet/Retention.java
@@ -12,7 +12,7 @@
  * whoever wakes late with a published list removes what was to go anyway, and one whose list was
  * refused removes nothing.
  */
-public record Retention(long number, String follows, long token, List<String> names) {
+public record Retention(long number, String previous, long fencingToken, List<String> names) {
   /** Before the first list. */
   public static final Retention NONE = new Retention(0, "", 0, List.of());
 
--- a/router/src/main/java/tidebank/fleet/SharedFolder.java
+++ b/router/src/main/java/tidebank/fleet/SharedFolder.java
@@ -56,7 +56,7 @@
     if (!NAME.matcher(name).matches()) {
       throw new TidebankException.InvalidName(name);
     }
-    put(told.resolve(name + ".json"), LeaseCodec.bytes(now));
+    put(told.resolve(name + ".json"), LeaseCodec.write(now));
   }
 
   /**
@@ -86,8 +86,8 @@
    * published that name.
    */
   String write(FleetReport report) throws IOException {
-    String name = "report-" + report.number() + "-by-" + report.token() + ".json";
-    put(reports.resolve(name), LeaseCodec.bytes(report));
+    String name = "report-" + report.number() + "-by-" + report.fencingToken() + ".json";
+    put(reports.resolve(name), LeaseCodec.write(report));
     return name;
   }
 
@@ -132,8 +132,8 @@
    * published that name.
    */
   String write(Retention list) throws IOException {
-    String name = "removal-" + list.number() + "-by-" + list.token() + ".json";
-    put(removals.resolve(name), LeaseCodec.bytes(list));
+    String name = "removal-" + list.number() + "-by-" + list.fencingToken() + ".json";
+    put(removals.resolve(name), LeaseCodec.write(list));
     return name;
   }
 
--- a/router/src/main/java/tidebank/frontend/ClientConnection.java
+++ b/router/src/main/java/tidebank/frontend/ClientConnection.java
@@ -128,7 +128,7 @@
     channel = context.channel();
     trace = new RequestTrace(side, channel);
     connectedAt = side.clock.now();
-    acceptedInPass = side.driver.pass();
+    acceptedInPass = side.driver.passNumber();
     acceptedSince = side.acceptedSince();
   }
 
@@ -138,7 +138,7 @@
   }
 
   private void start(TimerQueue.Timer timer) {
-    side.timers.set(timer, side.clock.now() + side.transport.requestWithinUs());
+    side.timers.schedule(timer, side.clock.now() + side.transport.requestWithinUs());
   }
 
   /**
@@ -165,7 +165,7 @@
    * its first request sent, before the pass that accepted it.
    */
   private long arrivedSince() {
-    boolean justAccepted = !asked && side.driver.pass() <= acceptedInPass + 1;
+    boolean justAccepted = !asked && side.driver.passNumber() <= acceptedInPass + 1;
     return justAccepted ? acceptedSince : side.driver.arrivedSince();
   }
 
@@ -183,7 +183,7 @@
         refuse(HttpResponseStatus.SERVICE_UNAVAILABLE, "too many requests at once");
       } else if (!ending && message instanceof FullHttpRequest request) {
         begun();
-        side.timers.clear(requestTimer);
+        side.timers.cancel(requestTimer);
         long at = headAt;
         headAt = 0;
         took(request, at);
@@ -240,7 +240,7 @@
     exchanges.add(exchange);
     ending = true;
     headAt = 0;
-    side.timers.clear(requestTimer);
+    side.timers.cancel(requestTimer);
     exchange.respond(status, text);
   }
 
@@ -255,7 +255,7 @@
       if (last) {
         ending = true;
         lingering = true;
-        side.timers.clear(requestTimer);
+        side.timers.cancel(requestTimer);
         start(lingerTimer);
         side.rests(this);
         channel.writeAndFlush(response).addListener(HALF_CLOSE);
@@ -280,7 +280,7 @@
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext context) {
     if (channel.isWritable()) {
-      side.timers.clear(unreadTimer);
+      side.timers.cancel(unreadTimer);
     } else {
       start(unreadTimer);
     }
@@ -308,7 +308,7 @@
       return;
     }
     // A fault of ours: what this connection still waits for is answered, then it ends.
-    side.counters.fault("front.failed", String.valueOf(cause));
+    side.counters.recordFault("front.failed", String.valueOf(cause));
     if (!ending) {
       refuse(HttpResponseStatus.INTERNAL_SERVER_ERROR, "failed");
     }
@@ -321,9 +321,9 @@
 
   /** The client is gone, and what it asked for is wanted no longer. */
   private void left() {
-    side.timers.clear(requestTimer);
-    side.timers.clear(unreadTimer);
-    side.timers.clear(lingerTimer);
+    side.timers.cancel(requestTimer);
+    side.timers.cancel(unreadTimer);
+    side.timers.cancel(lingerTimer);
     if (!(ending && lingering)) {
       trace.ended(exchanges.size(), headAt != 0);
     }
@@ -331,7 +331,7 @@
     for (HttpExchange exchange : exchanges) {
       if (exchange.scan != null) {
         trace.left(exchange.scan);
-        side.driver.scanLapsed(exchange.scan.id());
+        side.driver.clientDisconnected(exchange.scan.id());
       }
       if (exchange.response != null) {
         exchange.response.release();
--- a/router/src/main/java/tidebank/frontend/HttpExchange.java
+++ b/router/src/main/java/tidebank/frontend/HttpExchange.java
@@ -37,7 +37,7 @@
   }
 
   @Override
-  public void answered(boolean whole, List<Value> values) {
+  public void onResponse(boolean whole, List<Value> values) {
     ByteBuf body;
     try {
       body = body(whole, values);
@@ -75,12 +75,12 @@
   }
 
   @Override
-  public void throttled(long holdOffUs) {
+  public void onThrottled(long holdOffUs) {
     respond(HttpResponseStatus.SERVICE_UNAVAILABLE, "throttled", holdOffUs);
   }
 
   @Override
-  public void abandoned() {
+  public void onFailed() {
     respond(HttpResponseStatus.INTERNAL_SERVER_ERROR, "abandoned");
   }
 
--- a/router/src/main/java/tidebank/frontend/Listener.java
+++ b/router/src/main/java/tidebank/frontend/Listener.java
@@ -77,7 +77,7 @@
   }
 
   void close() {
-    timers.clear(retry);
+    timers.cancel(retry);
     channel.close();
   }
 
@@ -120,10 +120,10 @@
    */
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-    counters.fault("front.accept-failed", String.valueOf(cause));
+    counters.recordFault("front.accept-failed", String.valueOf(cause));
     backingOff = true;
     update();
-    timers.set(retry, clock.now() + backoffUs);
+    timers.schedule(retry, clock.now() + backoffUs);
     backoffUs = Math.min(BACKOFF_MOST_US, 2 * backoffUs);
   }
 }
--- a/router/src/main/java/tidebank/frontend/QueryRequestParser.java
+++ b/router/src/main/java/tidebank/frontend/QueryRequestParser.java
@@ -57,7 +57,7 @@
    */
   QueryRequest read(FullHttpRequest request, String type, long headAt, long wholeAt)
       throws InvalidRequestException {
-    if (!settings.tableTypes().containsKey(type)) {
+    if (!settings.queryClasses().containsKey(type)) {
       throw new InvalidRequestException(404, "unknown table type");
     }
     String id = request.headers().get("X-Correlation-Id", "");
@@ -76,7 +76,7 @@
       throw new InvalidRequestException(400, "predicate is missing or no text");
     }
     // No client waits longer than its table type's query timeout, whatever it says.
-    limitAt = Math.min(limitAt, headAt + settings.tableTypes().get(type).timeoutUs());
+    limitAt = Math.min(limitAt, headAt + settings.queryClasses().get(type).timeoutUs());
     return new QueryRequest(
         id,
         type,
--- a/router/src/main/java/tidebank/frontend/RequestRouter.java
+++ b/router/src/main/java/tidebank/frontend/RequestRouter.java
@@ -69,10 +69,10 @@
       connection.reject(exchange, HttpResponseStatus.valueOf(fault.status), fault.getMessage());
       return;
     }
-    if (side.driver.holds(scan)) {
+    if (side.driver.isPending(scan)) {
       side.counters.add("front.rejected");
       connection.reject(exchange, HttpResponseStatus.BAD_REQUEST, "X-Correlation-Id is in use");
-    } else if (side.driver.scanTaken(scan, exchange)) {
+    } else if (side.driver.queryReceived(scan, exchange)) {
       exchange.scan = scan;
       connection.trace().taken(scan);
     } else {
--- a/router/src/main/java/tidebank/frontend/RequestTrace.java
+++ b/router/src/main/java/tidebank/frontend/RequestTrace.java
@@ -43,7 +43,7 @@
   /** The final answer of a scan is to be written; one behind the client's time is lost on it. */
   void answered(QueryRequest scan, int status) {
     long now = side.clock.now();
-    if (now >= scan.limitAt()) {
+    if (now >= scan.deadline()) {
       side.counters.add("front.answered-late");
       LOG.info("answer {} behind its client's time: {}", status, timesOf(scan, now));
     } else if (LOG.isDebugEnabled()) {
@@ -54,7 +54,7 @@
   /** A client left without its answer: early by its own will, or behind its time by our fault. */
   void left(QueryRequest scan) {
     long now = side.clock.now();
-    if (now >= scan.limitAt()) {
+    if (now >= scan.deadline()) {
       side.counters.add("front.left-unanswered");
       LOG.info("client left without an answer in its time: {}", timesOf(scan, now));
     } else {
@@ -95,11 +95,11 @@
         Locale.ROOT,
         "id=%s age_ms=%d left_ms=%d connection_age_ms=%d read_ms_ago=%d requests=%d %s",
         scan.id(),
-        (now - scan.askedAt()) / 1000,
-        (scan.limitAt() - now) / 1000,
+        (now - scan.receivedAt()) / 1000,
+        (scan.deadline() - now) / 1000,
         (now - connectedAt) / 1000,
         (now - readAt) / 1000,
         requests,
-        side.driver.dispatches(scan.id()));
+        side.driver.attemptCount(scan.id()));
   }
 }
--- a/router/src/main/java/tidebank/lease/LeaseCommand.java
+++ b/router/src/main/java/tidebank/lease/LeaseCommand.java
@@ -7,10 +7,10 @@
  * a repeated one gets the first one's answer.
  *
  * @param session who asks: a name that no other process ever has
- * @param number grows by one with each new command of a session
- * @param name the member it is about
- * @param duty the duty it is about
- * @param token the token its sender holds the duty by
+ * @param sequence grows by one with each new command of a session
+ * @param member the member it is about
+ * @param task the duty it is about
+ * @param fencingToken the token its sender holds the duty by
  * @param revision what is published, as its sender last saw it
  * @param value what is to be published
  * @param plan what the stewards are to go by, in a command of that kind only, else null
@@ -18,10 +18,10 @@
 public record LeaseCommand(
     Kind kind,
     String session,
-    long number,
-    String name,
-    String duty,
-    long token,
+    long sequence,
+    String member,
+    String task,
+    long fencingToken,
     long revision,
     String value,
     Plan plan) {
@@ -29,7 +29,7 @@
    * Terms and the names of all duties. In the log, as all stewards must go by the same at the same
    * place in it.
    */
-  public record Plan(LeaseConfig terms, List<String> duties) {}
+  public record Plan(LeaseConfig config, List<String> tasks) {}
 
   /** What is wanted, and the fields that say more. */
   public enum Kind {
@@ -65,7 +65,7 @@
     return new LeaseCommand(kind, session, number, name, "", 0, 0, "", null);
   }
 
-  public boolean ofMember() {
+  public boolean sentByMember() {
     return kind.compareTo(Kind.MOVE) < 0;
   }
 }
--- a/router/src/main/java/tidebank/lease/LeaseHolder.java
+++ b/router/src/main/java/tidebank/lease/LeaseHolder.java
@@ -16,7 +16,7 @@
  */
 public class LeaseHolder {
   /** A duty that is owned: its token, and the end of the lease on the own clock. */
-  public record HeldLease(long token, long until) {}
+  public record HeldLease(long fencingToken, long expiresAt) {}
 
   private final String name;
   private final String session;
@@ -61,14 +61,14 @@
   }
 
   /** The command to send now, or to send again; null if there is nothing to ask for. */
-  public LeaseCommand ask(long now) {
+  public LeaseCommand nextCommand(long now) {
     askedAt = out == null ? now : askedFrom(askedAt, now);
     out = out == null ? next(now) : out;
     return out;
   }
 
   /** When there will be something to ask for, should nothing else happen. */
-  public long askAt() {
+  public long nextCommandAt() {
     return left ? Long.MAX_VALUE : joined ? renewedAt + renewEvery : joinAt;
   }
 
@@ -76,7 +76,7 @@
    * There may be news for this member: it renews, and so hears them, as soon as it can. Leases last
    * as they did.
    */
-  public void hearSoon(long now) {
+  public void renewSoon(long now) {
     renewedAt = Math.min(renewedAt, now - renewEvery);
   }
 
@@ -93,7 +93,7 @@
     }
     for (Map.Entry<String, HeldLease> one : owned.entrySet()) {
       if (!wanted.contains(one.getKey())) {
-        LeaseCommand release = about(LeaseCommand.Kind.RELEASE, one.getKey(), one.getValue().token());
+        LeaseCommand release = about(LeaseCommand.Kind.RELEASE, one.getKey(), one.getValue().fencingToken());
         letGo(one.getKey());
         return release;
       }
@@ -119,7 +119,7 @@
               ++number,
               name,
               duty,
-              owned.get(duty).token(),
+              owned.get(duty).fencingToken(),
               revision,
               value,
               null);
@@ -129,18 +129,18 @@
   }
 
   /** The answer to a command. One that is not awaited any more changes nothing. */
-  public void answered(long call, CommandResult answer, long now) {
+  public void handleResult(long call, CommandResult answer, long now) {
     if (out == null || !awaited(call)) {
       return;
     }
     LeaseCommand command = out;
     out = null;
-    TidebankException.Details fault = answer.fault();
+    TidebankException.Details fault = answer.error();
     boolean retired = fault != null && fault.is(TidebankException.MemberRetired.class);
     boolean gone = retired || fault != null && fault.is(TidebankException.MemberUnknown.class);
     joined = !gone && (joined || fault == null);
     left = retired || command.kind() == LeaseCommand.Kind.LEAVE;
-    renewEvery = answer.terms().renewUs();
+    renewEvery = answer.config().renewIntervalUs();
     renewedAt =
         command.kind() == LeaseCommand.Kind.RENEW || command.kind() == LeaseCommand.Kind.JOIN
             ? askedAt
@@ -150,27 +150,27 @@
     // still.
     owned
         .keySet()
-        .removeIf(duty -> answer.grants().stream().noneMatch(grant -> grant.duty().equals(duty)));
-    for (Grant grant : answer.grants()) {
+        .removeIf(duty -> answer.leases().stream().noneMatch(grant -> grant.task().equals(duty)));
+    for (Grant grant : answer.leases()) {
       boolean renewed =
           command.kind() == LeaseCommand.Kind.RENEW
-              || command.kind() == LeaseCommand.Kind.CLAIM && command.duty().equals(grant.duty());
-      HeldLease before = owned.get(grant.duty());
+              || command.kind() == LeaseCommand.Kind.CLAIM && command.task().equals(grant.task());
+      HeldLease before = owned.get(grant.task());
       if (renewed) {
         owned.put(
-            grant.duty(),
-            new HeldLease(grant.token(), countsFrom(askedAt, now) + lasts(answer.terms())));
-      } else if (before == null || before.token() != grant.token()) {
+            grant.task(),
+            new HeldLease(grant.fencingToken(), countsFrom(askedAt, now) + lasts(answer.config())));
+      } else if (before == null || before.fencingToken() != grant.fencingToken()) {
         // Owned, as it seems, by an answer that was never heard: of no use before it is renewed.
-        owned.put(grant.duty(), new HeldLease(grant.token(), Long.MIN_VALUE / 2));
+        owned.put(grant.task(), new HeldLease(grant.fencingToken(), Long.MIN_VALUE / 2));
       }
     }
-    wanted = leaving ? List.of() : answer.wanted();
+    wanted = leaving ? List.of() : answer.assignedTasks();
     if (command.kind() == LeaseCommand.Kind.CLAIM && fault != null) {
       // Refused: to be looked at again with the next renewal.
       wanted =
           wanted.stream()
-              .filter(duty -> !duty.equals(command.duty()) || owned.containsKey(duty))
+              .filter(duty -> !duty.equals(command.task()) || owned.containsKey(duty))
               .toList();
     }
   }
@@ -179,9 +179,9 @@
    * The token by which something may be done for a duty now, or 0; with this much time left at the
    * least.
    */
-  public long mayAct(String duty, long now, long margin) {
+  public long tokenIfHeld(String duty, long now, long margin) {
     HeldLease one = owned.get(duty);
-    return one != null && !leaving && inTime(one, now, margin) ? one.token() : 0;
+    return one != null && !leaving && inTime(one, now, margin) ? one.fencingToken() : 0;
   }
 
   /** No duty is begun any more, and all that is owned is let go of at the next call. */
@@ -189,7 +189,7 @@
     leaving = true;
   }
 
-  public boolean left() {
+  public boolean hasLeft() {
     return left;
   }
 
@@ -208,7 +208,7 @@
   }
 
   protected long lasts(LeaseConfig terms) {
-    return terms.ownerUs();
+    return terms.holderLeaseUs();
   }
 
   protected long countsFrom(long asked, long answered) {
@@ -216,11 +216,11 @@
   }
 
   protected boolean inTime(HeldLease one, long now, long margin) {
-    return now + margin < one.until();
+    return now + margin < one.expiresAt();
   }
 
   protected boolean awaited(long call) {
-    return out.number() == call;
+    return out.sequence() == call;
   }
 
   /** All of the state, for whoever compares two of them. */
@@ -238,6 +238,6 @@
         + joined
         + leaving
         + left
-        + (out == null ? "" : out.kind() + out.duty() + askedAt);
+        + (out == null ? "" : out.kind() + out.task() + askedAt);
   }
 }
--- a/router/src/main/java/tidebank/lease/LeaseTable.java
+++ b/router/src/main/java/tidebank/lease/LeaseTable.java
@@ -26,29 +26,29 @@
   private static final int DOUBLINGS = 5;
 
   /**
-   * A name that is or was a member, in the time of the term; {@code calmAt}: it is meant for no
+   * A name that is or was a member, in the time of the term; {@code eligibleAt}: it is meant for no
    * duty before.
    */
   public record Member(
       String name,
       String session,
-      long aliveUntil,
-      long calmAt,
-      int strikes,
+      long expiresAt,
+      long eligibleAt,
+      int flapCount,
       boolean draining,
       boolean retired,
-      long number,
-      CommandResult answer) {
+      long lastSequence,
+      CommandResult lastResult) {
     private Member until(long at, long calm) {
-      return new Member(name, session, at, calm, strikes, draining, retired, number, answer);
+      return new Member(name, session, at, calm, flapCount, draining, retired, lastSequence, lastResult);
     }
 
     private Member flagged(boolean drain, boolean retire) {
-      return new Member(name, session, aliveUntil, calmAt, strikes, drain, retire, number, answer);
+      return new Member(name, session, expiresAt, eligibleAt, flapCount, drain, retire, lastSequence, lastResult);
     }
 
     private Member answered(long call, CommandResult said) {
-      return new Member(name, session, aliveUntil, calmAt, strikes, draining, retired, call, said);
+      return new Member(name, session, expiresAt, eligibleAt, flapCount, draining, retired, call, said);
     }
   }
 
@@ -57,56 +57,56 @@
    * what is published.
    */
   public record TaskLease(
-      String name,
-      long token,
-      String owner,
+      String task,
+      long fencingToken,
+      String holder,
       String session,
-      long until,
-      String meant,
-      String pinned,
+      long expiresAt,
+      String assignedMember,
+      String stickyMember,
       long revision,
-      long publishedBy,
+      long publishingToken,
       String value) {
     private TaskLease held(long by, String whose, String in, long end) {
-      return new TaskLease(name, by, whose, in, end, meant, pinned, revision, publishedBy, value);
+      return new TaskLease(task, by, whose, in, end, assignedMember, stickyMember, revision, publishingToken, value);
     }
 
     private TaskLease placed(String where, String pin) {
-      return new TaskLease(name, token, owner, session, until, where, pin, revision, publishedBy, value);
+      return new TaskLease(task, fencingToken, holder, session, expiresAt, where, pin, revision, publishingToken, value);
     }
 
     private TaskLease published(String what) {
-      return new TaskLease(name, token, owner, session, until, meant, pinned, revision + 1, token, what);
+      return new TaskLease(task, fencingToken, holder, session, expiresAt, assignedMember, stickyMember, revision + 1, fencingToken, what);
     }
   }
 
   /** The last call of an operator's session, and what it came to. */
-  public record Operator(String session, long number, CommandResult answer) {}
+  public record Operator(String session, long lastSequence, CommandResult lastResult) {}
 
   /** All of the state, to be kept. */
   public record State(
-      LeaseConfig terms,
+      LeaseConfig config,
       long term,
-      long now,
+      long leaderClock,
       long tokenFloor,
       List<Member> members,
-      List<TaskLease> duties,
+      List<TaskLease> tasks,
       List<Operator> operators) {
     /** Duties that nobody has, by the member that each is meant for. */
     public SortedMap<String, List<String>> unclaimed() {
       SortedMap<String, List<String>> free = new TreeMap<>();
-      duties.stream()
+      tasks.stream()
           .filter(
-              duty -> !duty.meant().isEmpty() && (duty.owner().isEmpty() || now >= duty.until()))
+              duty -> !duty.assignedMember().isEmpty() && (duty.holder().isEmpty() || leaderClock >= duty.expiresAt()))
           .forEach(
               duty ->
-                  free.computeIfAbsent(duty.meant(), member -> new ArrayList<>()).add(duty.name()));
+                  free.computeIfAbsent(duty.assignedMember(), member -> new ArrayList<>()).add(duty.task()));
       return free;
     }
 
     /** The same as seen at this time of its term; for whoever is shown it. */
-    public State at(long time) {
-      return new State(terms, term, Math.max(now, time), tokenFloor, members, duties, operators);
+    public State asOf(long time) {
+      return new State(config, term, Math.max(leaderClock, time), tokenFloor, members, tasks, operators);
     }
   }
 
@@ -129,12 +129,12 @@
   }
 
   public LeaseTable(State state) {
-    this(state.terms());
+    this(state.config());
     term = state.term();
-    now = state.now();
+    now = state.leaderClock();
     tokenFloor = state.tokenFloor();
     state.members().forEach(member -> members.put(member.name(), member));
-    state.duties().forEach(duty -> duties.put(duty.name(), duty));
+    state.tasks().forEach(duty -> duties.put(duty.task(), duty));
     state.operators().forEach(operator -> operators.put(operator.session(), operator));
   }
 
@@ -155,43 +155,43 @@
       newLeader(in, at);
     }
     now = Math.max(now, at);
-    String name = command.name();
+    String name = command.member();
     Member before = members.get(name);
     boolean known =
-        command.ofMember() && before != null && before.session().equals(command.session());
-    Operator operator = command.ofMember() ? null : operators.get(command.session());
-    long last = known ? before.number() : operator != null ? operator.number() : 0;
-    if (last > 0 && repeated(command.number(), last)) {
-      return known ? before.answer() : operator.answer();
+        command.sentByMember() && before != null && before.session().equals(command.session());
+    Operator operator = command.sentByMember() ? null : operators.get(command.session());
+    long last = known ? before.lastSequence() : operator != null ? operator.lastSequence() : 0;
+    if (last > 0 && repeated(command.sequence(), last)) {
+      return known ? before.lastResult() : operator.lastResult();
     }
     CommandResult answer;
     try {
-      if (command.number() < last) {
-        throw new TidebankException.StaleSequenceNumber(command.session(), command.number(), last);
+      if (command.sequence() < last) {
+        throw new TidebankException.StaleSequenceNumber(command.session(), command.sequence(), last);
       }
-      long revision = command.ofMember() ? byMember(command, before) : byOperator(command);
+      long revision = command.sentByMember() ? byMember(command, before) : byOperator(command);
       assign();
       answer = new CommandResult(null, grants(command.session()), wanted(command), terms, revision);
     } catch (TidebankException fault) {
       assign();
       return remember(
-          command, new CommandResult(fault.told(), grants(command.session()), wanted(command), terms, 0));
+          command, new CommandResult(fault.details(), grants(command.session()), wanted(command), terms, 0));
     }
     return remember(command, answer);
   }
 
   private CommandResult remember(LeaseCommand command, CommandResult answer) {
-    Member member = members.get(command.name());
-    if (!command.ofMember()) {
+    Member member = members.get(command.member());
+    if (!command.sentByMember()) {
       operators.remove(command.session());
-      operators.put(command.session(), new Operator(command.session(), command.number(), answer));
+      operators.put(command.session(), new Operator(command.session(), command.sequence(), answer));
       if (operators.size() > OPERATORS) {
         operators.remove(operators.keySet().iterator().next());
       }
     } else if (member != null
         && member.session().equals(command.session())
-        && command.number() > member.number()) {
-      members.put(member.name(), member.answered(command.number(), answer));
+        && command.sequence() > member.lastSequence()) {
+      members.put(member.name(), member.answered(command.sequence(), answer));
     }
     return answer;
   }
@@ -206,13 +206,13 @@
     members.replaceAll(
         (name, member) ->
             member.until(
-                member.aliveUntil() > now ? at + terms.leaseUs() : at,
-                at + Math.max(0, member.calmAt() - now)));
+                member.expiresAt() > now ? at + terms.leaseUs() : at,
+                at + Math.max(0, member.eligibleAt() - now)));
     duties.replaceAll(
         (name, duty) ->
             duty.held(
-                duty.token(),
-                duty.owner(),
+                duty.fencingToken(),
+                duty.holder(),
                 duty.session(),
                 over(duty) ? at : at + terms.leaseUs()));
     term = in;
@@ -224,11 +224,11 @@
   }
 
   protected boolean over(TaskLease duty) {
-    return duty.owner().isEmpty() || now >= duty.until();
+    return duty.holder().isEmpty() || now >= duty.expiresAt();
   }
 
   protected long nextToken(TaskLease duty) {
-    return duty.token() + 1;
+    return duty.fencingToken() + 1;
   }
 
   /**
@@ -236,7 +236,7 @@
    * it was granted to.
    */
   protected boolean current(TaskLease duty, LeaseCommand command) {
-    return command.token() == duty.token() && duty.session().equals(command.session());
+    return command.fencingToken() == duty.fencingToken() && duty.session().equals(command.session());
   }
 
   // ---- members
@@ -247,27 +247,27 @@
       return 0;
     }
     if (before == null || !before.session().equals(command.session())) {
-      throw new TidebankException.MemberUnknown(command.name());
+      throw new TidebankException.MemberUnknown(command.member());
     }
     if (before.retired()) {
-      throw new TidebankException.MemberRetired(command.name());
+      throw new TidebankException.MemberRetired(command.member());
     }
     switch (command.kind()) {
       case RENEW -> {
-        members.put(command.name(), before.until(now + terms.leaseUs(), before.calmAt()));
+        members.put(command.member(), before.until(now + terms.leaseUs(), before.eligibleAt()));
         duties.replaceAll(
             (name, duty) ->
                 duty.session().equals(command.session()) && !over(duty)
-                    ? duty.held(duty.token(), duty.owner(), duty.session(), now + terms.leaseUs())
+                    ? duty.held(duty.fencingToken(), duty.holder(), duty.session(), now + terms.leaseUs())
                     : duty);
       }
       case LEAVE -> {
-        members.put(command.name(), before.until(now, before.calmAt()));
+        members.put(command.member(), before.until(now, before.eligibleAt()));
         duties.replaceAll(
             (name, duty) -> duty.session().equals(command.session()) ? free(duty) : duty);
       }
       case CLAIM -> claim(command);
-      case RELEASE -> duties.put(command.duty(), free(owned(command)));
+      case RELEASE -> duties.put(command.task(), free(owned(command)));
       case PUBLISH -> {
         return publish(command);
       }
@@ -277,27 +277,27 @@
   }
 
   private void join(LeaseCommand command, Member before) throws TidebankException {
-    text("name", command.name());
+    text("name", command.member());
     boolean same = before != null && before.session().equals(command.session());
     if (before != null && before.retired()) {
-      throw new TidebankException.MemberRetired(command.name());
+      throw new TidebankException.MemberRetired(command.member());
     }
-    if (before != null && !same && before.aliveUntil() > now) {
-      throw new TidebankException.NameTaken(command.name(), before.aliveUntil() - now);
+    if (before != null && !same && before.expiresAt() > now) {
+      throw new TidebankException.NameTaken(command.member(), before.expiresAt() - now);
     }
     if (before == null) {
       makeRoom();
     }
     // Who keeps coming and going gets duties ever later; a long life in between is forgiven.
     boolean soon =
-        before != null && !same && now - before.aliveUntil() < terms.leaseUs() << DOUBLINGS;
-    int strikes = same ? before.strikes() : soon ? Math.min(DOUBLINGS, before.strikes() + 1) : 0;
+        before != null && !same && now - before.expiresAt() < terms.leaseUs() << DOUBLINGS;
+    int strikes = same ? before.flapCount() : soon ? Math.min(DOUBLINGS, before.flapCount() + 1) : 0;
     long calmAt =
-        same ? before.calmAt() : strikes == 0 ? now : now + (terms.leaseUs() << strikes - 1);
+        same ? before.eligibleAt() : strikes == 0 ? now : now + (terms.leaseUs() << strikes - 1);
     members.put(
-        command.name(),
+        command.member(),
         new Member(
-            command.name(),
+            command.member(),
             command.session(),
             now + terms.leaseUs(),
             calmAt,
@@ -310,56 +310,56 @@
 
   /** Forgets one that is long gone where there are as many as may be. */
   private void makeRoom() throws TidebankException {
-    if (members.size() < terms.mostMembers()) {
+    if (members.size() < terms.maxMembers()) {
       return;
     }
     Member gone =
         members.values().stream()
-            .filter(member -> member.aliveUntil() <= now && !member.retired())
-            .min(Comparator.comparingLong(Member::aliveUntil))
-            .orElseThrow(() -> new TidebankException.MemberLimitReached(terms.mostMembers()));
+            .filter(member -> member.expiresAt() <= now && !member.retired())
+            .min(Comparator.comparingLong(Member::expiresAt))
+            .orElseThrow(() -> new TidebankException.MemberLimitReached(terms.maxMembers()));
     members.remove(gone.name());
   }
 
   private void claim(LeaseCommand command) throws TidebankException {
     assign();
-    TaskLease duty = duty(command.duty());
+    TaskLease duty = duty(command.task());
     boolean own = duty.session().equals(command.session());
     if (!over(duty) && !own) {
-      throw new TidebankException.LeaseHeldByOther(duty.name(), duty.owner(), duty.until() - now);
+      throw new TidebankException.LeaseHeldByOther(duty.task(), duty.holder(), duty.expiresAt() - now);
     }
-    if (!duty.meant().equals(command.name())) {
-      throw new TidebankException.TaskAssignedElsewhere(duty.name(), duty.meant(), command.name());
+    if (!duty.assignedMember().equals(command.member())) {
+      throw new TidebankException.TaskAssignedElsewhere(duty.task(), duty.assignedMember(), command.member());
     }
-    long token = over(duty) ? nextToken(duty) : duty.token();
+    long token = over(duty) ? nextToken(duty) : duty.fencingToken();
     duties.put(
-        duty.name(), duty.held(token, command.name(), command.session(), now + terms.leaseUs()));
+        duty.task(), duty.held(token, command.member(), command.session(), now + terms.leaseUs()));
   }
 
   private long publish(LeaseCommand command) throws TidebankException {
     TaskLease duty = owned(command);
     text("value", command.value());
     if (duty.revision() != command.revision()) {
-      throw new TidebankException.RevisionConflict(duty.name(), command.revision(), duty.revision());
+      throw new TidebankException.RevisionConflict(duty.task(), command.revision(), duty.revision());
     }
-    duties.put(duty.name(), duty.published(command.value()));
+    duties.put(duty.task(), duty.published(command.value()));
     return duty.revision() + 1;
   }
 
   /** The duty of a command that only its owner may give. */
   private TaskLease owned(LeaseCommand command) throws TidebankException {
-    TaskLease duty = duty(command.duty());
+    TaskLease duty = duty(command.task());
     if (!current(duty, command)) {
-      throw new TidebankException.StaleFencingToken(duty.name(), command.token(), duty.token());
+      throw new TidebankException.StaleFencingToken(duty.task(), command.fencingToken(), duty.fencingToken());
     }
     if (over(duty)) {
-      throw new TidebankException.LeaseExpired(duty.name(), duty.token());
+      throw new TidebankException.LeaseExpired(duty.task(), duty.fencingToken());
     }
     return duty;
   }
 
   private static TaskLease free(TaskLease duty) {
-    return duty.held(duty.token(), "", "", duty.until());
+    return duty.held(duty.fencingToken(), "", "", duty.expiresAt());
   }
 
   // ---- operators
@@ -367,30 +367,30 @@
   private long byOperator(LeaseCommand command) throws TidebankException {
     switch (command.kind()) {
       case MOVE -> {
-        TaskLease duty = duty(command.duty());
-        if (!command.name().isEmpty()) {
-          member(command.name());
+        TaskLease duty = duty(command.task());
+        if (!command.member().isEmpty()) {
+          member(command.member());
         }
-        duties.put(duty.name(), duty.placed(duty.meant(), command.name()));
+        duties.put(duty.task(), duty.placed(duty.assignedMember(), command.member()));
       }
       case DRAIN, ADMIT ->
           members.put(
-              command.name(),
-              member(command.name()).flagged(command.kind() == LeaseCommand.Kind.DRAIN, false));
-      case RETIRE -> members.put(command.name(), member(command.name()).flagged(false, true));
+              command.member(),
+              member(command.member()).flagged(command.kind() == LeaseCommand.Kind.DRAIN, false));
+      case RETIRE -> members.put(command.member(), member(command.member()).flagged(false, true));
       case PLAN -> {
-        terms = command.plan().terms();
+        terms = command.plan().config();
         duties
             .values()
             .removeIf(
                 duty -> {
-                  boolean out = !command.plan().duties().contains(duty.name());
-                  tokenFloor = out ? Math.max(tokenFloor, duty.token()) : tokenFloor;
+                  boolean out = !command.plan().tasks().contains(duty.task());
+                  tokenFloor = out ? Math.max(tokenFloor, duty.fencingToken()) : tokenFloor;
                   return out;
                 });
         command
             .plan()
-            .duties()
+            .tasks()
             .forEach(
                 name ->
                     duties.computeIfAbsent(
@@ -421,8 +421,8 @@
   }
 
   private void text(String field, String text) throws TidebankException {
-    if (text.length() > terms.mostText()) {
-      throw new TidebankException.ValueTooLarge(field, text.length(), terms.mostText());
+    if (text.length() > terms.maxTextLength()) {
+      throw new TidebankException.ValueTooLarge(field, text.length(), terms.maxTextLength());
     }
   }
 
@@ -431,38 +431,38 @@
   private void assign() {
     List<Member> alive =
         members.values().stream()
-            .filter(member -> member.aliveUntil() > now && !member.draining() && !member.retired())
+            .filter(member -> member.expiresAt() > now && !member.draining() && !member.retired())
             .toList();
     List<String> calm =
-        alive.stream().filter(member -> member.calmAt() <= now).map(Member::name).toList();
+        alive.stream().filter(member -> member.eligibleAt() <= now).map(Member::name).toList();
     // One that is held off is better than nobody.
     List<String> may = calm.isEmpty() ? alive.stream().map(Member::name).toList() : calm;
     Map<String, String> held = new HashMap<>();
     Map<String, String> pinned = new HashMap<>();
     for (TaskLease duty : duties.values()) {
-      held.put(duty.name(), over(duty) ? duty.meant() : duty.owner());
-      pinned.put(duty.name(), duty.pinned());
+      held.put(duty.task(), over(duty) ? duty.assignedMember() : duty.holder());
+      pinned.put(duty.task(), duty.stickyMember());
     }
     Map<String, String> meant = TaskAssignment.of(duties.keySet(), may, held, pinned);
-    duties.replaceAll((name, duty) -> duty.placed(meant.getOrDefault(name, ""), duty.pinned()));
+    duties.replaceAll((name, duty) -> duty.placed(meant.getOrDefault(name, ""), duty.stickyMember()));
   }
 
   private List<Grant> grants(String session) {
     return duties.values().stream()
         .filter(duty -> duty.session().equals(session) && !over(duty))
-        .map(duty -> new Grant(duty.name(), duty.token()))
+        .map(duty -> new Grant(duty.task(), duty.fencingToken()))
         .toList();
   }
 
   /** Duties that are meant for the member and that it has, or that it could claim at once. */
   private List<String> wanted(LeaseCommand command) {
-    return command.ofMember()
+    return command.sentByMember()
         ? duties.values().stream()
             .filter(
                 duty ->
-                    duty.meant().equals(command.name())
+                    duty.assignedMember().equals(command.member())
                         && (over(duty) || duty.session().equals(command.session())))
-            .map(TaskLease::name)
+            .map(TaskLease::task)
             .toList()
         : List.of();
   }
--- a/router/src/main/java/tidebank/lease/TaskAssignment.java
+++ b/router/src/main/java/tidebank/lease/TaskAssignment.java
@@ -52,7 +52,7 @@
         members.stream()
             .filter(member -> loads.getOrDefault(member, 0) < most)
             .max(
-                Comparator.comparingDouble((String member) -> SeededRandom.folded(duty + '/' + member))
+                Comparator.comparingDouble((String member) -> SeededRandom.mixedHash(duty + '/' + member))
                     .thenComparing(Comparator.naturalOrder()))
             .ifPresent(
                 member -> {
--- a/router/src/main/java/tidebank/metrics/Counters.java
+++ b/router/src/main/java/tidebank/metrics/Counters.java
@@ -33,7 +33,7 @@
   }
 
   /** Counts a fault of a kind; only the first of its kind is worth a line. */
-  public void fault(String kind, String text) {
+  public void recordFault(String kind, String text) {
     if (add(kind) == 1) {
       LOG.warn(kind + ": " + text + " (later ones are only counted)");
     }
@@ -42,10 +42,10 @@
   /**
    * What must hold: asserted where assertions are on, counted elsewhere. Returns whether it does.
    */
-  public boolean must(boolean holds, String what) {
+  public boolean checkInvariant(boolean holds, String what) {
     assert holds : what;
     if (!holds) {
-      fault("invariant." + what.replace(' ', '-'), what);
+      recordFault("invariant." + what.replace(' ', '-'), what);
     }
     return holds;
   }
--- a/router/src/main/java/tidebank/model/Action.java
+++ b/router/src/main/java/tidebank/model/Action.java
@@ -2,23 +2,23 @@
 
 /** What an instance wants done, in this order. */
 public sealed interface Action {
-  /** Send a part; the dispatch is dropped at {@code stopAt}. */
-  record SendAttempt(String part, String server, long stopAt) implements Action {}
+  /** Send a part; the dispatch is dropped at {@code deadline}. */
+  record SendAttempt(String shardRequest, String server, long deadline) implements Action {}
 
   /** Stop waiting for a dispatch. */
-  record CancelAttempt(String part, int dispatch) implements Action {}
+  record CancelAttempt(String shardRequest, int attempt) implements Action {}
 
   /** Answer a scan from the parts that are in. */
-  record Respond(String scan, boolean whole) implements Action {}
+  record Respond(String query, boolean complete) implements Action {}
 
   /** Turn a scan away: trying again is harmless. */
-  record Throttle(String scan, long holdOffUs) implements Action {}
+  record Throttle(String query, long retryAfterUs) implements Action {}
 
   /** Give a scan up: no promise about its effect. */
-  record Fail(String scan) implements Action {}
+  record Fail(String query) implements Action {}
 
-  /** Wake this instance after {@code waitUs} microseconds with {@code token}. */
-  record SetTimer(long waitUs, long token) implements Action {}
+  /** Wake this instance after {@code delayUs} microseconds with {@code token}. */
+  record SetTimer(long delayUs, long token) implements Action {}
 
   /** Ask a shard server for its load report. */
   record CheckHealth(String server) implements Action {}
@@ -30,8 +30,8 @@
   record RetireConnections(String server) implements Action {}
 
   /** Start or stop watching discovery. */
-  record WatchEndpoints(boolean on) implements Action {}
+  record WatchEndpoints(boolean enabled) implements Action {}
 
   /** A line for the log. */
-  record LogNote(String text) implements Action {}
+  record LogNote(String message) implements Action {}
 }
--- a/router/src/main/java/tidebank/model/Idempotency.java
+++ b/router/src/main/java/tidebank/model/Idempotency.java
@@ -2,7 +2,7 @@
 
 /** Whether a part of a table type may run more than once. */
 public enum Idempotency {
-  REPLAYABLE,
-  KEYED,
-  NON_REPLAYABLE
+  IDEMPOTENT,
+  WITH_KEY,
+  NON_IDEMPOTENT
 }
--- a/router/src/main/java/tidebank/model/Outcome.java
+++ b/router/src/main/java/tidebank/model/Outcome.java
@@ -4,19 +4,19 @@
 public enum Outcome {
   COMPLETED(false),
   ERROR(false),
-  FULL(true),
+  OVERLOADED(true),
   TIMED_OUT(false),
   UNREACHABLE(true),
-  BROKEN(false),
+  CONNECTION_LOST(false),
   /** Its shard server sent something on its connection that no answer of this protocol is. */
-  SPOILT(false),
+  PROTOCOL_ERROR(false),
   CANCELLED(false),
-  NEVER_SENT(true);
+  NOT_SENT(true);
 
   /** True where this end proves that the dispatch never ran. */
-  public final boolean neverRan;
+  public final boolean neverExecuted;
 
   Outcome(boolean neverRan) {
-    this.neverRan = neverRan;
+    this.neverExecuted = neverRan;
   }
 }
--- a/router/src/main/java/tidebank/model/QueryClass.java
+++ b/router/src/main/java/tidebank/model/QueryClass.java
@@ -1,17 +1,17 @@
 package tidebank.model;
 
 /**
- * One row of the table of table types. Shares are of weight; {@code need} makes a whole answer,
- * {@code floor} is the least that any answer needs, and {@code secondStep} counts the parts that a
+ * One row of the table of table types. Shares are of weight; {@code completeWeight} makes a whole answer,
+ * {@code minimumWeight} is the least that any answer needs, and {@code secondStageRequests} counts the parts that a
  * first answer brings on.
  */
 public record QueryClass(
     String name,
-    Idempotency repeat,
-    long windowUs,
-    long targetUs,
+    Idempotency idempotency,
+    long idempotencyWindowUs,
+    long latencyObjectiveUs,
     long timeoutUs,
-    double lateBenefit,
-    double floor,
-    double need,
-    int secondStep) {}
+    double lateWeight,
+    double minimumWeight,
+    double completeWeight,
+    int secondStageRequests) {}
--- a/router/src/main/java/tidebank/model/SeededRandom.java
+++ b/router/src/main/java/tidebank/model/SeededRandom.java
@@ -7,15 +7,15 @@
 /** Chance that is the same whenever the same seed asks the same questions. */
 public final class SeededRandom {
   private final long seed;
-  private long asked;
+  private long drawn;
 
   public SeededRandom(long seed) {
     this.seed = seed;
   }
 
   /** A number from 0 to under 1. */
-  public double next() {
-    return folded(seed + ":" + ++asked);
+  public double nextDouble() {
+    return mixedHash(seed + ":" + ++drawn);
   }
 
   /**
@@ -24,19 +24,19 @@
    * to nearly the same time in a whole fleet. Multiplying and folding breaks that (the last step of
    * MurmurHash3, in the public domain).
    */
-  public static double folded(String text) {
+  public static double mixedHash(String text) {
     int bits = (int) crc(text);
     bits = (bits ^ bits >>> 16) * 0x85ebca6b;
     bits = (bits ^ bits >>> 13) * 0xc2b2ae35;
-    return share(Integer.toUnsignedLong(bits ^ bits >>> 16));
+    return plainHash(Integer.toUnsignedLong(bits ^ bits >>> 16));
   }
 
   /** The same without the fold: homes hang on it, and even ones did worse (see the design page). */
-  public static double share(String text) {
-    return share(crc(text));
+  public static double plainHash(String text) {
+    return plainHash(crc(text));
   }
 
-  private static double share(long bits) {
+  private static double plainHash(long bits) {
     return bits / (double) (1L << 32);
   }
 
--- a/router/src/main/java/tidebank/policy/EndpointTable.java
+++ b/router/src/main/java/tidebank/policy/EndpointTable.java
@@ -41,16 +41,16 @@
   }
 
   /** Takes a list, or what changed in it. */
-  public void take(Event.EndpointListReceived list) {
-    if (list.kind() != ListUpdate.CHANGES) {
+  public void apply(Event.EndpointListReceived list) {
+    if (list.update() != ListUpdate.DELTA) {
       new TreeMap<>(servers).values().forEach(srv -> place(srv, srv.position, false));
     }
-    for (Endpoint line : list.entries()) {
+    for (Endpoint line : list.endpoints()) {
       ShardServer srv = servers.computeIfAbsent(line.server(), ShardServer::new);
-      srv.size = line.rating();
+      srv.capacity = line.capacity();
       place(srv, line.position(), line.status() == EndpointStatus.IN_SERVICE);
     }
-    leaving.removeIf(srv -> srv.inService || srv.out.isEmpty() && servers.remove(srv.id) != null);
+    leaving.removeIf(srv -> srv.inService || srv.inFlight.isEmpty() && servers.remove(srv.id) != null);
   }
 
   private void place(ShardServer srv, int position, boolean serves) {
@@ -72,13 +72,13 @@
   }
 
   /** The servers in service that hold a shard. */
-  public List<ShardServer> holders(int shard) {
+  public List<ShardServer> replicas(int shard) {
     return byShard.computeIfAbsent(shard, this::find);
   }
 
   private List<ShardServer> find(int shard) {
     List<ShardServer> holders = new ArrayList<>();
-    for (int j = 0; j < layout.width() && j < layout.positions(); j++) {
+    for (int j = 0; j < layout.replicationSpan() && j < layout.positions(); j++) {
       TreeMap<String, ShardServer> there = byPosition.get((shard + j) % layout.positions());
       if (there != null) {
         holders.addAll(there.values());
--- a/router/src/main/java/tidebank/policy/RoutingPolicy.java
+++ b/router/src/main/java/tidebank/policy/RoutingPolicy.java
@@ -138,7 +138,7 @@
     this.margin = MARGIN_TICKS * settings.tickUs();
     this.chance = new SeededRandom(seed);
     this.fleet = new EndpointTable(settings.layout());
-    this.shortestTarget = settings.shortestTargetUs().orElse(TROUBLE_US);
+    this.shortestTarget = settings.shortestObjectiveUs().orElse(TROUBLE_US);
     this.typical = shortestTarget * TYPICAL_START;
     this.service = typical;
     this.recent = typical;
@@ -163,72 +163,72 @@
     } else if (event instanceof Event.QueryReceived taken) {
       takeScan(taken);
     } else if (event instanceof Event.ShardRequestReceived taken) {
-      Query scan = byNumber.get(taken.number());
-      this.taken.add(now, settings.rules().ratioSpanUs());
+      Query scan = byNumber.get(taken.queryNumber());
+      this.taken.add(now, settings.rules().retryBudgetWindowUs());
       if (scan != null && scan.verdict == Verdict.OPEN) {
         ShardRequest part =
-            new ShardRequest(taken.id(), scan, taken.shard(), taken.weight(), taken.key(), scan.step);
-        part.stage = Stage.HELD;
-        scan.parts.add(part);
+            new ShardRequest(taken.id(), scan, taken.shard(), taken.weight(), taken.key(), scan.stage);
+        part.stage = Stage.PENDING;
+        scan.requests.add(part);
         parts.put(part.id, part);
         workQueue.changed(scan);
       }
     } else if (event instanceof Event.AttemptCompleted ended) {
       takeEnd(ended);
     } else if (event instanceof Event.ClientDisconnected lapsed) {
-      Query scan = scans.get(lapsed.id());
+      Query scan = scans.get(lapsed.query());
       if (scan != null && scan.verdict == Verdict.OPEN) {
-        close(scan, Verdict.LEFT);
+        close(scan, Verdict.CLIENT_GONE);
       }
     } else if (event instanceof Event.TimerFired due && due.token() == timers) {
       learnLag(now - armedAt);
       armedAt = Long.MAX_VALUE;
     } else if (event instanceof Event.ShutdownRequested ending) {
-      endAt = ending.at();
-      scans.values().forEach(scan -> workQueue.changed(scan.endBy(endAt)));
+      endAt = ending.deadline();
+      scans.values().forEach(scan -> workQueue.changed(scan.limitDeadline(endAt)));
     }
   }
 
   private void takeList(Event.EndpointListReceived list) {
-    boolean lost = list.kind() == Event.ListUpdate.LOST;
-    if (lost || list.kind() == Event.ListUpdate.MOVED) {
+    boolean lost = list.update() == Event.ListUpdate.WATCH_LOST;
+    if (lost || list.update() == Event.ListUpdate.DISCOVERY_MOVED) {
       following = false;
       if (!lost) {
         listCalls.reset();
       }
-      askAt = lost ? now + listCalls.failedUs(now - calledAt, chance.next()) : now;
+      askAt = lost ? now + listCalls.backoffUs(now - calledAt, chance.nextDouble()) : now;
       return;
     }
-    if (list.kind() != Event.ListUpdate.REMEMBERED) {
+    if (list.update() != Event.ListUpdate.CACHED) {
       followAnswered = true;
       calledAt = now;
       listCalls.reset();
     }
-    fleet.take(list);
-    for (Event.Endpoint line : list.entries()) {
+    fleet.apply(list);
+    for (Event.Endpoint line : list.endpoints()) {
       ShardServer srv = fleet.get(line.server());
       if (srv != null && line.startedAt() > srv.startedAt) {
         started(srv, line.startedAt());
-        srv.trialAt = Math.min(srv.trialAt, now);
+        srv.reinstatementAt = Math.min(srv.reinstatementAt, now);
       }
     }
   }
 
   private void takeScan(Event.QueryReceived event) {
-    learnLag(now - event.askedAt());
-    long left = event.limitAt() - now;
+    learnLag(now - event.receivedAt());
+    long left = event.deadline() - now;
     QueryClass type =
         settings
-            .tableTypes()
+            .queryClasses()
             .getOrDefault(
-                event.type(),
-                new QueryClass(event.type(), Idempotency.NON_REPLAYABLE, 0, left, left, 0, 1, 1, 0));
-    Query scan = new Query(event.id(), event.number(), type, event.limitAt());
-    scan.targetAt = firstAsked(event, type) + type.targetUs();
+                event.queryClass(),
+                new QueryClass(event.queryClass(), Idempotency.NON_IDEMPOTENT, 0, left, left, 0, 1, 1, 0));
+    Query scan = new Query(event.id(), event.number(), type, event.deadline());
+    scan.objectiveAt = firstAsked(event, type) + type.latencyObjectiveUs();
     scans.put(scan.id, scan);
     byNumber.put(scan.number, scan);
-    workQueue.changed(scan.endBy(endAt));
-    taken.add(now, settings.rules().ratioSpanUs());
+    workQueue.changed(scan.limitDeadline(endAt));
+    taken.add(now, settings.rules().retryBudgetWindowUs());
   }
 
   /**
@@ -244,46 +244,46 @@
    * a lone stall of our own process is no reason to give up the scans that come after it.
    */
   private long early(Query scan) {
-    return margin + Math.round(Math.min(lag, scan.type.targetUs() * EARLY_MOST));
+    return margin + Math.round(Math.min(lag, scan.queryClass.latencyObjectiveUs() * EARLY_MOST));
   }
 
   /** A client's new try counts from its first, where that came here too and its key tells so. */
   private long firstAsked(Event.QueryReceived event, QueryClass type) {
     asked.values().removeIf(at -> at <= now - type.timeoutUs());
     String what = type.name() + ' ' + event.key();
-    if (!event.resent() || event.key().isEmpty()) {
+    if (!event.clientRetry() || event.key().isEmpty()) {
       asked.remove(what);
     }
-    return asked.computeIfAbsent(what, absent -> event.askedAt());
+    return asked.computeIfAbsent(what, absent -> event.receivedAt());
   }
 
   private void takeEnd(Event.AttemptCompleted ended) {
-    ShardRequest part = parts.get(ended.part());
+    ShardRequest part = parts.get(ended.shardRequest());
     if (part == null
-        || ended.dispatch() >= part.dispatches.size()
-        || !part.dispatches.get(ended.dispatch()).out) {
+        || ended.attempt() >= part.attempts.size()
+        || !part.attempts.get(ended.attempt()).inFlight) {
       return;
     }
-    Attempt dispatch = part.dispatches.get(ended.dispatch());
-    dispatch.end(ended.outcome());
-    workQueue.changed(part.scan);
-    judge(dispatch, ended.tookUs());
-    boolean open = part.scan.verdict == Verdict.OPEN;
-    if (ended.outcome() == Outcome.BROKEN) {
-      part.scan.broken += dispatch.server == part.scan.brokeOn ? 0 : 1;
-      part.scan.brokeOn = dispatch.server;
+    Attempt dispatch = part.attempts.get(ended.attempt());
+    dispatch.complete(ended.outcome());
+    workQueue.changed(part.query);
+    judge(dispatch, ended.durationUs());
+    boolean open = part.query.verdict == Verdict.OPEN;
+    if (ended.outcome() == Outcome.CONNECTION_LOST) {
+      part.query.lostConnections += dispatch.server == part.query.lastLostServer ? 0 : 1;
+      part.query.lastLostServer = dispatch.server;
     }
     if (open && ended.outcome() == Outcome.COMPLETED) {
-      part.stage = Stage.IN;
+      part.stage = Stage.ANSWERED;
       drop(part);
-    } else if (open && ended.closed() && part.stage != Stage.IN) {
-      part.stage = Stage.LOST;
+    } else if (open && ended.requestClosed() && part.stage != Stage.ANSWERED) {
+      part.stage = Stage.FAILED;
     }
     forget(part);
   }
 
   private void forget(ShardRequest part) {
-    if (part.scan.verdict != Verdict.OPEN && part.out() == 0) {
+    if (part.query.verdict != Verdict.OPEN && part.inFlight() == 0) {
       parts.remove(part.id);
     }
   }
@@ -292,35 +292,35 @@
 
   private void judge(Attempt dispatch, long tookUs) {
     ShardServer srv = dispatch.server;
-    ConcurrencyLimit shard = shard(dispatch.part.shard);
+    ConcurrencyLimit shard = shard(dispatch.request.shard);
     // The overflow figure of a home starts at the page's and follows how its answers come.
     boolean quick = dispatch.outcome == Outcome.COMPLETED && tookUs <= SLOW * typical;
     overflow = overflowAfter(overflow, quick, 0);
-    srv.overflow = overflowAfter(Math.min(OVERFLOW_START, srv.overflow), quick, OVERFLOW_LEAST);
+    srv.spilloverThreshold = overflowAfter(Math.min(OVERFLOW_START, srv.spilloverThreshold), quick, OVERFLOW_LEAST);
     switch (dispatch.outcome) {
       case COMPLETED -> {
-        srv.heardAt = now;
+        srv.lastResponseAt = now;
         // Up again, as it seems, where nothing sent to it came through for longer than a lone
         // refusal lasts.
-        if (dispatch.sentAt - shortestTarget * HALF >= srv.downAt) {
+        if (dispatch.sentAt - shortestTarget * HALF >= srv.unreachableSince) {
           started(srv, now);
         }
-        srv.downAt = Long.MAX_VALUE;
+        srv.unreachableSince = Long.MAX_VALUE;
         typical += (tookUs - typical) * LEARN;
         recent +=
             (tookUs - recent)
                 * Math.max(LEARN, 1 - Math.exp((recentAt - now) / (double) EVIDENCE_US));
         recentAt = now;
-        if (!dispatch.overdue) {
+        if (!dispatch.timedOut) {
           service += (tookUs < service ? -1 : LOW / (1 - LOW)) * service * LEARN;
-          tell(srv, waiting() && tookUs >= dispatch.part.scan.type.targetUs() * HALF);
-          shard.capPerReplica += 1.0 / Math.max(1, fleet.holders(dispatch.part.shard).size());
-          srv.doubt = srv.sick ? DOUBT_BOUND * HALF : Math.max(0, srv.doubt + DOUBT_GOOD);
-          srv.sick = false;
-          srv.trialWait = 0;
+          tell(srv, waiting() && tookUs >= dispatch.request.query.queryClass.latencyObjectiveUs() * HALF);
+          shard.limitPerReplica += 1.0 / Math.max(1, fleet.replicas(dispatch.request.shard).size());
+          srv.failureEvidence = srv.ejected ? DOUBT_BOUND * HALF : Math.max(0, srv.failureEvidence + DOUBT_GOOD);
+          srv.ejected = false;
+          srv.reinstatementDelay = 0;
         }
       }
-      case FULL -> {
+      case OVERLOADED -> {
         halve(shard);
         tell(srv, true);
       }
@@ -331,18 +331,18 @@
       case ERROR -> doubt(srv, DOUBT_BAD);
       // A lone connection ends for many a reason: all that was out on it is one fault, no sign of a
       // restart.
-      case SPOILT, BROKEN, UNREACHABLE -> {
+      case PROTOCOL_ERROR, CONNECTION_LOST, UNREACHABLE -> {
         learnSilence(dispatch);
         doubt(srv, srv.firstFault(now) && !reaped(dispatch) ? DOUBT_BAD : 0);
         if (dispatch.outcome == Outcome.UNREACHABLE) {
           idleLoss *= HALF;
-          srv.downAt = Math.min(srv.downAt, now);
+          srv.unreachableSince = Math.min(srv.unreachableSince, now);
           // Sick so, with parts out when it broke: something brought it down.
-          if (srv.sick && now - srv.brokeAt < EVIDENCE_US) {
+          if (srv.ejected && now - srv.connectionLostAt < EVIDENCE_US) {
             breaks.add(now, CANARY_TARGETS * shortestTarget);
           }
         }
-        srv.brokeAt = dispatch.outcome == Outcome.BROKEN ? now : Long.MIN_VALUE / 2;
+        srv.connectionLostAt = dispatch.outcome == Outcome.CONNECTION_LOST ? now : Long.MIN_VALUE / 2;
       }
       default -> {}
     }
@@ -355,15 +355,15 @@
   }
 
   private void overdue(Attempt dispatch) {
-    if (!dispatch.overdue) {
-      dispatch.overdue = true;
-      dispatch.server.silentAt = Math.max(dispatch.server.silentAt, dispatch.sentAt);
+    if (!dispatch.timedOut) {
+      dispatch.timedOut = true;
+      dispatch.server.lastTimedOutSentAt = Math.max(dispatch.server.lastTimedOutSentAt, dispatch.sentAt);
       learnSilence(dispatch);
       if (!reaped(dispatch)) {
         tell(dispatch.server, waiting());
         doubt(dispatch.server, DOUBT_BAD);
         if (overload()) {
-          halve(shard(dispatch.part.shard));
+          halve(shard(dispatch.request.shard));
         }
       }
     }
@@ -371,10 +371,10 @@
 
   /** While answers wait, a part out for long tells of the queue; a failed connection never does. */
   private void learnSilence(Attempt dispatch) {
-    if (!waiting() && dispatch.outcome != Outcome.SPOILT
+    if (!waiting() && dispatch.outcome != Outcome.PROTOCOL_ERROR
         || dispatch.outcome == Outcome.UNREACHABLE) {
-      idleLoss += dispatch.idle ? (1 - idleLoss) * LEARN_FAST : 0;
-      busyLoss += dispatch.idle ? 0 : (1 - busyLoss) * LEARN_FAST;
+      idleLoss += dispatch.onIdleConnection ? (1 - idleLoss) * LEARN_FAST : 0;
+      busyLoss += dispatch.onIdleConnection ? 0 : (1 - busyLoss) * LEARN_FAST;
     }
   }
 
@@ -384,28 +384,28 @@
    * nothing of the server.
    */
   private boolean reaped(Attempt dispatch) {
-    return dispatch.idle && idleLoss >= SLOW * BAD_SOUND && idleLoss >= SLOW * busyLoss;
+    return dispatch.onIdleConnection && idleLoss >= SLOW * BAD_SOUND && idleLoss >= SLOW * busyLoss;
   }
 
   private void halve(ConcurrencyLimit shard) {
-    shard.capPerReplica *= HALF;
-    shard.troubledAt = now;
+    shard.limitPerReplica *= HALF;
+    shard.decreasedAt = now;
   }
 
   private void doubt(ShardServer srv, double evidence) {
-    srv.doubt = Math.min(DOUBT_BOUND, srv.doubt + evidence);
-    if (srv.doubt >= DOUBT_BOUND && evidence > 0) {
-      srv.sick = true;
+    srv.failureEvidence = Math.min(DOUBT_BOUND, srv.failureEvidence + evidence);
+    if (srv.failureEvidence >= DOUBT_BOUND && evidence > 0) {
+      srv.ejected = true;
       long most = shortestTarget << TRIAL_DOUBLINGS;
-      srv.trialWait = Math.min(Math.max(2 * srv.trialWait, shortestTarget / 2), most);
-      srv.trialAt = now + srv.trialWait;
+      srv.reinstatementDelay = Math.min(Math.max(2 * srv.reinstatementDelay, shortestTarget / 2), most);
+      srv.reinstatementAt = now + srv.reinstatementDelay;
     }
   }
 
   /** A server tells once a second of congestion, or of none, so that one is not the fleet. */
   private void tell(ShardServer srv, boolean congested) {
-    if (congested && now - srv.congestedAt >= TROUBLE_US || now - srv.toldAt >= TROUBLE_US) {
-      srv.toldAt = now;
+    if (congested && now - srv.congestedAt >= TROUBLE_US || now - srv.sampledAt >= TROUBLE_US) {
+      srv.sampledAt = now;
       srv.congestedAt = congested ? now : srv.congestedAt;
       congestion +=
           ((congested ? 1 : 0) - congestion)
@@ -432,46 +432,46 @@
       if (scan.verdict != Verdict.OPEN) {
         continue;
       }
-      scan.parts.forEach(part -> part.dispatches.forEach(this::watch));
+      scan.requests.forEach(part -> part.attempts.forEach(this::watch));
       if (!scan.selected) {
-        scan.parts.sort(
+        scan.requests.sort(
             Comparator.comparingDouble((ShardRequest p) -> -p.weight).thenComparingInt(p -> p.shard));
       }
       if (!scan.selected && !awaitingCanary(scan)) {
         select(scan);
       }
       if (scan.verdict == Verdict.OPEN) {
-        (scan.selected ? scan.parts : scan.parts.subList(0, 1)).forEach(this::pursue);
+        (scan.selected ? scan.requests : scan.requests.subList(0, 1)).forEach(this::pursue);
         conclude(scan);
       }
     }
   }
 
   private void watch(Attempt dispatch) {
-    if (dispatch.out && now >= dispatch.dueAt) {
+    if (dispatch.inFlight && now >= dispatch.timeoutAt) {
       overdue(dispatch);
-    } else if (dispatch.out) {
-      workQueue.at(dispatch.dueAt, dispatch.part.scan);
+    } else if (dispatch.inFlight) {
+      workQueue.at(dispatch.timeoutAt, dispatch.request.query);
     }
   }
 
   /** The design: the ranked parts that pass their threshold go, the others stay unsent. */
   private void select(Query scan) {
     scan.selected = true;
-    List<ShardRequest> ranked = scan.parts;
+    List<ShardRequest> ranked = scan.requests;
     // Not even a quick answer would be back in time: nothing is sent for it.
-    if (ranked.isEmpty() || scan.limitAt - now <= early(scan) + service) {
+    if (ranked.isEmpty() || scan.deadline - now <= early(scan) + service) {
       giveUp(scan);
       return;
     }
     boolean calm = !sparse() || congestion < OVERLOADED_SHARE * HALF;
-    if (scan.type.floor() >= scan.type.need()
+    if (scan.queryClass.minimumWeight() >= scan.queryClass.completeWeight()
         || calm
             && ranked.stream()
                 .map(p -> shard(p.shard))
                 .noneMatch(
                     shard ->
-                        shard.capPerReplica < CAP_START || now - shard.troubledAt < TROUBLE_US)) {
+                        shard.limitPerReplica < CAP_START || now - shard.decreasedAt < TROUBLE_US)) {
       return;
     }
     int most = ranked.size();
@@ -482,19 +482,19 @@
     for (int rank = 0; rank < most; rank++) {
       ShardRequest part = ranked.get(rank);
       // Exception: what the floor needs counts as top, as an answer from less may not be given.
-      top = weight < scan.type.floor() ? Math.max(top, rank + 1) : top;
+      top = weight < scan.queryClass.minimumWeight() ? Math.max(top, rank + 1) : top;
       weight += part.weight;
-      List<ShardServer> holders = fleet.holders(part.shard);
-      double cap = shard(part.shard).capPerReplica * holders.size();
+      List<ShardServer> holders = fleet.replicas(part.shard);
+      double cap = shard(part.shard).limitPerReplica * holders.size();
       double fall = rank < top ? 0 : (rank - top + 1.0) / (most - top);
       double threshold = cap * (1 - fall * (1 - IDLE));
-      double load = holders.stream().mapToInt(srv -> srv.out.size()).sum();
+      double load = holders.stream().mapToInt(srv -> srv.inFlight.size()).sum();
       if (sparse() && rank >= top) {
         load = Math.max(load, cap * Math.min(1, congestion / OVERLOADED_SHARE));
       }
-      if (part.stage == Stage.HELD && (rank < top ? load > cap : load >= threshold)) {
-        part.stage = Stage.UNSENT;
-      } else if (part.stage == Stage.HELD) {
+      if (part.stage == Stage.PENDING && (rank < top ? load > cap : load >= threshold)) {
+        part.stage = Stage.SKIPPED;
+      } else if (part.stage == Stage.PENDING) {
         first(part);
       }
     }
@@ -507,7 +507,7 @@
    * filled the server.
    */
   private boolean sparse() {
-    return settings.instances() > 2 * CAP_START;
+    return settings.routers() > 2 * CAP_START;
   }
 
   /**
@@ -518,19 +518,19 @@
    */
   private boolean awaitingCanary(Query scan) {
     int broken = breaks.count(now, CANARY_TARGETS * shortestTarget);
-    ShardRequest canary = scan.parts.size() < 2 ? null : scan.parts.get(0);
+    ShardRequest canary = scan.requests.size() < 2 ? null : scan.requests.get(0);
     if (broken < FATAL
         || overload()
         || canary == null
-        || scan.step > 0
-        || scan.limitAt - now <= margin
-        || canary.stage == Stage.IN) {
+        || scan.stage > 0
+        || scan.deadline - now <= margin
+        || canary.stage == Stage.ANSWERED) {
       return false;
     }
-    long sentAt = canary.dispatches.isEmpty() ? now : canary.dispatches.get(0).sentAt;
+    long sentAt = canary.attempts.isEmpty() ? now : canary.attempts.get(0).sentAt;
     long until = sentAt + Math.round(Math.min(patience(scan), SLOW * typical));
     workQueue.at(until, scan);
-    return scan.broken > 0 || now < until;
+    return scan.lostConnections > 0 || now < until;
   }
 
   private ConcurrencyLimit shard(int number) {
@@ -539,58 +539,58 @@
 
   /** First and further dispatches of a part that is still wanted. */
   private void pursue(ShardRequest part) {
-    if (part.stage == Stage.HELD) {
+    if (part.stage == Stage.PENDING) {
       first(part);
     } else if (part.stage == Stage.SENT
-        && part.dispatches.stream().allMatch(d -> !d.out || d.overdue || straggles(d))) {
+        && part.attempts.stream().allMatch(d -> !d.inFlight || d.timedOut || straggles(d))) {
       if (!furtherEver(part)) {
-        part.stage = part.out() == 0 ? Stage.LOST : part.stage;
-      } else if ((!overload() || part.neverCame() || sparse() && !part.mayHaveRun())
+        part.stage = part.inFlight() == 0 ? Stage.FAILED : part.stage;
+      } else if ((!overload() || part.neverReachedServer() || sparse() && !part.mayHaveExecuted())
           && budgetLeft()) {
         ShardServer srv = place(part);
         // A copy is worth its work only off a sick server, for one of the last parts, or out for
         // very long.
-        long longAgo = now - Math.round(patience(part.scan) * OUT_LONG);
+        long longAgo = now - Math.round(patience(part.query) * OUT_LONG);
         boolean sick =
-            part.dispatches.stream()
+            part.attempts.stream()
                 .allMatch(
                     d ->
-                        !d.out
-                            || d.server.sick
+                        !d.inFlight
+                            || d.server.ejected
                             || d.sentAt <= longAgo
                             || straggles(d)
                             || reaped(d));
-        if (srv != null && (part.out() == 0 || settings.limits().secondCopies() && sick)) {
+        if (srv != null && (part.inFlight() == 0 || settings.limits().hedging() && sick)) {
           send(part, srv);
-        } else if (srv != null && !srv.sick) {
+        } else if (srv != null && !srv.ejected) {
           // One dispatch out at a time: it is called back from a sick server, and sent on once
           // ended.
-          part.dispatches.stream().filter(d -> d.server.sick).forEach(this::unwant);
+          part.attempts.stream().filter(d -> d.server.ejected).forEach(this::unwant);
         }
       }
-      workQueue.at(now + patience(part.scan) / 4, part.scan);
+      workQueue.at(now + patience(part.query) / 4, part.query);
     }
   }
 
   /** One of the last parts that a scan waits for, out for the least patience. */
   private boolean straggles(Attempt dispatch) {
-    Query scan = dispatch.part.scan;
-    long at = dispatch.sentAt + Math.round(scan.type.targetUs() * PATIENCE_LEAST);
+    Query scan = dispatch.request.query;
+    long at = dispatch.sentAt + Math.round(scan.queryClass.latencyObjectiveUs() * PATIENCE_LEAST);
     workQueue.at(now < at ? at : Long.MAX_VALUE, scan);
     return now >= at
-        && settings.limits().secondCopies()
-        && scan.left <= Math.max(1, scan.parts.size() * IDLE);
+        && settings.limits().hedging()
+        && scan.remaining <= Math.max(1, scan.requests.size() * IDLE);
   }
 
   private void first(ShardRequest part) {
-    boolean late = now >= part.scan.targetAt && (overload() || part.scan.type.lateBenefit() <= 0);
-    if (fleet.holders(part.shard).isEmpty() || late) {
-      part.stage = Stage.LOST;
+    boolean late = now >= part.query.objectiveAt && (overload() || part.query.queryClass.lateWeight() <= 0);
+    if (fleet.replicas(part.shard).isEmpty() || late) {
+      part.stage = Stage.FAILED;
       return;
     }
     ShardServer srv = place(part);
     if (srv == null) {
-      workQueue.at(now + patience(part.scan) / 4, part.scan);
+      workQueue.at(now + patience(part.query) / 4, part.query);
     } else {
       send(part, srv);
       part.stage = Stage.SENT;
@@ -599,55 +599,55 @@
 
   /** Whether the part may get a further dispatch at all, now or later. */
   private boolean furtherEver(ShardRequest part) {
-    int most = Math.min(settings.limits().maxDispatches(), 1 + FURTHER_MOST);
-    if (part.dispatches.size() >= most || now >= part.scan.targetAt) {
+    int most = Math.min(settings.limits().maxAttempts(), 1 + FURTHER_MOST);
+    if (part.attempts.size() >= most || now >= part.query.objectiveAt) {
       return false;
     }
-    if (part.scan.type.repeat() != Idempotency.KEYED || !part.mayHaveRun()) {
-      return part.scan.type.repeat() == Idempotency.REPLAYABLE || !part.mayHaveRun();
+    if (part.query.queryClass.idempotency() != Idempotency.WITH_KEY || !part.mayHaveExecuted()) {
+      return part.query.queryClass.idempotency() == Idempotency.IDEMPOTENT || !part.mayHaveExecuted();
     }
-    long windowEnd = now + settings.tickUs() - part.scan.type.windowUs();
-    return part.dispatches.stream()
-        .filter(d -> d.out || !d.outcome.neverRan)
+    long windowEnd = now + settings.tickUs() - part.query.queryClass.idempotencyWindowUs();
+    return part.attempts.stream()
+        .filter(d -> d.inFlight || !d.outcome.neverExecuted)
         .allMatch(d -> d.sentAt > windowEnd);
   }
 
   /** Rule 6, a tick longer than its span to stay on the safe side. */
   private boolean budgetLeft() {
     Settings.Rules rules = settings.rules();
-    return rules.ratioSpanUs() <= 0
-        || further.count(now, rules.ratioSpanUs() + settings.tickUs()) + 1
-            <= rules.freeResends() + rules.extraRatio() * taken.count(now, rules.ratioSpanUs());
+    return rules.retryBudgetWindowUs() <= 0
+        || further.count(now, rules.retryBudgetWindowUs() + settings.tickUs()) + 1
+            <= rules.retryBudgetFloor() + rules.retryBudgetRatio() * taken.count(now, rules.retryBudgetWindowUs());
   }
 
   /** The replica for the next dispatch of a part, or null where none can take it now. */
   private ShardServer place(ShardRequest part) {
-    String salt = (part.key.isEmpty() ? part.scan.id : part.key) + '/' + part.shard + '/';
+    String salt = (part.key.isEmpty() ? part.query.id : part.key) + '/' + part.shard + '/';
     List<ShardServer> open =
-        fleet.holders(part.shard).stream()
+        fleet.replicas(part.shard).stream()
             .filter(
                 srv ->
-                    part.dispatches.stream().noneMatch(d -> d.out && d.server == srv)
+                    part.attempts.stream().noneMatch(d -> d.inFlight && d.server == srv)
                         && coldRoom(srv))
-            .sorted(Comparator.comparingDouble((ShardServer srv) -> -SeededRandom.share(salt + srv.id)))
+            .sorted(Comparator.comparingDouble((ShardServer srv) -> -SeededRandom.plainHash(salt + srv.id)))
             .toList();
     if (open.isEmpty()) {
       return null;
     }
     ShardServer home = open.get(0);
     boolean trial =
-        home.sick && now >= home.trialAt && home.out.isEmpty() && part.dispatches.isEmpty();
-    if (trial && part.scan.type.repeat() != Idempotency.NON_REPLAYABLE) {
+        home.ejected && now >= home.reinstatementAt && home.inFlight.isEmpty() && part.attempts.isEmpty();
+    if (trial && part.query.queryClass.idempotency() != Idempotency.NON_IDEMPOTENT) {
       return home;
     }
     List<ShardServer> fresh =
         open.stream()
-            .filter(srv -> part.dispatches.stream().noneMatch(d -> d.server == srv))
+            .filter(srv -> part.attempts.stream().noneMatch(d -> d.server == srv))
             .toList();
     List<ShardServer> sound =
-        (fresh.isEmpty() ? open : fresh).stream().filter(srv -> !srv.sick).toList();
+        (fresh.isEmpty() ? open : fresh).stream().filter(srv -> !srv.ejected).toList();
     List<ShardServer> pick = !sound.isEmpty() ? sound : fresh.isEmpty() ? open : fresh;
-    if (pick.get(0) == home && held(home) <= Math.min(overflow, home.overflow)) {
+    if (pick.get(0) == home && held(home) <= Math.min(overflow, home.spilloverThreshold)) {
       return home;
     }
     return pick.stream().min(Comparator.comparingDouble(this::held)).orElseThrow();
@@ -661,10 +661,10 @@
   private double held(ShardServer srv) {
     double held = 0;
     long last = -1;
-    for (Attempt dispatch : srv.out) {
-      held += dispatch.call != last ? 1 : CALL_MORE;
-      held += dispatch.overdue ? OVERFLOW_START : 0;
-      last = dispatch.call;
+    for (Attempt dispatch : srv.inFlight) {
+      held += dispatch.batch != last ? 1 : CALL_MORE;
+      held += dispatch.timedOut ? OVERFLOW_START : 0;
+      last = dispatch.batch;
     }
     return held;
   }
@@ -679,15 +679,15 @@
   private boolean coldRoom(ShardServer srv) {
     Settings.Rules rules = settings.rules();
     long age = now - srv.startedAt;
-    if (srv.startedAt == 0 || age >= rules.coldUs()) {
+    if (srv.startedAt == 0 || age >= rules.slowStartUs()) {
       return true;
     }
     // The window that ends now began when less was allowed.
-    double then = Math.max(0, age - rules.tipAfterUs()) / (double) rules.coldUs();
+    double then = Math.max(0, age - rules.overloadWindowUs()) / (double) rules.slowStartUs();
     double fair =
-        (rules.coldFrom() + (1 - rules.coldFrom()) * then) * srv.coldRate / settings.instances();
-    return srv.coldSends.count(now, rules.tipAfterUs()) + 1 <= Math.max(1, fair)
-        && (fair >= 1 || coldTurn(srv) > srv.coldTurn);
+        (rules.slowStartInitialShare() + (1 - rules.slowStartInitialShare()) * then) * srv.slowStartRate / settings.routers();
+    return srv.slowStartSends.count(now, rules.overloadWindowUs()) + 1 <= Math.max(1, fair)
+        && (fair >= 1 || coldTurn(srv) > srv.slowStartSlot);
   }
 
   /**
@@ -698,134 +698,134 @@
   private long coldTurn(ShardServer srv) {
     Settings.Rules rules = settings.rules();
     double age = Math.max(0, now - srv.startedAt);
-    double grown = rules.coldFrom() * age + (1 - rules.coldFrom()) * age * age / 2 / rules.coldUs();
-    double least = Math.max(SUM_SLACK, rules.coldFrom() * srv.coldRate);
+    double grown = rules.slowStartInitialShare() * age + (1 - rules.slowStartInitialShare()) * age * age / 2 / rules.slowStartUs();
+    double least = Math.max(SUM_SLACK, rules.slowStartInitialShare() * srv.slowStartRate);
     double low =
         Math.sqrt(Math.pow(Math.sqrt(least) + 1, 2) + 1 + CHANCE * CHANCE / 4) - CHANCE / 2;
-    double calls = grown / rules.tipAfterUs() * srv.coldRate * low * low / Math.max(1, least);
-    return (long) Math.floor(calls / settings.instances() - srv.coldPhase);
+    double calls = grown / rules.overloadWindowUs() * srv.slowStartRate * low * low / Math.max(1, least);
+    return (long) Math.floor(calls / settings.routers() - srv.slowStartPhase);
   }
 
   private void started(ShardServer srv, long at) {
     Settings.Rules rules = settings.rules();
-    double unit = Math.max(service, shortestTarget * TYPICAL_START) + settings.layout().callUs();
+    double unit = Math.max(service, shortestTarget * TYPICAL_START) + settings.layout().batchOverheadUs();
     srv.startedAt = at;
-    srv.coldRate = rules.fallMultiple() * Math.max(1, srv.size) * rules.tipAfterUs() / unit;
-    double first = SeededRandom.folded(srv.id) + settings.rank() / (double) settings.instances();
-    srv.coldPhase = settings.rank() < 0 ? chance.next() : first - Math.floor(first);
-    srv.coldTurn = coldTurn(srv);
+    srv.slowStartRate = rules.overloadMultiple() * Math.max(1, srv.capacity) * rules.overloadWindowUs() / unit;
+    double first = SeededRandom.mixedHash(srv.id) + settings.routerIndex() / (double) settings.routers();
+    srv.slowStartPhase = settings.routerIndex() < 0 ? chance.nextDouble() : first - Math.floor(first);
+    srv.slowStartSlot = coldTurn(srv);
   }
 
   private void send(ShardRequest part, ShardServer srv) {
-    if (srv.callAt != now || srv.callFill >= settings.layout().bundleMax()) {
-      srv.callAt = now;
-      srv.call = ++calls;
-      srv.callFill = 0;
-    }
-    srv.callFill++;
-    Query scan = part.scan;
-    Attempt dispatch = new Attempt(part, part.dispatches.size(), srv, now, srv.call);
-    dispatch.dueAt = now + patience(scan);
-    dispatch.idle = srv.heardAt > 0 && now - srv.heardAt >= shortestTarget * HALF;
+    if (srv.batchAt != now || srv.batchSize >= settings.layout().maxBatchSize()) {
+      srv.batchAt = now;
+      srv.batch = ++calls;
+      srv.batchSize = 0;
+    }
+    srv.batchSize++;
+    Query scan = part.query;
+    Attempt dispatch = new Attempt(part, part.attempts.size(), srv, now, srv.batch);
+    dispatch.timeoutAt = now + patience(scan);
+    dispatch.onIdleConnection = srv.lastResponseAt > 0 && now - srv.lastResponseAt >= shortestTarget * HALF;
     // Nothing heard since an overdue part was sent: its connection may have fallen silent, not its
     // server.
-    dispatch.anew =
-        srv.silentAt >= srv.heardAt
+    dispatch.onNewConnection =
+        srv.lastTimedOutSentAt >= srv.lastResponseAt
             || reaped(dispatch)
-                && (scan.type.repeat() != Idempotency.REPLAYABLE || chance.next() >= LEARN);
-    dispatch.idle &= !dispatch.anew;
-    srv.silentAt = -1;
-    part.dispatches.add(dispatch);
+                && (scan.queryClass.idempotency() != Idempotency.IDEMPOTENT || chance.nextDouble() >= LEARN);
+    dispatch.onIdleConnection &= !dispatch.onNewConnection;
+    srv.lastTimedOutSentAt = -1;
+    part.attempts.add(dispatch);
     // Where it could not be called back, a dispatch has to end by itself before the next may go.
     boolean one =
-        !settings.limits().secondCopies() && !settings.limits().cancel() && furtherEver(part);
-    dispatch.stopAt =
-        one && dispatch.dueAt < scan.targetAt
-            ? dispatch.dueAt
-            : scan.type.lateBenefit() > 0 || now >= scan.targetAt ? scan.limitAt : scan.targetAt;
+        !settings.limits().hedging() && !settings.limits().cancellation() && furtherEver(part);
+    dispatch.deadline =
+        one && dispatch.timeoutAt < scan.objectiveAt
+            ? dispatch.timeoutAt
+            : scan.queryClass.lateWeight() > 0 || now >= scan.objectiveAt ? scan.deadline : scan.objectiveAt;
     if (dispatch.number > 0) {
-      further.add(now, settings.rules().ratioSpanUs() + settings.tickUs());
+      further.add(now, settings.rules().retryBudgetWindowUs() + settings.tickUs());
     }
-    srv.coldSends.add(now, settings.rules().tipAfterUs());
-    srv.coldTurn = srv.startedAt == 0 ? 0 : coldTurn(srv);
-    srv.out.add(dispatch);
+    srv.slowStartSends.add(now, settings.rules().overloadWindowUs());
+    srv.slowStartSlot = srv.startedAt == 0 ? 0 : coldTurn(srv);
+    srv.inFlight.add(dispatch);
     unsettled.add(dispatch);
-    workQueue.at(dispatch.dueAt, scan);
+    workQueue.at(dispatch.timeoutAt, scan);
   }
 
   private long patience(Query scan) {
-    double least = scan.type.targetUs() * PATIENCE_LEAST;
-    double most = scan.type.targetUs() * PATIENCE_MOST;
+    double least = scan.queryClass.latencyObjectiveUs() * PATIENCE_LEAST;
+    double most = scan.queryClass.latencyObjectiveUs() * PATIENCE_MOST;
     return Math.round(Math.min(most, Math.max(least, typical * PATIENCE_TYPICAL)));
   }
 
   /** When and how a scan ends. */
   private void conclude(Query scan) {
-    QueryClass type = scan.type;
+    QueryClass type = scan.queryClass;
     double in = 0;
     double pending = 0;
     boolean all = true;
     boolean none = true;
-    scan.left = 0;
-    for (ShardRequest part : scan.parts) {
-      if (part.step == scan.step) {
+    scan.remaining = 0;
+    for (ShardRequest part : scan.requests) {
+      if (part.queryStage == scan.stage) {
         none = false;
-        in += part.stage == Stage.IN ? part.weight : 0;
-        pending += part.stage == Stage.HELD || part.stage == Stage.SENT ? part.weight : 0;
-        all &= part.stage == Stage.IN;
-        scan.left += part.stage == Stage.HELD || part.stage == Stage.SENT ? 1 : 0;
+        in += part.stage == Stage.ANSWERED ? part.weight : 0;
+        pending += part.stage == Stage.PENDING || part.stage == Stage.SENT ? part.weight : 0;
+        all &= part.stage == Stage.ANSWERED;
+        scan.remaining += part.stage == Stage.PENDING || part.stage == Stage.SENT ? 1 : 0;
       }
     }
-    boolean first = scan.step == 0;
-    double floor = type.floor() < type.need() ? type.floor() : first ? type.need() : 1;
-    boolean whole = first ? in >= type.need() - SUM_SLACK : all && scan.firstWhole;
+    boolean first = scan.stage == 0;
+    double floor = type.minimumWeight() < type.completeWeight() ? type.minimumWeight() : first ? type.completeWeight() : 1;
+    boolean whole = first ? in >= type.completeWeight() - SUM_SLACK : all && scan.firstStageComplete;
     boolean enough = in >= floor - SUM_SLACK;
-    long reserve = scan.moreSteps() ? Math.round(type.targetUs() * STEP_RESERVE) : early(scan);
-    long answerAt = scan.targetAt - reserve;
-    long endAt = scan.limitAt - early(scan);
+    long reserve = scan.hasSecondStage() ? Math.round(type.latencyObjectiveUs() * STEP_RESERVE) : early(scan);
+    long answerAt = scan.objectiveAt - reserve;
+    long endAt = scan.deadline - early(scan);
     // Dispatches that broke and none in: the scan itself may bring its servers down.
-    boolean fatal = scan.broken >= FATAL && first && in <= 0;
+    boolean fatal = scan.lostConnections >= FATAL && first && in <= 0;
     if (none && now < endAt) {
       workQueue.at(endAt, scan);
     } else if (whole && !none) {
-      close(scan, Verdict.ANSWER_WHOLE);
+      close(scan, Verdict.COMPLETE);
     } else if (enough && (pending <= 0 || all || now >= answerAt || now >= endAt)) {
-      close(scan, Verdict.ANSWER_IN_PART);
+      close(scan, Verdict.PARTIAL);
     } else if (fatal
         || in + pending < floor - SUM_SLACK
         || now >= endAt
-        || type.lateBenefit() <= 0 && now >= scan.targetAt) {
+        || type.lateWeight() <= 0 && now >= scan.objectiveAt) {
       giveUp(scan);
     } else {
-      workQueue.at(now < answerAt ? answerAt : now < scan.targetAt ? scan.targetAt : endAt, scan);
+      workQueue.at(now < answerAt ? answerAt : now < scan.objectiveAt ? scan.objectiveAt : endAt, scan);
     }
   }
 
   /** A throttling reply says that trying again is harmless. */
   private void giveUp(Query scan) {
     boolean harmless =
-        scan.type.repeat() == Idempotency.REPLAYABLE || scan.parts.stream().noneMatch(ShardRequest::mayHaveRun);
-    close(scan, harmless ? Verdict.THROTTLE : Verdict.ABANDON);
+        scan.queryClass.idempotency() == Idempotency.IDEMPOTENT || scan.requests.stream().noneMatch(ShardRequest::mayHaveExecuted);
+    close(scan, harmless ? Verdict.THROTTLED : Verdict.FAILED);
   }
 
   private void close(Query scan, Verdict verdict) {
     scan.verdict = verdict;
     decided.add(scan);
-    scan.parts.forEach(this::drop);
+    scan.requests.forEach(this::drop);
   }
 
   /** Nothing of the part is wanted any longer. */
   private void drop(ShardRequest part) {
-    part.stage = part.stage == Stage.IN ? Stage.IN : Stage.LOST;
-    part.dispatches.stream().filter(d -> d.out).forEach(this::unwant);
-    part.dispatches.removeIf(d -> d.outcome == Outcome.NEVER_SENT && !d.sent);
+    part.stage = part.stage == Stage.ANSWERED ? Stage.ANSWERED : Stage.FAILED;
+    part.attempts.stream().filter(d -> d.inFlight).forEach(this::unwant);
+    part.attempts.removeIf(d -> d.outcome == Outcome.NOT_SENT && !d.sent);
   }
 
   private void unwant(Attempt dispatch) {
     dispatch.wanted = false;
     unsettled.add(dispatch);
-    if (!dispatch.sent && dispatch.out) {
-      dispatch.end(Outcome.NEVER_SENT);
+    if (!dispatch.sent && dispatch.inFlight) {
+      dispatch.complete(Outcome.NOT_SENT);
     }
   }
 
@@ -835,8 +835,8 @@
     decided.forEach(this::announce);
     decided.clear();
     long wakeAt = workQueue.next();
-    if (settings.limits().listOnRequest()) {
-      boolean silent = following && !followAnswered && now >= askAt + settings.rules().askEveryUs();
+    if (settings.limits().watchOnRequest()) {
+      boolean silent = following && !followAnswered && now >= askAt + settings.rules().pollIntervalUs();
       if (!following && now >= askAt || silent) {
         actions.add(new Action.WatchEndpoints(true));
         following = true;
@@ -849,21 +849,21 @@
               wakeAt,
               !following
                   ? askAt
-                  : followAnswered ? Long.MAX_VALUE : askAt + settings.rules().askEveryUs());
+                  : followAnswered ? Long.MAX_VALUE : askAt + settings.rules().pollIntervalUs());
     }
     for (Attempt dispatch : unsettled) {
-      if (dispatch.out && dispatch.wanted && !dispatch.sent) {
+      if (dispatch.inFlight && dispatch.wanted && !dispatch.sent) {
         dispatch.sent = true;
-        if (dispatch.anew) {
+        if (dispatch.onNewConnection) {
           actions.add(new Action.RetireConnections(dispatch.server.id));
         }
-        actions.add(new Action.SendAttempt(dispatch.part.id, dispatch.server.id, dispatch.stopAt));
-      } else if (dispatch.out
+        actions.add(new Action.SendAttempt(dispatch.request.id, dispatch.server.id, dispatch.deadline));
+      } else if (dispatch.inFlight
           && !dispatch.wanted
           && !dispatch.cancelled
-          && settings.limits().cancel()) {
+          && settings.limits().cancellation()) {
         dispatch.cancelled = true;
-        actions.add(new Action.CancelAttempt(dispatch.part.id, dispatch.number));
+        actions.add(new Action.CancelAttempt(dispatch.request.id, dispatch.number));
       }
     }
     unsettled.clear();
@@ -874,28 +874,28 @@
   }
 
   private void announce(Query scan) {
-    boolean whole = scan.verdict == Verdict.ANSWER_WHOLE;
+    boolean whole = scan.verdict == Verdict.COMPLETE;
     switch (scan.verdict) {
-      case ANSWER_WHOLE, ANSWER_IN_PART -> actions.add(new Action.Respond(scan.id, whole));
-      case THROTTLE ->
+      case COMPLETE, PARTIAL -> actions.add(new Action.Respond(scan.id, whole));
+      case THROTTLED ->
           actions.add(
               new Action.Throttle(
                   scan.id,
-                  settings.limits().holdOff()
-                      ? Math.min(shortestTarget, settings.limits().maxHoldOffUs())
+                  settings.limits().retryAfter()
+                      ? Math.min(shortestTarget, settings.limits().maxRetryAfterUs())
                       : 0));
-      case ABANDON -> actions.add(new Action.Fail(scan.id));
+      case FAILED -> actions.add(new Action.Fail(scan.id));
       default -> {}
     }
-    if ((whole || scan.verdict == Verdict.ANSWER_IN_PART) && scan.moreSteps()) {
-      scan.step++;
-      scan.firstWhole = whole;
+    if ((whole || scan.verdict == Verdict.PARTIAL) && scan.hasSecondStage()) {
+      scan.stage++;
+      scan.firstStageComplete = whole;
       scan.verdict = Verdict.OPEN;
-      workQueue.at(scan.limitAt - early(scan), scan);
+      workQueue.at(scan.deadline - early(scan), scan);
     } else {
       scans.remove(scan.id);
       byNumber.remove(scan.number);
-      scan.parts.forEach(this::forget);
+      scan.requests.forEach(this::forget);
     }
   }
 }
--- a/router/src/main/java/tidebank/policy/ShardRequest.java
+++ b/router/src/main/java/tidebank/policy/ShardRequest.java
@@ -14,35 +14,35 @@
    * done.
    */
   public enum Stage {
-    HELD,
+    PENDING,
     SENT,
-    UNSENT,
-    IN,
-    LOST
+    SKIPPED,
+    ANSWERED,
+    FAILED
   }
 
   public final String id;
-  public final Query scan;
+  public final Query query;
   public final int shard;
   public final double weight;
   public final String key;
-  public final int step;
-  public final List<Attempt> dispatches = new ArrayList<>();
+  public final int queryStage;
+  public final List<Attempt> attempts = new ArrayList<>();
   public Stage stage;
 
   public ShardRequest(String id, Query scan, int shard, double weight, String key, int step) {
     this.id = id;
-    this.scan = scan;
+    this.query = scan;
     this.shard = shard;
     this.weight = weight;
     this.key = key;
-    this.step = step;
+    this.queryStage = step;
   }
 
-  public int out() {
+  public int inFlight() {
     int out = 0;
-    for (Attempt d : dispatches) {
-      if (d.out) {
+    for (Attempt d : attempts) {
+      if (d.inFlight) {
         out++;
       }
     }
@@ -50,15 +50,15 @@
   }
 
   /** Whether no server was asked yet: of those tried none could be reached. */
-  public boolean neverCame() {
-    return dispatches.stream()
+  public boolean neverReachedServer() {
+    return attempts.stream()
         .allMatch(
-            d -> !d.out && (d.outcome == Outcome.UNREACHABLE || d.outcome == Outcome.NEVER_SENT));
+            d -> !d.inFlight && (d.outcome == Outcome.UNREACHABLE || d.outcome == Outcome.NOT_SENT));
   }
 
-  public boolean mayHaveRun() {
-    for (Attempt d : dispatches) {
-      if (d.out || !d.outcome.neverRan) {
+  public boolean mayHaveExecuted() {
+    for (Attempt d : attempts) {
+      if (d.inFlight || !d.outcome.neverExecuted) {
         return true;
       }
     }
--- a/router/src/main/java/tidebank/policy/ShardServer.java
+++ b/router/src/main/java/tidebank/policy/ShardServer.java
@@ -9,7 +9,7 @@
   public int position;
 
   /** As the list rates it. */
-  public double size;
+  public double capacity;
 
   public boolean inService;
   public long startedAt;
@@ -18,55 +18,55 @@
    * What it bears warm within the window of rule 4, by the time that answers took when we were told
    * of its start.
    */
-  public double coldRate;
+  public double slowStartRate;
 
   /**
    * By what share of a round among the gatherers our turns come later, and the last that we used or
    * were told in.
    */
-  public double coldPhase;
+  public double slowStartPhase;
 
-  public long coldTurn;
+  public long slowStartSlot;
 
   /** The call that parts sent at this moment share, and how many share it so far. */
-  public long callAt = -1;
+  public long batchAt = -1;
 
-  public long call;
-  public int callFill;
-  public final List<Attempt> out = new ArrayList<>();
+  public long batch;
+  public int batchSize;
+  public final List<Attempt> inFlight = new ArrayList<>();
 
   /** When parts were sent, as far back as a cold server's guard looks. */
-  public final SlidingWindow coldSends = new SlidingWindow();
+  public final SlidingWindow slowStartSends = new SlidingWindow();
 
   /** Log-likelihood ratio of the sequential test; above its bound the server is held to be sick. */
-  public double doubt;
+  public double failureEvidence;
 
   /**
    * How many of our parts it may hold as a home before a part goes elsewhere; no bound before its
    * first end.
    */
-  public double overflow = Double.POSITIVE_INFINITY;
+  public double spilloverThreshold = Double.POSITIVE_INFINITY;
 
-  public boolean sick;
+  public boolean ejected;
 
   /**
    * Since when it can't be reached, as far as we know; and when a connection to it last broke with
    * parts out.
    */
-  public long downAt = Long.MAX_VALUE;
+  public long unreachableSince = Long.MAX_VALUE;
 
-  public long brokeAt = Long.MIN_VALUE / 2;
+  public long connectionLostAt = Long.MIN_VALUE / 2;
   private long faultAt = -1;
-  public long trialAt;
-  public long trialWait;
+  public long reinstatementAt;
+  public long reinstatementDelay;
 
   /** When it last answered us. */
-  public long heardAt;
+  public long lastResponseAt;
 
   /** When the latest of its overdue parts was sent. */
-  public long silentAt = -1;
+  public long lastTimedOutSentAt = -1;
 
-  public long toldAt = Long.MIN_VALUE / 2;
+  public long sampledAt = Long.MIN_VALUE / 2;
   public long congestedAt = Long.MIN_VALUE / 2;
 
   public ShardServer(String id) {
--- a/router/src/main/java/tidebank/policy/WatchTimings.java
+++ b/router/src/main/java/tidebank/policy/WatchTimings.java
@@ -18,7 +18,7 @@
  */
 public final class WatchTimings {
   /** PROTOCOL: counts as told so long after discovery had it and could be reached. */
-  private static final long TOLD_US = 6_000_000;
+  private static final long NOTIFICATION_BOUND_US = 6_000_000;
 
   /** What a fleet's idle watches may cost: ten calls a second of all instances together. */
   private static final long FLEET_CALL_US = 100_000;
@@ -67,12 +67,12 @@
    * the bound.
    */
   public WatchTimings(Settings settings) {
-    long askEvery = settings.rules().askEveryUs();
-    boundUs = Math.min(TOLD_US, askEvery);
-    long fleet = settings.limits().listOnRequest() ? settings.instances() * FLEET_CALL_US : 0;
+    long askEvery = settings.rules().pollIntervalUs();
+    boundUs = Math.min(NOTIFICATION_BOUND_US, askEvery);
+    long fleet = settings.limits().watchOnRequest() ? settings.routers() * FLEET_CALL_US : 0;
     watchUs = Math.max(Math.round(boundUs * WATCH), Math.min(askEvery, fleet));
     pauseMostUs =
-        settings.limits().listOnRequest()
+        settings.limits().watchOnRequest()
             ? Math.round(boundUs * PAUSE_MOST)
             : Math.round(settings.rules().drainGraceUs() * PAUSE_UNASKED);
   }
@@ -81,14 +81,14 @@
    * How long a watch may wait for a change: {@code confirmed}, if it has been answered since it
    * began.
    */
-  public long waitUs(boolean confirmed) {
+  public long watchTimeoutUs(boolean confirmed) {
     return confirmed ? watchUs : Math.round(boundUs * WATCH_FIRST);
   }
 
   /**
    * How long an answer may take beyond the wait that was asked for; silence beyond is a failure.
    */
-  public long answerUs(boolean confirmed) {
+  public long responseTimeoutUs(boolean confirmed) {
     return Math.round(boundUs * (confirmed ? ANSWER : ANSWER_FIRST));
   }
 
@@ -99,13 +99,13 @@
 
   /**
    * How long to wait before the next call of a watch that was answered after {@code tookUs}, where
-   * it might have waited for {@code waitUs}; {@code chance} from 0 to under 1. Answers with news
+   * it might have waited for {@code watchTimeoutUs}; {@code chance} from 0 to under 1. Answers with news
    * and answers that used up half of their wait are renewed at once. An answer that came earlier
    * and told nothing new is followed by a pause, which doubles with each such answer in a row up to
    * half of the bound, so that a change in the pause is still known within the bound. Where changes
    * come unasked the pause is a small share of the drain grace.
    */
-  public long renewalUs(boolean news, long tookUs, long waitUs, double chance) {
+  public long renewalDelayUs(boolean news, long tookUs, long waitUs, double chance) {
     if (news || tookUs >= waitUs * HASTY) {
       hastyAnswers = 0;
       return 0;
@@ -119,7 +119,7 @@
    * How long to wait after one more call that failed and took so long; {@code chance} from 0 to
    * under 1.
    */
-  public long failedUs(long tookUs, double chance) {
+  public long backoffUs(long tookUs, double chance) {
     double grown = BACKOFF_FIRST * (1L << Math.min(failures, Long.SIZE / 2));
     failures++;
     double most = Math.max(BACKOFF_LEAST, Math.min(grown, FAILED_MOST - (double) tookUs / boundUs));
@@ -127,7 +127,7 @@
   }
 
   /** The same where the settings promise changes unasked. */
-  public long failedUnaskedUs(double chance) {
+  public long pushedBackoffUs(double chance) {
     return Math.round(boundUs * UNASKED * (1 + chance) / 2);
   }
 }
--- a/router/src/main/java/tidebank/runtime/AttemptRequest.java
+++ b/router/src/main/java/tidebank/runtime/AttemptRequest.java
@@ -5,27 +5,27 @@
  * keeps the books.
  */
 public final class AttemptRequest {
-  public final String part;
+  public final String requestId;
   public final int shard;
   public final String server;
-  public final byte[] text;
-  public final long stopAt;
-  final PendingQuery.PendingShardRequest held;
+  public final byte[] body;
+  public final long deadline;
+  final PendingQuery.PendingShardRequest shardRequest;
   final int number;
-  final long askedAt;
+  final long createdAt;
   Handle handle;
-  boolean ended;
+  boolean completed;
 
   AttemptRequest(
       PendingQuery.PendingShardRequest held, int number, String server, byte[] text, long stopAt, long askedAt) {
-    this.held = held;
-    this.part = held.id;
+    this.shardRequest = held;
+    this.requestId = held.id;
     this.shard = held.range.shard();
     this.number = number;
     this.server = server;
-    this.text = text;
-    this.stopAt = stopAt;
-    this.askedAt = askedAt;
+    this.body = text;
+    this.deadline = stopAt;
+    this.createdAt = askedAt;
   }
 
   /** What the shard side gives back for a request. */
--- a/router/src/main/java/tidebank/runtime/DiscoveryPort.java
+++ b/router/src/main/java/tidebank/runtime/DiscoveryPort.java
@@ -6,5 +6,5 @@
    * Begins a watch anew, or ends it. Exactly one list event answers a beginning; changes follow
    * until it is lost.
    */
-  void follow(boolean on);
+  void watch(boolean on);
 }
--- a/router/src/main/java/tidebank/runtime/PendingQuery.java
+++ b/router/src/main/java/tidebank/runtime/PendingQuery.java
@@ -13,10 +13,10 @@
 final class PendingQuery {
   final QueryRequest request;
   final long number;
-  final Map<String, PendingShardRequest> parts = new LinkedHashMap<>();
+  final Map<String, PendingShardRequest> requests = new LinkedHashMap<>();
 
   /** Null once the scan has had its final answer or its client has left. */
-  ResponseCallback reply;
+  ResponseCallback callback;
 
   /** When its client's connection was read last for it. */
   long clientReadAt;
@@ -27,16 +27,16 @@
   PendingQuery(QueryRequest request, long number, ResponseCallback reply) {
     this.request = request;
     this.number = number;
-    this.reply = reply;
+    this.callback = reply;
     for (QueryRequest.ShardRange range : request.ranges()) {
       PendingShardRequest part = new PendingShardRequest(this, range);
-      parts.put(part.id, part);
+      requests.put(part.id, part);
     }
   }
 
   /** The values that are in, in the request in which the client listed the parts. */
   List<Value> values() {
-    return parts.values().stream()
+    return requests.values().stream()
         .filter(part -> part.value != null)
         .map(part -> new Value(part.range.shard(), part.value))
         .toList();
@@ -44,14 +44,14 @@
 
   /** One of its parts. */
   static final class PendingShardRequest {
-    final PendingQuery scan;
+    final PendingQuery query;
     final QueryRequest.ShardRange range;
     final String id;
-    final List<AttemptRequest> requests = new ArrayList<>();
+    final List<AttemptRequest> attempts = new ArrayList<>();
     byte[] value;
 
     PendingShardRequest(PendingQuery scan, QueryRequest.ShardRange range) {
-      this.scan = scan;
+      this.query = scan;
       this.range = range;
       this.id = id(scan.request, range);
     }
--- a/router/src/main/java/tidebank/runtime/PolicyExecutor.java
+++ b/router/src/main/java/tidebank/runtime/PolicyExecutor.java
@@ -84,28 +84,28 @@
   // ---- what happened
 
   /** A front took a scan. False: as much is held as the settings allow; it was not taken. */
-  public boolean scanTaken(QueryRequest request, ResponseCallback reply) {
+  public boolean queryReceived(QueryRequest request, ResponseCallback reply) {
     int more = 1 + request.ranges().size();
-    if (held > settings.limits().mostHeld() - more) {
+    if (held > settings.limits().maxPending() - more) {
       return false;
     }
-    counters.must(!holds(request), "an id is held once");
+    counters.checkInvariant(!isPending(request), "an id is held once");
     PendingQuery scan = new PendingQuery(request, ++numbers, reply);
     scan.clientReadAt = clock.now();
     held += more;
     scans.put(request.id(), scan);
-    parts.putAll(scan.parts);
+    parts.putAll(scan.requests);
     tell(
         new Event.QueryReceived(
             request.id(),
             scan.number,
-            request.type(),
-            request.account(),
-            request.askedAt(),
-            request.limitAt(),
-            request.resent(),
+            request.queryClass(),
+            request.tenant(),
+            request.receivedAt(),
+            request.deadline(),
+            request.clientRetry(),
             request.key()));
-    for (PendingShardRequest part : scan.parts.values()) {
+    for (PendingShardRequest part : scan.requests.values()) {
       tell(
           new Event.ShardRequestReceived(
               part.id, scan.number, part.range.shard(), part.range.weight(), part.range.key()));
@@ -114,25 +114,25 @@
   }
 
   /** Whether a scan of this id is held, or a part of it is still out. */
-  public boolean holds(QueryRequest request) {
+  public boolean isPending(QueryRequest request) {
     return scans.containsKey(request.id())
         || request.ranges().stream()
             .anyMatch(range -> parts.containsKey(PendingShardRequest.id(request, range)));
   }
 
   /** What was sent so far for a scan that is held, for the log. */
-  public String dispatches(String id) {
+  public String attemptCount(String id) {
     PendingQuery scan = scans.get(id);
     if (scan == null) {
       return "dispatches=-";
     }
-    int begun = scan.parts.values().stream().mapToInt(part -> part.requests.size()).sum();
+    int begun = scan.requests.values().stream().mapToInt(part -> part.attempts.size()).sum();
     long ago = begun == 0 ? -1 : (clock.now() - scan.lastSentAt) / 1000;
     return "dispatches=" + begun + " last_sent_ms_ago=" + ago;
   }
 
   /** The client of a scan has left. */
-  public void scanLapsed(String id) {
+  public void clientDisconnected(String id) {
     PendingQuery scan = scans.get(id);
     if (scan != null) {
       counters.add("scans.lapsed");
@@ -147,61 +147,61 @@
    * client has left meanwhile, its scan lapses here, and with it all that is not written.
    */
   public void aboutToWrite(AttemptRequest request) {
-    PendingQuery scan = request.held.scan;
-    if (scan.reply == null || clock.now() - scan.clientReadAt < CLIENT_READ_US) {
+    PendingQuery scan = request.shardRequest.query;
+    if (scan.callback == null || clock.now() - scan.clientReadAt < CLIENT_READ_US) {
       return;
     }
     scan.clientReadAt = clock.now();
-    scan.reply.checkClient();
-    if (scan.reply == null) {
+    scan.callback.checkClient();
+    if (scan.callback == null) {
       counters.add("scans.lapsed-before-writing");
     }
   }
 
   /** A dispatch has come to its one end; {@code value} is null unless it completed. */
-  public void dispatchEnded(
+  public void attemptCompleted(
       AttemptRequest request, Outcome outcome, byte[] value, Map<String, Double> report) {
-    if (!counters.must(!request.ended, "a dispatch ends once")) {
+    if (!counters.checkInvariant(!request.completed, "a dispatch ends once")) {
       return;
     }
-    request.ended = true;
-    PendingShardRequest part = request.held;
-    if (value != null && part.value == null && part.scan.reply != null) {
+    request.completed = true;
+    PendingShardRequest part = request.shardRequest;
+    if (value != null && part.value == null && part.query.callback != null) {
       part.value = value;
     }
     counters.add("dispatches." + outcome.name().toLowerCase(Locale.ROOT));
-    boolean closed = part.scan.reply == null || part.value != null;
+    boolean closed = part.query.callback == null || part.value != null;
     tell(
         new Event.AttemptCompleted(
-            part.id, request.number, outcome, clock.now() - request.askedAt, closed, report));
+            part.id, request.number, outcome, clock.now() - request.createdAt, closed, report));
     forget(part);
   }
 
-  public void probed(String server, Outcome outcome, long tookUs, Map<String, Double> report) {
+  public void healthCheckCompleted(String server, Outcome outcome, long tookUs, Map<String, Double> report) {
     counters.add("probes." + outcome.name().toLowerCase(Locale.ROOT));
     tell(new Event.HealthCheckCompleted(server, outcome, tookUs, report));
   }
 
   /** A list, or what changed in it, or that the watch was lost. */
-  public void listSeen(ListUpdate kind, List<Member> members) {
-    if (kind != ListUpdate.LOST && kind != ListUpdate.MOVED) {
-      boolean full = kind != ListUpdate.CHANGES;
-      listed |= kind != ListUpdate.REMEMBERED;
+  public void endpointListReceived(ListUpdate kind, List<Member> members) {
+    if (kind != ListUpdate.WATCH_LOST && kind != ListUpdate.DISCOVERY_MOVED) {
+      boolean full = kind != ListUpdate.DELTA;
+      listed |= kind != ListUpdate.CACHED;
       if (full) {
         list.clear();
       }
       for (Member member : members) {
-        boolean gone = member.line().status() == EndpointStatus.GONE;
-        list.compute(member.line().server(), (id, before) -> gone ? null : member);
+        boolean gone = member.endpoint().status() == EndpointStatus.GONE;
+        list.compute(member.endpoint().server(), (id, before) -> gone ? null : member);
       }
-      shards.listed(members, full);
+      shards.updateEndpoints(members, full);
     }
     counters.add("list." + kind.name().toLowerCase(Locale.ROOT));
-    tell(new Event.EndpointListReceived(kind, members.stream().map(Member::line).toList()));
+    tell(new Event.EndpointListReceived(kind, members.stream().map(Member::endpoint).toList()));
   }
 
   /** All that is held, and what still comes, is to be answered before this. */
-  void ending(long at) {
+  void shutdownRequested(long at) {
     tell(new Event.ShutdownRequested(at));
   }
 
@@ -231,7 +231,7 @@
   }
 
   /** The number of the loop's present pass over what there is to read. */
-  public long pass() {
+  public long passNumber() {
     beginPass();
     return passes.number();
   }
@@ -288,10 +288,10 @@
    */
   private void startOver() {
     for (PendingQuery scan : List.copyOf(scans.values())) {
-      ResponseCallback reply = scan.reply;
+      ResponseCallback reply = scan.callback;
       finish(scan);
-      scan.parts.values().forEach(part -> List.copyOf(part.requests).forEach(this::cancel));
-      reply.abandoned();
+      scan.requests.values().forEach(part -> List.copyOf(part.attempts).forEach(this::cancel));
+      reply.onFailed();
     }
     shards.flush();
     events.removeIf(
@@ -300,7 +300,7 @@
     log.started(settings, seed);
     events.add(
         0,
-        new Event.EndpointListReceived(ListUpdate.REMEMBERED, list.values().stream().map(Member::line).toList()));
+        new Event.EndpointListReceived(ListUpdate.CACHED, list.values().stream().map(Member::endpoint).toList()));
     tell(new Event.TimerFired(0));
   }
 
@@ -308,41 +308,41 @@
     if (action instanceof Action.SendAttempt send) {
       send(send);
     } else if (action instanceof Action.CancelAttempt cancel) {
-      PendingShardRequest part = parts.get(cancel.part());
+      PendingShardRequest part = parts.get(cancel.shardRequest());
       if (part != null) {
-        cancel(part.requests.get(cancel.dispatch()));
+        cancel(part.attempts.get(cancel.attempt()));
       }
     } else if (action instanceof Action.Respond answer) {
       conclude(
-          answer.scan(),
-          answer.whole() ? "scans.whole" : "scans.partial",
-          (reply, scan) -> reply.answered(answer.whole(), scan.values()));
+          answer.query(),
+          answer.complete() ? "scans.whole" : "scans.partial",
+          (reply, scan) -> reply.onResponse(answer.complete(), scan.values()));
     } else if (action instanceof Action.Throttle throttle) {
       conclude(
-          throttle.scan(),
+          throttle.query(),
           "scans.throttled",
-          (reply, scan) -> reply.throttled(throttle.holdOffUs()));
+          (reply, scan) -> reply.onThrottled(throttle.retryAfterUs()));
     } else if (action instanceof Action.Fail abandon) {
-      conclude(abandon.scan(), "scans.abandoned", (reply, scan) -> reply.abandoned());
+      conclude(abandon.query(), "scans.abandoned", (reply, scan) -> reply.onFailed());
     } else if (action instanceof Action.SetTimer timer) {
-      timers.set(
+      timers.schedule(
           TimerQueue.timer(() -> tell(new Event.TimerFired(timer.token()))),
-          clock.now() + timer.waitUs());
+          clock.now() + timer.delayUs());
     } else if (action instanceof Action.WatchEndpoints follow) {
-      discovery.follow(follow.on());
+      discovery.watch(follow.enabled());
     } else if (action instanceof Action.RetireConnections close) {
-      shards.retire(close.server());
+      shards.retireConnections(close.server());
     } else if (action instanceof Action.CheckHealth probe) {
-      shards.probe(probe.server());
+      shards.checkHealth(probe.server());
     } else if (action instanceof Action.LogNote note) {
-      LOG.info("module: " + note.text());
+      LOG.info("module: " + note.message());
     }
   }
 
   private void conclude(String id, String counter, BiConsumer<ResponseCallback, PendingQuery> answer) {
     PendingQuery scan = scans.get(id);
     if (scan != null) {
-      ResponseCallback reply = scan.reply;
+      ResponseCallback reply = scan.callback;
       finish(scan);
       counters.add(counter);
       answer.accept(reply, scan);
@@ -350,43 +350,43 @@
   }
 
   private void send(Action.SendAttempt send) {
-    PendingShardRequest part = parts.get(send.part());
-    if (!counters.must(
-        part != null && part.scan.reply != null, "only parts of an open scan are sent")) {
+    PendingShardRequest part = parts.get(send.shardRequest());
+    if (!counters.checkInvariant(
+        part != null && part.query.callback != null, "only parts of an open scan are sent")) {
       return;
     }
     AttemptRequest request =
         new AttemptRequest(
             part,
-            part.requests.size(),
+            part.attempts.size(),
             send.server(),
-            part.scan.request.text(),
-            send.stopAt(),
+            part.query.request.body(),
+            send.deadline(),
             clock.now());
-    part.requests.add(request);
-    part.scan.lastSentAt = request.askedAt;
+    part.attempts.add(request);
+    part.query.lastSentAt = request.createdAt;
     try {
       request.handle = shards.send(request);
     } catch (RuntimeException | VirtualMachineError fault) {
-      request.ended = true;
+      request.completed = true;
       throw fault;
     }
   }
 
   private void cancel(AttemptRequest request) {
-    if (!request.ended) {
+    if (!request.completed) {
       request.handle.cancel();
     }
   }
 
   /** The scan has its final answer, or needs none: nothing of it may be written any more. */
   private void finish(PendingQuery scan) {
-    scan.reply = null;
+    scan.callback = null;
     scans.remove(scan.request.id());
-    held -= 1 + scan.parts.size();
-    for (PendingShardRequest part : scan.parts.values()) {
-      for (AttemptRequest request : List.copyOf(part.requests)) {
-        if (!request.ended) {
+    held -= 1 + scan.requests.size();
+    for (PendingShardRequest part : scan.requests.values()) {
+      for (AttemptRequest request : List.copyOf(part.attempts)) {
+        if (!request.completed) {
           request.handle.dropUnsent();
         }
       }
@@ -395,7 +395,7 @@
   }
 
   private void forget(PendingShardRequest part) {
-    if (part.scan.reply == null && part.requests.stream().allMatch(request -> request.ended)) {
+    if (part.query.callback == null && part.attempts.stream().allMatch(request -> request.completed)) {
       parts.remove(part.id);
     }
   }
--- a/router/src/main/java/tidebank/runtime/QueryRouter.java
+++ b/router/src/main/java/tidebank/runtime/QueryRouter.java
@@ -155,7 +155,7 @@
             .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, waterMark());
     loop.submit(
             () -> {
-              driver.listSeen(ListUpdate.REMEMBERED, known.members());
+              driver.endpointListReceived(ListUpdate.CACHED, known.members());
               discovery.begin(known.members().isEmpty() ? -1 : known.version());
             })
         .syncUninterruptibly();
@@ -165,7 +165,7 @@
           "cannot listen on " + config.listen() + ": " + binding.cause().getMessage());
     }
     address = (InetSocketAddress) binding.channel().localAddress();
-    loop.execute(() -> timers.set(report, clock.now() + reportUs));
+    loop.execute(() -> timers.schedule(report, clock.now() + reportUs));
     LOG.info(
         "gatherer "
             + config.name()
@@ -235,13 +235,13 @@
             ShutdownSchedule plan = new ShutdownSchedule(config.settings(), now, lateUs);
             LOG.info(
                 "stopping: requests are let in for {} ms, answered within {} ms; late by {} ms",
-                (plan.closeAt - now) / 1000,
-                (plan.endBy - now) / 1000,
+                (plan.stopAcceptingAt - now) / 1000,
+                (plan.deadline - now) / 1000,
                 lateUs / 1000);
-            endBy = plan.endBy;
+            endBy = plan.deadline;
             lingerUs = plan.lingerUs;
-            driver.ending(endBy);
-            timers.set(TimerQueue.timer(this::noMoreRequests), plan.closeAt);
+            driver.shutdownRequested(endBy);
+            timers.schedule(TimerQueue.timer(this::noMoreRequests), plan.stopAcceptingAt);
           }
         });
     return stopped;
@@ -280,7 +280,7 @@
     long now = clock.now();
     clients.close(now >= endBy ? Long.MAX_VALUE : now - lingerUs);
     if (clients.open() > 0) {
-      timers.set(
+      timers.schedule(
           TimerQueue.timer(() -> driver.whenIdle(this::waitForClients)),
           clock.now() + config.settings().tickUs());
       return;
@@ -303,6 +303,6 @@
 
   private void report() {
     LOG.info("counters: " + counters);
-    timers.set(report, clock.now() + reportUs);
+    timers.schedule(report, clock.now() + reportUs);
   }
 }
--- a/router/src/main/java/tidebank/runtime/ResponseCallback.java
+++ b/router/src/main/java/tidebank/runtime/ResponseCallback.java
@@ -7,13 +7,13 @@
   /** The value of a part that is in, as its shard server gave it. */
   record Value(int shard, byte[] bytes) {}
 
-  void answered(boolean whole, List<Value> values);
+  void onResponse(boolean whole, List<Value> values);
 
   /** Trying again is harmless; {@code holdOffUs} above 0 advises when. */
-  void throttled(long holdOffUs);
+  void onThrottled(long holdOffUs);
 
   /** No promise about its effect. */
-  void abandoned();
+  void onFailed();
 
   /**
    * Reads the client's connection once more, now: if the client has ended it since the last poll,
--- a/router/src/main/java/tidebank/runtime/ShutdownSchedule.java
+++ b/router/src/main/java/tidebank/runtime/ShutdownSchedule.java
@@ -22,10 +22,10 @@
   private static final double FREE = 2.0 / 7;
 
   /** When no further request is let in. */
-  final long closeAt;
+  final long stopAcceptingAt;
 
   /** When all that was taken is answered, and all that is left is closed. */
-  final long endBy;
+  final long deadline;
 
   /** For how long a client that has its last answer is waited for to end its side. */
   final long lingerUs;
@@ -39,7 +39,7 @@
     long told = now - lateUs;
     long free = Math.round(STRAGGLERS_US * FREE);
     lingerUs = free;
-    closeAt = Math.max(now, told + STRAGGLERS_US - free / 2);
-    endBy = Math.max(now, told + Math.min(settings.slowestUs(), LONGEST_US) + STRAGGLERS_US - free);
+    stopAcceptingAt = Math.max(now, told + STRAGGLERS_US - free / 2);
+    deadline = Math.max(now, told + Math.min(settings.longestTimeoutUs(), LONGEST_US) + STRAGGLERS_US - free);
   }
 }
--- a/router/src/main/java/tidebank/runtime/TimerQueue.java
+++ b/router/src/main/java/tidebank/runtime/TimerQueue.java
@@ -62,8 +62,8 @@
   }
 
   /** Sets a timer, or moves it. One for a past time is due now. */
-  public void set(Timer timer, long at) {
-    clear(timer);
+  public void schedule(Timer timer, long at) {
+    cancel(timer);
     // It can't have been due before it was set: only what was is a sign that the process stood
     // still.
     timer.at = Math.max(at, clock.now());
@@ -88,7 +88,7 @@
     return waiting.isEmpty() ? 0 : Math.max(0, clock.now() - waiting.first().at);
   }
 
-  public void clear(Timer timer) {
+  public void cancel(Timer timer) {
     if (timer.set) {
       waiting.remove(timer);
       timer.set = false;
--- a/router/src/main/java/tidebank/simulation/ActionCodec.java
+++ b/router/src/main/java/tidebank/simulation/ActionCodec.java
@@ -12,27 +12,27 @@
   static void write(JsonGenerator out, long instance, Action action) throws IOException {
     if (action instanceof Action.SendAttempt send) {
       open(out, "Assign", instance);
-      out.writeStringField("handle", send.part());
+      out.writeStringField("handle", send.shardRequest());
       out.writeStringField("server", send.server());
-      out.writeNumberField("stopAtMs", JsonFields.millis(send.stopAt()));
+      out.writeNumberField("stopAtMs", JsonFields.millis(send.deadline()));
     } else if (action instanceof Action.CancelAttempt cancel) {
       open(out, "CallOff", instance);
-      out.writeStringField("handle", cancel.part());
-      out.writeNumberField("try", cancel.dispatch());
+      out.writeStringField("handle", cancel.shardRequest());
+      out.writeNumberField("try", cancel.attempt());
     } else if (action instanceof Action.Respond answer) {
       open(out, "WrapUp", instance);
-      out.writeStringField("handle", answer.scan());
-      out.writeBooleanField("complete", answer.whole());
+      out.writeStringField("handle", answer.query());
+      out.writeBooleanField("complete", answer.complete());
     } else if (action instanceof Action.Throttle throttle) {
       open(out, "Busy", instance);
-      out.writeStringField("handle", throttle.scan());
-      out.writeNumberField("holdOffMs", JsonFields.millis(throttle.holdOffUs()));
+      out.writeStringField("handle", throttle.query());
+      out.writeNumberField("holdOffMs", JsonFields.millis(throttle.retryAfterUs()));
     } else if (action instanceof Action.Fail abandon) {
       open(out, "ReportFailure", instance);
-      out.writeStringField("handle", abandon.scan());
+      out.writeStringField("handle", abandon.query());
     } else if (action instanceof Action.SetTimer timer) {
       open(out, "SetTimer", instance);
-      out.writeNumberField("waitMs", JsonFields.millis(timer.waitUs()));
+      out.writeNumberField("waitMs", JsonFields.millis(timer.delayUs()));
       out.writeNumberField("label", timer.token());
     } else if (action instanceof Action.CheckHealth probe) {
       open(out, "Touch", instance);
@@ -42,10 +42,10 @@
       out.writeStringField("server", close.server());
     } else if (action instanceof Action.WatchEndpoints follow) {
       open(out, "Follow", instance);
-      out.writeBooleanField("complete", follow.on());
+      out.writeBooleanField("complete", follow.enabled());
     } else if (action instanceof Action.LogNote note) {
       open(out, "Trace", instance);
-      out.writeStringField("noteText", note.text());
+      out.writeStringField("noteText", note.message());
     }
     out.writeEndObject();
   }
