--- a/router/src/main/java/tidebank/simulation/EventCodec.java
+++ b/router/src/main/java/tidebank/simulation/EventCodec.java
@@ -26,13 +26,13 @@
       case "Returned" ->
           new Event.AttemptCompleted(
               JsonFields.text(message, "handle"),
-              (int) JsonFields.whole(message, "try"),
+              (int) JsonFields.integer(message, "try"),
               outcome(JsonFields.text(message, "disposition")),
               JsonFields.micros(message, "costTimeMs", 0),
               JsonFields.flag(message, "ended"),
               JsonFields.numbers(message.get("metrics")));
       case "Lapsed" -> new Event.ClientDisconnected(JsonFields.text(message, "handle"));
-      case "DeadlineHit" -> new Event.TimerFired(JsonFields.whole(message, "label"));
+      case "DeadlineHit" -> new Event.TimerFired(JsonFields.integer(message, "label"));
       case "HealthResult" ->
           new Event.HealthCheckCompleted(
               JsonFields.text(message, "server"),
@@ -45,11 +45,11 @@
 
   static List<Endpoint> sheet(JsonNode message) throws MalformedInputException {
     List<Endpoint> entries = new ArrayList<>();
-    for (JsonNode entry : JsonFields.need(message, "items")) {
+    for (JsonNode entry : JsonFields.required(message, "items")) {
       entries.add(
           new Endpoint(
               JsonFields.text(entry, "server"),
-              (int) JsonFields.whole(entry, "slotNo"),
+              (int) JsonFields.integer(entry, "slotNo"),
               status(JsonFields.text(entry, "status")),
               JsonFields.micros(entry, "lastStartMs", 0),
               JsonFields.number(entry, "rating", 1)));
@@ -60,16 +60,16 @@
   private static Event announce(JsonNode message, List<List<Endpoint>> sheets) throws MalformedInputException {
     ListUpdate kind =
         switch (JsonFields.text(message, "mode")) {
-          case "incr" -> ListUpdate.CHANGES;
-          case "total" -> ListUpdate.FULL;
-          case "warm_copy" -> ListUpdate.REMEMBERED;
-          case "lost" -> ListUpdate.LOST;
+          case "incr" -> ListUpdate.DELTA;
+          case "total" -> ListUpdate.SNAPSHOT;
+          case "warm_copy" -> ListUpdate.CACHED;
+          case "lost" -> ListUpdate.WATCH_LOST;
           default -> throw new MalformedInputException("unknown list mode '" + JsonFields.text(message, "mode") + "'");
         };
-    if (kind == ListUpdate.LOST) {
+    if (kind == ListUpdate.WATCH_LOST) {
       return new Event.EndpointListReceived(kind, List.of());
     }
-    long page = JsonFields.whole(message, "page");
+    long page = JsonFields.integer(message, "page");
     if (page < 0 || page >= sheets.size() || sheets.get((int) page) == null) {
       throw new MalformedInputException("list page " + page + " was never sent");
     }
@@ -77,9 +77,9 @@
   }
 
   private static Event knock(JsonNode message, long now) throws MalformedInputException {
-    int shard = (int) JsonFields.whole(message, "slab");
+    int shard = (int) JsonFields.integer(message, "slab");
     String id = JsonFields.text(message, "handle");
-    long number = JsonFields.whole(message, "jobNo");
+    long number = JsonFields.integer(message, "jobNo");
     if (shard >= 0) {
       return new Event.ShardRequestReceived(
           id, number, shard, JsonFields.number(message, "measure", 0), JsonFields.text(message, "subject", ""));
@@ -99,12 +99,12 @@
     return switch (disposition) {
       case "success" -> Outcome.COMPLETED;
       case "failure" -> Outcome.ERROR;
-      case "overloaded" -> Outcome.FULL;
+      case "overloaded" -> Outcome.OVERLOADED;
       case "timed_out" -> Outcome.TIMED_OUT;
       case "unreachable" -> Outcome.UNREACHABLE;
-      case "broken" -> Outcome.BROKEN;
+      case "broken" -> Outcome.CONNECTION_LOST;
       case "withdrawn" -> Outcome.CANCELLED;
-      case "void" -> Outcome.NEVER_SENT;
+      case "void" -> Outcome.NOT_SENT;
       default -> throw new MalformedInputException("unknown outcome '" + disposition + "'");
     };
   }
--- a/router/src/main/java/tidebank/simulation/SimulatorHost.java
+++ b/router/src/main/java/tidebank/simulation/SimulatorHost.java
@@ -54,7 +54,7 @@
       throw new MalformedInputException("a line is no batch object");
     }
     long now = JsonFields.micros(batch, "simTimeMs");
-    JsonNode messages = JsonFields.need(batch, "msgs");
+    JsonNode messages = JsonFields.required(batch, "msgs");
     if (!messages.isArray()) {
       throw new MalformedInputException("'msgs' is no array");
     }
@@ -74,19 +74,19 @@
   private void take(JsonNode message, long now, Map<Long, List<Event>> told) throws IOException {
     String kind = JsonFields.text(message, "kind");
     if (kind.equals("Sheet")) {
-      long page = JsonFields.whole(message, "page");
+      long page = JsonFields.integer(message, "page");
       if (page < 0 || page >= PAGES) {
         throw new MalformedInputException("list page " + page + " is outside 0 to " + (PAGES - 1));
       }
       sheets.set((int) page, EventCodec.sheet(message));
       return;
     }
-    long instance = JsonFields.whole(message, "who");
+    long instance = JsonFields.integer(message, "who");
     if (kind.equals("Attach")) {
-      JsonNode salt = JsonFields.need(message, "salt");
+      JsonNode salt = JsonFields.required(message, "salt");
       instances.put(
           instance,
-          new RoutingPolicy(SettingsReader.read(JsonFields.need(message, "config")), salt.longValue()));
+          new RoutingPolicy(SettingsReader.read(JsonFields.required(message, "config")), salt.longValue()));
       told.put(instance, new ArrayList<>());
     } else if (kind.equals("Retire")) {
       instances.remove(instance);
--- a/router/src/test/java/tidebank/CaptureTest.java
+++ b/router/src/test/java/tidebank/CaptureTest.java
@@ -33,13 +33,13 @@
   private static List<Event> everyEvent(int round) {
     return List.of(
         new Event.EndpointListReceived(
-            ListUpdate.FULL, List.of(new Endpoint("s" + round, 3, EndpointStatus.DRAINING, 17, 1.5))),
-        new Event.EndpointListReceived(ListUpdate.LOST, List.of()),
+            ListUpdate.SNAPSHOT, List.of(new Endpoint("s" + round, 3, EndpointStatus.DRAINING, 17, 1.5))),
+        new Event.EndpointListReceived(ListUpdate.WATCH_LOST, List.of()),
         new Event.QueryReceived(
             "a" + round, round, "whole", "caf\u00e9", 4_000_000L, 5_000_000L + round, true, null),
         new Event.ShardRequestReceived("a" + round + ".0", round, 0, 0.25, ""),
         new Event.AttemptCompleted(
-            "a" + round + ".0", 1, Outcome.SPOILT, 1234, true, Map.of("util", 0.5)),
+            "a" + round + ".0", 1, Outcome.PROTOCOL_ERROR, 1234, true, Map.of("util", 0.5)),
         new Event.ClientDisconnected("a" + round),
         new Event.ShutdownRequested(9_000_000),
         new Event.TimerFired(Long.MAX_VALUE),
--- a/router/src/test/java/tidebank/CounterNamesFixtureTest.java
+++ b/router/src/test/java/tidebank/CounterNamesFixtureTest.java
@@ -66,7 +66,7 @@
     config = RouterConfig.read(Map.of("NODE_CONFIG", site.configFile().toString()));
     driver = new PolicyExecutor(config.settings(), 7, clock, timers, loop, counters);
     driver.connect(this, on -> {});
-    listSeen(ListUpdate.REMEMBERED);
+    listSeen(ListUpdate.CACHED);
   }
 
   @AfterEach
@@ -76,17 +76,17 @@
   }
 
   @Override
-  public void answered(boolean whole, List<Value> values) {
+  public void onResponse(boolean whole, List<Value> values) {
     answers.add("answered");
   }
 
   @Override
-  public void throttled(long holdOffUs) {
+  public void onThrottled(long holdOffUs) {
     answers.add("throttled");
   }
 
   @Override
-  public void abandoned() {
+  public void onFailed() {
     answers.add("abandoned");
   }
 
@@ -94,7 +94,7 @@
   public void checkClient() {}
 
   @Override
-  public void listed(List<Member> members, boolean full) {}
+  public void updateEndpoints(List<Member> members, boolean full) {}
 
   @Override
   public AttemptRequest.Handle send(AttemptRequest request) {
@@ -106,7 +106,7 @@
     outcome = Outcome.COMPLETED;
     if (end != null && request.shard != silentShard) {
       byte[] value = end == Outcome.COMPLETED ? new byte[0] : null;
-      driver.dispatchEnded(request, end, value, Map.of());
+      driver.attemptCompleted(request, end, value, Map.of());
     }
     return new AttemptRequest.Handle() {
       @Override
@@ -121,10 +121,10 @@
   public void flush() {}
 
   @Override
-  public void retire(String server) {}
+  public void retireConnections(String server) {}
 
   @Override
-  public void probe(String server) {}
+  public void checkHealth(String server) {}
 
   private <T> T onLoop(Callable<T> task) throws Exception {
     return loop.submit(task).get();
@@ -134,7 +134,7 @@
     List<Member> known = EndpointListParser.read(config.known()).members();
     onLoop(
         () -> {
-          driver.listSeen(kind, known);
+          driver.endpointListReceived(kind, known);
           return null;
         });
   }
@@ -146,7 +146,7 @@
     }
     onLoop(
         () ->
-            driver.scanTaken(
+            driver.queryReceived(
                 new QueryRequest(
                     id,
                     type,
@@ -193,7 +193,7 @@
       SortedMap<String, Long> before = counts();
       driver = new PolicyExecutor(config.settings(), 7, clock, timers, loop, counters);
       driver.connect(this, on -> {});
-      listSeen(ListUpdate.REMEMBERED);
+      listSeen(ListUpdate.CACHED);
       outcome = each;
       take("whole", "o" + each.ordinal(), 400_000, 1);
       answer();
@@ -201,7 +201,7 @@
       before = counts();
       onLoop(
           () -> {
-            driver.probed("s0", each, 100, Map.of());
+            driver.healthCheckCompleted("s0", each, 100, Map.of());
             return null;
           });
       names.add(counted("probes.", before));
@@ -230,7 +230,7 @@
     take("once", "left", 2_000_000, 1);
     onLoop(
         () -> {
-          driver.scanLapsed("left");
+          driver.clientDisconnected("left");
           return null;
         });
     sendFails = true;
--- a/router/src/test/java/tidebank/ErrorsFixtureTest.java
+++ b/router/src/test/java/tidebank/ErrorsFixtureTest.java
@@ -47,7 +47,7 @@
 
   @Test
   void thereIsASampleOfEachCondition() {
-    assertThat(SAMPLES.stream().map(fault -> fault.told().code()).distinct().toList())
+    assertThat(SAMPLES.stream().map(fault -> fault.details().code()).distinct().toList())
         .containsExactlyInAnyOrderElementsOf(
             TidebankException.entries().stream().map(TidebankException.Entry::code).toList());
   }
@@ -56,7 +56,7 @@
   void textsForPeopleAreTheStoredOnes() throws Exception {
     StoredCases.isText(
         "errors/lines.txt",
-        SAMPLES.stream().map(fault -> fault.told().lines() + "\n").collect(Collectors.joining()));
+        SAMPLES.stream().map(fault -> fault.details().lines() + "\n").collect(Collectors.joining()));
   }
 
   @Test
@@ -64,8 +64,8 @@
     ObjectMapper mapper = new ObjectMapper();
     StringBuilder text = new StringBuilder();
     for (TidebankException fault : SAMPLES) {
-      String json = mapper.writeValueAsString(fault.told());
-      assertThat(mapper.readValue(json, TidebankException.Details.class)).isEqualTo(fault.told());
+      String json = mapper.writeValueAsString(fault.details());
+      assertThat(mapper.readValue(json, TidebankException.Details.class)).isEqualTo(fault.details());
       text.append(json).append('\n');
     }
     StoredCases.isText("errors/details.jsonl", text.toString());
@@ -75,11 +75,11 @@
   void answersOfTheControlProcessCarryTheStoredJson() throws Exception {
     StringBuilder text = new StringBuilder();
     for (TidebankException fault : SAMPLES) {
-      byte[] json = LeaseCodec.bytes(new CommandResult(fault.told(), null, null, null, 0));
-      TidebankException.Details read = LeaseCodec.read(json, CommandResult.class).fault();
-      assertThat(read).isEqualTo(fault.told());
+      byte[] json = LeaseCodec.write(new CommandResult(fault.details(), null, null, null, 0));
+      TidebankException.Details read = LeaseCodec.read(json, CommandResult.class).error();
+      assertThat(read).isEqualTo(fault.details());
       assertThat(read.is(fault.getClass())).isTrue();
-      assertThat(new TidebankException.RequestRejected(read).told()).isEqualTo(read);
+      assertThat(new TidebankException.RequestRejected(read).details()).isEqualTo(read);
       text.append(new String(json, UTF_8)).append('\n');
     }
     StoredCases.isText("errors/answers.jsonl", text.toString());
--- a/router/src/test/java/tidebank/PolicyExecutorTest.java
+++ b/router/src/test/java/tidebank/PolicyExecutorTest.java
@@ -60,12 +60,12 @@
   }
 
   @Override
-  public void answered(boolean whole, List<Value> values) {
+  public void onResponse(boolean whole, List<Value> values) {
     replies.add("answered");
   }
 
   @Override
-  public void throttled(long holdOffUs) {
+  public void onThrottled(long holdOffUs) {
     replies.add("throttled");
   }
 
@@ -73,7 +73,7 @@
   public void checkClient() {}
 
   @Override
-  public void abandoned() {
+  public void onFailed() {
     replies.add("abandoned");
   }
 
@@ -85,7 +85,7 @@
     var known = EndpointListParser.read(config.known()).members();
     onLoop(
         () -> {
-          driver.listSeen(ListUpdate.REMEMBERED, known);
+          driver.endpointListReceived(ListUpdate.CACHED, known);
           return null;
         });
   }
@@ -102,14 +102,14 @@
     driver.connect(
         new BackendPort() {
           @Override
-          public void listed(List<Member> members, boolean full) {}
+          public void updateEndpoints(List<Member> members, boolean full) {}
 
           @Override
           public AttemptRequest.Handle send(AttemptRequest request) {
             if (fails[0]) {
               throw new OutOfMemoryError("as the test wants it");
             }
-            driver.dispatchEnded(request, tidebank.model.Outcome.COMPLETED, new byte[0], Map.of());
+            driver.attemptCompleted(request, tidebank.model.Outcome.COMPLETED, new byte[0], Map.of());
             return null;
           }
 
@@ -117,10 +117,10 @@
           public void flush() {}
 
           @Override
-          public void retire(String server) {}
+          public void retireConnections(String server) {}
 
           @Override
-          public void probe(String server) {}
+          public void checkHealth(String server) {}
         },
         on -> {});
     list();
@@ -136,7 +136,7 @@
               "",
               new byte[0],
               List.of(new QueryRequest.ShardRange(0, 1, "")));
-      assertThat(onLoop(() -> driver.scanTaken(request, this))).isTrue();
+      assertThat(onLoop(() -> driver.queryReceived(request, this))).isTrue();
       counted(id.equals("a") ? "turns.failed" : "scans.whole", 1);
       fails[0] = false;
     }
@@ -164,7 +164,7 @@
     for (int i = 0; i < ends.length; i++) {
       onLoop(
           () -> {
-            shards.probe("s0");
+            shards.checkHealth("s0");
             return null;
           });
       Frame frame = server.next();
@@ -174,7 +174,7 @@
     }
     onLoop(
         () -> {
-          shards.probe("s0");
+          shards.checkHealth("s0");
           return null;
         });
     counted("probes.timed_out", 1);
--- a/router/src/test/java/tidebank/RouterConfigTest.java
+++ b/router/src/test/java/tidebank/RouterConfigTest.java
@@ -40,7 +40,7 @@
     assertThat(config.listen().toString()).isEqualTo("/127.0.0.2:80");
     assertThat(config.seed()).isEqualTo(0x8c1f30d27a5be964L);
     assertThat(config.transport().connectTimeoutUs()).isEqualTo(200_000);
-    assertThat(config.settings().tableTypes()).containsOnlyKeys("whole", "part", "once");
+    assertThat(config.settings().queryClasses()).containsOnlyKeys("whole", "part", "once");
   }
 
   @Test
--- a/router/src/test/java/tidebank/backend/FramesFixtureTest.java
+++ b/router/src/test/java/tidebank/backend/FramesFixtureTest.java
@@ -21,7 +21,7 @@
 class FramesFixtureTest {
   private static final UnpooledByteBufAllocator ALLOCATOR = UnpooledByteBufAllocator.DEFAULT;
   private static final Map<Outcome, String> ENDS =
-      Map.of(Outcome.COMPLETED, "good", Outcome.ERROR, "bad", Outcome.FULL, "later");
+      Map.of(Outcome.COMPLETED, "good", Outcome.ERROR, "bad", Outcome.OVERLOADED, "later");
 
   private static InFlightAttempt dispatch(String scan, int shard, String text, long stopAt) {
     return new InFlightAttempt(
--- a/router/src/test/java/tidebank/capture/BusyRun.java
+++ b/router/src/test/java/tidebank/capture/BusyRun.java
@@ -59,8 +59,8 @@
 
   /** Plays so many turns; the last tenth of them after the instance was told to end. */
   void run(int turns) {
-    at(0, () -> new Event.EndpointListReceived(ListUpdate.REMEMBERED, all()));
-    at(MS, () -> new Event.EndpointListReceived(ListUpdate.FULL, all()));
+    at(0, () -> new Event.EndpointListReceived(ListUpdate.CACHED, all()));
+    at(MS, () -> new Event.EndpointListReceived(ListUpdate.SNAPSHOT, all()));
     scanLater();
     at(300 * MS, this::listChange);
     at(400 * MS, this::probed);
@@ -152,15 +152,15 @@
     int server = random.nextInt(SERVERS);
     switch (random.nextInt(6)) {
       case 0 -> {
-        at(100 * MS, () -> new Event.EndpointListReceived(ListUpdate.FULL, all()));
-        return new Event.EndpointListReceived(ListUpdate.LOST, List.of());
+        at(100 * MS, () -> new Event.EndpointListReceived(ListUpdate.SNAPSHOT, all()));
+        return new Event.EndpointListReceived(ListUpdate.WATCH_LOST, List.of());
       }
       case 1 -> {
-        at(50 * MS, () -> new Event.EndpointListReceived(ListUpdate.FULL, all()));
-        return new Event.EndpointListReceived(ListUpdate.MOVED, List.of());
+        at(50 * MS, () -> new Event.EndpointListReceived(ListUpdate.SNAPSHOT, all()));
+        return new Event.EndpointListReceived(ListUpdate.DISCOVERY_MOVED, List.of());
       }
       case 2 -> {
-        return new Event.EndpointListReceived(ListUpdate.FULL, all());
+        return new Event.EndpointListReceived(ListUpdate.SNAPSHOT, all());
       }
       default -> {
         drained.add("s" + server);
@@ -168,16 +168,16 @@
             150 * MS,
             () ->
                 new Event.EndpointListReceived(
-                    ListUpdate.CHANGES, List.of(listed(server, EndpointStatus.GONE, 0))));
+                    ListUpdate.DELTA, List.of(listed(server, EndpointStatus.GONE, 0))));
         at(
             300 * MS,
             () -> {
               drained.remove("s" + server);
               return new Event.EndpointListReceived(
-                  ListUpdate.CHANGES, List.of(listed(server, EndpointStatus.IN_SERVICE, now)));
+                  ListUpdate.DELTA, List.of(listed(server, EndpointStatus.IN_SERVICE, now)));
             });
         return new Event.EndpointListReceived(
-            ListUpdate.CHANGES, List.of(listed(server, EndpointStatus.DRAINING, 0)));
+            ListUpdate.DELTA, List.of(listed(server, EndpointStatus.DRAINING, 0)));
       }
     }
   }
@@ -194,21 +194,21 @@
 
   private void carryOut(Action action) {
     if (action instanceof Action.SendAttempt send) {
-      int attempt = attempts.merge(send.part(), 1, Integer::sum) - 1;
-      inFlight.add(send.part() + '#' + attempt);
+      int attempt = attempts.merge(send.shardRequest(), 1, Integer::sum) - 1;
+      inFlight.add(send.shardRequest() + '#' + attempt);
       plan(send, attempt);
     } else if (action instanceof Action.CancelAttempt cancel) {
-      at(random.nextInt(300), () -> ended(cancel.part(), cancel.dispatch(), Outcome.CANCELLED, 0));
+      at(random.nextInt(300), () -> ended(cancel.shardRequest(), cancel.attempt(), Outcome.CANCELLED, 0));
     } else if (action instanceof Action.Respond answer) {
-      open.remove(answer.scan());
+      open.remove(answer.query());
     } else if (action instanceof Action.Throttle throttle) {
-      open.remove(throttle.scan());
+      open.remove(throttle.query());
     } else if (action instanceof Action.Fail abandon) {
-      open.remove(abandon.scan());
+      open.remove(abandon.query());
     } else if (action instanceof Action.SetTimer timer) {
-      at(Math.max(0, timer.waitUs()), () -> new Event.TimerFired(timer.token()));
-    } else if (action instanceof Action.WatchEndpoints follow && follow.on()) {
-      at(5 * MS, () -> new Event.EndpointListReceived(ListUpdate.FULL, all()));
+      at(Math.max(0, timer.delayUs()), () -> new Event.TimerFired(timer.token()));
+    } else if (action instanceof Action.WatchEndpoints follow && follow.enabled()) {
+      at(5 * MS, () -> new Event.EndpointListReceived(ListUpdate.SNAPSHOT, all()));
     }
   }
 
@@ -220,15 +220,15 @@
     Outcome outcome =
         switch (random.nextInt(sick ? 12 : 60)) {
           case 0 -> Outcome.ERROR;
-          case 1 -> Outcome.FULL;
+          case 1 -> Outcome.OVERLOADED;
           case 2 -> Outcome.UNREACHABLE;
-          case 3 -> Outcome.BROKEN;
-          case 4 -> Outcome.SPOILT;
-          case 5 -> Outcome.NEVER_SENT;
+          case 3 -> Outcome.CONNECTION_LOST;
+          case 4 -> Outcome.PROTOCOL_ERROR;
+          case 5 -> Outcome.NOT_SENT;
           case 6, 7 -> Outcome.TIMED_OUT;
           default -> Outcome.COMPLETED;
         };
-    long left = Math.max(0, send.stopAt() - now);
+    long left = Math.max(0, send.deadline() - now);
     // Some run into a limit of their connection long before the deadline.
     long took =
         switch (outcome) {
@@ -237,7 +237,7 @@
           default -> random.nextInt(3_000);
         };
     Outcome end = took >= left ? Outcome.TIMED_OUT : outcome;
-    at(Math.min(took, left), () -> ended(send.part(), attempt, end, Math.min(took, left)));
+    at(Math.min(took, left), () -> ended(send.shardRequest(), attempt, end, Math.min(took, left)));
   }
 
   private Event ended(String part, int attempt, Outcome outcome, long took) {
--- a/router/src/test/java/tidebank/capture/CaptureFixtures.java
+++ b/router/src/test/java/tidebank/capture/CaptureFixtures.java
@@ -35,17 +35,17 @@
   static Settings settings() {
     Map<String, QueryClass> types = new LinkedHashMap<>();
     types.put(
-        "whole", new QueryClass("whole", Idempotency.REPLAYABLE, 0, 1_000_000, 3_000_000, 0.1, 1, 1, 0));
+        "whole", new QueryClass("whole", Idempotency.IDEMPOTENT, 0, 1_000_000, 3_000_000, 0.1, 1, 1, 0));
     types.put(
-        "part", new QueryClass("part", Idempotency.REPLAYABLE, 0, 800_000, 2_500_000, 0.25, 0.5, 0.9, 0));
+        "part", new QueryClass("part", Idempotency.IDEMPOTENT, 0, 800_000, 2_500_000, 0.25, 0.5, 0.9, 0));
     types.put(
-        "keyed", new QueryClass("keyed", Idempotency.KEYED, 2_000_000, 900_000, 3_000_000, 0.3, 1, 1, 0));
+        "keyed", new QueryClass("keyed", Idempotency.WITH_KEY, 2_000_000, 900_000, 3_000_000, 0.3, 1, 1, 0));
     types.put(
         "once",
-        new QueryClass("once", Idempotency.NON_REPLAYABLE, 1_500_000, 700_000, 2_000_000, 0.4, 1, 1, 0));
+        new QueryClass("once", Idempotency.NON_IDEMPOTENT, 1_500_000, 700_000, 2_000_000, 0.4, 1, 1, 0));
     types.put(
         "steps",
-        new QueryClass("steps", Idempotency.REPLAYABLE, 0, 1_200_000, 3_500_000, 0.2, 0.6, 1, 2));
+        new QueryClass("steps", Idempotency.IDEMPOTENT, 0, 1_200_000, 3_500_000, 0.2, 0.6, 1, 2));
     Map<String, Double> allowances = new LinkedHashMap<>();
     allowances.put("anyone", 12.5);
     allowances.put("caf\u00e9", 3.0);
@@ -88,7 +88,7 @@
             .toList();
     List<Event> others =
         List.of(
-            new Event.EndpointListReceived(ListUpdate.LOST, List.of()),
+            new Event.EndpointListReceived(ListUpdate.WATCH_LOST, List.of()),
             new Event.QueryReceived("a", 1, "whole", "caf\u00e9", 4_000_000, 5_000_000, true, null),
             new Event.QueryReceived("b", -2, "once", "", 4_100_000, 4_500_000, false, "k"),
             new Event.ShardRequestReceived("a.0", 1, 0, 0.25, ""),
--- a/router/src/test/java/tidebank/config/ConfigFixtureTest.java
+++ b/router/src/test/java/tidebank/config/ConfigFixtureTest.java
@@ -22,11 +22,11 @@
 class ConfigFixtureTest {
   private static final Map<Idempotency, String> SEMANTICS =
       Map.of(
-          Idempotency.REPLAYABLE,
+          Idempotency.IDEMPOTENT,
           "read_like",
-          Idempotency.KEYED,
+          Idempotency.WITH_KEY,
           "idempotency_key",
-          Idempotency.NON_REPLAYABLE,
+          Idempotency.NON_IDEMPOTENT,
           "other");
 
   @TempDir Path folder;
@@ -61,55 +61,55 @@
   private static void type(Fields fields, String key, QueryClass type) {
     fields
         .put(key + ".name", type.name())
-        .put(key + ".semantics", SEMANTICS.get(type.repeat()))
-        .put(key + ".windowUs", type.windowUs())
-        .put(key + ".onTimeUs", type.targetUs())
+        .put(key + ".semantics", SEMANTICS.get(type.idempotency()))
+        .put(key + ".windowUs", type.idempotencyWindowUs())
+        .put(key + ".onTimeUs", type.latencyObjectiveUs())
         .put(key + ".deadlineUs", type.timeoutUs())
-        .put(key + ".lateWorth", type.lateBenefit())
-        .put(key + ".floorByClass", type.floor())
-        .put(key + ".classNeed", type.need())
-        .put(key + ".secondStep", type.secondStep());
+        .put(key + ".lateWorth", type.lateWeight())
+        .put(key + ".floorByClass", type.minimumWeight())
+        .put(key + ".classNeed", type.completeWeight())
+        .put(key + ".secondStep", type.secondStageRequests());
   }
 
   private static void settings(Fields fields, Settings settings) {
     fields
-        .put("instances", settings.instances())
-        .put("rank", settings.rank())
+        .put("instances", settings.routers())
+        .put("rank", settings.routerIndex())
         .put("tickUs", settings.tickUs())
-        .put("tenants", settings.allowances())
-        .put("overShareWorth", settings.overShareBenefit())
-        .put("slowestUs", settings.slowestUs())
-        .put("shortestOnTimeUs", settings.shortestTargetUs());
-    settings.tableTypes().forEach((name, type) -> type(fields, "services." + name, type));
+        .put("tenants", settings.quotas())
+        .put("overShareWorth", settings.overQuotaWeight())
+        .put("slowestUs", settings.longestTimeoutUs())
+        .put("shortestOnTimeUs", settings.shortestObjectiveUs());
+    settings.queryClasses().forEach((name, type) -> type(fields, "services." + name, type));
     Settings.Layout layout = settings.layout();
     fields
         .put("slices", layout.shards())
         .put("positions", layout.positions())
-        .put("width", layout.width())
-        .put("bundleMax", layout.bundleMax())
-        .put("callUs", layout.callUs());
+        .put("width", layout.replicationSpan())
+        .put("bundleMax", layout.maxBatchSize())
+        .put("callUs", layout.batchOverheadUs());
     Settings.Limits limits = settings.limits();
     fields
-        .put("maxAttempts", limits.maxDispatches())
-        .put("secondCopies", limits.secondCopies())
-        .put("cancel", limits.cancel())
-        .put("mayProbe", limits.probes())
-        .put("retryAfter", limits.holdOff())
-        .put("maxRetryAfterUs", limits.maxHoldOffUs())
-        .put("mostHeld", limits.mostHeld())
-        .put("discoveryAsk", limits.listOnRequest());
+        .put("maxAttempts", limits.maxAttempts())
+        .put("secondCopies", limits.hedging())
+        .put("cancel", limits.cancellation())
+        .put("mayProbe", limits.healthChecks())
+        .put("retryAfter", limits.retryAfter())
+        .put("maxRetryAfterUs", limits.maxRetryAfterUs())
+        .put("mostHeld", limits.maxPending())
+        .put("discoveryAsk", limits.watchOnRequest());
     Settings.Rules rules = settings.rules();
     fields
-        .put("answerSlackUs", rules.answerSlackUs())
-        .put("askEveryUs", rules.askEveryUs())
+        .put("answerSlackUs", rules.responseSlackUs())
+        .put("askEveryUs", rules.pollIntervalUs())
         .put("stopSendingWithinUs", rules.drainGraceUs())
-        .put("coldFrom", rules.coldFrom())
-        .put("coldUs", rules.coldUs())
-        .put("fallMultiple", rules.fallMultiple())
-        .put("tipAfterUs", rules.tipAfterUs())
-        .put("freeResends", rules.freeResends())
-        .put("extraRatio", rules.extraRatio())
-        .put("ratioSpanUs", rules.ratioSpanUs());
+        .put("coldFrom", rules.slowStartInitialShare())
+        .put("coldUs", rules.slowStartUs())
+        .put("fallMultiple", rules.overloadMultiple())
+        .put("tipAfterUs", rules.overloadWindowUs())
+        .put("freeResends", rules.retryBudgetFloor())
+        .put("extraRatio", rules.retryBudgetRatio())
+        .put("ratioSpanUs", rules.retryBudgetWindowUs());
   }
 
   private static String describe(RouterConfig config) {
@@ -149,9 +149,9 @@
   private static String describe(OperatorConfig file) {
     Fields fields =
         new Fields()
-            .put("log.level", file.log().least())
-            .put("log.form", file.log().form())
-            .put("log.lines_a_second", file.log().linesASecond())
+            .put("log.level", file.logging().least())
+            .put("log.form", file.logging().form())
+            .put("log.lines_a_second", file.logging().linesASecond())
             .put("report.counters_every_us", file.countersEveryUs());
     CaptureRecorder.Plan capture = file.capture();
     if (capture != null) {
--- a/router/src/test/java/tidebank/discovery/ListFixtureTest.java
+++ b/router/src/test/java/tidebank/discovery/ListFixtureTest.java
@@ -34,15 +34,15 @@
                     .map(
                         member ->
                             " | host="
-                                + member.line().server()
+                                + member.endpoint().server()
                                 + " block="
-                                + member.line().position()
+                                + member.endpoint().position()
                                 + " health="
-                                + HEALTH.get(member.line().status())
+                                + HEALTH.get(member.endpoint().status())
                                 + " born_us="
-                                + member.line().startedAt()
+                                + member.endpoint().startedAt()
                                 + " share="
-                                + member.line().rating()
+                                + member.endpoint().capacity()
                                 + " dial="
                                 + member.address())
                     .collect(Collectors.joining());
--- a/router/src/test/java/tidebank/policy/DirectHost.java
+++ b/router/src/test/java/tidebank/policy/DirectHost.java
@@ -108,13 +108,13 @@
   private Event list(JsonNode message) {
     ListUpdate kind =
         switch (message.get("mode").textValue()) {
-          case "incr" -> ListUpdate.CHANGES;
-          case "total" -> ListUpdate.FULL;
-          case "warm_copy" -> ListUpdate.REMEMBERED;
-          case "lost" -> ListUpdate.LOST;
-          default -> ListUpdate.MOVED;
+          case "incr" -> ListUpdate.DELTA;
+          case "total" -> ListUpdate.SNAPSHOT;
+          case "warm_copy" -> ListUpdate.CACHED;
+          case "lost" -> ListUpdate.WATCH_LOST;
+          default -> ListUpdate.DISCOVERY_MOVED;
         };
-    boolean none = kind == ListUpdate.LOST || kind == ListUpdate.MOVED;
+    boolean none = kind == ListUpdate.WATCH_LOST || kind == ListUpdate.DISCOVERY_MOVED;
     return new Event.EndpointListReceived(kind, none ? List.of() : pages.get(message.get("page").intValue()));
   }
 
@@ -140,46 +140,46 @@
     return switch (disposition) {
       case "success" -> Outcome.COMPLETED;
       case "failure" -> Outcome.ERROR;
-      case "overloaded" -> Outcome.FULL;
+      case "overloaded" -> Outcome.OVERLOADED;
       case "timed_out" -> Outcome.TIMED_OUT;
       case "unreachable" -> Outcome.UNREACHABLE;
-      case "broken" -> Outcome.BROKEN;
-      case "spoilt" -> Outcome.SPOILT;
+      case "broken" -> Outcome.CONNECTION_LOST;
+      case "spoilt" -> Outcome.PROTOCOL_ERROR;
       case "withdrawn" -> Outcome.CANCELLED;
-      case "void" -> Outcome.NEVER_SENT;
+      case "void" -> Outcome.NOT_SENT;
       default -> throw new IllegalArgumentException(disposition);
     };
   }
 
   private static String text(int router, Action action) {
     if (action instanceof Action.SendAttempt send) {
-      return text("Assign", router, send.part())
+      return text("Assign", router, send.shardRequest())
           + quoted("server", send.server())
           + ",\"stopAtMs\":"
-          + send.stopAt() / 1000.0
+          + send.deadline() / 1000.0
           + "}";
     } else if (action instanceof Action.CancelAttempt cancel) {
-      return text("CallOff", router, cancel.part()) + ",\"try\":" + cancel.dispatch() + "}";
+      return text("CallOff", router, cancel.shardRequest()) + ",\"try\":" + cancel.attempt() + "}";
     } else if (action instanceof Action.Respond answer) {
-      return text("WrapUp", router, answer.scan()) + ",\"complete\":" + answer.whole() + "}";
+      return text("WrapUp", router, answer.query()) + ",\"complete\":" + answer.complete() + "}";
     } else if (action instanceof Action.Throttle throttle) {
-      return text("Busy", router, throttle.scan())
+      return text("Busy", router, throttle.query())
           + ",\"holdOffMs\":"
-          + throttle.holdOffUs() / 1000.0
+          + throttle.retryAfterUs() / 1000.0
           + "}";
     } else if (action instanceof Action.Fail abandon) {
-      return text("ReportFailure", router, abandon.scan()) + "}";
+      return text("ReportFailure", router, abandon.query()) + "}";
     } else if (action instanceof Action.SetTimer timer) {
       return text("SetTimer", router, null)
           + ",\"waitMs\":"
-          + timer.waitUs() / 1000.0
+          + timer.delayUs() / 1000.0
           + ",\"label\":"
           + timer.token()
           + "}";
     } else if (action instanceof Action.RetireConnections close) {
       return text("Disconnect", router, null) + quoted("server", close.server()) + "}";
     } else if (action instanceof Action.WatchEndpoints follow) {
-      return text("Follow", router, null) + ",\"complete\":" + follow.on() + "}";
+      return text("Follow", router, null) + ",\"complete\":" + follow.enabled() + "}";
     }
     throw new IllegalArgumentException("no words for " + action);
   }
--- a/router/src/test/java/tidebank/policy/PolicyHarness.java
+++ b/router/src/test/java/tidebank/policy/PolicyHarness.java
@@ -41,12 +41,12 @@
   private final List<Event> told = new ArrayList<>();
 
   public PolicyHarness() {
-    type("whole", Idempotency.REPLAYABLE, 1, 0.1, 0);
-    type("part", Idempotency.REPLAYABLE, 0.5, 0.1, 0);
-    type("once", Idempotency.NON_REPLAYABLE, 1, 0.3, 0);
-    type("keyed", Idempotency.KEYED, 1, 0.3, 0);
-    type("strict", Idempotency.REPLAYABLE, 1, 0, 0);
-    type("steps", Idempotency.REPLAYABLE, 0.6, 0.3, 2);
+    type("whole", Idempotency.IDEMPOTENT, 1, 0.1, 0);
+    type("part", Idempotency.IDEMPOTENT, 0.5, 0.1, 0);
+    type("once", Idempotency.NON_IDEMPOTENT, 1, 0.3, 0);
+    type("keyed", Idempotency.WITH_KEY, 1, 0.3, 0);
+    type("strict", Idempotency.IDEMPOTENT, 1, 0, 0);
+    type("steps", Idempotency.IDEMPOTENT, 0.6, 0.3, 2);
   }
 
   /** Every type: target time 1 s, query timeout 3 s, repeats dropped for 2 s. */
@@ -66,7 +66,7 @@
     for (int i = 0; i < layout.positions(); i++) {
       lines.add(line("s" + i, i, EndpointStatus.IN_SERVICE, 0));
     }
-    list(ListUpdate.REMEMBERED, lines.toArray(new Endpoint[0]));
+    list(ListUpdate.CACHED, lines.toArray(new Endpoint[0]));
     return this;
   }
 
@@ -122,9 +122,9 @@
     told.clear();
     for (Action action : now) {
       if (action instanceof Action.SendAttempt send) {
-        tries.merge(send.part(), 1, Integer::sum);
+        tries.merge(send.shardRequest(), 1, Integer::sum);
       } else if (action instanceof Action.SetTimer timer) {
-        timerAt = nowMs + (timer.waitUs() + MS - 1) / MS;
+        timerAt = nowMs + (timer.delayUs() + MS - 1) / MS;
         token = timer.token();
       }
     }
@@ -148,7 +148,7 @@
   static List<String> sent(List<Action> actions) {
     return actions.stream()
         .filter(Action.SendAttempt.class::isInstance)
-        .map(a -> ((Action.SendAttempt) a).part())
+        .map(a -> ((Action.SendAttempt) a).shardRequest())
         .toList();
   }
 
--- a/router/src/test/java/tidebank/policy/RoutingPolicyTest.java
+++ b/router/src/test/java/tidebank/policy/RoutingPolicyTest.java
@@ -30,7 +30,7 @@
   private List<Action> refuse(String... parts) {
     host.start();
     host.scan("a", "whole", 0.25, 0.25, 0.25, 0.25);
-    return host.end(Outcome.FULL, parts);
+    return host.end(Outcome.OVERLOADED, parts);
   }
 
   // ---- the design's ordinary path
@@ -208,7 +208,7 @@
   @Test
   void aListThatNamesNoHolderOfAShardGivesTheScanUpAtOnce() {
     host.start();
-    host.list(ListUpdate.FULL, line("s2", 2, EndpointStatus.IN_SERVICE, 0));
+    host.list(ListUpdate.SNAPSHOT, line("s2", 2, EndpointStatus.IN_SERVICE, 0));
     assertThat(host.scan("q", "whole", 0.5, 0.5)).contains(new Action.Throttle("q", 500 * MS));
   }
 
@@ -216,7 +216,7 @@
   void settingsOfZerosBreakNothing() {
     host.layout = new Settings.Layout(0, 0, 0, 1, 0);
     host.rules = new Settings.Rules(0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
-    host.type("whole", Idempotency.REPLAYABLE, 0, 0, 0);
+    host.type("whole", Idempotency.IDEMPOTENT, 0, 0, 0);
     host.start();
     host.scan("q", "whole", 0.5, 0.5);
     host.pass(3000);
@@ -229,7 +229,7 @@
   void aNonReplayablePartIsNeverSentAgainOnceItMayHaveRun() {
     host.start();
     host.scan("q", "once", 1);
-    assertThat(sent(host.end(Outcome.BROKEN, "q0"))).isEmpty();
+    assertThat(sent(host.end(Outcome.CONNECTION_LOST, "q0"))).isEmpty();
     assertThat(host.verdicts()).containsExactly(new Action.Fail("q"));
   }
 
@@ -245,11 +245,11 @@
     host.types.computeIfPresent(
         "keyed",
         (name, t) ->
-            new QueryClass(name, t.repeat(), 300 * MS, t.targetUs(), t.timeoutUs(), 0.3, 1, 1, 0));
+            new QueryClass(name, t.idempotency(), 300 * MS, t.latencyObjectiveUs(), t.timeoutUs(), 0.3, 1, 1, 0));
     host.start();
     host.scan("q", "keyed", 1);
     host.pass(300);
-    assertThat(sent(host.end(Outcome.BROKEN, "q0"))).isEmpty();
+    assertThat(sent(host.end(Outcome.CONNECTION_LOST, "q0"))).isEmpty();
     assertThat(host.verdicts()).containsExactly(new Action.Fail("q"));
   }
 
@@ -287,7 +287,7 @@
   void nothingGoesToADrainingServer() {
     host.start();
     host.list(
-        ListUpdate.CHANGES,
+        ListUpdate.DELTA,
         line("s0", 0, EndpointStatus.DRAINING, 0),
         line("s1", 1, EndpointStatus.GONE, 0));
     for (int i = 0; i < 8; i++) {
@@ -301,9 +301,9 @@
     host.limits = new Settings.Limits(4, true, true, false, true, 0, 100, true);
     host.start();
     assertThat(host.all).contains(new Action.WatchEndpoints(true));
-    host.list(ListUpdate.LOST);
+    host.list(ListUpdate.WATCH_LOST);
     assertThat(host.pass(1000)).containsOnlyOnce(new Action.WatchEndpoints(true));
-    host.list(ListUpdate.FULL, line("s0", 0, EndpointStatus.IN_SERVICE, 0));
+    host.list(ListUpdate.SNAPSHOT, line("s0", 0, EndpointStatus.IN_SERVICE, 0));
     assertThat(host.pass(60_000)).doesNotContain(new Action.WatchEndpoints(true));
   }
 
@@ -312,11 +312,11 @@
     host.limits = new Settings.Limits(4, true, true, false, true, 0, 100, true);
     host.start();
     for (int i = 0; i < 8; i++) {
-      host.list(ListUpdate.LOST);
+      host.list(ListUpdate.WATCH_LOST);
       host.pass(9_000);
     }
-    assertThat(host.list(ListUpdate.MOVED)).contains(new Action.WatchEndpoints(true));
-    host.list(ListUpdate.LOST);
+    assertThat(host.list(ListUpdate.DISCOVERY_MOVED)).contains(new Action.WatchEndpoints(true));
+    host.list(ListUpdate.WATCH_LOST);
     assertThat(host.pass(1000)).contains(new Action.WatchEndpoints(true));
   }
 
@@ -338,7 +338,7 @@
     host.layout = new Settings.Layout(1, 2, 2, 1, 0);
     host.start();
     host.nowMs = 20_000;
-    host.list(ListUpdate.CHANGES, line("s0", 0, EndpointStatus.IN_SERVICE, 20_000));
+    host.list(ListUpdate.DELTA, line("s0", 0, EndpointStatus.IN_SERVICE, 20_000));
     for (int i = 0; i < 40; i++) {
       host.scan("q" + i, "whole", 1);
     }
@@ -419,7 +419,7 @@
     host.start();
     host.scanWithin(2900, "q", "whole", 0.25, 0.25, 0.25, 0.25);
     host.pass(10);
-    host.end(Outcome.FULL, "q0", "q1", "q2", "q3");
+    host.end(Outcome.OVERLOADED, "q0", "q1", "q2", "q3");
     host.pass(1100);
     List<Action> reply =
         host.tell(
@@ -436,7 +436,7 @@
     for (String wave : List.of("a", "b", "c", "d")) {
       host.scan(wave, "whole", 0.25, 0.25, 0.25, 0.25);
       asked.add(sent(host.scan("q" + wave, "part", 0.52, 0.2, 0.18, 0.1)).size());
-      host.end(Outcome.FULL, wave + 0, wave + 1, wave + 2, wave + 3);
+      host.end(Outcome.OVERLOADED, wave + 0, wave + 1, wave + 2, wave + 3);
       host.pass(1005);
     }
     assertThat(asked).startsWith(4, 1).endsWith(0);
@@ -446,7 +446,7 @@
   void whileSomeServersAreCongestedLightPartsStillGoToShardsThatCarryLittle() {
     host.start();
     host.scan("a", "whole", 0.25, 0.25, 0.25, 0.25);
-    host.end(Outcome.FULL, "a0", "a1");
+    host.end(Outcome.OVERLOADED, "a0", "a1");
     host.end(Outcome.COMPLETED, "a2", "a3");
     host.pass(20);
     assertThat(sent(host.scan("q", "part", 0.52, 0.2, 0.18, 0.1))).hasSizeGreaterThan(1);
@@ -508,7 +508,7 @@
       one.seed = rank * 0x9E3779B97F4A7C15L;
       one.layout = new Settings.Layout(1, 1, 1, 1, 0);
       one.start();
-      one.list(ListUpdate.CHANGES, line("s0", 0, EndpointStatus.IN_SERVICE, one.nowMs));
+      one.list(ListUpdate.DELTA, line("s0", 0, EndpointStatus.IN_SERVICE, one.nowMs));
       one.scan("q", "strict", 1);
       one.pass(1000);
       sent += sent(one.all).size();
@@ -539,7 +539,7 @@
       // passed.
       long lostAt = one.nowMs;
       for (int loss = 0; loss < 5; loss++) {
-        one.list(ListUpdate.LOST);
+        one.list(ListUpdate.WATCH_LOST);
         long now = one.nowMs;
         while (one.pass(1).stream().noneMatch(Action.WatchEndpoints.class::isInstance)) {
           assertThat(one.nowMs - now).as("a wait is bounded").isLessThanOrEqualTo(10_000);
@@ -561,7 +561,7 @@
 
   @Test
   void whatEndsALoneConnectionIsOneFaultAndNoSignOfARestart() {
-    for (Outcome outcome : List.of(Outcome.SPOILT, Outcome.BROKEN, Outcome.UNREACHABLE)) {
+    for (Outcome outcome : List.of(Outcome.PROTOCOL_ERROR, Outcome.CONNECTION_LOST, Outcome.UNREACHABLE)) {
       PolicyHarness one = new PolicyHarness();
       one.layout = new Settings.Layout(2, 1, 1, 1, 0);
       one.start();
@@ -618,7 +618,7 @@
     host.layout = new Settings.Layout(3, 3, 1, 1, 0);
     host.start();
     host.scan("a", "once", 0.5, 0.5);
-    host.end(Outcome.BROKEN, "a0", "a1");
+    host.end(Outcome.CONNECTION_LOST, "a0", "a1");
     host.nowMs++;
     host.scan("b", "once", 0.5, 0.5);
     host.end(Outcome.UNREACHABLE, "b0", "b1");
@@ -630,7 +630,7 @@
   void aScanWhoseDispatchesBreakWithNoneInIsGivenUpAtOnce() {
     host.start();
     host.scan("a", "whole", 0.25, 0.25, 0.25, 0.25);
-    host.end(Outcome.BROKEN, "a0", "a1");
+    host.end(Outcome.CONNECTION_LOST, "a0", "a1");
     assertThat(host.verdicts()).hasSize(1);
     assertThat(sent(host.pass(2500))).isEmpty();
   }
@@ -640,7 +640,7 @@
     host.start();
     host.scan("a", "whole", 0.25, 0.25, 0.25, 0.25);
     host.end(Outcome.COMPLETED, "a2", "a3");
-    assertThat(sent(host.end(Outcome.BROKEN, "a0", "a1"))).containsExactlyInAnyOrder("a0", "a1");
+    assertThat(sent(host.end(Outcome.CONNECTION_LOST, "a0", "a1"))).containsExactlyInAnyOrder("a0", "a1");
   }
 
   @Test
@@ -692,7 +692,7 @@
     host.start();
     for (int i = 0; i < 50; i++) {
       host.list(
-          ListUpdate.CHANGES,
+          ListUpdate.DELTA,
           line("s0", 0, EndpointStatus.GONE, 0),
           line("s1", 1, EndpointStatus.GONE, 0),
           line("n" + i, 0, EndpointStatus.IN_SERVICE, 0),
@@ -706,7 +706,7 @@
     host.start();
     host.scan("q", "whole", 1);
     host.end("q0", 7, Outcome.COMPLETED);
-    host.end("nobody", 0, Outcome.BROKEN);
+    host.end("nobody", 0, Outcome.CONNECTION_LOST);
     host.nowMs += 5000;
     host.pass(0);
     assertThat(host.verdicts()).hasSize(1);
--- a/router/src/test/java/tidebank/policy/SlowStartTest.java
+++ b/router/src/test/java/tidebank/policy/SlowStartTest.java
@@ -73,15 +73,15 @@
       PolicyHarness one = fleet[due.gatherer()];
       one.pass(due.atMs() - one.nowMs);
       if (due.part().equals("told")) {
-        one.list(ListUpdate.CHANGES, line("s0", 0, EndpointStatus.IN_SERVICE, born));
+        one.list(ListUpdate.DELTA, line("s0", 0, EndpointStatus.IN_SERVICE, born));
       } else if (due.part().equals("restart")) {
         one = gatherer(instances, due.gatherer(), due.atMs(), random.nextLong());
-        one.list(ListUpdate.CHANGES, line("s0", 0, EndpointStatus.IN_SERVICE, born));
+        one.list(ListUpdate.DELTA, line("s0", 0, EndpointStatus.IN_SERVICE, born));
         fleet[due.gatherer()] = one;
       } else if (due.part().isEmpty()) {
         for (Action action : one.scan("q" + id, "strict", 1)) {
           if (action instanceof Action.SendAttempt send) {
-            scans.add(new Due(due.atMs() + WORK_MS, due.gatherer(), send.part(), 0));
+            scans.add(new Due(due.atMs() + WORK_MS, due.gatherer(), send.shardRequest(), 0));
             if (send.server().equals("s0") && one.all.contains(action) && toldOf(one)) {
               sent.add(due.atMs() - born);
             }
--- a/router/src/test/java/tidebank/policy/WatchTimingsTest.java
+++ b/router/src/test/java/tidebank/policy/WatchTimingsTest.java
@@ -64,8 +64,8 @@
           host.nowMs
               + switch (state) {
                 case UP, MUTE ->
-                    times.waitUs(confirmed) / MS
-                        + (mute ? times.answerUs(confirmed) / MS : ANSWER_MS);
+                    times.watchTimeoutUs(confirmed) / MS
+                        + (mute ? times.responseTimeoutUs(confirmed) / MS : ANSWER_MS);
                 case REFUSES, BUSY -> 1;
               };
     }
@@ -79,7 +79,7 @@
       }
       if (silenced) {
         mute = true;
-        endsMs = begunMs + times.waitUs(confirmed) / MS + times.answerUs(confirmed) / MS;
+        endsMs = begunMs + times.watchTimeoutUs(confirmed) / MS + times.responseTimeoutUs(confirmed) / MS;
       }
     }
 
@@ -92,13 +92,13 @@
           && changedMs <= host.nowMs - ANSWER_MS
           && begunMs <= host.nowMs - ANSWER_MS) {
         heardMs = host.nowMs;
-        answered(ListUpdate.CHANGES);
+        answered(ListUpdate.DELTA);
       } else if (begunMs >= 0 && host.nowMs >= endsMs) {
         if (waits) {
-          answered(ListUpdate.CHANGES);
+          answered(ListUpdate.DELTA);
         } else {
           begunMs = -1;
-          host.list(ListUpdate.LOST).stream()
+          host.list(ListUpdate.WATCH_LOST).stream()
               .filter(Action.WatchEndpoints.class::isInstance)
               .forEach(follow -> call(false));
         }
@@ -171,14 +171,14 @@
     PolicyHarness host = new PolicyHarness();
     host.rules = new Settings.Rules(0, 1_200_000, 0, 0, 0, 1, 0, 0, 0, 0);
     WatchTimings calls = new WatchTimings(host.settings());
-    long watch = calls.waitUs(true) + calls.answerUs(true);
-    assertThat(watch + calls.failedUs(watch, 0.99)).isLessThan(1_100_000);
+    long watch = calls.watchTimeoutUs(true) + calls.responseTimeoutUs(true);
+    assertThat(watch + calls.backoffUs(watch, 0.99)).isLessThan(1_100_000);
     for (int i = 0; i < 100; i++) {
-      calls.failedUs(0, 0.5);
+      calls.backoffUs(0, 0.5);
     }
-    long first = calls.waitUs(false) + calls.answerUs(false);
-    assertThat(first + calls.failedUs(first, 0.99)).isLessThan(1_100_000);
-    assertThat(calls.failedUs(0, 0.99)).isLessThan(1_100_000);
+    long first = calls.watchTimeoutUs(false) + calls.responseTimeoutUs(false);
+    assertThat(first + calls.backoffUs(first, 0.99)).isLessThan(1_100_000);
+    assertThat(calls.backoffUs(0, 0.99)).isLessThan(1_100_000);
   }
 
   @Test
@@ -188,43 +188,43 @@
       host.limits = new Settings.Limits(4, true, true, false, true, 0, 100, true);
       host.instances = instances;
       WatchTimings calls = new WatchTimings(host.settings());
-      assertThat(calls.waitUs(true) / (double) instances).isGreaterThanOrEqualTo(100_000);
-      assertThat(calls.waitUs(true)).isEqualTo(instances == 100 ? 10_000_000 : 2_500_000);
+      assertThat(calls.watchTimeoutUs(true) / (double) instances).isGreaterThanOrEqualTo(100_000);
+      assertThat(calls.watchTimeoutUs(true)).isEqualTo(instances == 100 ? 10_000_000 : 2_500_000);
       // Longer than discovery itself lets a call wait, so that nothing is written to who has just
       // given up.
-      assertThat(calls.answerUs(true)).isGreaterThan(2_000_000);
-      assertThat(calls.answerUs(false)).isGreaterThanOrEqualTo(4_000_000);
+      assertThat(calls.responseTimeoutUs(true)).isGreaterThan(2_000_000);
+      assertThat(calls.responseTimeoutUs(false)).isGreaterThanOrEqualTo(4_000_000);
     }
   }
 
   @Test
   void answersWithNewsOrBehindTheirWaitAreRenewedAtOnce() {
     WatchTimings calls = listOnRequest();
-    long wait = calls.waitUs(true);
+    long wait = calls.watchTimeoutUs(true);
     for (int i = 0; i < 10; i++) {
-      assertThat(calls.renewalUs(true, 0, wait, 0.99)).isZero();
-      assertThat(calls.renewalUs(false, wait, wait, 0.99)).isZero();
+      assertThat(calls.renewalDelayUs(true, 0, wait, 0.99)).isZero();
+      assertThat(calls.renewalDelayUs(false, wait, wait, 0.99)).isZero();
       // A whole list has no wait that it could have used up.
-      assertThat(calls.renewalUs(false, 0, 0, 0.99)).isZero();
+      assertThat(calls.renewalDelayUs(false, 0, 0, 0.99)).isZero();
     }
   }
 
   @Test
   void earlyAnswersWithoutNewsAreSpacedOutButNoChangeWaitsBeyondTheBound() {
     WatchTimings calls = listOnRequest();
-    long wait = calls.waitUs(true);
+    long wait = calls.watchTimeoutUs(true);
     long before = 0;
     int asked = 0;
     for (long at = 0; at < 60_000_000; asked++) {
-      long pause = calls.renewalUs(false, 1000, wait, 0);
+      long pause = calls.renewalDelayUs(false, 1000, wait, 0);
       assertThat(pause).isGreaterThanOrEqualTo(before);
       before = pause;
       at += 1000 + pause;
     }
     assertThat(asked).isLessThan(50);
-    assertThat(calls.renewalUs(false, 1000, wait, 0.999)).isBetween(2_500_000L, 3_000_000L);
-    assertThat(calls.renewalUs(true, 1000, wait, 0.999)).isZero();
-    assertThat(calls.renewalUs(false, 1000, wait, 0.999)).isLessThanOrEqualTo(250_000);
+    assertThat(calls.renewalDelayUs(false, 1000, wait, 0.999)).isBetween(2_500_000L, 3_000_000L);
+    assertThat(calls.renewalDelayUs(true, 1000, wait, 0.999)).isZero();
+    assertThat(calls.renewalDelayUs(false, 1000, wait, 0.999)).isLessThanOrEqualTo(250_000);
   }
 
   @Test
@@ -234,7 +234,7 @@
     host.limits = new Settings.Limits(4, true, true, false, true, 0, 100, false);
     WatchTimings calls = new WatchTimings(host.settings());
     for (int i = 0; i < 100; i++) {
-      assertThat(calls.renewalUs(false, 0, 2_500_000, 0.999)).isBetween(15_000L, 30_000L);
+      assertThat(calls.renewalDelayUs(false, 0, 2_500_000, 0.999)).isBetween(15_000L, 30_000L);
     }
   }
 
--- a/router/src/test/java/tidebank/runtime/ShutdownScheduleTest.java
+++ b/router/src/test/java/tidebank/runtime/ShutdownScheduleTest.java
@@ -28,7 +28,7 @@
         Map.of(
             "a",
             new QueryClass(
-                "a", Idempotency.REPLAYABLE, 0, longestMs * MS / 2, longestMs * MS, 0, 1, 1, 0)),
+                "a", Idempotency.IDEMPOTENT, 0, longestMs * MS / 2, longestMs * MS, 0, 1, 1, 0)),
         Map.of(),
         0,
         new Settings.Layout(1, 1, 1, 1, 0),
@@ -41,8 +41,8 @@
     for (long longestMs : List.of(50L, 800L, 2000L, 3000L, 60_000L)) {
       ShutdownSchedule plan = new ShutdownSchedule(settings(longestMs), TOLD, 0);
       long sigkill = TOLD + (Math.min(longestMs, 3000) + 700) * MS;
-      assertThat(plan.closeAt).isBetween(TOLD + 400 * MS, TOLD + 650 * MS);
-      assertThat(plan.endBy).isBetween(Math.max(plan.closeAt - 100 * MS, TOLD), sigkill - 150 * MS);
+      assertThat(plan.stopAcceptingAt).isBetween(TOLD + 400 * MS, TOLD + 650 * MS);
+      assertThat(plan.deadline).isBetween(Math.max(plan.stopAcceptingAt - 100 * MS, TOLD), sigkill - 150 * MS);
     }
   }
 
@@ -51,10 +51,10 @@
     for (long lateMs : List.of(0L, 300L, 1700L, 2900L, 10_000L)) {
       long now = TOLD + lateMs * MS;
       ShutdownSchedule plan = new ShutdownSchedule(settings(2000), now, lateMs * MS);
-      assertThat(plan.closeAt)
+      assertThat(plan.stopAcceptingAt)
           .isGreaterThanOrEqualTo(now)
           .isLessThanOrEqualTo(Math.max(now, TOLD + 650 * MS));
-      assertThat(plan.endBy)
+      assertThat(plan.deadline)
           .isGreaterThanOrEqualTo(now)
           .isLessThanOrEqualTo(Math.max(now, TOLD + 2550 * MS));
     }
@@ -72,8 +72,8 @@
     loop.execute(
         () -> {
           late[0] = timers.latenessUs();
-          timers.set(TimerQueue.timer(() -> late[2] = timers.latenessUs()), due);
-          timers.set(TimerQueue.timer(rung::countDown), due + 10 * MS);
+          timers.schedule(TimerQueue.timer(() -> late[2] = timers.latenessUs()), due);
+          timers.schedule(TimerQueue.timer(rung::countDown), due + 10 * MS);
           try {
             go.await();
           } catch (InterruptedException fault) {
--- a/router/src/test/java/tidebank/runtime/TimerQueueTest.java
+++ b/router/src/test/java/tidebank/runtime/TimerQueueTest.java
@@ -69,31 +69,31 @@
 
   @Test
   void anIdleLoopIsNotWokenForTheTimeThatItsOnlyTimerHasLeft() {
-    timers.set(timer, clock.now() + 5 * SECOND);
-    timers.set(timer, clock.now() + 10 * SECOND);
+    timers.schedule(timer, clock.now() + 5 * SECOND);
+    timers.schedule(timer, clock.now() + 10 * SECOND);
     assertThat(standing()).hasSize(1).allMatch(delay -> delay > 10 * SECOND - SLACK);
   }
 
   @Test
   void anEarlierTimerMovesTheWakeUpForwardAndALaterOneDoesNot() {
-    timers.set(timer, clock.now() + 5 * SECOND);
-    timers.set(TimerQueue.timer(() -> {}), clock.now() + 10 * SECOND);
-    timers.set(TimerQueue.timer(() -> {}), clock.now() + 2 * SECOND);
+    timers.schedule(timer, clock.now() + 5 * SECOND);
+    timers.schedule(TimerQueue.timer(() -> {}), clock.now() + 10 * SECOND);
+    timers.schedule(TimerQueue.timer(() -> {}), clock.now() + 2 * SECOND);
     assertThat(standing()).hasSize(1).allMatch(delay -> delay <= 2 * SECOND);
     assertThat(wakeUps).hasSize(2);
   }
 
   @Test
   void aTimerThatMovesByLittleLeavesTheWakeUpWhereItIs() {
-    timers.set(timer, clock.now() + 5 * SECOND);
-    timers.set(timer, clock.now() + 5 * SECOND + SECOND / 10);
+    timers.schedule(timer, clock.now() + 5 * SECOND);
+    timers.schedule(timer, clock.now() + 5 * SECOND + SECOND / 10);
     assertThat(wakeUps).hasSize(1);
     assertThat(standing()).hasSize(1);
   }
 
   @Test
   void aTimerThatIsSetForAPastTimeTellsOfNoStandstill() {
-    timers.set(timer, clock.now() - 5 * SECOND);
+    timers.schedule(timer, clock.now() - 5 * SECOND);
     assertThat(standing()).containsExactly(0L);
     assertThat(timers.overdueUs()).isLessThan(SLACK);
     assertThat(timers.latenessUs()).isLessThan(SLACK);
--- a/testbed/src/main/java/tidebank/testbed/account/RuleAudit.java
+++ b/testbed/src/main/java/tidebank/testbed/account/RuleAudit.java
@@ -362,7 +362,7 @@
           }
         }
       }
-      if (held.repeat == Idempotency.NON_REPLAYABLE) {
+      if (held.repeat == Idempotency.NON_IDEMPOTENT) {
         boolean ran = false;
         for (Sent one : sent) {
           if (ran) {
--- a/testbed/src/main/java/tidebank/testbed/chaos/ClusterObserver.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/ClusterObserver.java
@@ -47,20 +47,20 @@
                           member ->
                               ", "
                                   + member.name()
-                                  + (member.aliveUntil() > state.now() ? " alive" : " silent"))
+                                  + (member.expiresAt() > state.leaderClock() ? " alive" : " silent"))
                       .reduce("", String::concat)
-                  + state.duties().stream()
+                  + state.tasks().stream()
                       .map(
                           duty ->
                               ", "
-                                  + duty.name()
+                                  + duty.task()
                                   + " by "
-                                  + duty.token()
+                                  + duty.fencingToken()
                                   + " of "
-                                  + duty.owner()
-                                  + (duty.until() > state.now() ? "" : " which is over")
+                                  + duty.holder()
+                                  + (duty.expiresAt() > state.leaderClock() ? "" : " which is over")
                                   + " meant for "
-                                  + duty.meant()
+                                  + duty.assignedMember()
                                   + " at revision "
                                   + duty.revision())
                       .reduce("", String::concat));
--- a/testbed/src/main/java/tidebank/testbed/chaos/FaultProxy.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/FaultProxy.java
@@ -310,7 +310,7 @@
         long arrives =
             history.now()
                 + way.delayUs
-                + (long) (way.jitterUs == 0 ? 0 : way.jitterUs * link.chance.next());
+                + (long) (way.jitterUs == 0 ? 0 : way.jitterUs * link.chance.nextDouble());
         last = Math.max(last, arrives) + takes;
         pieces.add(new Piece(bytes, last));
         pump();
--- a/testbed/src/main/java/tidebank/testbed/chaos/History.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/History.java
@@ -49,7 +49,7 @@
   }
 
   private static String key(LeaseCommand command) {
-    return command.session() + '#' + command.number();
+    return command.session() + '#' + command.sequence();
   }
 
   public synchronized void asked(String from, LeaseCommand command) {
@@ -83,7 +83,7 @@
       asked.set(
           row, new Asked(before.from(), command, before.call(), now(), answer, before.copies()));
     } else if (!before.answer().equals(answer)
-        && (answer.fault() == null || !LATE.contains(answer.fault().code()))) {
+        && (answer.error() == null || !LATE.contains(answer.error().code()))) {
       faults.add("two answers to " + command + ": " + before.answer() + " and " + answer);
     }
   }
@@ -102,7 +102,7 @@
                     one.from().equals(from)
                         && one.command().kind() == LeaseCommand.Kind.RENEW
                         && one.answer() != null
-                        && one.answer().fault() == null)
+                        && one.answer().error() == null)
             .count();
   }
 
@@ -114,7 +114,7 @@
                 one ->
                     one.from().equals(from)
                         && one.command().kind() == LeaseCommand.Kind.CLAIM
-                        && one.command().duty().equals(duty))
+                        && one.command().task().equals(duty))
             .count();
   }
 
@@ -125,7 +125,7 @@
             .filter(
                 one ->
                     one.command().kind() == LeaseCommand.Kind.PUBLISH
-                        && one.command().duty().equals(duty))
+                        && one.command().task().equals(duty))
             .count();
   }
 
--- a/testbed/src/main/java/tidebank/testbed/chaos/LeaseRules.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/LeaseRules.java
@@ -26,7 +26,7 @@
     static final Cell NEW = new Cell(0, "", 0, "");
 
     private boolean by(LeaseCommand command) {
-      return token == command.token() && session.equals(command.session());
+      return token == command.fencingToken() && session.equals(command.session());
     }
 
     private Cell let() {
@@ -40,7 +40,7 @@
   public static List<String> broken(History history, LeaseConfig terms) {
     List<String> broken = new ArrayList<>(history.faults());
     TreeSet<String> duties = new TreeSet<>();
-    history.reads().forEach(read -> read.state().duties().forEach(duty -> duties.add(duty.name())));
+    history.reads().forEach(read -> read.state().tasks().forEach(duty -> duties.add(duty.task())));
     for (String duty : duties) {
       LinearizabilityChecker.Outcome outcome =
           LinearizabilityChecker.check(operations(history.asked(), history.reads(), duty), Cell.NEW);
@@ -65,12 +65,12 @@
       }
     }
     for (Read read : reads) {
-      read.state().duties().stream()
-          .filter(cell -> cell.name().equals(duty))
+      read.state().tasks().stream()
+          .filter(cell -> cell.task().equals(duty))
           .findFirst()
           .ifPresent(
               told -> {
-                Cell cell = new Cell(told.token(), told.session(), told.revision(), told.value());
+                Cell cell = new Cell(told.fencingToken(), told.session(), told.revision(), told.value());
                 operations.add(
                     new LinearizabilityChecker.Operation<>(
                         read.from() + " read " + cell,
@@ -84,19 +84,19 @@
 
   private static String said(Asked one) {
     LeaseCommand command = one.command();
-    return command.name()
+    return command.member()
         + ' '
         + command.kind()
-        + (command.token() == 0 ? "" : " by " + command.token())
+        + (command.fencingToken() == 0 ? "" : " by " + command.fencingToken())
         + (command.kind() == Kind.PUBLISH ? " after " + command.revision() : "")
         + " at "
         + one.call() / 1000
         + " ms: "
         + (one.answer() == null
             ? "no answer"
-            : one.answer().fault() == null
-                ? "done, owns " + one.answer().grants()
-                : one.answer().fault().code());
+            : one.answer().error() == null
+                ? "done, owns " + one.answer().leases()
+                : one.answer().error().code());
   }
 
   /**
@@ -104,7 +104,7 @@
    * none on the duty.
    */
   private static UnaryOperator<Cell> unheard(LeaseCommand command, String duty) {
-    boolean about = command.duty().equals(duty);
+    boolean about = command.task().equals(duty);
     if (command.kind() == Kind.LEAVE) {
       return now -> now.session().equals(command.session()) ? now.let() : now;
     } else if (about && command.kind() == Kind.CLAIM) {
@@ -124,10 +124,10 @@
   private static UnaryOperator<Cell> answered(LeaseCommand command, CommandResult answer, String duty) {
     UnaryOperator<Cell> step = effect(command, answer, duty);
     CommandResult.Grant grant =
-        answer.grants() == null
+        answer.leases() == null
             ? null
-            : answer.grants().stream()
-                .filter(one -> one.duty().equals(duty))
+            : answer.leases().stream()
+                .filter(one -> one.task().equals(duty))
                 .findFirst()
                 .orElse(null);
     if (grant == null) {
@@ -136,7 +136,7 @@
     return now -> {
       Cell after = step == null ? now : step.apply(now);
       return after != null
-              && after.token() == grant.token()
+              && after.token() == grant.fencingToken()
               && after.session().equals(command.session())
           ? after
           : null;
@@ -144,11 +144,11 @@
   }
 
   private static UnaryOperator<Cell> effect(LeaseCommand command, CommandResult answer, String duty) {
-    TidebankException.Details fault = answer.fault();
+    TidebankException.Details fault = answer.error();
     if (command.kind() == Kind.LEAVE && fault == null) {
       return now -> now.session().equals(command.session()) ? now.let() : now;
     }
-    if (!command.duty().equals(duty)) {
+    if (!command.task().equals(duty)) {
       return null;
     }
     return switch (command.kind()) {
@@ -180,9 +180,9 @@
 
   private static Cell claimed(Cell now, LeaseCommand command, CommandResult answer, String duty) {
     long token =
-        answer.grants().stream()
-            .filter(grant -> grant.duty().equals(duty))
-            .mapToLong(CommandResult.Grant::token)
+        answer.leases().stream()
+            .filter(grant -> grant.task().equals(duty))
+            .mapToLong(CommandResult.Grant::fencingToken)
             .findFirst()
             .orElse(-1);
     boolean again = token == now.token() && now.session().equals(command.session());
@@ -207,13 +207,13 @@
    */
   static List<String> early(List<Asked> asked, String duty, LeaseConfig terms) {
     List<String> early = new ArrayList<>();
-    long lasts = (long) (terms.leaseUs() / (1 + terms.drift()));
+    long lasts = (long) (terms.leaseUs() / (1 + terms.maxClockDrift()));
     for (Asked next : asked) {
       long token = next.command().kind() == Kind.CLAIM ? granted(next, duty) : 0;
       for (Asked before : token == 0 ? List.<Asked>of() : asked) {
         boolean sets =
             before.command().kind() == Kind.RENEW
-                || before.command().kind() == Kind.CLAIM && before.command().duty().equals(duty);
+                || before.command().kind() == Kind.CLAIM && before.command().task().equals(duty);
         long held = sets ? granted(before, duty) : 0;
         if (held > 0
             && held < token
@@ -224,13 +224,13 @@
                   + ": token "
                   + token
                   + " of "
-                  + next.command().name()
+                  + next.command().member()
                   + " was granted at "
                   + next.back() / 1000
                   + " ms, the lease of token "
                   + held
                   + " of "
-                  + before.command().name()
+                  + before.command().member()
                   + " lasts to "
                   + (before.call() + lasts) / 1000
                   + " ms");
@@ -241,11 +241,11 @@
   }
 
   private static long granted(Asked one, String duty) {
-    return one.answer() == null || one.answer().fault() != null || one.answer().grants() == null
+    return one.answer() == null || one.answer().error() != null || one.answer().leases() == null
         ? 0
-        : one.answer().grants().stream()
-            .filter(grant -> grant.duty().equals(duty))
-            .mapToLong(CommandResult.Grant::token)
+        : one.answer().leases().stream()
+            .filter(grant -> grant.task().equals(duty))
+            .mapToLong(CommandResult.Grant::fencingToken)
             .findFirst()
             .orElse(0);
   }
@@ -258,14 +258,14 @@
                     && one.call() < until
                     && (one.command().kind() == Kind.LEAVE
                         || one.command().kind() == Kind.RELEASE
-                            && one.command().duty().equals(duty)
-                            && one.command().token() == token));
+                            && one.command().task().equals(duty)
+                            && one.command().fencingToken() == token));
   }
 
   /** A duty in a state, if it is there. */
   static LeaseTable.TaskLease duty(LeaseTable.State state, String name) {
     return state == null
         ? null
-        : state.duties().stream().filter(duty -> duty.name().equals(name)).findFirst().orElse(null);
+        : state.tasks().stream().filter(duty -> duty.task().equals(name)).findFirst().orElse(null);
   }
 }
--- a/testbed/src/main/java/tidebank/testbed/chaos/RandomScript.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/RandomScript.java
@@ -72,7 +72,7 @@
   }
 
   private int pick(int of) {
-    return (int) (chance.next() * of);
+    return (int) (chance.nextDouble() * of);
   }
 
   private <T> T one(List<T> of) {
--- a/testbed/src/main/java/tidebank/testbed/chaos/Reports.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/Reports.java
@@ -46,30 +46,30 @@
             LeaseCodec.read(
                 Files.readAllBytes(folder.resolve("reports").resolve(name)), FleetReport.class);
         newer.add(0, report);
-        name = report.follows();
+        name = report.previous();
       }
     } catch (IOException fault) {
       faults.add(duty.value() + " is published and can't be read: " + fault);
     }
     for (FleetReport report : newer) {
-      if (report.token() < token) {
+      if (report.fencingToken() < token) {
         faults.add(
             "report "
                 + report.number()
                 + " is by token "
-                + report.token()
+                + report.fencingToken()
                 + ", the one before by "
                 + token);
       }
       if (report.number() != ++count) {
         faults.add("report " + report.number() + " stands in place " + count);
       }
-      token = report.token();
+      token = report.fencingToken();
       scans += report.window().getOrDefault(SCANS, 0L);
     }
-    if (!newer.isEmpty() && duty.publishedBy() != token) {
+    if (!newer.isEmpty() && duty.publishingToken() != token) {
       faults.add(
-          duty.value() + " was published by token " + duty.publishedBy() + " and says " + token);
+          duty.value() + " was published by token " + duty.publishingToken() + " and says " + token);
     }
     last = duty.value();
   }
--- a/testbed/src/main/java/tidebank/testbed/chaos/RunArtifacts.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/RunArtifacts.java
@@ -119,7 +119,7 @@
             });
     for (Asked one : history.asked()) {
       if (one.command().kind() == Kind.PUBLISH && one.answer() != null) {
-        boolean done = one.answer().fault() == null;
+        boolean done = one.answer().error() == null;
         svg.append(
             String.format(
                 "<circle cx=\"%.1f\" cy=\"%d\" r=\"3\" fill=\"%s\"><title>%s:"
@@ -128,7 +128,7 @@
                 20 + names.indexOf(one.from()) * LANE,
                 done ? "#2a7d3f" : "#c0392b",
                 escaped(one.command().value()),
-                done ? "published" : one.answer().fault().code()));
+                done ? "published" : one.answer().error().code()));
       }
     }
     int shift = 0;
@@ -150,13 +150,13 @@
   private static Map<Long, Asked> owned(History history) {
     Map<Long, Asked> owned = new LinkedHashMap<>();
     for (Asked one : history.asked()) {
-      if (one.answer() != null && one.answer().grants() != null) {
-        one.answer().grants().stream()
-            .filter(grant -> grant.duty().equals("report"))
+      if (one.answer() != null && one.answer().leases() != null) {
+        one.answer().leases().stream()
+            .filter(grant -> grant.task().equals("report"))
             .forEach(
                 grant ->
                     owned.merge(
-                        grant.token(),
+                        grant.fencingToken(),
                         one,
                         (first, last) ->
                             new Asked(
--- a/testbed/src/main/java/tidebank/testbed/chaos/ScriptRunner.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/ScriptRunner.java
@@ -152,7 +152,7 @@
             + " members; "
             + owner()
             + " owns the report by token "
-            + report().token());
+            + report().fencingToken());
     mark();
     int number = 0;
     for (Step step : script.steps()) {
@@ -216,16 +216,16 @@
     LeaseTable.State state = observer.sight().state();
     return state == null || observer.sight().leader() < 0
         ? 0
-        : state.members().stream().filter(member -> member.aliveUntil() > state.now()).count();
+        : state.members().stream().filter(member -> member.expiresAt() > state.leaderClock()).count();
   }
 
   private boolean owned() {
     LeaseTable.State state = observer.sight().state();
     return state != null
         && observer.sight().leader() >= 0
-        && !state.duties().isEmpty()
-        && state.duties().stream()
-            .allMatch(duty -> !duty.owner().isEmpty() && duty.until() > state.now());
+        && !state.tasks().isEmpty()
+        && state.tasks().stream()
+            .allMatch(duty -> !duty.holder().isEmpty() && duty.expiresAt() > state.leaderClock());
   }
 
   private void mark() {
@@ -241,7 +241,7 @@
     mark =
         new Mark(
             report() == null ? 0 : report().revision(),
-            report() == null ? 0 : report().token(),
+            report() == null ? 0 : report().fencingToken(),
             sight.leader(),
             sight.round(),
             sent,
@@ -260,9 +260,9 @@
       case CALLS -> more(step, history::sent, mark.sent());
       case CLAIMS -> more(step, name -> history.claims(name, "report"), mark.claims());
       case LISTS -> history.published("retention") >= mark.lists() + step.count();
-      case GRANT -> duty.token() > mark.token();
-      case SUCCESSOR -> duty.publishedBy() > mark.token();
-      case EXPIRED -> duty.owner().isEmpty() || duty.until() <= sight.state().now();
+      case GRANT -> duty.fencingToken() > mark.token();
+      case SUCCESSOR -> duty.publishingToken() > mark.token();
+      case EXPIRED -> duty.holder().isEmpty() || duty.expiresAt() <= sight.state().leaderClock();
       case OWNED -> owned();
       case ALIVE -> alive() >= step.count();
       case LEADER -> sight.leader() >= 0 && sight.leader() != mark.leader();
@@ -282,7 +282,7 @@
 
   private String owner() {
     LeaseTable.TaskLease duty = report();
-    return duty == null || duty.owner().isEmpty() ? rig.memberNames().get(0) : duty.owner();
+    return duty == null || duty.holder().isEmpty() ? rig.memberNames().get(0) : duty.holder();
   }
 
   private String leader() {
@@ -294,7 +294,7 @@
       case "owner" -> List.of(owner());
       case "remover" -> {
         LeaseTable.TaskLease duty = LeaseRules.duty(observer.sight().state(), "retention");
-        yield List.of(duty == null || duty.owner().isEmpty() ? owner() : duty.owner());
+        yield List.of(duty == null || duty.holder().isEmpty() ? owner() : duty.holder());
       }
       case "other" ->
           List.of(
@@ -372,8 +372,8 @@
 
   private void operate(Kind kind, String name) throws IOException {
     CommandResult answer = operator.operate(kind, name, kind == LeaseCommand.Kind.MOVE ? "report" : "");
-    if (answer.fault() != null) {
-      throw new TidebankException.RequestRejected(answer.fault());
+    if (answer.error() != null) {
+      throw new TidebankException.RequestRejected(answer.error());
     }
   }
 
--- a/testbed/src/main/java/tidebank/testbed/chaos/SharedFolderCheck.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/SharedFolderCheck.java
@@ -66,7 +66,7 @@
             LeaseCodec.read(
                 Files.readAllBytes(folder.resolve("removals").resolve(name)), Retention.class);
         named.addAll(list.names());
-        name = list.follows();
+        name = list.previous();
       }
     } catch (IOException fault) {
       faults.add(duty.value() + " is published and can't be read: " + fault);
--- a/testbed/src/main/java/tidebank/testbed/chaos/TrafficRecorder.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/TrafficRecorder.java
@@ -49,7 +49,7 @@
       LeaseCommand command = null;
       try {
         if (request.uri().equals("/fleet/command")) {
-          command = LeaseCodec.command(ByteBufUtil.getBytes(request.content()));
+          command = LeaseCodec.readCommand(ByteBufUtil.getBytes(request.content()));
           history.asked(from, command);
         }
       } catch (IOException fault) {
@@ -73,7 +73,7 @@
           CommandResult answer = call.command() == null ? null : LeaseCodec.read(body, CommandResult.class);
           if (call.ofState()) {
             history.read(from, call.at(), LeaseCodec.read(body, LeaseTable.State.class));
-          } else if (answer != null && answer.terms() != null) {
+          } else if (answer != null && answer.config() != null) {
             history.answered(call.command(), answer);
           }
         }
--- a/testbed/src/main/java/tidebank/testbed/chaos/UnownedIntervals.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/UnownedIntervals.java
@@ -28,10 +28,10 @@
     for (Asked one : asked) {
       if (one.command().kind() == Kind.CLAIM
           && one.answer() != null
-          && one.answer().fault() == null) {
-        one.answer().grants().stream()
-            .filter(grant -> grant.duty().equals(duty))
-            .forEach(grant -> grants.add(new Grant(grant.token(), one.from(), one.back())));
+          && one.answer().error() == null) {
+        one.answer().leases().stream()
+            .filter(grant -> grant.task().equals(duty))
+            .forEach(grant -> grants.add(new Grant(grant.fencingToken(), one.from(), one.back())));
       }
     }
     Map<String, List<Long>> gaps = new TreeMap<>();
--- a/testbed/src/main/java/tidebank/testbed/deployment/Deployment.java
+++ b/testbed/src/main/java/tidebank/testbed/deployment/Deployment.java
@@ -95,10 +95,10 @@
     Map<String, Type> types = new LinkedHashMap<>();
     for (Type type :
         List.of(
-            new Type("network-trace", Idempotency.REPLAYABLE, 1000 * MS, 3000 * MS, 0.1, 0.4, 0.9, 3),
-            new Type("depot-manifest", Idempotency.REPLAYABLE, 800 * MS, 3000 * MS, 0.1, 1, 0.9, 1),
+            new Type("network-trace", Idempotency.IDEMPOTENT, 1000 * MS, 3000 * MS, 0.1, 0.4, 0.9, 3),
+            new Type("depot-manifest", Idempotency.IDEMPOTENT, 800 * MS, 3000 * MS, 0.1, 1, 0.9, 1),
             new Type(
-                "delivery-confirm", Idempotency.NON_REPLAYABLE, 800 * MS, 3000 * MS, 0.3, 1, 0.9, 2))) {
+                "delivery-confirm", Idempotency.NON_IDEMPOTENT, 800 * MS, 3000 * MS, 0.3, 1, 0.9, 2))) {
       types.put(type.name(), type);
     }
     return new Deployment(
@@ -124,7 +124,7 @@
       Type type =
           new Type(
               row.needText("name"),
-              row.choice("repeat", Idempotency.NON_REPLAYABLE, Idempotency.class),
+              row.choice("repeat", Idempotency.NON_IDEMPOTENT, Idempotency.class),
               target,
               row.whole("timeout_ms", 3 * target / MS, 1, 600_000) * MS,
               row.number("late_share", 0, 0, 1),
@@ -134,7 +134,7 @@
       if (type.timeoutUs() < target) {
         row.fault("timeout_ms", "is below target_ms");
       }
-      if (type.repeat() == Idempotency.KEYED) {
+      if (type.repeat() == Idempotency.WITH_KEY) {
         row.fault("repeat", "keyed table types have no place in the platform's frames yet");
       }
       if (types.put(type.name(), type) != null) {
@@ -214,7 +214,7 @@
       services
           .addObject()
           .put("name", type.name())
-          .put("semantics", type.repeat() == Idempotency.REPLAYABLE ? "read_like" : "non_idempotent")
+          .put("semantics", type.repeat() == Idempotency.IDEMPOTENT ? "read_like" : "non_idempotent")
           .put("onTimeMs", type.targetUs() / MS)
           .put("deadlineMs", type.timeoutUs() / MS)
           .put("lateWorth", type.lateShare())
--- a/testbed/src/main/java/tidebank/testbed/fleet/CoordinatorLoad.java
+++ b/testbed/src/main/java/tidebank/testbed/fleet/CoordinatorLoad.java
@@ -155,7 +155,7 @@
     http.sendAsync(
             HttpRequest.newBuilder(leader)
                 .timeout(ONE)
-                .POST(BodyPublishers.ofByteArray(LeaseCodec.bytes(command)))
+                .POST(BodyPublishers.ofByteArray(LeaseCodec.write(command)))
                 .build(),
             BodyHandlers.ofByteArray())
         .whenComplete(
@@ -173,7 +173,7 @@
 
   private static boolean done(byte[] body) {
     try {
-      return LeaseCodec.read(body, CommandResult.class).fault() == null;
+      return LeaseCodec.read(body, CommandResult.class).error() == null;
     } catch (IOException fault) {
       return false;
     }
--- a/testbed/src/main/java/tidebank/testbed/replay/ClientRules.java
+++ b/testbed/src/main/java/tidebank/testbed/replay/ClientRules.java
@@ -62,7 +62,7 @@
     return switch (came) {
       case ANSWERED, TIMED_OUT -> false;
       case THROTTLED, NOT_REACHED -> true;
-      case FAILED, BROKEN_OFF -> repeat == Idempotency.REPLAYABLE;
+      case FAILED, BROKEN_OFF -> repeat == Idempotency.IDEMPOTENT;
     };
   }
 
--- a/testbed/src/main/java/tidebank/testbed/scale/RecordingShardPort.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/RecordingShardPort.java
@@ -14,7 +14,7 @@
   private long entries;
 
   @Override
-  public void listed(List<Member> members, boolean full) {
+  public void updateEndpoints(List<Member> members, boolean full) {
     if (full) {
       wholeLists++;
     } else {
@@ -34,12 +34,12 @@
   }
 
   @Override
-  public void retire(String server) {
+  public void retireConnections(String server) {
     // There are no connections.
   }
 
   @Override
-  public void probe(String server) {
+  public void checkHealth(String server) {
     throw new IllegalStateException("a hollow gatherer sent a probe");
   }
 
--- a/testbed/src/main/java/tidebank/testbed/scale/SimulatedRouter.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/SimulatedRouter.java
@@ -49,7 +49,7 @@
   void begin() {
     loop.execute(
         () -> {
-          driver.listSeen(ListUpdate.REMEMBERED, List.of());
+          driver.endpointListReceived(ListUpdate.CACHED, List.of());
           discovery.begin(NO_VERSION);
         });
   }
--- a/testbed/src/test/java/tidebank/coordinator/LeaseFixturesTest.java
+++ b/testbed/src/test/java/tidebank/coordinator/LeaseFixturesTest.java
@@ -64,7 +64,7 @@
     List<T> values = new ArrayList<>();
     for (byte[] line : lines(name)) {
       T value = LeaseCodec.read(line, type);
-      assertThat(LeaseCodec.bytes(value))
+      assertThat(LeaseCodec.write(value))
           .as(new String(line, StandardCharsets.UTF_8))
           .isEqualTo(line);
       values.add(value);
@@ -164,8 +164,8 @@
     Applied(List<LogRecord> records) {
       for (LogRecord record : records) {
         LeaseTable.State before = book.state();
-        answers.add(book.apply(record.term(), record.at(), record.command()));
-        history.applied(before, book.state(), record.wallMs());
+        answers.add(book.apply(record.term(), record.leaderClock(), record.command()));
+        history.applied(before, book.state(), record.timestampMs());
       }
     }
 
@@ -175,7 +175,7 @@
   }
 
   private static byte[] snapshotOfVersion1(LeaseTable.State state) {
-    byte[] json = LeaseCodec.bytes(state);
+    byte[] json = LeaseCodec.write(state);
     CRC32C crc = new CRC32C();
     crc.update(json);
     return ByteBuffer.allocate(SNAPSHOT_HEADER + json.length)
@@ -188,7 +188,7 @@
   private static byte[] jsonLines(List<?> values) {
     ByteArrayOutputStream all = new ByteArrayOutputStream();
     for (Object value : values) {
-      all.writeBytes(LeaseCodec.bytes(value));
+      all.writeBytes(LeaseCodec.write(value));
       all.write('\n');
     }
     return all.toByteArray();
@@ -205,8 +205,8 @@
         SOURCES.resolve("commands.jsonl"),
         jsonLines(records.stream().map(LogRecord::command).toList()));
     Files.write(SOURCES.resolve("results.jsonl"), jsonLines(applied.answers));
-    Files.write(SOURCES.resolve("state.json"), LeaseCodec.bytes(applied.book.state()));
-    Files.write(SOURCES.resolve("history.json"), LeaseCodec.bytes(applied.history.all()));
+    Files.write(SOURCES.resolve("state.json"), LeaseCodec.write(applied.book.state()));
+    Files.write(SOURCES.resolve("history.json"), LeaseCodec.write(applied.history.all()));
     Files.write(SOURCES.resolve("snapshot-version-2.bin"), LeaseStateMachine.packed(applied.kept()));
     Files.write(
         SOURCES.resolve("snapshot-version-1.bin"), snapshotOfVersion1(applied.book.state()));
@@ -227,8 +227,8 @@
             "RETIRE", "PLAN");
     assertThat(commands.stream().map(LeaseCommand::kind).distinct().toList())
         .containsExactlyInAnyOrder(Kind.values());
-    assertThat(commands.get(0).plan().duties()).containsExactly("probe/a", "report", "retention");
-    assertThat(commands.get(0).plan().terms()).isEqualTo(TERMS);
+    assertThat(commands.get(0).plan().tasks()).containsExactly("probe/a", "report", "retention");
+    assertThat(commands.get(0).plan().config()).isEqualTo(TERMS);
     LeaseCommand publish = commands.get(6);
     assertThat(publish)
         .isEqualTo(
@@ -247,10 +247,10 @@
   @Test
   void aCommandFromOutsideMayLeaveOutWhatItsKindDoesNotNeed() throws Exception {
     LeaseCommand command =
-        LeaseCodec.command(
+        LeaseCodec.readCommand(
             "{\"kind\":\"CLAIM\",\"session\":\"x\",\"number\":3,\"name\":\"g9\",\"duty\":\"report\"}"
                 .getBytes(StandardCharsets.UTF_8));
-    assertThat(new String(LeaseCodec.bytes(command), StandardCharsets.UTF_8))
+    assertThat(new String(LeaseCodec.write(command), StandardCharsets.UTF_8))
         .isEqualTo(
             "{\"kind\":\"CLAIM\",\"session\":\"x\",\"number\":3,\"name\":\"g9\","
                 + "\"duty\":\"report\",\"token\":0,\"revision\":0,\"value\":\"\",\"plan\":null}");
@@ -259,15 +259,15 @@
   @Test
   void resultsAreReadAndWrittenToTheSameBytes() throws IOException {
     List<CommandResult> answers = readAndWriteAgain("results.jsonl", CommandResult.class);
-    assertThat(answers.get(3).grants())
+    assertThat(answers.get(3).leases())
         .containsExactly(new CommandResult.Grant("probe/a", 1), new CommandResult.Grant("report", 1));
-    assertThat(answers.get(1).wanted()).containsExactly("probe/a", "report", "retention");
-    assertThat(answers.get(1).terms()).isEqualTo(TERMS);
+    assertThat(answers.get(1).assignedTasks()).containsExactly("probe/a", "report", "retention");
+    assertThat(answers.get(1).config()).isEqualTo(TERMS);
     assertThat(answers.get(6).revision()).isEqualTo(1);
     assertThat(
             answers.stream()
-                .filter(answer -> answer.fault() != null)
-                .map(answer -> answer.fault().code())
+                .filter(answer -> answer.error() != null)
+                .map(answer -> answer.error().code())
                 .toList())
         .containsExactly("TB-1002", "TB-1004", "TB-1001");
   }
@@ -276,7 +276,7 @@
   void theStateIsReadAndWrittenToTheSameBytes() throws IOException {
     LeaseTable.State state = readAndWriteAgain("state.json", LeaseTable.State.class).get(0);
     assertThat(state.term()).isEqualTo(1);
-    assertThat(state.now()).isEqualTo(190_000);
+    assertThat(state.leaderClock()).isEqualTo(190_000);
     assertThat(state.tokenFloor()).isZero();
     assertThat(state.members().stream().map(LeaseTable.Member::name).toList())
         .containsExactly("g0", "g1", "g2", "g3");
@@ -284,13 +284,13 @@
     assertThat(member.draining()).isTrue();
     assertThat(member.retired()).isFalse();
     assertThat(member.session()).isEqualTo("session of g2");
-    assertThat(member.aliveUntil()).isEqualTo(1_100_000);
-    assertThat(member.calmAt()).isEqualTo(100_000);
-    assertThat(member.strikes()).isZero();
-    assertThat(member.number()).isEqualTo(1);
-    assertThat(member.answer().fault()).isNull();
+    assertThat(member.expiresAt()).isEqualTo(1_100_000);
+    assertThat(member.eligibleAt()).isEqualTo(100_000);
+    assertThat(member.flapCount()).isZero();
+    assertThat(member.lastSequence()).isEqualTo(1);
+    assertThat(member.lastResult().error()).isNull();
     assertThat(state.members().get(3).retired()).isTrue();
-    LeaseTable.TaskLease report = state.duties().get(1);
+    LeaseTable.TaskLease report = state.tasks().get(1);
     assertThat(report)
         .isEqualTo(
             new LeaseTable.TaskLease(
@@ -304,10 +304,10 @@
                 1,
                 1,
                 "report-1-by-1.json"));
-    assertThat(state.duties().get(2).pinned()).isEqualTo("g1");
+    assertThat(state.tasks().get(2).stickyMember()).isEqualTo("g1");
     assertThat(state.operators().stream().map(LeaseTable.Operator::session).toList())
         .containsExactly("plan of s0", "operator-2", "operator");
-    assertThat(state.operators().get(1).answer().fault().code()).isEqualTo("TB-1001");
+    assertThat(state.operators().get(1).lastResult().error().code()).isEqualTo("TB-1001");
   }
 
   @Test
@@ -329,7 +329,7 @@
                 throw new AssertionError(fault);
               }
             });
-    assertThat(LeaseCodec.bytes(history)).isEqualTo(fixture("history.json"));
+    assertThat(LeaseCodec.write(history)).isEqualTo(fixture("history.json"));
     assertThat(history.get("probe/a"))
         .containsExactly(
             new AuditEntry(1_700_000_000_020L, 1, "g0", "granted"),
@@ -346,17 +346,17 @@
   void logRecordsAreReadWrittenToTheSameBytesAndLeadToTheSameResults() throws IOException {
     List<LogRecord> records = readAndWriteAgain("log-records.jsonl", LogRecord.class);
     assertThat(records.get(1).term()).isEqualTo(1);
-    assertThat(records.get(1).at()).isEqualTo(10_000);
-    assertThat(records.get(1).wallMs()).isEqualTo(1_700_000_000_010L);
+    assertThat(records.get(1).leaderClock()).isEqualTo(10_000);
+    assertThat(records.get(1).timestampMs()).isEqualTo(1_700_000_000_010L);
     Applied applied = new Applied(records);
     List<byte[]> results = lines("results.jsonl");
     for (int i = 0; i < results.size(); i++) {
-      assertThat(withoutSentences(LeaseCodec.bytes(applied.answers.get(i))))
+      assertThat(withoutSentences(LeaseCodec.write(applied.answers.get(i))))
           .isEqualTo(withoutSentences(results.get(i)));
     }
-    assertThat(withoutSentences(LeaseCodec.bytes(applied.book.state())))
+    assertThat(withoutSentences(LeaseCodec.write(applied.book.state())))
         .isEqualTo(withoutSentences(fixture("state.json")));
-    assertThat(LeaseCodec.bytes(applied.history.all())).isEqualTo(fixture("history.json"));
+    assertThat(LeaseCodec.write(applied.history.all())).isEqualTo(fixture("history.json"));
   }
 
   @Test
@@ -364,15 +364,15 @@
     byte[] bytes = fixture("snapshot-version-2.bin");
     SnapshotContent kept = LeaseStateMachine.unpacked("s", bytes);
     assertThat(LeaseStateMachine.packed(kept)).isEqualTo(bytes);
-    assertThat(LeaseCodec.bytes(kept.state())).isEqualTo(fixture("state.json"));
-    assertThat(LeaseCodec.bytes(new TreeMap<>(kept.history()))).isEqualTo(fixture("history.json"));
+    assertThat(LeaseCodec.write(kept.state())).isEqualTo(fixture("state.json"));
+    assertThat(LeaseCodec.write(new TreeMap<>(kept.auditLog()))).isEqualTo(fixture("history.json"));
   }
 
   @Test
   void aSnapshotOfTheVersionBeforeIsReadAndWrittenAsThisOneWithoutHistory() throws Exception {
     byte[] bytes = fixture("snapshot-version-1.bin");
     SnapshotContent kept = LeaseStateMachine.unpacked("s", bytes);
-    assertThat(kept.history()).isEmpty();
+    assertThat(kept.auditLog()).isEmpty();
     assertThat(snapshotOfVersion1(kept.state())).isEqualTo(bytes);
     byte[] written = LeaseStateMachine.packed(kept);
     assertThat(ByteBuffer.wrap(written).getInt()).isEqualTo(2);
--- a/testbed/src/test/java/tidebank/coordinator/SnapshotTest.java
+++ b/testbed/src/test/java/tidebank/coordinator/SnapshotTest.java
@@ -96,7 +96,7 @@
   @Test
   void oneOfTheVersionBeforeIsReadAndHasNoHistory() throws Exception {
     some();
-    byte[] json = LeaseCodec.bytes(book.state());
+    byte[] json = LeaseCodec.write(book.state());
     CRC32C crc = new CRC32C();
     crc.update(json);
     byte[] old =
--- a/testbed/src/test/java/tidebank/fleet/SharedFolderFixturesTest.java
+++ b/testbed/src/test/java/tidebank/fleet/SharedFolderFixturesTest.java
@@ -131,10 +131,10 @@
     SharedFolder fleet = stored();
     FleetReport report = fleet.read(SECOND_REPORT);
     assertThat(report.number()).isEqualTo(2);
-    assertThat(report.follows()).isEqualTo(FIRST_REPORT);
-    assertThat(report.token()).isEqualTo(4);
+    assertThat(report.previous()).isEqualTo(FIRST_REPORT);
+    assertThat(report.fencingToken()).isEqualTo(4);
     assertThat(report.window()).isEqualTo(counters(11, 0));
-    assertThat(report.missing()).containsExactly("g2");
+    assertThat(report.silentMembers()).containsExactly("g2");
     assertThat(report.members().get("g0").sequence()).isEqualTo(2);
     assertThat(fleet.read("")).isEqualTo(FleetReport.NONE);
     Path again = Files.createDirectory(folder.resolve("again"));
--- a/testbed/src/test/java/tidebank/lease/LeaseModel.java
+++ b/testbed/src/test/java/tidebank/lease/LeaseModel.java
@@ -97,7 +97,7 @@
 
     @Override
     protected boolean over(TaskLease duty) {
-      return super.over(duty) || flaw == Flaw.TAKEN_OVER_TOO_EARLY && at >= duty.until() - TICK;
+      return super.over(duty) || flaw == Flaw.TAKEN_OVER_TOO_EARLY && at >= duty.expiresAt() - TICK;
     }
 
     @Override
@@ -197,9 +197,9 @@
     List<LeaseHolder> holders = new ArrayList<>();
     for (int i = 0; i < MEMBERS; i++) {
       LeaseHolder holder = new Member("m" + i, "s" + i);
-      LeaseCommand join = holder.ask(memberClock(world, i));
-      holder.answered(
-          join.number(), book.apply(1, leaderClock(world), join), memberClock(world, i));
+      LeaseCommand join = holder.nextCommand(memberClock(world, i));
+      holder.handleResult(
+          join.sequence(), book.apply(1, leaderClock(world), join), memberClock(world, i));
       holders.add(holder);
     }
     return new World(
@@ -297,7 +297,7 @@
       List<LeaseHolder> holders = new ArrayList<>(world.holders);
       LeaseHolder holder = holders.get(sent.to).copy();
       if (holder.toString().startsWith("m" + sent.to + sent.session)) {
-        holder.answered(sent.number, sent.answer, memberClock(world, sent.to));
+        holder.handleResult(sent.number, sent.answer, memberClock(world, sent.to));
         holders.set(sent.to, holder);
         next.accept(
             "late: m" + sent.to + " hears the answer to " + sent.number,
@@ -326,10 +326,10 @@
       long clock = memberClock(world, i);
       LeaseCommand command = null;
       if (!publish) {
-        command = asking.ask(clock);
-      } else if (asking.mayAct(DUTIES.get(0), clock, 0) > 0) {
-        long revision = world.book.duties().get(0).revision();
-        LeaseCommand before = asking.copy().ask(clock);
+        command = asking.nextCommand(clock);
+      } else if (asking.tokenIfHeld(DUTIES.get(0), clock, 0) > 0) {
+        long revision = world.book.tasks().get(0).revision();
+        LeaseCommand before = asking.copy().nextCommand(clock);
         command = asking.publish(DUTIES.get(0), revision, "by m" + i, clock);
         command = command == null || command.equals(before) ? null : command;
       }
@@ -339,13 +339,13 @@
       List<LeaseHolder> holders = new ArrayList<>(world.holders);
       Taken taken = taken(world, command, null);
       LeaseHolder answered = asking.copy();
-      answered.answered(command.number(), taken.answer, clock);
+      answered.handleResult(command.sequence(), taken.answer, clock);
       holders.set(i, answered);
       next.accept("m" + i + ": " + text(command) + ", answered", with(taken.world, holders));
       if (world.lost < losses) {
         List<LeaseHolder> waiting = new ArrayList<>(world.holders);
         waiting.set(i, asking);
-        Sent sent = new Sent(i, command.session(), command.number(), taken.answer);
+        Sent sent = new Sent(i, command.session(), command.sequence(), taken.answer);
         World lost = taken(world, command, sent).world;
         next.accept(
             "m" + i + ": " + text(command) + ", answer on its way",
@@ -407,7 +407,7 @@
   }
 
   private static String call(LeaseCommand command) {
-    return call(command.session(), command.number());
+    return call(command.session(), command.sequence());
   }
 
   private static String call(String session, long number) {
@@ -416,11 +416,11 @@
 
   private static String text(LeaseCommand command) {
     return command.kind()
-        + (command.duty().isEmpty() ? "" : " " + command.duty())
+        + (command.task().isEmpty() ? "" : " " + command.task())
         + " ("
         + command.session()
         + " "
-        + command.number()
+        + command.sequence()
         + ")";
   }
 
@@ -438,28 +438,28 @@
     TreeMap<String, String> ghosts = new TreeMap<>(world.ghosts);
     String wrong = null;
     for (int i = 0; i < DUTIES.size(); i++) {
-      LeaseTable.TaskLease was = world.book.duties().get(i);
-      LeaseTable.TaskLease is = after.duties().get(i);
-      if (is.token() < was.token()
+      LeaseTable.TaskLease was = world.book.tasks().get(i);
+      LeaseTable.TaskLease is = after.tasks().get(i);
+      if (is.fencingToken() < was.fencingToken()
           || !is.session().isEmpty()
               && !is.session().equals(was.session())
-              && is.token() == was.token()) {
-        wrong = is.name() + " was granted by token " + is.token() + " again";
+              && is.fencingToken() == was.fencingToken()) {
+        wrong = is.task() + " was granted by token " + is.fencingToken() + " again";
       }
       if (is.revision() > was.revision()
-          && (command.token() != was.token() || !command.session().equals(was.session()))) {
-        wrong = is.name() + " was published under the old token " + command.token();
+          && (command.fencingToken() != was.fencingToken() || !command.session().equals(was.session()))) {
+        wrong = is.task() + " was published under the old token " + command.fencingToken();
       }
     }
     String call = call(command);
-    String outcome = answer.fault() + " " + answer.revision();
+    String outcome = answer.error() + " " + answer.revision();
     // One that came after its session's next, or outside of its session, is refused as such,
     // without effect.
     boolean past =
-        answer.fault() != null
-            && (answer.fault().is(TidebankException.StaleSequenceNumber.class)
-                || answer.fault().is(TidebankException.MemberUnknown.class)
-                || answer.fault().is(TidebankException.NameTaken.class));
+        answer.error() != null
+            && (answer.error().is(TidebankException.StaleSequenceNumber.class)
+                || answer.error().is(TidebankException.MemberUnknown.class)
+                || answer.error().is(TidebankException.NameTaken.class));
     if (!past && !outcome.equals(ghosts.getOrDefault(call, outcome))) {
       wrong = call + " was answered differently when repeated";
     }
@@ -488,24 +488,24 @@
   /** The state with every lease over. */
   private static LeaseTable.State forgotten(LeaseTable.State state) {
     return new LeaseTable.State(
-        state.terms(),
+        state.config(),
         state.term(),
-        state.now(),
+        state.leaderClock(),
         state.tokenFloor(),
         state.members(),
-        state.duties().stream()
+        state.tasks().stream()
             .map(
                 duty ->
                     new LeaseTable.TaskLease(
-                        duty.name(),
-                        duty.token(),
-                        duty.owner(),
+                        duty.task(),
+                        duty.fencingToken(),
+                        duty.holder(),
                         duty.session(),
                         0,
-                        duty.meant(),
-                        duty.pinned(),
+                        duty.assignedMember(),
+                        duty.stickyMember(),
                         duty.revision(),
-                        duty.publishedBy(),
+                        duty.publishingToken(),
                         duty.value()))
             .toList(),
         state.operators());
@@ -520,15 +520,15 @@
       String name = DUTIES.get(duty);
       List<String> acting = new ArrayList<>();
       for (int i = 0; i < MEMBERS; i++) {
-        long token = world.holders.get(i).mayAct(name, memberClock(world, i), 0);
+        long token = world.holders.get(i).tokenIfHeld(name, memberClock(world, i), 0);
         if (token > 0) {
           acting.add("m" + i + " by token " + token);
-          if (token != world.book.duties().get(duty).token()) {
+          if (token != world.book.tasks().get(duty).fencingToken()) {
             return name
                 + ": "
                 + acting
                 + " while token "
-                + world.book.duties().get(duty).token()
+                + world.book.tasks().get(duty).fencingToken()
                 + " is granted";
           }
         }
--- a/testbed/src/test/java/tidebank/lease/LeaseTableTest.java
+++ b/testbed/src/test/java/tidebank/lease/LeaseTableTest.java
@@ -64,20 +64,20 @@
   }
 
   private static String code(CommandResult answer) {
-    return answer.fault() == null ? "" : answer.fault().code();
+    return answer.error() == null ? "" : answer.error().code();
   }
 
   private TaskLease duty(String name) {
-    return book.state().duties().stream()
-        .filter(duty -> duty.name().equals(name))
+    return book.state().tasks().stream()
+        .filter(duty -> duty.task().equals(name))
         .findFirst()
         .orElseThrow();
   }
 
   @Test
   void aDutyIsClaimedRenewedReleasedAndHeldByOneOnly() {
-    assertThat(ask(Kind.JOIN, "a").wanted()).containsExactly("probe/a", "report");
-    assertThat(about(Kind.CLAIM, "a", "report", 0).grants())
+    assertThat(ask(Kind.JOIN, "a").assignedTasks()).containsExactly("probe/a", "report");
+    assertThat(about(Kind.CLAIM, "a", "report", 0).leases())
         .containsExactly(new CommandResult.Grant("report", 1));
     assertThat(code(about(Kind.CLAIM, "a", "nothing", 0))).isEqualTo("TB-1001");
     ask(Kind.JOIN, "b");
@@ -88,7 +88,7 @@
     assertThat(code(about(Kind.CLAIM, "b", "report", 0))).isIn("TB-1002", "TB-1007");
     assertThat(code(about(Kind.RELEASE, "a", "report", 9))).isEqualTo("TB-1004");
     assertThat(code(about(Kind.RELEASE, "a", "report", 1))).isEmpty();
-    assertThat(duty("report").owner()).isEmpty();
+    assertThat(duty("report").holder()).isEmpty();
   }
 
   @Test
@@ -98,7 +98,7 @@
     assertThat(book.state().unclaimed()).isEqualTo(Map.of("a", List.of("probe/a", "report")));
     about(Kind.CLAIM, "a", "report", 0);
     assertThat(book.state().unclaimed()).isEqualTo(Map.of("a", List.of("probe/a")));
-    assertThat(book.state().at((now + 3001) * MS).unclaimed())
+    assertThat(book.state().asOf((now + 3001) * MS).unclaimed())
         .isEqualTo(Map.of("a", List.of("probe/a", "report")));
   }
 
@@ -107,9 +107,9 @@
     ask(Kind.JOIN, "a");
     about(Kind.CLAIM, "a", "report", 0);
     now += 3000;
-    assertThat(ask(Kind.RENEW, "a").grants()).isEmpty();
+    assertThat(ask(Kind.RENEW, "a").leases()).isEmpty();
     assertThat(code(about(Kind.PUBLISH, "a", "report", 1))).isEqualTo("TB-1005");
-    assertThat(about(Kind.CLAIM, "a", "report", 0).grants())
+    assertThat(about(Kind.CLAIM, "a", "report", 0).leases())
         .containsExactly(new CommandResult.Grant("report", 2));
   }
 
@@ -122,8 +122,8 @@
     now += 1500;
     ask(Kind.RENEW, "b");
     now += 1500;
-    assertThat(ask(Kind.RENEW, "b").wanted()).contains("report");
-    assertThat(about(Kind.CLAIM, "b", "report", 0).grants())
+    assertThat(ask(Kind.RENEW, "b").assignedTasks()).contains("report");
+    assertThat(about(Kind.CLAIM, "b", "report", 0).leases())
         .contains(new CommandResult.Grant("report", 2));
     assertThat(code(ask(Kind.JOIN, "a'"))).isEmpty();
     assertThat(code(ask(Kind.RENEW, "a"))).isEqualTo("TB-1007");
@@ -134,19 +134,19 @@
     ask(Kind.JOIN, "a");
     now += 5000;
     // Slow: the same session goes on, without its leases, and may claim at once.
-    assertThat(ask(Kind.RENEW, "a").wanted()).contains("report");
+    assertThat(ask(Kind.RENEW, "a").assignedTasks()).contains("report");
     List<Long> waits = new ArrayList<>();
     String session = "a";
     for (int i = 0; i < 4; i++) {
       ask(Kind.LEAVE, session);
       session += "'";
       // Held off, but better than nobody.
-      assertThat(ask(Kind.JOIN, session).wanted()).contains("report");
-      waits.add(book.state().members().get(0).calmAt() / MS - now);
+      assertThat(ask(Kind.JOIN, session).assignedTasks()).contains("report");
+      waits.add(book.state().members().get(0).eligibleAt() / MS - now);
     }
     ask(Kind.JOIN, "b");
-    assertThat(ask(Kind.RENEW, "b").wanted()).containsExactly("probe/a", "report");
-    assertThat(ask(Kind.RENEW, session).wanted()).isEmpty();
+    assertThat(ask(Kind.RENEW, "b").assignedTasks()).containsExactly("probe/a", "report");
+    assertThat(ask(Kind.RENEW, session).assignedTasks()).isEmpty();
     assertThat(waits).containsExactly(3000L, 6000L, 12_000L, 24_000L);
   }
 
@@ -154,24 +154,24 @@
   void aNewLeaderHonoursWhatTheOldOneMayHaveGrantedAndGivesTheDeadNoNewLife() {
     ask(Kind.JOIN, "a");
     ask(Kind.JOIN, "b");
-    about(Kind.CLAIM, "a", duty("report").meant().equals("a") ? "report" : "probe/a", 0);
-    String held = duty("report").owner().equals("a") ? "report" : "probe/a";
+    about(Kind.CLAIM, "a", duty("report").assignedMember().equals("a") ? "report" : "probe/a", 0);
+    String held = duty("report").holder().equals("a") ? "report" : "probe/a";
     now += 2900;
     ask(Kind.RENEW, "b");
     // Its clock has nothing to do with the old one's.
     term = 2;
     now = 3;
     ask(Kind.RENEW, "b");
-    assertThat(duty(held).until()).isEqualTo(3003 * MS);
+    assertThat(duty(held).expiresAt()).isEqualTo(3003 * MS);
     now += 2990;
     assertThat(code(about(Kind.CLAIM, "b", held, 0))).isEqualTo("TB-1002");
     now += 10;
     ask(Kind.RENEW, "b");
-    assertThat(about(Kind.CLAIM, "b", held, 0).grants()).contains(new CommandResult.Grant(held, 2));
+    assertThat(about(Kind.CLAIM, "b", held, 0).leases()).contains(new CommandResult.Grant(held, 2));
     term = 3;
     now = 1_000_000;
     ask(Kind.RENEW, "b");
-    assertThat(book.state().members().get(0).aliveUntil())
+    assertThat(book.state().members().get(0).expiresAt())
         .as("a was silent before")
         .isEqualTo(now * MS);
   }
@@ -183,16 +183,16 @@
     assertThat(operate(Kind.MOVE, "nobody", "report")).isEqualTo("TB-1015");
     assertThat(operate(Kind.MOVE, "b", "report")).isEmpty();
     assertThat(operate(Kind.MOVE, "b", "probe/a")).isEmpty();
-    assertThat(ask(Kind.RENEW, "b").wanted()).containsExactly("probe/a", "report");
+    assertThat(ask(Kind.RENEW, "b").assignedTasks()).containsExactly("probe/a", "report");
     assertThat(operate(Kind.DRAIN, "b", "")).isEmpty();
-    assertThat(ask(Kind.RENEW, "b").wanted()).isEmpty();
-    assertThat(ask(Kind.RENEW, "a").wanted()).containsExactly("probe/a", "report");
+    assertThat(ask(Kind.RENEW, "b").assignedTasks()).isEmpty();
+    assertThat(ask(Kind.RENEW, "a").assignedTasks()).containsExactly("probe/a", "report");
     assertThat(operate(Kind.ADMIT, "b", "")).isEmpty();
     assertThat(operate(Kind.MOVE, "", "probe/a")).isEmpty();
     assertThat(operate(Kind.RETIRE, "a", "")).isEmpty();
     assertThat(code(ask(Kind.RENEW, "a"))).isEqualTo("TB-1008");
     assertThat(code(ask(Kind.JOIN, "a'"))).isEqualTo("TB-1008");
-    assertThat(ask(Kind.RENEW, "b").wanted()).containsExactly("probe/a", "report");
+    assertThat(ask(Kind.RENEW, "b").assignedTasks()).containsExactly("probe/a", "report");
   }
 
   @Test
@@ -203,7 +203,7 @@
     about(Kind.CLAIM, "a", "report", 0);
     plan(List.of("probe/a"));
     plan(List.of("probe/a", "report"));
-    assertThat(about(Kind.CLAIM, "a", "report", 0).grants())
+    assertThat(about(Kind.CLAIM, "a", "report", 0).leases())
         .contains(new CommandResult.Grant("report", 3));
   }
 
@@ -236,7 +236,7 @@
 
   private Map<String, String> meant() {
     Map<String, String> meant = new HashMap<>();
-    book.state().duties().forEach(duty -> meant.put(duty.name(), duty.meant()));
+    book.state().tasks().forEach(duty -> meant.put(duty.task(), duty.assignedMember()));
     return meant;
   }
 
--- a/testbed/src/test/java/tidebank/testbed/AccountTest.java
+++ b/testbed/src/test/java/tidebank/testbed/AccountTest.java
@@ -97,7 +97,7 @@
 
   @Test
   void aScanThatGoesWellBreaksNothing() {
-    sent("a", Idempotency.NON_REPLAYABLE, 1, 0.5, 0.5);
+    sent("a", Idempotency.NON_IDEMPOTENT, 1, 0.5, 0.5);
     audit.dispatched("a", 0, 0, 1, 1000, Run.RAN);
     audit.dispatched("a", 1, 0, 2, 1000, Run.NEVER_RAN);
     audit.dispatched("a", 1, 0, 3, 2000, Run.RAN);
@@ -108,17 +108,17 @@
 
   @Test
   void rule1NoAnswerALateOneOrWorkAfterIt() {
-    sent("none", Idempotency.REPLAYABLE, 1, 1);
+    sent("none", Idempotency.IDEMPOTENT, 1, 1);
     assertThat(broken()).containsExactly(1);
-    sent("late", Idempotency.REPLAYABLE, 1, 1);
+    sent("late", Idempotency.IDEMPOTENT, 1, 1);
     audit.replied("late", 3 * S + 60_001, Reply.FAILED, Set.of(), 0, false);
     assertThat(audit.counts()).containsEntry(1, 2L);
-    sent("after", Idempotency.REPLAYABLE, 1, 1);
+    sent("after", Idempotency.IDEMPOTENT, 1, 1);
     audit.replied("after", 1000, Reply.FAILED, Set.of(), 0, false);
     audit.dispatched("after", 0, 0, 1, 11_001, Run.RAN);
     broken();
     assertThat(audit.counts()).containsEntry(1, 3L);
-    sent("twice", Idempotency.REPLAYABLE, 1, 1);
+    sent("twice", Idempotency.IDEMPOTENT, 1, 1);
     audit.replied("twice", 1000, Reply.FAILED, Set.of(), 0, false);
     audit.replied("twice", 1001, Reply.FAILED, Set.of(), 0, false);
     assertThat(audit.counts()).containsEntry(1, 4L);
@@ -126,19 +126,19 @@
 
   @Test
   void whatAKilledGathererHeldOrAClientLeftIsNoLoss() {
-    sent("held", Idempotency.REPLAYABLE, 1, 1);
+    sent("held", Idempotency.IDEMPOTENT, 1, 1);
     audit.ended(0);
-    sent("left", Idempotency.REPLAYABLE, 1, 1);
+    sent("left", Idempotency.IDEMPOTENT, 1, 1);
     audit.replied("left", 1000, Reply.NONE_AND_CLIENT_LEFT, Set.of(), 0, false);
     assertThat(broken()).isEmpty();
   }
 
   @Test
   void rule1AConnectionEndedUnderAScanThatWasBegunLosesIt() {
-    sent("begun", Idempotency.REPLAYABLE, 1, 1);
+    sent("begun", Idempotency.IDEMPOTENT, 1, 1);
     audit.dispatched("begun", 0, 0, 1, 1000, Run.RAN);
     audit.replied("begun", 2000, Reply.CONNECTION_ENDED, Set.of(), 0, false);
-    sent("crossed", Idempotency.REPLAYABLE, 1, 1);
+    sent("crossed", Idempotency.IDEMPOTENT, 1, 1);
     audit.replied("crossed", 2000, Reply.CONNECTION_ENDED, Set.of(), 0, false);
     assertThat(broken()).containsExactly(1);
     assertThat(audit.counts()).containsEntry(1, 1L);
@@ -146,7 +146,7 @@
 
   @Test
   void whatAKilledGathererHadBegunIsNoLossEither() {
-    sent("begun", Idempotency.REPLAYABLE, 1, 1);
+    sent("begun", Idempotency.IDEMPOTENT, 1, 1);
     audit.dispatched("begun", 0, 0, 1, 1000, Run.RAN);
     audit.replied("begun", 2000, Reply.CONNECTION_ENDED, Set.of(), 0, false);
     audit.ended(0);
@@ -155,11 +155,11 @@
 
   @Test
   void rule2ADuplicatedEffectAndAThrottlingThatPromisesTooMuch() {
-    sent("twice", Idempotency.NON_REPLAYABLE, 1, 1);
+    sent("twice", Idempotency.NON_IDEMPOTENT, 1, 1);
     audit.dispatched("twice", 0, 0, 1, 1000, Run.RAN);
     audit.dispatched("twice", 0, 0, 2, 2000, Run.RAN);
     audit.replied("twice", 5000, Reply.ANSWERED, Set.of(0), 0, true);
-    sent("throttled", Idempotency.NON_REPLAYABLE, 1, 1);
+    sent("throttled", Idempotency.NON_IDEMPOTENT, 1, 1);
     audit.dispatched("throttled", 0, 0, 1, 1000, Run.RAN);
     audit.replied("throttled", 5000, Reply.THROTTLED, Set.of(), 0, false);
     assertThat(broken()).containsExactly(2);
@@ -170,13 +170,13 @@
   void rule3WorkForADrainingServerAfterTheGraceOnly() {
     audit.told(0, 1, true, 0);
     audit.told(0, 1, false, 100_000);
-    sent("a", Idempotency.REPLAYABLE, 0.1, 0.5, 0.5);
+    sent("a", Idempotency.IDEMPOTENT, 0.1, 0.5, 0.5);
     audit.dispatched("a", 0, 0, 1, 600_000, Run.RAN);
     assertThat(audit.counts()).isEmpty();
     audit.dispatched("a", 1, 0, 1, 620_000, Run.RAN);
     assertThat(audit.counts()).containsOnlyKeys(3);
     audit.told(0, 1, true, 700_000);
-    sent("b", Idempotency.REPLAYABLE, 0.1, 1);
+    sent("b", Idempotency.IDEMPOTENT, 0.1, 1);
     audit.dispatched("b", 0, 0, 1, 2_000_000, Run.RAN);
     assertThat(audit.counts()).containsEntry(3, 1L);
   }
@@ -193,18 +193,18 @@
 
   @Test
   void rule5AnswersThatSayMoreThanTheyHold() {
-    sent("low", Idempotency.REPLAYABLE, 0.6, 0.5, 0.5);
+    sent("low", Idempotency.IDEMPOTENT, 0.6, 0.5, 0.5);
     audit.replied("low", 1000, Reply.ANSWERED, Set.of(0), 0, false);
-    sent("whole", Idempotency.REPLAYABLE, 0.5, 0.5, 0.5);
+    sent("whole", Idempotency.IDEMPOTENT, 0.5, 0.5, 0.5);
     audit.replied("whole", 1000, Reply.ANSWERED, Set.of(0), 0, true);
-    sent("made", Idempotency.REPLAYABLE, 0.5, 1);
+    sent("made", Idempotency.IDEMPOTENT, 0.5, 1);
     audit.replied("made", 1000, Reply.ANSWERED, Set.of(0), 1, true);
     assertThat(audit.counts()).containsExactly(Map.entry(5, 3L));
   }
 
   @Test
   void rule6MoreFurtherDispatchesThanTheBudget() {
-    sent("a", Idempotency.REPLAYABLE, 1, 0.5, 0.5);
+    sent("a", Idempotency.IDEMPOTENT, 1, 0.5, 0.5);
     for (int i = 0; i < 2; i++) {
       audit.dispatched("a", i, 0, 1, 1000, Run.RAN);
       audit.dispatched("a", i, 0, 2, 2000, Run.RAN);
@@ -218,11 +218,11 @@
   void aRequestThatMayNotRunTwiceIsAskedAgainOnlyWhenItNeverRan() {
     ClientRules rules = new ClientRules(3, 100_000, 1);
     for (Came came : Came.values()) {
-      boolean again = rules.again("a", Idempotency.NON_REPLAYABLE, came, 1, 0, 0, 10 * S) >= 0;
+      boolean again = rules.again("a", Idempotency.NON_IDEMPOTENT, came, 1, 0, 0, 10 * S) >= 0;
       assertThat(again)
           .as(came.name())
           .isEqualTo(came == Came.THROTTLED || came == Came.NOT_REACHED);
-      boolean replayed = rules.again("a", Idempotency.REPLAYABLE, came, 1, 0, 0, 10 * S) >= 0;
+      boolean replayed = rules.again("a", Idempotency.IDEMPOTENT, came, 1, 0, 0, 10 * S) >= 0;
       assertThat(replayed)
           .as(came.name())
           .isEqualTo(came != Came.ANSWERED && came != Came.TIMED_OUT);
@@ -232,15 +232,15 @@
   @Test
   void clientsWaitLongerEachTimeHonourAHoldOffAndKnowWhenThereIsNoTime() {
     ClientRules rules = new ClientRules(3, 100_000, 1);
-    assertThat(rules.again("a", Idempotency.REPLAYABLE, Came.FAILED, 1, 0, 0, 10 * S))
+    assertThat(rules.again("a", Idempotency.IDEMPOTENT, Came.FAILED, 1, 0, 0, 10 * S))
         .isBetween(50_000L, 150_000L)
-        .isEqualTo(rules.again("a", Idempotency.REPLAYABLE, Came.FAILED, 1, 0, 0, 10 * S));
-    assertThat(rules.again("a", Idempotency.REPLAYABLE, Came.FAILED, 3, 0, 0, 10 * S))
+        .isEqualTo(rules.again("a", Idempotency.IDEMPOTENT, Came.FAILED, 1, 0, 0, 10 * S));
+    assertThat(rules.again("a", Idempotency.IDEMPOTENT, Came.FAILED, 3, 0, 0, 10 * S))
         .isBetween(200_000L, 600_000L);
-    assertThat(rules.again("a", Idempotency.REPLAYABLE, Came.THROTTLED, 1, 0, 2 * S, 10 * S))
+    assertThat(rules.again("a", Idempotency.IDEMPOTENT, Came.THROTTLED, 1, 0, 2 * S, 10 * S))
         .isEqualTo(2 * S);
-    assertThat(rules.again("a", Idempotency.REPLAYABLE, Came.THROTTLED, 1, 0, 2 * S, 2 * S))
+    assertThat(rules.again("a", Idempotency.IDEMPOTENT, Came.THROTTLED, 1, 0, 2 * S, 2 * S))
         .isEqualTo(-1);
-    assertThat(rules.again("a", Idempotency.REPLAYABLE, Came.FAILED, 4, 0, 0, 10 * S)).isEqualTo(-1);
+    assertThat(rules.again("a", Idempotency.IDEMPOTENT, Came.FAILED, 4, 0, 0, 10 * S)).isEqualTo(-1);
   }
 }
--- a/testbed/src/test/java/tidebank/testbed/CaptureReplayTest.java
+++ b/testbed/src/test/java/tidebank/testbed/CaptureReplayTest.java
@@ -40,10 +40,10 @@
   private static Settings settings() {
     Map<String, QueryClass> types = new LinkedHashMap<>();
     types.put(
-        "part", new QueryClass("part", Idempotency.REPLAYABLE, 0, 1000 * MS, 3000 * MS, 0.1, 0.5, 1, 0));
+        "part", new QueryClass("part", Idempotency.IDEMPOTENT, 0, 1000 * MS, 3000 * MS, 0.1, 0.5, 1, 0));
     types.put(
         "once",
-        new QueryClass("once", Idempotency.NON_REPLAYABLE, 0, 1000 * MS, 3000 * MS, 0.1, 1, 1, 0));
+        new QueryClass("once", Idempotency.NON_IDEMPOTENT, 0, 1000 * MS, 3000 * MS, 0.1, 1, 1, 0));
     return new Settings(
         2,
         0,
@@ -69,7 +69,7 @@
     for (int i = 0; i < 6; i++) {
       lines.add(new Endpoint("s" + i, i, EndpointStatus.IN_SERVICE, 0, 1));
     }
-    list.add(new Event.EndpointListReceived(ListUpdate.REMEMBERED, lines));
+    list.add(new Event.EndpointListReceived(ListUpdate.CACHED, lines));
     List<Action> todo = new ArrayList<>(turn(policy, recorder, list));
     Map<String, Integer> tries = new LinkedHashMap<>();
     int turns = 1;
@@ -78,15 +78,15 @@
       List<Event> events = new ArrayList<>();
       for (Action action : todo) {
         if (action instanceof Action.SendAttempt send) {
-          int number = tries.merge(send.part(), 1, Integer::sum) - 1;
+          int number = tries.merge(send.shardRequest(), 1, Integer::sum) - 1;
           Outcome outcome =
               chance.nextInt(5) == 0
-                  ? Outcome.FULL
+                  ? Outcome.OVERLOADED
                   : chance.nextInt(9) == 0 ? Outcome.TIMED_OUT : Outcome.COMPLETED;
           events.add(
               new Event.AttemptCompleted(
-                  send.part(), number, outcome, 1000 + chance.nextInt(90_000), false, Map.of()));
-        } else if (action instanceof Action.SetTimer timer && timer.waitUs() < 20_000) {
+                  send.shardRequest(), number, outcome, 1000 + chance.nextInt(90_000), false, Map.of()));
+        } else if (action instanceof Action.SetTimer timer && timer.delayUs() < 20_000) {
           events.add(new Event.TimerFired(timer.token()));
         }
       }
@@ -146,7 +146,7 @@
       List<Event> list =
           List.of(
               new Event.EndpointListReceived(
-                  ListUpdate.REMEMBERED,
+                  ListUpdate.CACHED,
                   List.of(new Endpoint("s0", 0, EndpointStatus.IN_SERVICE, 0, 1))));
       recorder.turn(now, list, policy.on(now, list));
       List<Event> scan =
@@ -161,7 +161,7 @@
     assertThat(result.divergence().turn()).isEqualTo(1);
     assertThat(result.divergence().then()).containsExactly(new Action.Throttle("a", 0));
     assertThat(result.divergence().now())
-        .anyMatch(action -> action instanceof Action.SendAttempt send && send.part().equals("a.0"));
+        .anyMatch(action -> action instanceof Action.SendAttempt send && send.shardRequest().equals("a.0"));
   }
 
   @Test
--- a/testbed/src/test/java/tidebank/testbed/bench/CoordinatorBench.java
+++ b/testbed/src/test/java/tidebank/testbed/bench/CoordinatorBench.java
@@ -97,7 +97,7 @@
       }
       for (int round = 0; round < LOSSES; round++) {
         LeaseTable.TaskLease duty = owned(client, 0);
-        int owner = Integer.parseInt(duty.owner().substring(1, 2));
+        int owner = Integer.parseInt(duty.holder().substring(1, 2));
         Thread.sleep(500 + 137 * round);
         long from = System.nanoTime();
         if (loss.equals("SIGKILL")) {
@@ -107,7 +107,7 @@
         } else {
           gatherers.get(owner).terminate();
         }
-        owned(client, duty.token());
+        owned(client, duty.fencingToken());
         gaps[round] = System.nanoTime() - from;
         if (loss.equals("SIGSTOP")) {
           gatherers.get(owner).wake();
@@ -129,8 +129,8 @@
   private static LeaseTable.TaskLease owned(CoordinatorClient client, long after) throws Exception {
     while (true) {
       LeaseTable.State state = client.state();
-      for (LeaseTable.TaskLease duty : state.duties()) {
-        if (duty.token() > after && !duty.owner().isEmpty() && duty.until() > state.now()) {
+      for (LeaseTable.TaskLease duty : state.tasks()) {
+        if (duty.fencingToken() > after && !duty.holder().isEmpty() && duty.expiresAt() > state.leaderClock()) {
           return duty;
         }
       }
--- a/testbed/src/test/java/tidebank/testbed/chaos/LeaseRulesTest.java
+++ b/testbed/src/test/java/tidebank/testbed/chaos/LeaseRulesTest.java
@@ -49,7 +49,7 @@
             null);
     CommandResult answer =
         new CommandResult(
-            fault == null ? null : fault.told(),
+            fault == null ? null : fault.details(),
             grant == null ? List.of() : List.of(grant),
             List.of(),
             TERMS,
@@ -209,7 +209,7 @@
     history.answered(
         command,
         new CommandResult(
-            new TidebankException.StaleSequenceNumber("a", 1, 2).told(), List.of(), List.of(), TERMS, 0));
+            new TidebankException.StaleSequenceNumber("a", 1, 2).details(), List.of(), List.of(), TERMS, 0));
     assertThat(history.faults()).isEmpty();
     assertThat(history.asked()).singleElement().matches(one -> one.copies() == 2);
     history.answered(command, new CommandResult(null, List.of(new Grant(DUTY, 2)), List.of(), TERMS, 0));
--- a/testbed/src/test/java/tidebank/testbed/chaos/LinearizabilityCheckerTest.java
+++ b/testbed/src/test/java/tidebank/testbed/chaos/LinearizabilityCheckerTest.java
@@ -73,12 +73,12 @@
       for (int i = 0; i < 300; i++) {
         // Each takes effect at 10 i; it was called up to five operations before and answered up to
         // five after.
-        long call = 10 * i - (int) (50 * chance.next());
-        long back = 10 * i + 1 + (int) (50 * chance.next());
-        if (chance.next() < 0.5) {
+        long call = 10 * i - (int) (50 * chance.nextDouble());
+        long back = 10 * i + 1 + (int) (50 * chance.nextDouble());
+        if (chance.nextDouble() < 0.5) {
           history.add(read(call, back, value));
         } else {
-          boolean fits = chance.next() < 0.7;
+          boolean fits = chance.nextDouble() < 0.7;
           history.add(set(call, back, fits ? value : value + 1000, i + 1, fits));
           value = fits ? i + 1 : value;
         }
--- a/testbed/src/test/java/tidebank/testbed/chaos/SharedFolderCheckTest.java
+++ b/testbed/src/test/java/tidebank/testbed/chaos/SharedFolderCheckTest.java
@@ -31,7 +31,7 @@
   private LeaseTable.TaskLease published(String... names) throws Exception {
     Files.write(
         folder.resolve("removals/removal-1-by-1.json"),
-        LeaseCodec.bytes(new Retention(1, "", 1, List.of(names))));
+        LeaseCodec.write(new Retention(1, "", 1, List.of(names))));
     return new LeaseTable.TaskLease("retention", 1, "g0", "x", 0, "g0", "", 1, 1, "removal-1-by-1.json");
   }
 
--- a/testbed/src/test/java/tidebank/testbed/fleet/CoordinatorProcessesTest.java
+++ b/testbed/src/test/java/tidebank/testbed/fleet/CoordinatorProcessesTest.java
@@ -57,12 +57,12 @@
     }
 
     CommandResult step() throws IOException {
-      LeaseCommand command = holder.ask(now());
+      LeaseCommand command = holder.nextCommand(now());
       if (command == null) {
         return null;
       }
       CommandResult answer = client.command(command);
-      holder.answered(command.number(), answer, now());
+      holder.handleResult(command.sequence(), answer, now());
       return answer;
     }
 
@@ -71,7 +71,7 @@
       return until(
           () -> {
             step();
-            return holder.mayAct(duty, now(), 0);
+            return holder.tokenIfHeld(duty, now(), 0);
           },
           token -> token > 0);
     }
@@ -82,8 +82,8 @@
   }
 
   private static LeaseTable.TaskLease duty(CoordinatorClient client, String name) throws IOException {
-    return client.state().duties().stream()
-        .filter(duty -> duty.name().equals(name))
+    return client.state().tasks().stream()
+        .filter(duty -> duty.task().equals(name))
         .findFirst()
         .orElseThrow();
   }
@@ -245,7 +245,7 @@
       assertThat(taken).isGreaterThan(token);
       // By its own clock the first owner knew that its time was over, though nobody could tell it
       // so.
-      assertThat(owner.holder.mayAct("report", Member.now(), 0)).isZero();
+      assertThat(owner.holder.tokenIfHeld("report", Member.now(), 0)).isZero();
       stewards.process(old).wake();
       // What the woken one says is never that the old owner may publish, whether it thinks that it
       // leads or not.
@@ -266,11 +266,11 @@
                   .command(
                       new LeaseCommand(
                           Kind.PUBLISH, "first", 100, "g0", "report", token, 0, "too late", null))
-                  .fault()
+                  .error()
                   .code())
           .isEqualTo("TB-1004");
       assertThat(duty(client, "report").revision()).isZero();
-      assertThat(duty(client, "report").token()).isEqualTo(taken);
+      assertThat(duty(client, "report").fencingToken()).isEqualTo(taken);
     }
   }
 
@@ -307,7 +307,7 @@
       leader(stewards);
       stewards.process(3 - leader - down).kill();
       // It is one of the two that are left, and they need each other.
-      assertThat(duty(client, "report").token()).isGreaterThanOrEqualTo(token);
+      assertThat(duty(client, "report").fencingToken()).isGreaterThanOrEqualTo(token);
     }
   }
 
@@ -381,7 +381,7 @@
             && client
                     .command(
                         LeaseCommand.of(answered == 0 ? Kind.JOIN : Kind.RENEW, "x", answered + 1, "g0"))
-                    .fault()
+                    .error()
                 == null) {
           answered++;
         }
@@ -389,7 +389,7 @@
         // As it was to: the one steward there is can't decide any more.
       } catch (TidebankException.RequestRejected refused) {
         // A call that comes between the failed write and the exit is answered with the cause.
-        assertThat(refused.told().is(TidebankException.DataDirectoryUnusable.class))
+        assertThat(refused.details().is(TidebankException.DataDirectoryUnusable.class))
             .as(refused.getMessage())
             .isTrue();
       }
@@ -405,7 +405,7 @@
               until(client(stewards)::state, state -> !state.members().isEmpty())
                   .members()
                   .get(0)
-                  .number())
+                  .lastSequence())
           .as("the last one that was answered, or one more that was written")
           .isBetween(answered, answered + 1);
     }
--- a/testbed/src/test/java/tidebank/testbed/fleet/TasksTest.java
+++ b/testbed/src/test/java/tidebank/testbed/fleet/TasksTest.java
@@ -67,7 +67,7 @@
   }
 
   private LeaseTable.TaskLease report() throws Exception {
-    return until(client::state, state -> !state.duties().isEmpty()).duties().get(0);
+    return until(client::state, state -> !state.tasks().isEmpty()).tasks().get(0);
   }
 
   private long published() throws Exception {
@@ -75,7 +75,7 @@
   }
 
   private int owner() throws Exception {
-    String name = until(this::report, duty -> !duty.owner().isEmpty()).owner();
+    String name = until(this::report, duty -> !duty.holder().isEmpty()).holder();
     return Integer.parseInt(name.substring(1, 2));
   }
 
@@ -106,11 +106,11 @@
     long number = published();
     for (String name = report().value(); !name.isEmpty(); ) {
       FleetReport report = read(name);
-      assertThat(report.token()).as("tokens only grow").isLessThanOrEqualTo(after);
+      assertThat(report.fencingToken()).as("tokens only grow").isLessThanOrEqualTo(after);
       assertThat(report.number()).isGreaterThanOrEqualTo(number--);
-      after = report.token();
+      after = report.fencingToken();
       sum += report.window().getOrDefault("scans.throttled", 0L);
-      name = report.follows();
+      name = report.previous();
     }
     return sum;
   }
@@ -133,15 +133,15 @@
         scan(gatherer);
       }
       int owner = owner();
-      long token = report().token();
+      long token = report().fencingToken();
       gatherers.get(owner).stop();
-      until(this::report, duty -> duty.token() > token && duty.publishedBy() > token);
+      until(this::report, duty -> duty.fencingToken() > token && duty.publishingToken() > token);
       gatherers.get(owner).wake();
       // It is one of them again, and what it had begun came to nothing.
       until(
           client::state,
           state ->
-              state.members().stream().filter(member -> member.aliveUntil() > state.now()).count()
+              state.members().stream().filter(member -> member.expiresAt() > state.leaderClock()).count()
                   == 3);
       scan(gatherers.get(owner));
     }
@@ -155,8 +155,8 @@
     scan(gatherers.get(owner));
     allCounted();
     gatherers.get(owner).close();
-    long token = report().token();
-    until(this::report, duty -> duty.publishedBy() > token);
+    long token = report().fencingToken();
+    until(this::report, duty -> duty.publishingToken() > token);
     gatherers.set(owner, gatherer("g" + owner, stewards.addresses(), List.of()));
     scan(gatherers.get(owner));
     scan(gatherers.get((owner + 1) % 3));
@@ -167,16 +167,16 @@
   @Test
   void onSigtermADutyIsHandedOverBeforeTheLeaseEndsAndTheMissingAreNamed() throws Exception {
     int owner = owner();
-    long token = report().token();
+    long token = report().fencingToken();
     gatherers.get(owner).terminate();
     assertThat(gatherers.get(owner).waitFor(10_000)).isZero();
-    LeaseTable.TaskLease next = until(this::report, duty -> duty.publishedBy() > token);
-    assertThat(next.owner()).isNotEqualTo("g" + owner);
+    LeaseTable.TaskLease next = until(this::report, duty -> duty.publishingToken() > token);
+    assertThat(next.holder()).isNotEqualTo("g" + owner);
     int silent = 3 - owner - owner();
     gatherers.get(silent).stop();
-    until(() -> read(report().value()), report -> report.missing().equals(List.of("g" + silent)));
+    until(() -> read(report().value()), report -> report.silentMembers().equals(List.of("g" + silent)));
     gatherers.get(silent).wake();
-    until(() -> read(report().value()), report -> report.missing().isEmpty());
+    until(() -> read(report().value()), report -> report.silentMembers().isEmpty());
   }
 
   @Test
@@ -193,8 +193,8 @@
     until(this::published, revision -> revision > before);
     until(() -> client.state().members().size(), count -> count == 4);
     client.operate(Kind.DRAIN, "g" + owner(), "");
-    long token = report().token();
-    until(this::report, duty -> duty.publishedBy() > token);
+    long token = report().fencingToken();
+    until(this::report, duty -> duty.publishingToken() > token);
   }
 
   @Test
