--- a/cli/src/main/java/tidebank/cli/CaptureCommands.java
+++ b/cli/src/main/java/tidebank/cli/CaptureCommands.java
@@ -22,6 +22,7 @@
 import tidebank.model.Action;
 import tidebank.model.Event;
 import tidebank.testbed.capture.CaptureReplay;
+import tidebank.testbed.capture.EventKind;
 
 /** What a gatherer was told, and whether the module still decides so. */
 @Command(
@@ -79,8 +80,7 @@
           if (entry instanceof CaptureRecord.Iteration turn) {
             first = turns++ == 0 ? turn.nowUs() : first;
             last = turn.nowUs();
-            turn.events()
-                .forEach(event -> events.merge(event.getClass().getSimpleName(), 1L, Long::sum));
+            turn.events().forEach(event -> events.merge(EventKind.of(event), 1L, Long::sum));
           } else if (entry instanceof CaptureRecord.Gap gap) {
             missing += gap.turns();
           }
@@ -92,7 +92,7 @@
           .put("seconds", (last - first) / 1e6);
       ObjectNode byKind = told.putObject("events");
       events.forEach(byKind::put);
-      long scans = events.getOrDefault("ScanTaken", 0L);
+      long scans = events.getOrDefault(EventKind.QUERY_RECEIVED, 0L);
       if (json) {
         print(told);
       } else {
@@ -167,7 +167,7 @@
             List<String> lines = new ArrayList<>();
             for (Event event : turn.events()) {
               if (event.toString().contains(about)
-                  && (kind.isEmpty() || event.getClass().getSimpleName().equalsIgnoreCase(kind))) {
+                  && (kind.isEmpty() || EventKind.matches(event, kind))) {
                 lines.add("  told    " + event);
               }
             }
--- a/cli/src/test/java/tidebank/cli/StoredDataTest.java
+++ b/cli/src/test/java/tidebank/cli/StoredDataTest.java
@@ -37,7 +37,7 @@
   private static final Path EXPECTED = Path.of("src/test/resources/fixtures");
   private static final String CAPTURES = "../router/src/test/resources/fixtures/capture/";
   private static final String TRACE = "../testbed/src/test/resources/fixtures/trace/small.parquet";
-  private static final String RUNS = "src/test/resources/fixtures/runs/";
+  private static final String RUNS = "src/test/resources/fixtures/results/";
 
   /** Written with a run, and not stored as they are large. */
   private static final Set<String> LEFT_OUT = Set.of("capture", "report.html");
@@ -198,12 +198,12 @@
   void twoStoredRunsCompareAsTheyDid() throws IOException {
     JsonNode compared = json("trace", "compare", RUNS + "first", RUNS + "second", "--json");
     assertThat(exitCode).isZero();
-    assertPathsAsStored("runs/compare.paths", compared);
-    assertAsStored("runs/compare.json", out);
+    assertPathsAsStored("results/compare.paths", compared);
+    assertAsStored("results/compare.json", out);
 
     run("trace", "compare", RUNS + "first", RUNS + "second");
     assertThat(exitCode).isZero();
-    assertAsStored("runs/compare.txt", out);
+    assertAsStored("results/compare.txt", out);
   }
 
   @Test
