--- a/cli/src/main/java/tidebank/cli/FleetCommands.java
+++ b/cli/src/main/java/tidebank/cli/FleetCommands.java
@@ -55,7 +55,7 @@
 
   /** One steward's process. */
   @Command(
-      name = "steward",
+      name = "coordinator",
       description =
           "Runs a steward, one of the fleet's control processes, configured by its own file.",
       mixinStandardHelpOptions = true,
@@ -80,12 +80,13 @@
     @Spec private CommandSpec spec;
 
     @Option(
-        names = "--stewards",
+        names = {"--coordinators", "--stewards"},
         paramLabel = "HOST:PORT",
         split = ",",
         defaultValue = "127.0.0.1:7200",
-        description = "where the stewards listen; default ${DEFAULT-VALUE}")
-    private List<String> stewards;
+        description =
+            "where the coordinators listen (--stewards is the same); default ${DEFAULT-VALUE}")
+    private List<String> coordinators;
 
     @Option(names = "--json", description = "prints JSON")
     protected boolean json;
@@ -106,7 +107,7 @@
     }
 
     protected CoordinatorClient client() {
-      return new CoordinatorClient(stewards, patienceMs);
+      return new CoordinatorClient(coordinators, patienceMs);
     }
 
     protected int show(Object whole, List<String> head, Stream<List<String>> rows)
@@ -242,7 +243,7 @@
   }
 
   @Command(
-      name = "duties",
+      name = "tasks",
       description = "Lists the duties with their owners and what is published.",
       mixinStandardHelpOptions = true)
   static final class Tasks extends Shown {
--- a/cli/src/main/java/tidebank/cli/Serve.java
+++ b/cli/src/main/java/tidebank/cli/Serve.java
@@ -73,7 +73,7 @@
 
   /** The decisions on the simulator's wire. */
   @Command(
-      name = "wirehost",
+      name = "simulate",
       description =
           "Drives the decisions over the simulator's wire: standard input to standard output, until"
               + " input ends.",
@@ -81,7 +81,7 @@
   static final class Simulate implements Callable<Integer> {
     @Override
     public Integer call() throws IOException {
-      return run(List.of("wirehost"));
+      return run(List.of("simulate"));
     }
   }
 }
--- a/cli/src/main/java/tidebank/cli/Tidebank.java
+++ b/cli/src/main/java/tidebank/cli/Tidebank.java
@@ -76,6 +76,9 @@
   /** The command line with its exit codes; standard output and error are the process's. */
   static CommandLine commandLine() {
     CommandLine line = new CommandLine(new Tidebank());
+    addFormerName(line, "wirehost", new Serve.Simulate());
+    addFormerName(line, "steward", new FleetCommands.CoordinatorCommand());
+    addFormerName(line.getSubcommands().get("fleet"), "duties", new FleetCommands.Tasks());
     line.setExecutionExceptionHandler(
         (fault, command, parsed) -> {
           Throwable cause =
@@ -109,6 +112,13 @@
     return line;
   }
 
+  /** Lets a command answer to the name it had before, which help does not list. */
+  private static void addFormerName(CommandLine parent, String name, Object command) {
+    CommandLine former = new CommandLine(command);
+    former.getCommandSpec().usageMessage().hidden(true);
+    parent.addSubcommand(name, former);
+  }
+
   public static void main(String[] args) {
     System.exit(commandLine().execute(args));
   }
--- a/router/src/main/java/tidebank/Main.java
+++ b/router/src/main/java/tidebank/Main.java
@@ -35,7 +35,7 @@
       switch (command) {
         case "serve" ->
             serve(filed ? OperatorConfig.read(Path.of(args[2])) : OperatorConfig.DEFAULT);
-        case "wirehost" -> new SimulatorHost().run(System.in, System.out);
+        case "simulate", "wirehost" -> new SimulatorHost().run(System.in, System.out);
         default -> {
           System.err.println("usage: java -jar tidebank.jar serve [--config FILE] | wirehost");
           System.exit(2);
