--- a/.ci/KnownRed.java
+++ b/.ci/KnownRed.java
@@ -15,8 +15,8 @@
  * Judges a test run that went on past failures: {@code java KnownRed.java KNOWN-RED.txt MODULE...}.
  * Only the tests that the file names may fail, and they have to be run; any other failure, a
  * skipped test, a test class without a report, a line that is malformed, and a fourth line fail the
- * run. A line is {@code package.Class#method | cause | issue N}. Exit codes: 0 passed, 1 failed, 2
- * wrong arguments.
+ * run. A line is {@code package.Class#method | command and seed | what was seen | issue N}. Exit
+ * codes: 0 passed, 1 failed, 2 wrong arguments.
  */
 public final class KnownRed {
   private static final int MOST = 3;
@@ -84,13 +84,17 @@
     for (String line : lines) {
       String[] parts = line.split(" \\| ", -1);
       boolean sound =
-          parts.length == 3
+          parts.length == 4
               && parts[0].matches("[\\w.]+#\\w+")
               && parts[1].strip().length() >= 10
-              && parts[2].matches("issue \\d+");
+              && parts[2].strip().length() >= 10
+              && parts[3].matches("issue \\d+");
       if (!sound) {
-        fault("a line that is not 'package.Class#method | cause | issue N': " + line);
-      } else if (known.put(parts[0], parts[1] + " | " + parts[2]) != null) {
+        fault(
+            "a line that is not 'package.Class#method | command and seed | what was seen | issue"
+                + " N': "
+                + line);
+      } else if (known.put(parts[0], String.join(" | ", parts[1], parts[2], parts[3])) != null) {
         fault("named twice: " + parts[0]);
       }
     }
--- a/testbed/src/test/java/tidebank/testbed/KnownRedTest.java
+++ b/testbed/src/test/java/tidebank/testbed/KnownRedTest.java
@@ -13,7 +13,7 @@
 /** What CI makes of failures, each case planted: the program is {@code .ci/KnownRed.java}. */
 class KnownRedTest {
   private static final String LINE =
-      "a.OneTest#stands | nobody knows why it stands still | issue 7";
+      "a.OneTest#stands | bin/one run, seed 3 | stands still for 30 s, nobody knows why | issue 7";
 
   @TempDir private Path folder;
 
@@ -74,7 +74,8 @@
     assertThat(judged(LINE))
         .startsWith("0 ")
         .contains(
-            "known red, FAILED: a.OneTest#stands | nobody knows why it stands still | issue 7");
+            "known red, FAILED: a.OneTest#stands | bin/one run, seed 3 | stands still for 30 s,"
+                + " nobody knows why | issue 7");
   }
 
   @Test
@@ -113,9 +114,11 @@
         List.of(
             "",
             "a.OneTest#stands",
-            "a.OneTest#stands | | issue 7",
-            "a.OneTest#stands | nobody knows why | soon",
-            "OneTest stands | nobody knows why | issue 7")) {
+            "a.OneTest#stands | nobody knows why | issue 7",
+            "a.OneTest#stands | | nobody knows why | issue 7",
+            "a.OneTest#stands | bin/one run, seed 3 | | issue 7",
+            "a.OneTest#stands | bin/one run, seed 3 | nobody knows why | soon",
+            "OneTest stands | bin/one run, seed 3 | nobody knows why | issue 7")) {
       assertThat(judged(line)).as(line).startsWith("1 ").contains("FAULT: a line that is not");
     }
     assertThat(judged(LINE, LINE)).startsWith("1 ").contains("FAULT: named twice");
