--- a/router/src/main/java/tidebank/policy/ConcurrencyLimit.java
+++ b/router/src/main/java/tidebank/policy/ConcurrencyLimit.java
@@ -1,13 +1,43 @@
 package tidebank.policy;
 
-/** State that lives as long as the instance, for one shard. */
-public final class ConcurrencyLimit {
-  /** Cap in parts for each replica. */
-  public double limitPerReplica;
+import tidebank.model.Settings;
 
-  public long decreasedAt = Long.MIN_VALUE / 2;
+/**
+ * The concurrency limit of one shard, in requests for each replica: increased additively by
+ * responses, decreased multiplicatively by refusals and timeouts.
+ */
+final class ConcurrencyLimit {
+  private static final double INITIAL = 8;
 
-  public ConcurrencyLimit(double capPerReplica) {
-    this.limitPerReplica = capPerReplica;
+  private static final double DECREASE_FACTOR = 0.5;
+  private static final long RECENT_US = 1_000_000;
+
+  private double perReplica = INITIAL;
+  private long decreasedAt = Long.MIN_VALUE / 2;
+
+  /**
+   * Returns whether there are so many routers that one's share of a replica's limit, as two would
+   * have it, is under one request. Its own requests in flight then tell nothing of the load.
+   */
+  static boolean isTrafficSparse(Settings settings) {
+    return settings.routers() > 2 * INITIAL;
+  }
+
+  double perReplica() {
+    return perReplica;
+  }
+
+  void increase(int replicas) {
+    perReplica += 1.0 / Math.max(1, replicas);
+  }
+
+  void decrease(long now) {
+    perReplica *= DECREASE_FACTOR;
+    decreasedAt = now;
+  }
+
+  /** Returns whether the limit is below its initial value or was decreased in the last second. */
+  boolean isReduced(long now) {
+    return perReplica < INITIAL || now - decreasedAt < RECENT_US;
   }
 }
--- /dev/null
+++ b/router/src/main/java/tidebank/policy/ConcurrencyLimits.java
@@ -0,0 +1,13 @@
+package tidebank.policy;
+
+import java.util.HashMap;
+import java.util.Map;
+
+/** The concurrency limits of all shards that were queried so far. */
+final class ConcurrencyLimits {
+  private final Map<Integer, ConcurrencyLimit> byShard = new HashMap<>();
+
+  ConcurrencyLimit of(int shard) {
+    return byShard.computeIfAbsent(shard, absent -> new ConcurrencyLimit());
+  }
+}
--- a/router/src/main/java/tidebank/policy/EndpointTable.java
+++ b/router/src/main/java/tidebank/policy/EndpointTable.java
@@ -14,76 +14,85 @@
 import tidebank.model.Settings;
 
 /**
- * The shard servers as the list last told of them. Servers that left are forgotten once nothing is
- * out there.
+ * The shard servers as last listed by discovery, and which of them are replicas of which shard.
+ * Servers that left are forgotten once nothing is in flight there.
  */
-public final class EndpointTable {
-  private final Settings.Layout layout;
+final class EndpointTable {
+  private final Settings settings;
+  private final long shortestObjectiveUs;
   private final Map<String, ShardServer> servers = new HashMap<>();
   private final Map<Integer, TreeMap<String, ShardServer>> byPosition = new HashMap<>();
-  private final Map<Integer, List<ShardServer>> byShard = new HashMap<>();
+  private final Map<Integer, List<ShardServer>> replicasByShard = new HashMap<>();
   private final Set<ShardServer> leaving = new LinkedHashSet<>();
   private int inService;
 
-  public EndpointTable(Settings.Layout layout) {
-    this.layout = layout;
+  EndpointTable(Settings settings, long shortestObjectiveUs) {
+    this.settings = settings;
+    this.shortestObjectiveUs = shortestObjectiveUs;
   }
 
-  /** How many servers are listed as in service. */
-  public int size() {
+  /** Returns how many servers are listed as in service. */
+  int size() {
     return inService;
   }
 
-  /** The server of this id, or null. */
-  public ShardServer get(String id) {
+  /** Returns the server of this id, or null. */
+  ShardServer get(String id) {
     return servers.get(id);
   }
 
-  /** Takes a list, or what changed in it. */
-  public void apply(Event.EndpointListReceived list) {
+  /** Applies a list, or what changed in it. */
+  void apply(Event.EndpointListReceived list) {
     if (list.update() != ListUpdate.DELTA) {
-      new TreeMap<>(servers).values().forEach(srv -> place(srv, srv.position, false));
+      new TreeMap<>(servers).values().forEach(server -> place(server, server.position(), false));
     }
-    for (Endpoint line : list.endpoints()) {
-      ShardServer srv = servers.computeIfAbsent(line.server(), ShardServer::new);
-      srv.capacity = line.capacity();
-      place(srv, line.position(), line.status() == EndpointStatus.IN_SERVICE);
+    for (Endpoint endpoint : list.endpoints()) {
+      ShardServer server = servers.computeIfAbsent(endpoint.server(), this::create);
+      server.setCapacity(endpoint.capacity());
+      place(server, endpoint.position(), endpoint.status() == EndpointStatus.IN_SERVICE);
     }
     leaving.removeIf(
-        srv -> srv.inService || srv.inFlight.isEmpty() && servers.remove(srv.id) != null);
+        server ->
+            server.isInService()
+                || server.inFlight().isEmpty() && servers.remove(server.id()) != null);
   }
 
-  private void place(ShardServer srv, int position, boolean serves) {
-    if (srv.inService && (!serves || srv.position != position)) {
-      byPosition.get(srv.position).remove(srv.id);
+  private ShardServer create(String id) {
+    return new ShardServer(id, settings, shortestObjectiveUs);
+  }
+
+  private void place(ShardServer server, int position, boolean serves) {
+    if (server.isInService() && (!serves || server.position() != position)) {
+      byPosition.get(server.position()).remove(server.id());
       inService--;
-      byShard.clear();
-      srv.inService = false;
+      replicasByShard.clear();
+      server.setInService(false);
     }
-    srv.position = position;
-    if (serves && !srv.inService) {
-      byPosition.computeIfAbsent(position, absent -> new TreeMap<>()).put(srv.id, srv);
+    server.setPosition(position);
+    if (serves && !server.isInService()) {
+      byPosition.computeIfAbsent(position, absent -> new TreeMap<>()).put(server.id(), server);
       inService++;
-      byShard.clear();
-      srv.inService = true;
+      replicasByShard.clear();
+      server.setInService(true);
     } else if (!serves) {
-      leaving.add(srv);
+      leaving.add(server);
     }
   }
 
-  /** The servers in service that hold a shard. */
-  public List<ShardServer> replicas(int shard) {
-    return byShard.computeIfAbsent(shard, this::find);
+  /** Returns the servers in service that hold a shard. */
+  List<ShardServer> replicas(int shard) {
+    return replicasByShard.computeIfAbsent(shard, this::findReplicas);
   }
 
-  private List<ShardServer> find(int shard) {
-    List<ShardServer> holders = new ArrayList<>();
+  private List<ShardServer> findReplicas(int shard) {
+    Settings.Layout layout = settings.layout();
+    List<ShardServer> replicas = new ArrayList<>();
     for (int j = 0; j < layout.replicationSpan() && j < layout.positions(); j++) {
       TreeMap<String, ShardServer> there = byPosition.get((shard + j) % layout.positions());
       if (there != null) {
-        holders.addAll(there.values());
+        replicas.addAll(there.values());
       }
     }
-    return holders;
+    return replicas;
   }
 }
--- a/router/src/main/java/tidebank/policy/QueryWorkQueue.java
+++ b/router/src/main/java/tidebank/policy/QueryWorkQueue.java
@@ -6,48 +6,54 @@
 import java.util.TreeMap;
 
 /**
- * The scans that a turn has to look at: those that something happened to, and those whose time has
- * come.
+ * The queries that a decision round has to review: those that something happened to, and those
+ * whose time has come.
  */
-public final class QueryWorkQueue {
-  private record Entry(long at, Query scan) {}
+final class QueryWorkQueue {
+  private record Entry(long at, Query query) {}
 
-  private final PriorityQueue<Entry> queue =
+  private final PriorityQueue<Entry> byTime =
       new PriorityQueue<>(
-          Comparator.comparingLong(Entry::at).thenComparingLong(entry -> entry.scan().number));
+          Comparator.comparingLong(Entry::at).thenComparingLong(entry -> entry.query().number()));
   private SortedMap<Long, Query> changed = new TreeMap<>();
 
-  public void changed(Query scan) {
-    changed.put(scan.number, scan);
+  /** Has the query reviewed in this round. */
+  void markChanged(Query query) {
+    changed.put(query.number(), query);
   }
 
-  /** The scan is looked at no later than this. */
-  public void at(long time, Query scan) {
-    if (time < scan.wakeAt) {
-      scan.wakeAt = time;
-      queue.add(new Entry(time, scan));
+  /** Has the query reviewed no later than at the given time. */
+  void reviewAt(long time, Query query) {
+    if (time < query.reviewAt()) {
+      query.setReviewAt(time);
+      byTime.add(new Entry(time, query));
     }
   }
 
-  /** Takes the scans to look at now, in the order in which they came. */
-  public Iterable<Query> take(long now) {
-    while (!queue.isEmpty() && queue.peek().at() <= now) {
-      Entry entry = queue.poll();
-      if (entry.at() == entry.scan().wakeAt) {
-        changed(entry.scan());
+  /** Takes the queries to review now, in the order in which they were received. */
+  Iterable<Query> takeDue(long now) {
+    while (!byTime.isEmpty() && byTime.peek().at() <= now) {
+      Entry entry = byTime.poll();
+      if (isCurrent(entry)) {
+        markChanged(entry.query());
       }
     }
-    Iterable<Query> taken = changed.values();
+    Iterable<Query> due = changed.values();
     changed = new TreeMap<>();
-    taken.forEach(scan -> scan.wakeAt = Long.MAX_VALUE);
-    return taken;
+    due.forEach(query -> query.setReviewAt(Long.MAX_VALUE));
+    return due;
   }
 
-  /** When the next scan's time comes. */
-  public long next() {
-    while (!queue.isEmpty() && queue.peek().at() != queue.peek().scan().wakeAt) {
-      queue.poll();
+  /** Returns when the next query is due, or {@link Long#MAX_VALUE}. */
+  long nextReviewAt() {
+    while (!byTime.isEmpty() && !isCurrent(byTime.peek())) {
+      byTime.poll();
     }
-    return queue.isEmpty() ? Long.MAX_VALUE : queue.peek().at();
+    return byTime.isEmpty() ? Long.MAX_VALUE : byTime.peek().at();
+  }
+
+  /** Returns whether the query was not given another time since. */
+  private static boolean isCurrent(Entry entry) {
+    return entry.at() == entry.query().reviewAt();
   }
 }
--- a/router/src/main/java/tidebank/policy/ShardServer.java
+++ b/router/src/main/java/tidebank/policy/ShardServer.java
@@ -2,81 +2,175 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import tidebank.model.Settings;
+
+/** What a router knows of one shard server, as long as it is listed or something is in flight. */
+final class ShardServer {
+  private static final long NEVER = Long.MIN_VALUE / 2;
+  private static final long SAMPLE_INTERVAL_US = 1_000_000;
+
+  private final String id;
+  private final SlowStart slowStart;
+  private final OutlierDetector outlierDetector;
+  private final List<Attempt> inFlight = new ArrayList<>();
+  private int position;
+  private double capacity;
+  private boolean inService;
+
+  /** No bound before its first response. */
+  private double spilloverThreshold = Double.POSITIVE_INFINITY;
+
+  private long batchAt = -1;
+  private long batch;
+  private int batchSize;
+  private long unreachableSince = Long.MAX_VALUE;
+  private long connectionLostAt = NEVER;
+  private long lastResponseAt;
+  private long lastTimedOutSentAt = -1;
+  private long congestionSampledAt = NEVER;
+  private long congestedAt = NEVER;
+
+  ShardServer(String id, Settings settings, long shortestObjectiveUs) {
+    this.id = id;
+    this.slowStart = new SlowStart(id, settings);
+    this.outlierDetector = new OutlierDetector(shortestObjectiveUs);
+  }
 
-/** State that lives as long as an instance knows a shard server. */
-public final class ShardServer {
-  public final String id;
-  public int position;
+  String id() {
+    return id;
+  }
 
-  /** As the list rates it. */
-  public double capacity;
+  SlowStart slowStart() {
+    return slowStart;
+  }
 
-  public boolean inService;
-  public long startedAt;
+  OutlierDetector outlierDetector() {
+    return outlierDetector;
+  }
 
-  /**
-   * What it bears warm within the window of rule 4, by the time that answers took when we were told
-   * of its start.
-   */
-  public double slowStartRate;
+  boolean isEjected() {
+    return outlierDetector.isEjected();
+  }
 
-  /**
-   * By what share of a round among the gatherers our turns come later, and the last that we used or
-   * were told in.
-   */
-  public double slowStartPhase;
+  /** Returns this router's attempts in flight there. */
+  List<Attempt> inFlight() {
+    return inFlight;
+  }
 
-  public long slowStartSlot;
+  int position() {
+    return position;
+  }
 
-  /** The call that parts sent at this moment share, and how many share it so far. */
-  public long batchAt = -1;
+  void setPosition(int place) {
+    position = place;
+  }
 
-  public long batch;
-  public int batchSize;
-  public final List<Attempt> inFlight = new ArrayList<>();
+  /** Returns its capacity as listed. */
+  double capacity() {
+    return capacity;
+  }
 
-  /** When parts were sent, as far back as a cold server's guard looks. */
-  public final SlidingWindow slowStartSends = new SlidingWindow();
+  void setCapacity(double listed) {
+    capacity = listed;
+  }
 
-  /** Log-likelihood ratio of the sequential test; above its bound the server is held to be sick. */
-  public double failureEvidence;
+  boolean isInService() {
+    return inService;
+  }
 
-  /**
-   * How many of our parts it may hold as a home before a part goes elsewhere; no bound before its
-   * first end.
-   */
-  public double spilloverThreshold = Double.POSITIVE_INFINITY;
+  void setInService(boolean listed) {
+    inService = listed;
+  }
 
-  public boolean ejected;
+  /** Returns how many requests it may hold as primary replica before others take over. */
+  double spilloverThreshold() {
+    return spilloverThreshold;
+  }
 
-  /**
-   * Since when it can't be reached, as far as we know; and when a connection to it last broke with
-   * parts out.
-   */
-  public long unreachableSince = Long.MAX_VALUE;
+  void setSpilloverThreshold(double requests) {
+    spilloverThreshold = requests;
+  }
 
-  public long connectionLostAt = Long.MIN_VALUE / 2;
-  private long faultAt = -1;
-  public long reinstatementAt;
-  public long reinstatementDelay;
+  // ---- batches
 
-  /** When it last answered us. */
-  public long lastResponseAt;
+  /** Returns whether a request sent now needs a new batch. */
+  boolean needsBatch(int maxBatchSize, long now) {
+    return batchAt != now || batchSize >= maxBatchSize;
+  }
 
-  /** When the latest of its overdue parts was sent. */
-  public long lastTimedOutSentAt = -1;
+  void openBatch(long number, long now) {
+    batchAt = now;
+    batch = number;
+    batchSize = 0;
+  }
 
-  public long sampledAt = Long.MIN_VALUE / 2;
-  public long congestedAt = Long.MIN_VALUE / 2;
+  /** Adds a request to the open batch and returns its number. */
+  long joinBatch() {
+    batchSize++;
+    return batch;
+  }
 
-  public ShardServer(String id) {
-    this.id = id;
+  // ---- responses and silence
+
+  /** Returns when it last responded, or 0. */
+  long lastResponseAt() {
+    return lastResponseAt;
+  }
+
+  void recordResponse(long now) {
+    lastResponseAt = now;
+    unreachableSince = Long.MAX_VALUE;
+  }
+
+  /** Returns whether it could not be reached at that time or before, with no response since. */
+  boolean wasUnreachableBy(double time) {
+    return time >= unreachableSince;
+  }
+
+  void recordUnreachable(long now) {
+    unreachableSince = Math.min(unreachableSince, now);
+  }
+
+  void recordConnectionLost(long now) {
+    connectionLostAt = now;
+  }
+
+  /** Records a connection fault without requests in flight on it. */
+  void clearConnectionLost() {
+    connectionLostAt = NEVER;
+  }
+
+  /** Returns whether its last connection fault was one with requests in flight, and recent. */
+  boolean lostConnectionWithin(long us, long now) {
+    return now - connectionLostAt < us;
+  }
+
+  /** Records an attempt that timed out. */
+  void recordTimeout(long sentAt) {
+    lastTimedOutSentAt = Math.max(lastTimedOutSentAt, sentAt);
+  }
+
+  /** Returns whether it has not responded since the latest timed-out attempt was sent. */
+  boolean isSilent() {
+    return lastTimedOutSentAt >= lastResponseAt;
+  }
+
+  /** Forgets the timed-out attempts, as its connections are replaced. */
+  void clearSilence() {
+    lastTimedOutSentAt = -1;
   }
 
-  /** Takes note of a connection's fault; whether it is the first at this moment. */
-  public boolean firstFault(long now) {
-    boolean first = faultAt != now;
-    faultAt = now;
-    return first;
+  // ---- congestion
+
+  /** Returns whether a congestion sample is due, and takes note of it if so. */
+  boolean takeCongestionSample(boolean congested, long now) {
+    boolean due =
+        congested && now - congestedAt >= SAMPLE_INTERVAL_US
+            || now - congestionSampledAt >= SAMPLE_INTERVAL_US;
+    if (due) {
+      congestionSampledAt = now;
+      congestedAt = congested ? now : congestedAt;
+    }
+    return due;
   }
 }
