--- a/router/src/main/java/tidebank/model/Action.java
+++ b/router/src/main/java/tidebank/model/Action.java
@@ -1,37 +1,43 @@
 package tidebank.model;
 
-/** What an instance wants done, in this order. */
+/**
+ * What a routing policy wants done, in order. Times are microseconds of the policy's clock,
+ * identifiers are those of the events that brought them.
+ */
 public sealed interface Action {
-  /** Send a part; the dispatch is dropped at {@code deadline}. */
+  /** Sends a shard request to a server; the transport drops the attempt at {@code deadline}. */
   record SendAttempt(String shardRequest, String server, long deadline) implements Action {}
 
-  /** Stop waiting for a dispatch. */
+  /** Cancels an attempt, by its place among the attempts of its request, from 0. */
   record CancelAttempt(String shardRequest, int attempt) implements Action {}
 
-  /** Answer a scan from the parts that are in. */
+  /**
+   * Answers a query from the responses of its shard requests. A query class with a second stage
+   * then gets the requests of that stage.
+   */
   record Respond(String query, boolean complete) implements Action {}
 
-  /** Turn a scan away: trying again is harmless. */
+  /** Rejects a query; the client may retry it without harm after {@code retryAfterUs}. */
   record Throttle(String query, long retryAfterUs) implements Action {}
 
-  /** Give a scan up: no promise about its effect. */
+  /** Fails a query; it may have been executed. */
   record Fail(String query) implements Action {}
 
-  /** Wake this instance after {@code delayUs} microseconds with {@code token}. */
+  /** Asks for a {@link Event.TimerFired} with {@code token} after {@code delayUs}. */
   record SetTimer(long delayUs, long token) implements Action {}
 
-  /** Ask a shard server for its load report. */
+  /** Asks a shard server for its load report. */
   record CheckHealth(String server) implements Action {}
 
   /**
-   * Use this instance's present connections to a shard server no more; each closes once nothing is
-   * out on it.
+   * Sends nothing more on the present connections to a shard server; each is closed once nothing is
+   * in flight on it.
    */
   record RetireConnections(String server) implements Action {}
 
-  /** Start or stop watching discovery. */
+  /** Starts or stops watching discovery for changes of the endpoint list. */
   record WatchEndpoints(boolean enabled) implements Action {}
 
-  /** A line for the log. */
+  /** Writes a line to the log. */
   record LogNote(String message) implements Action {}
 }
--- a/router/src/main/java/tidebank/model/Idempotency.java
+++ b/router/src/main/java/tidebank/model/Idempotency.java
@@ -1,8 +1,11 @@
 package tidebank.model;
 
-/** Whether a part of a table type may run more than once. */
+/** Whether the shard requests of a query class may be executed more than once. */
 public enum Idempotency {
+  /** May be executed any number of times. */
   IDEMPOTENT,
+  /** Servers drop repetitions with the same key, for as long as the query class states. */
   WITH_KEY,
+  /** Must not be executed again once it may have been executed. */
   NON_IDEMPOTENT
 }
--- a/router/src/main/java/tidebank/model/SeededRandom.java
+++ b/router/src/main/java/tidebank/model/SeededRandom.java
@@ -4,25 +4,26 @@
 
 import java.util.zip.CRC32;
 
-/** Chance that is the same whenever the same seed asks the same questions. */
+/** A source of pseudo-random numbers: the same seed gives the same numbers. */
 public final class SeededRandom {
   private final long seed;
   private long drawn;
 
+  /** Creates a source whose numbers follow from the seed. */
   public SeededRandom(long seed) {
     this.seed = seed;
   }
 
-  /** A number from 0 to under 1. */
+  /** Returns the next number, from 0 to under 1. */
   public double nextDouble() {
     return mixedHash(seed + ":" + ++drawn);
   }
 
   /**
-   * A number from 0 to under 1 that the text decides. A CRC is linear: the draws of one counter
-   * differ from those of the next by the same bits under every seed, so that two waits in a row sum
-   * to nearly the same time in a whole fleet. Multiplying and folding breaks that (the last step of
-   * MurmurHash3, in the public domain).
+   * Returns a hash of the text, from 0 to under 1. A CRC alone is linear: the hashes of one counter
+   * differ from those of the next by the same bits under every seed, so that two backoffs in a row
+   * sum to nearly the same time in a whole fleet. The finalizer of MurmurHash3 (public domain)
+   * breaks that.
    */
   public static double mixedHash(String text) {
     int bits = (int) crc(text);
@@ -31,7 +32,10 @@
     return plainHash(Integer.toUnsignedLong(bits ^ bits >>> 16));
   }
 
-  /** The same without the fold: homes hang on it, and even ones did worse (see the design page). */
+  /**
+   * Returns the CRC of the text, from 0 to under 1. Primary replicas depend on it; more even ones
+   * did worse in trials (see the design page).
+   */
   public static double plainHash(String text) {
     return plainHash(crc(text));
   }
--- a/router/src/main/java/tidebank/policy/Attempt.java
+++ b/router/src/main/java/tidebank/policy/Attempt.java
@@ -122,7 +122,7 @@
 
   /** Returns whether it is not proved never to have executed. */
   boolean mayHaveExecuted() {
-    return isInFlight() || !outcome.neverExecuted;
+    return isInFlight() || !outcome.neverExecuted();
   }
 
   boolean isScheduled() {
