--- a/router/src/test/java/tidebank/policy/PolicyHarness.java
+++ b/router/src/test/java/tidebank/policy/PolicyHarness.java
@@ -14,137 +14,160 @@
 import tidebank.model.QueryClass;
 import tidebank.model.Settings;
 
-/** One instance, a clock in milliseconds, timers that fire, and what the module asked for. */
+/**
+ * Drives one routing policy on a virtual clock in milliseconds, fires its timers and records its
+ * actions.
+ */
 public final class PolicyHarness {
   static final long MS = 1000;
 
-  final Map<String, QueryClass> types = new LinkedHashMap<>();
-  final List<Action> all = new ArrayList<>();
-  final Map<String, Integer> tries = new LinkedHashMap<>();
+  final Map<String, QueryClass> queryClasses = new LinkedHashMap<>();
+  final List<Action> actions = new ArrayList<>();
+  final Map<String, Integer> attempts = new LinkedHashMap<>();
   Settings.Layout layout = new Settings.Layout(4, 4, 2, 1, 0);
   Settings.Limits limits = new Settings.Limits(4, true, true, false, true, 500 * MS, 100, false);
   Settings.Rules rules =
       new Settings.Rules(20 * MS, 10_000 * MS, 1000 * MS, 0.2, 10_000 * MS, 2, 1000 * MS, 0, 0, 0);
   long nowMs = 1000;
-  int instances = 2;
-  int rank = -1;
+  int routers = 2;
+  int routerIndex = -1;
 
-  /** Whether it was told of a server that has just started. */
-  boolean toldOfStart;
+  /** Whether it was notified of a server that has just started. */
+  boolean notifiedOfStart;
 
   long seed = 7;
-  long tookMs = 100;
+  long durationMs = 100;
   private RoutingPolicy policy;
-  private long numbers;
+  private long lastNumber;
   private long timerAt = Long.MAX_VALUE;
   private long token;
-  private final List<Event> told = new ArrayList<>();
+  private final List<Event> events = new ArrayList<>();
 
   public PolicyHarness() {
-    type("whole", Idempotency.IDEMPOTENT, 1, 0.1, 0);
-    type("part", Idempotency.IDEMPOTENT, 0.5, 0.1, 0);
-    type("once", Idempotency.NON_IDEMPOTENT, 1, 0.3, 0);
-    type("keyed", Idempotency.WITH_KEY, 1, 0.3, 0);
-    type("strict", Idempotency.IDEMPOTENT, 1, 0, 0);
-    type("steps", Idempotency.IDEMPOTENT, 0.6, 0.3, 2);
-  }
-
-  /** Every type: target time 1 s, query timeout 3 s, repeats dropped for 2 s. */
-  void type(String name, Idempotency repeat, double floor, double late, int second) {
-    types.put(
+    queryClass("complete", Idempotency.IDEMPOTENT, 1, 0.1, 0);
+    queryClass("partial", Idempotency.IDEMPOTENT, 0.5, 0.1, 0);
+    queryClass("non-idempotent", Idempotency.NON_IDEMPOTENT, 1, 0.3, 0);
+    queryClass("keyed", Idempotency.WITH_KEY, 1, 0.3, 0);
+    queryClass("strict", Idempotency.IDEMPOTENT, 1, 0, 0);
+    queryClass("two-stage", Idempotency.IDEMPOTENT, 0.6, 0.3, 2);
+  }
+
+  /**
+   * Adds a query class with an objective of 1 s, a timeout of 3 s and an idempotency window of 2 s.
+   */
+  void queryClass(
+      String name,
+      Idempotency idempotency,
+      double minimumWeight,
+      double lateWeight,
+      int secondStage) {
+    queryClasses.put(
         name,
-        new QueryClass(name, repeat, 2000 * MS, 1000 * MS, 3000 * MS, late, floor, 1, second));
+        new QueryClass(
+            name,
+            idempotency,
+            2000 * MS,
+            1000 * MS,
+            3000 * MS,
+            lateWeight,
+            minimumWeight,
+            1,
+            secondStage));
   }
 
   public Settings settings() {
-    return new Settings(instances, rank, 5 * MS, types, Map.of(), 0.1, layout, limits, rules);
+    return new Settings(
+        routers, routerIndex, 5 * MS, queryClasses, Map.of(), 0.1, layout, limits, rules);
   }
 
-  /** Starts the instance with a list of sound servers s0, s1, ... one at each position. */
+  /** Starts the policy with a list of servers s0, s1, ... in service, one at each position. */
   PolicyHarness start() {
     policy = new RoutingPolicy(settings(), seed);
-    List<Endpoint> lines = new ArrayList<>();
+    List<Endpoint> endpoints = new ArrayList<>();
     for (int i = 0; i < layout.positions(); i++) {
-      lines.add(line("s" + i, i, EndpointStatus.IN_SERVICE, 0));
+      endpoints.add(endpoint("s" + i, i, EndpointStatus.IN_SERVICE, 0));
     }
-    list(ListUpdate.CACHED, lines.toArray(new Endpoint[0]));
+    updateList(ListUpdate.CACHED, endpoints.toArray(new Endpoint[0]));
     return this;
   }
 
-  static Endpoint line(String server, int position, EndpointStatus status, long startedMs) {
+  static Endpoint endpoint(String server, int position, EndpointStatus status, long startedMs) {
     return new Endpoint(server, position, status, startedMs * MS, 1);
   }
 
-  List<Action> list(ListUpdate kind, Endpoint... lines) {
-    toldOfStart |= List.of(lines).stream().anyMatch(line -> line.startedAt() > 0);
-    return tell(new Event.EndpointListReceived(kind, List.of(lines)));
+  List<Action> updateList(ListUpdate update, Endpoint... endpoints) {
+    notifiedOfStart |= List.of(endpoints).stream().anyMatch(endpoint -> endpoint.startedAt() > 0);
+    return round(new Event.EndpointListReceived(update, List.of(endpoints)));
   }
 
-  /** A scan with a part a shard, of these weights; its parts are called id + shard. */
-  List<Action> scan(String id, String type, double... weights) {
-    return scanWithin(3000, id, type, weights);
+  /**
+   * Sends a query with one request for each weight, to shard 0, 1, ...; their ids are id + shard.
+   */
+  List<Action> query(String id, String queryClass, double... weights) {
+    return queryWithin(3000, id, queryClass, weights);
   }
 
-  List<Action> scanWithin(long leftMs, String id, String type, double... weights) {
-    long number = ++numbers;
-    told.add(
+  List<Action> queryWithin(long leftMs, String id, String queryClass, double... weights) {
+    long number = ++lastNumber;
+    events.add(
         new Event.QueryReceived(
-            id, number, type, "anyone", nowMs * MS, (nowMs + leftMs) * MS, false, id));
+            id, number, queryClass, "anyone", nowMs * MS, (nowMs + leftMs) * MS, false, id));
     for (int shard = 0; shard < weights.length; shard++) {
-      told.add(new Event.ShardRequestReceived(id + shard, number, shard, weights[shard], ""));
+      events.add(new Event.ShardRequestReceived(id + shard, number, shard, weights[shard], ""));
     }
-    return tell();
+    return round();
   }
 
-  List<Action> secondStep(String id, long number, int... shards) {
+  List<Action> secondStage(String id, long number, int... shards) {
     for (int shard : shards) {
-      told.add(
+      events.add(
           new Event.ShardRequestReceived(id + "x" + shard, number, shard, 1.0 / shards.length, ""));
     }
-    return tell();
+    return round();
   }
 
-  /** Ends the latest dispatch of each of these parts. */
-  List<Action> end(Outcome outcome, String... parts) {
-    for (String part : parts) {
-      told.add(
+  /** Completes the latest attempt of each of these requests. */
+  List<Action> complete(Outcome outcome, String... requests) {
+    for (String request : requests) {
+      events.add(
           new Event.AttemptCompleted(
-              part, tries.get(part) - 1, outcome, tookMs * MS, false, Map.of()));
+              request, attempts.get(request) - 1, outcome, durationMs * MS, false, Map.of()));
     }
-    return tell();
+    return round();
   }
 
-  List<Action> end(String part, int dispatch, Outcome outcome) {
-    return tell(new Event.AttemptCompleted(part, dispatch, outcome, tookMs * MS, false, Map.of()));
+  List<Action> complete(String request, int attempt, Outcome outcome) {
+    return round(
+        new Event.AttemptCompleted(request, attempt, outcome, durationMs * MS, false, Map.of()));
   }
 
-  List<Action> tell(Event... events) {
-    told.addAll(List.of(events));
-    List<Action> now = policy.on(nowMs * MS, List.copyOf(told));
-    told.clear();
-    for (Action action : now) {
+  List<Action> round(Event... more) {
+    events.addAll(List.of(more));
+    List<Action> decided = policy.on(nowMs * MS, List.copyOf(events));
+    events.clear();
+    for (Action action : decided) {
       if (action instanceof Action.SendAttempt send) {
-        tries.merge(send.shardRequest(), 1, Integer::sum);
+        attempts.merge(send.shardRequest(), 1, Integer::sum);
       } else if (action instanceof Action.SetTimer timer) {
         timerAt = nowMs + (timer.delayUs() + MS - 1) / MS;
         token = timer.token();
       }
     }
-    all.addAll(now);
-    return now;
+    actions.addAll(decided);
+    return decided;
   }
 
-  /** Lets time pass; timers fire on their way. Returns what was asked for meanwhile. */
-  List<Action> pass(long ms) {
-    int from = all.size();
+  /** Advances the clock, firing timers on the way, and returns the actions meanwhile. */
+  List<Action> advance(long ms) {
+    int from = actions.size();
     long until = nowMs + ms;
     while (timerAt <= until) {
       nowMs = Math.max(nowMs, timerAt);
       timerAt = Long.MAX_VALUE;
-      tell(new Event.TimerFired(token));
+      round(new Event.TimerFired(token));
     }
     nowMs = until;
-    return List.copyOf(all.subList(from, all.size()));
+    return List.copyOf(actions.subList(from, actions.size()));
   }
 
   static List<String> sent(List<Action> actions) {
@@ -161,9 +184,9 @@
         .toList();
   }
 
-  /** All final answers and steps so far, in order. */
-  List<Action> verdicts() {
-    return all.stream()
+  /** Returns the answers so far, in order, to first stages too. */
+  List<Action> answers() {
+    return actions.stream()
         .filter(
             a ->
                 a instanceof Action.Respond
--- a/router/src/test/java/tidebank/policy/SlowStartTest.java
+++ b/router/src/test/java/tidebank/policy/SlowStartTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static tidebank.policy.PolicyHarness.MS;
-import static tidebank.policy.PolicyHarness.line;
+import static tidebank.policy.PolicyHarness.endpoint;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -16,88 +16,96 @@
 import tidebank.model.Outcome;
 
 /**
- * Rule 4 for a whole fleet: what all gatherers together send to a cold server, over every window of
- * the length that the settings name. Modules of different seeds against one cold and one warm
- * server, at a demand of their own each.
+ * Rule 4 for a fleet: all routers together stay within the budget of a server that has just
+ * started, over every overload window. Policies of different seeds run beside one such server and a
+ * warm one, each at its own rate of queries.
  */
 class SlowStartTest {
-  private static final int COLD_MS = 10_000;
+  private static final int SLOW_START_MS = 10_000;
   private static final int WINDOW_MS = 1000;
-  private static final double COLD_FROM = 0.2;
-  private static final double MULTIPLE = 2;
+  private static final double INITIAL_SHARE = 0.2;
+  private static final double OVERLOAD_MULTIPLE = 2;
 
-  /** What a part takes; a server of size 1 works on one at a time. */
+  /** The duration of a request; a server of capacity 1 executes one at a time. */
   private static final int WORK_MS = 100;
 
-  private record Due(long atMs, int gatherer, String part, int dispatch) {}
+  private record Due(long atMs, int router, String task, int attempt) {}
 
-  /** What the settings allow in a window that ends at this age. */
+  /** Returns how many requests the settings allow in a window that ends at this age. */
   private static double allowed(long ageMs) {
-    double share = COLD_FROM + (1 - COLD_FROM) * Math.min(ageMs, COLD_MS) / COLD_MS;
-    return MULTIPLE * share * WINDOW_MS / WORK_MS;
+    double share =
+        INITIAL_SHARE + (1 - INITIAL_SHARE) * Math.min(ageMs, SLOW_START_MS) / SLOW_START_MS;
+    return OVERLOAD_MULTIPLE * share * WINDOW_MS / WORK_MS;
   }
 
-  private PolicyHarness gatherer(int instances, int rank, long nowMs, long seed) {
-    PolicyHarness one = new PolicyHarness();
-    one.instances = instances;
-    one.rank = rank;
-    one.nowMs = nowMs;
-    one.seed = seed;
-    one.tookMs = WORK_MS;
-    one.layout = new tidebank.model.Settings.Layout(1, 2, 2, 1, 0);
-    one.limits =
+  private PolicyHarness router(int routers, int index, long nowMs, long seed) {
+    PolicyHarness policy = new PolicyHarness();
+    policy.routers = routers;
+    policy.routerIndex = index;
+    policy.nowMs = nowMs;
+    policy.seed = seed;
+    policy.durationMs = WORK_MS;
+    policy.layout = new tidebank.model.Settings.Layout(1, 2, 2, 1, 0);
+    policy.limits =
         new tidebank.model.Settings.Limits(2, false, true, false, true, 500 * MS, 10_000, false);
-    one.start();
-    return one;
+    policy.start();
+    return policy;
   }
 
-  /** The ages of the cold server, in ms, at which it was sent to. */
+  /** Returns the server's ages in milliseconds at which requests were sent to it. */
   private List<Long> play(
-      int instances, double perSecond, int toldLateMs, double restarts, long seed) {
+      int routers, double perSecond, int noticeDelayMs, double restarts, long seed) {
     Random random = new Random(seed);
-    long born = 50_000;
-    PolicyHarness[] fleet = new PolicyHarness[instances];
-    PriorityQueue<Due> scans = new PriorityQueue<>(java.util.Comparator.comparingLong(Due::atMs));
-    for (int rank = 0; rank < instances; rank++) {
-      fleet[rank] = gatherer(instances, rank, born, random.nextLong());
-      long told = toldLateMs == 0 ? 0 : random.nextInt(toldLateMs);
-      scans.add(new Due(born + told, rank, "told", 0));
+    long startedAtMs = 50_000;
+    PolicyHarness[] fleet = new PolicyHarness[routers];
+    PriorityQueue<Due> schedule =
+        new PriorityQueue<>(java.util.Comparator.comparingLong(Due::atMs));
+    for (int index = 0; index < routers; index++) {
+      fleet[index] = router(routers, index, startedAtMs, random.nextLong());
+      long noticeDelay = noticeDelayMs == 0 ? 0 : random.nextInt(noticeDelayMs);
+      schedule.add(new Due(startedAtMs + noticeDelay, index, "notice", 0));
       if (random.nextDouble() < restarts) {
-        scans.add(new Due(born + told + random.nextInt(COLD_MS), rank, "restart", 0));
+        schedule.add(
+            new Due(
+                startedAtMs + noticeDelay + random.nextInt(SLOW_START_MS), index, "restart", 0));
       }
-      scans.add(new Due(born + wait(random, perSecond), rank, "", 0));
+      schedule.add(new Due(startedAtMs + wait(random, perSecond), index, "", 0));
     }
     List<Long> sent = new ArrayList<>();
-    for (int id = 0; scans.peek().atMs() < born + COLD_MS; id++) {
-      Due due = scans.poll();
-      PolicyHarness one = fleet[due.gatherer()];
-      one.pass(due.atMs() - one.nowMs);
-      if (due.part().equals("told")) {
-        one.list(ListUpdate.DELTA, line("s0", 0, EndpointStatus.IN_SERVICE, born));
-      } else if (due.part().equals("restart")) {
-        one = gatherer(instances, due.gatherer(), due.atMs(), random.nextLong());
-        one.list(ListUpdate.DELTA, line("s0", 0, EndpointStatus.IN_SERVICE, born));
-        fleet[due.gatherer()] = one;
-      } else if (due.part().isEmpty()) {
-        for (Action action : one.scan("q" + id, "strict", 1)) {
+    for (int id = 0; schedule.peek().atMs() < startedAtMs + SLOW_START_MS; id++) {
+      Due due = schedule.poll();
+      PolicyHarness policy = fleet[due.router()];
+      policy.advance(due.atMs() - policy.nowMs);
+      if (due.task().equals("notice")) {
+        policy.updateList(
+            ListUpdate.DELTA, endpoint("s0", 0, EndpointStatus.IN_SERVICE, startedAtMs));
+      } else if (due.task().equals("restart")) {
+        policy = router(routers, due.router(), due.atMs(), random.nextLong());
+        policy.updateList(
+            ListUpdate.DELTA, endpoint("s0", 0, EndpointStatus.IN_SERVICE, startedAtMs));
+        fleet[due.router()] = policy;
+      } else if (due.task().isEmpty()) {
+        for (Action action : policy.query("q" + id, "strict", 1)) {
           if (action instanceof Action.SendAttempt send) {
-            scans.add(new Due(due.atMs() + WORK_MS, due.gatherer(), send.shardRequest(), 0));
-            if (send.server().equals("s0") && one.all.contains(action) && toldOf(one)) {
-              sent.add(due.atMs() - born);
+            schedule.add(new Due(due.atMs() + WORK_MS, due.router(), send.shardRequest(), 0));
+            if (send.server().equals("s0")
+                && policy.actions.contains(action)
+                && isNotified(policy)) {
+              sent.add(due.atMs() - startedAtMs);
             }
           }
         }
-        scans.add(new Due(due.atMs() + wait(random, perSecond), due.gatherer(), "", 0));
-      } else if (one.tries.containsKey(due.part())) {
-        one.end(due.part(), due.dispatch(), Outcome.COMPLETED);
+        schedule.add(new Due(due.atMs() + wait(random, perSecond), due.router(), "", 0));
+      } else if (policy.attempts.containsKey(due.task())) {
+        policy.complete(due.task(), due.attempt(), Outcome.COMPLETED);
       }
     }
     return sent;
   }
 
-  /** Rule 4 binds those who were told. */
-  private static boolean toldOf(PolicyHarness one) {
-    return one.toldOfStart;
+  /** The rule binds the routers that were notified of the start. */
+  private static boolean isNotified(PolicyHarness policy) {
+    return policy.notifiedOfStart;
   }
 
   private static long wait(Random random, double perSecond) {
@@ -105,7 +113,7 @@
   }
 
   @ParameterizedTest(
-      name = "{0} gatherers, {1} scans a second each, told up to {2} ms late, {3} restarted")
+      name = "{0} routers, {1} queries a second each, notified up to {2} ms late, {3} restarted")
   @CsvSource({
     "1, 60, 0, 0",
     "3, 40, 0, 0",
@@ -118,11 +126,11 @@
     "100, 4, 0, 0.7",
     "100, 4, 3000, 0"
   })
-  void aFleetSendsAColdServerNoMoreThanItsBudgetAndALittleChanceAndStillWarmsIt(
-      int instances, double perSecond, int toldLateMs, double restarts) {
+  void aFleetStaysWithinTheBudgetOfAServerInSlowStartAndStillWarmsIt(
+      int routers, double perSecond, int noticeDelayMs, double restarts) {
     double all = 0;
     for (long seed = 1; seed <= 12; seed++) {
-      List<Long> sent = play(instances, perSecond, toldLateMs, restarts, seed);
+      List<Long> sent = play(routers, perSecond, noticeDelayMs, restarts, seed);
       all += sent.size();
       for (int i = 0; i < sent.size(); i++) {
         int window = 1;
@@ -136,7 +144,7 @@
       }
     }
     // The budget of the whole ramp: the mean of its ends for as many windows as it lasts.
-    double budget = 12 * (allowed(0) + allowed(COLD_MS)) / 2 * COLD_MS / WINDOW_MS;
+    double budget = 12 * (allowed(0) + allowed(SLOW_START_MS)) / 2 * SLOW_START_MS / WINDOW_MS;
     assertThat(all / budget).as("share of the budget that is used").isGreaterThan(0.4);
   }
 }
--- a/router/src/test/java/tidebank/policy/WatchTimingsTest.java
+++ b/router/src/test/java/tidebank/policy/WatchTimingsTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static tidebank.policy.PolicyHarness.MS;
-import static tidebank.policy.PolicyHarness.line;
+import static tidebank.policy.PolicyHarness.endpoint;
 
 import java.util.Random;
 import org.junit.jupiter.api.Test;
@@ -12,19 +12,16 @@
 import tidebank.model.Settings;
 
 /**
- * The calls to discovery on virtual time, over histories from a seed: what may become of a call,
- * once and in a row.
+ * Calls to discovery on virtual time, over histories of faults that follow from a seed: each call
+ * may succeed, be rejected or fall silent.
  */
 class WatchTimingsTest {
-  private static final int TOLD_MS = 6000;
+  private static final int NOTIFICATION_BOUND_MS = 6000;
 
-  /** A call that is answered takes so long. */
-  private static final int ANSWER_MS = 20;
+  /** The duration of a call that succeeds. */
+  private static final int RESPONSE_MS = 20;
 
-  /**
-   * What discovery does with calls that come; MUTE also for those that wait at the moment, for
-   * ever.
-   */
+  /** What discovery does with calls; while it is MUTE, waiting ones get no response either. */
   private enum State {
     UP,
     REFUSES,
@@ -32,139 +29,139 @@
     MUTE
   }
 
-  /**
-   * The module, and the side that carries out its watch with the times that {@link WatchTimings}
-   * names.
-   */
-  private static final class Gatherer {
-    final PolicyHarness host = new PolicyHarness();
-    final WatchTimings times;
+  /** A policy, and a client that carries out its watch with the timings of the same settings. */
+  private static final class Router {
+    final PolicyHarness harness = new PolicyHarness();
+    final WatchTimings timings;
     State state = State.UP;
     int calls;
-    long heardMs = -1;
+    long appliedMs = -1;
     private boolean confirmed;
     private boolean mute;
-    private long begunMs = -1;
-    private long endsMs;
-
-    Gatherer(long seed) {
-      host.limits = new Settings.Limits(4, true, true, false, true, 0, 100, true);
-      host.seed = seed;
-      times = new WatchTimings(host.settings());
-      host.start();
-      host.all.stream()
+    private long callStartedMs = -1;
+    private long callEndsMs;
+
+    Router(long seed) {
+      harness.limits = new Settings.Limits(4, true, true, false, true, 0, 100, true);
+      harness.seed = seed;
+      timings = new WatchTimings(harness.settings());
+      harness.start();
+      harness.actions.stream()
           .filter(Action.WatchEndpoints.class::isInstance)
-          .forEach(follow -> call(false));
+          .forEach(watch -> call(false));
     }
 
     private void call(boolean again) {
       calls++;
       confirmed = again;
-      begunMs = host.nowMs;
+      callStartedMs = harness.nowMs;
       mute = state == State.MUTE;
-      endsMs =
-          host.nowMs
+      callEndsMs =
+          harness.nowMs
               + switch (state) {
                 case UP, MUTE ->
-                    times.watchTimeoutUs(confirmed) / MS
-                        + (mute ? times.responseTimeoutUs(confirmed) / MS : ANSWER_MS);
+                    timings.watchTimeoutUs(confirmed) / MS
+                        + (mute ? timings.responseTimeoutUs(confirmed) / MS : RESPONSE_MS);
                 case REFUSES, BUSY -> 1;
               };
     }
 
-    void becomes(State next) {
-      boolean ends = next == State.REFUSES && state != State.REFUSES && begunMs >= 0 && !mute;
-      boolean silenced = next == State.MUTE && begunMs >= 0 && !mute && state == State.UP;
+    void switchTo(State next) {
+      boolean ends = next == State.REFUSES && state != State.REFUSES && callStartedMs >= 0 && !mute;
+      boolean silenced = next == State.MUTE && callStartedMs >= 0 && !mute && state == State.UP;
       state = next;
       if (ends) {
-        endsMs = host.nowMs;
+        callEndsMs = harness.nowMs;
       }
       if (silenced) {
         mute = true;
-        endsMs =
-            begunMs
-                + times.watchTimeoutUs(confirmed) / MS
-                + times.responseTimeoutUs(confirmed) / MS;
+        callEndsMs =
+            callStartedMs
+                + timings.watchTimeoutUs(confirmed) / MS
+                + timings.responseTimeoutUs(confirmed) / MS;
       }
     }
 
-    /** One millisecond; {@code changedMs}: when discovery had the change. */
+    /** Lets a millisecond pass; discovery has the change from {@code changedMs} on. */
     void pass(long changedMs) {
-      host.pass(1).stream()
+      harness.advance(1).stream()
           .filter(Action.WatchEndpoints.class::isInstance)
-          .forEach(follow -> call(false));
-      boolean waits = begunMs >= 0 && !mute && state == State.UP;
+          .forEach(watch -> call(false));
+      boolean waits = callStartedMs >= 0 && !mute && state == State.UP;
       if (waits
-          && heardMs < 0
-          && changedMs <= host.nowMs - ANSWER_MS
-          && begunMs <= host.nowMs - ANSWER_MS) {
-        heardMs = host.nowMs;
-        answered(ListUpdate.DELTA);
-      } else if (begunMs >= 0 && host.nowMs >= endsMs) {
+          && appliedMs < 0
+          && changedMs <= harness.nowMs - RESPONSE_MS
+          && callStartedMs <= harness.nowMs - RESPONSE_MS) {
+        appliedMs = harness.nowMs;
+        respond(ListUpdate.DELTA);
+      } else if (callStartedMs >= 0 && harness.nowMs >= callEndsMs) {
         if (waits) {
-          answered(ListUpdate.DELTA);
+          respond(ListUpdate.DELTA);
         } else {
-          begunMs = -1;
-          host.list(ListUpdate.WATCH_LOST).stream()
+          callStartedMs = -1;
+          harness.updateList(ListUpdate.WATCH_LOST).stream()
               .filter(Action.WatchEndpoints.class::isInstance)
-              .forEach(follow -> call(false));
+              .forEach(watch -> call(false));
         }
       }
     }
 
-    private void answered(ListUpdate kind) {
-      host.list(
+    private void respond(ListUpdate kind) {
+      harness.updateList(
           kind,
-          line("s0", 0, heardMs < 0 ? EndpointStatus.IN_SERVICE : EndpointStatus.DRAINING, 0));
+          endpoint(
+              "s0", 0, appliedMs < 0 ? EndpointStatus.IN_SERVICE : EndpointStatus.DRAINING, 0));
       call(true);
     }
   }
 
   @Test
-  void aChangeIsActedOnWithinItsBoundOfTheMomentInWhichDiscoveryHasItAndCanBeReached() {
+  void aChangeIsAppliedWithinTheBoundOnceDiscoveryHasItAndCanBeReached() {
     long worst = 0;
     for (long seed = 0; seed < 1500; seed++) {
       Random random = new Random(seed);
-      Gatherer one = new Gatherer(seed);
-      long start = one.host.nowMs;
+      Router router = new Router(seed);
+      long start = router.harness.nowMs;
       long troubledMs = 200 + random.nextInt(25_000);
       // Near the moment from which all is well, else either it is told before or nothing of the
       // trouble is left.
       long changedMs = start + troubledMs - 2000 + random.nextInt(4000);
       long nextMs = start + random.nextInt(3000);
-      while (one.host.nowMs < start + troubledMs) {
-        if (one.host.nowMs >= nextMs) {
-          one.becomes(State.values()[random.nextInt(State.values().length)]);
-          nextMs = one.host.nowMs + 1 + random.nextInt(random.nextBoolean() ? 300 : 9000);
+      while (router.harness.nowMs < start + troubledMs) {
+        if (router.harness.nowMs >= nextMs) {
+          router.switchTo(State.values()[random.nextInt(State.values().length)]);
+          nextMs = router.harness.nowMs + 1 + random.nextInt(random.nextBoolean() ? 300 : 9000);
         }
-        one.pass(changedMs);
+        router.pass(changedMs);
       }
       // In half of the histories calls fall silent in the moment before all is well.
-      one.becomes(random.nextBoolean() ? State.MUTE : State.REFUSES);
-      one.becomes(State.UP);
-      long wellMs = Math.max(one.host.nowMs, changedMs);
-      while (one.heardMs < 0 && one.host.nowMs <= wellMs + 2 * TOLD_MS) {
-        one.pass(changedMs);
+      router.switchTo(random.nextBoolean() ? State.MUTE : State.REFUSES);
+      router.switchTo(State.UP);
+      long wellMs = Math.max(router.harness.nowMs, changedMs);
+      while (router.appliedMs < 0 && router.harness.nowMs <= wellMs + 2 * NOTIFICATION_BOUND_MS) {
+        router.pass(changedMs);
       }
-      worst = Math.max(worst, one.heardMs < 0 ? Long.MAX_VALUE : one.heardMs - wellMs);
-      assertThat(worst).as("seed %d: ms from then on", seed).isLessThanOrEqualTo(TOLD_MS - 500);
+      worst = Math.max(worst, router.appliedMs < 0 ? Long.MAX_VALUE : router.appliedMs - wellMs);
+      assertThat(worst)
+          .as("seed %d: ms from then on", seed)
+          .isLessThanOrEqualTo(NOTIFICATION_BOUND_MS - 500);
     }
     // Else the histories were too kind to show anything.
     assertThat(worst).isGreaterThan(3000);
   }
 
   @Test
-  void aDiscoveryThatIsDownIsCalledAsSeldomAsTheBoundAllowsAndNeverInStep() {
+  void discoveryThatIsDownIsCalledSeldomAndNeverInStep() {
     long[] at = new long[100];
     for (int i = 0; i < at.length; i++) {
-      Gatherer one = new Gatherer(i * 0x9E3779B97F4A7C15L);
-      one.becomes(State.REFUSES);
-      int before = one.calls;
+      Router router = new Router(i * 0x9E3779B97F4A7C15L);
+      router.switchTo(State.REFUSES);
+      int before = router.calls;
       for (int ms = 0; ms < 30_000; ms++) {
-        one.pass(Long.MAX_VALUE);
-        at[i] = one.begunMs >= 0 ? one.begunMs : at[i];
+        router.pass(Long.MAX_VALUE);
+        at[i] = router.callStartedMs >= 0 ? router.callStartedMs : at[i];
       }
-      assertThat(one.calls - before).isBetween(7, 30);
+      assertThat(router.calls - before).isBetween(7, 30);
     }
     java.util.Arrays.sort(at);
     // The last calls of a hundred in half a minute of failures: no tenth of a second holds a fifth
@@ -175,10 +172,10 @@
   }
 
   @Test
-  void settingsThatHoldAnInstanceToItsListForLessBindItsCalls() {
-    PolicyHarness host = new PolicyHarness();
-    host.rules = new Settings.Rules(0, 1_200_000, 0, 0, 0, 1, 0, 0, 0, 0);
-    WatchTimings calls = new WatchTimings(host.settings());
+  void aShorterPollIntervalBoundsTheTimings() {
+    PolicyHarness harness = new PolicyHarness();
+    harness.rules = new Settings.Rules(0, 1_200_000, 0, 0, 0, 1, 0, 0, 0, 0);
+    WatchTimings calls = new WatchTimings(harness.settings());
     long watch = calls.watchTimeoutUs(true) + calls.responseTimeoutUs(true);
     assertThat(watch + calls.backoffUs(watch, 0.99)).isLessThan(1_100_000);
     for (int i = 0; i < 100; i++) {
@@ -190,12 +187,12 @@
   }
 
   @Test
-  void aHundredInstancesAskADiscoveryThatAllShareForNoMoreThanTenIdleCallsASecond() {
+  void aHundredRoutersMakeNoMoreThanTenIdleCallsASecond() {
     for (int instances : new int[] {1, 25, 100}) {
-      PolicyHarness host = new PolicyHarness();
-      host.limits = new Settings.Limits(4, true, true, false, true, 0, 100, true);
-      host.instances = instances;
-      WatchTimings calls = new WatchTimings(host.settings());
+      PolicyHarness harness = new PolicyHarness();
+      harness.limits = new Settings.Limits(4, true, true, false, true, 0, 100, true);
+      harness.routers = instances;
+      WatchTimings calls = new WatchTimings(harness.settings());
       assertThat(calls.watchTimeoutUs(true) / (double) instances).isGreaterThanOrEqualTo(100_000);
       assertThat(calls.watchTimeoutUs(true)).isEqualTo(instances == 100 ? 10_000_000 : 2_500_000);
       // Longer than discovery itself lets a call wait, so that nothing is written to who has just
@@ -206,7 +203,7 @@
   }
 
   @Test
-  void answersWithNewsOrBehindTheirWaitAreRenewedAtOnce() {
+  void responsesWithAChangeOrAfterTheirWaitAreRenewedAtOnce() {
     WatchTimings calls = listOnRequest();
     long wait = calls.watchTimeoutUs(true);
     for (int i = 0; i < 10; i++) {
@@ -218,7 +215,7 @@
   }
 
   @Test
-  void earlyAnswersWithoutNewsAreSpacedOutButNoChangeWaitsBeyondTheBound() {
+  void earlyResponsesWithoutAChangeAreSpacedOutWithinTheBound() {
     WatchTimings calls = listOnRequest();
     long wait = calls.watchTimeoutUs(true);
     long before = 0;
@@ -236,19 +233,19 @@
   }
 
   @Test
-  void newsOfAnAgentThatCountsItAsToldWaitsForAShareOfTheDrainGraceOnly() {
-    PolicyHarness host = new PolicyHarness();
-    host.rules = new Settings.Rules(0, 5_000_000, 240_000, 0, 0, 1, 0, 0, 0, 0);
-    host.limits = new Settings.Limits(4, true, true, false, true, 0, 100, false);
-    WatchTimings calls = new WatchTimings(host.settings());
+  void pushedChangesWaitForAShareOfTheDrainGraceOnly() {
+    PolicyHarness harness = new PolicyHarness();
+    harness.rules = new Settings.Rules(0, 5_000_000, 240_000, 0, 0, 1, 0, 0, 0, 0);
+    harness.limits = new Settings.Limits(4, true, true, false, true, 0, 100, false);
+    WatchTimings calls = new WatchTimings(harness.settings());
     for (int i = 0; i < 100; i++) {
       assertThat(calls.renewalDelayUs(false, 0, 2_500_000, 0.999)).isBetween(15_000L, 30_000L);
     }
   }
 
   private static WatchTimings listOnRequest() {
-    PolicyHarness host = new PolicyHarness();
-    host.limits = new Settings.Limits(4, true, true, false, true, 0, 100, true);
-    return new WatchTimings(host.settings());
+    PolicyHarness harness = new PolicyHarness();
+    harness.limits = new Settings.Limits(4, true, true, false, true, 0, 100, true);
+    return new WatchTimings(harness.settings());
   }
 }
