--- a/router/src/main/java/tidebank/model/SeededRandom.java
+++ b/router/src/main/java/tidebank/model/SeededRandom.java
@@ -27,9 +27,9 @@
    */
   public static double mixedHash(String text) {
     int bits = (int) crc(text);
-    bits = (bits ^ bits >>> 16) * 0x85ebca6b;
-    bits = (bits ^ bits >>> 13) * 0xc2b2ae35;
-    return plainHash(Integer.toUnsignedLong(bits ^ bits >>> 16));
+    bits = (bits ^ (bits >>> 16)) * 0x85ebca6b;
+    bits = (bits ^ (bits >>> 13)) * 0xc2b2ae35;
+    return plainHash(Integer.toUnsignedLong(bits ^ (bits >>> 16)));
   }
 
   /**
--- a/router/src/main/java/tidebank/policy/AttemptScheduler.java
+++ b/router/src/main/java/tidebank/policy/AttemptScheduler.java
@@ -80,7 +80,7 @@
     long lastResponseAt = server.lastResponseAt();
     attempt.useIdleConnection(lastResponseAt > 0 && now - lastResponseAt >= idleUs);
     if (server.isSilent()
-        || idleConnections.isProbablyDropped(attempt) && !triesIdleConnection(attempt)) {
+        || (idleConnections.isProbablyDropped(attempt) && !triesIdleConnection(attempt))) {
       attempt.useNewConnection();
     }
     server.clearSilence();
--- a/router/src/main/java/tidebank/policy/DeadlineBudget.java
+++ b/router/src/main/java/tidebank/policy/DeadlineBudget.java
@@ -35,7 +35,7 @@
    */
   void recordEventLoopDelay(long delayUs, long now) {
     double decayed = eventLoopDelayUs * Math.exp((delayUpdatedAt - now) / DELAY_DECAY_US);
-    eventLoopDelayUs = Math.max(delayUs, decayed);
+    eventLoopDelayUs = Math.max((double) delayUs, decayed);
     delayUpdatedAt = now;
   }
 
--- a/router/src/main/java/tidebank/policy/EndpointTable.java
+++ b/router/src/main/java/tidebank/policy/EndpointTable.java
@@ -54,7 +54,7 @@
     leaving.removeIf(
         server ->
             server.isInService()
-                || server.inFlight().isEmpty() && servers.remove(server.id()) != null);
+                || (server.inFlight().isEmpty() && servers.remove(server.id()) != null));
   }
 
   private ShardServer create(String id) {
--- a/router/src/main/java/tidebank/policy/IdleConnectionDetector.java
+++ b/router/src/main/java/tidebank/policy/IdleConnectionDetector.java
@@ -26,7 +26,7 @@
    */
   void recordSilence(Attempt attempt, boolean responsesAreQueueing) {
     boolean unreachable = attempt.outcome() == Outcome.UNREACHABLE;
-    if (unreachable || !responsesAreQueueing && attempt.outcome() != Outcome.PROTOCOL_ERROR) {
+    if (unreachable || (!responsesAreQueueing && attempt.outcome() != Outcome.PROTOCOL_ERROR)) {
       if (attempt.onIdleConnection()) {
         idleSilence += (1 - idleSilence) * SMOOTHING;
       } else {
--- a/router/src/main/java/tidebank/policy/LatencyTracker.java
+++ b/router/src/main/java/tidebank/policy/LatencyTracker.java
@@ -83,7 +83,7 @@
 
   /** Returns how long the other requests of a query wait for its canary at the most. */
   long canaryWaitUs(QueryClass queryClass) {
-    return Math.round(Math.min(attemptTimeoutUs(queryClass), SLOW_MULTIPLE * typicalUs));
+    return Math.round(Math.min((double) attemptTimeoutUs(queryClass), SLOW_MULTIPLE * typicalUs));
   }
 
   /** Returns after how long one of a query's last attempts counts as a straggler. */
--- a/router/src/main/java/tidebank/policy/RetryPolicy.java
+++ b/router/src/main/java/tidebank/policy/RetryPolicy.java
@@ -58,7 +58,7 @@
     boolean harmless =
         !congestion.isOverloaded()
             || request.neverReachedServer()
-            || sparseTraffic && !request.mayHaveExecuted();
+            || (sparseTraffic && !request.mayHaveExecuted());
     return harmless && budget.allows(now);
   }
 
--- a/router/src/main/java/tidebank/policy/ShardServer.java
+++ b/router/src/main/java/tidebank/policy/ShardServer.java
@@ -165,7 +165,7 @@
   /** Returns whether a congestion sample is due, and takes note of it if so. */
   boolean takeCongestionSample(boolean congested, long now) {
     boolean due =
-        congested && now - congestedAt >= SAMPLE_INTERVAL_US
+        (congested && now - congestedAt >= SAMPLE_INTERVAL_US)
             || now - congestionSampledAt >= SAMPLE_INTERVAL_US;
     if (due) {
       congestionSampledAt = now;
--- a/router/src/main/java/tidebank/policy/WatchTimings.java
+++ b/router/src/main/java/tidebank/policy/WatchTimings.java
@@ -106,7 +106,7 @@
     }
     double grown = boundUs * MIN_BACKOFF_SHARE * (1L << Math.min(earlyResponses, MAX_DOUBLINGS));
     earlyResponses++;
-    return Math.round(Math.min(maxRenewalDelayUs, grown) * (1 + random) / 2);
+    return Math.round(Math.min((double) maxRenewalDelayUs, grown) * (1 + random) / 2);
   }
 
   /**
