--- a/router/src/test/java/tidebank/policy/PolicyReplayTest.java
+++ b/router/src/test/java/tidebank/policy/PolicyReplayTest.java
@@ -30,11 +30,11 @@
 import tidebank.simulation.SimulatorHost;
 
 /**
- * The decisions stay as they are to the byte: stored streams of events are answered with the stored
- * actions, and long streams in a closed loop with actions of the stored digest.
+ * Stored streams of events replay to the stored actions byte for byte, and long streams in a closed
+ * loop to actions with the stored digest.
  *
- * <p>The fixtures are written anew, after a change of the decisions that is meant, by {@code mvn -o
- * -q -pl gatherer test -Dtest=PolicyReplayTest#writeTheFixtures -Dtests.excluded=}.
+ * <p>After an intended change of the decisions the fixtures are written again by {@code mvn -o -q
+ * -pl router test -Dtest=PolicyReplayTest#writeTheFixtures -Dtests.excluded=}.
  */
 class PolicyReplayTest {
   private static final String FOLDER = "fixtures/policy/";
