--- a/router/src/main/java/tidebank/simulation/SimulatorHost.java
+++ b/router/src/main/java/tidebank/simulation/SimulatorHost.java
@@ -16,6 +16,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import tidebank.config.JsonFields;
 import tidebank.config.MalformedInputException;
 import tidebank.config.SettingsReader;
@@ -23,86 +24,120 @@
 import tidebank.model.Event;
 import tidebank.model.Event.Endpoint;
 import tidebank.policy.RoutingPolicy;
+import tidebank.simulation.SimulatorProtocol.EventKind;
 
-/** Hosts many instances on the simulator's wire: one line in, one line out, until input ends. */
+/**
+ * Hosts many routing policies for the simulator: reads one batch of events a line and writes one
+ * line of actions for each. Not thread-safe.
+ */
 public final class SimulatorHost {
-  private static final int PAGES = 16;
+  private static final int MAX_PAGES = 16;
 
   private final ObjectMapper mapper = new ObjectMapper();
   private final Map<Long, RoutingPolicy> instances = new HashMap<>();
-  private final List<List<Endpoint>> sheets = new ArrayList<>(Collections.nCopies(PAGES, null));
+  private final List<List<Endpoint>> pages = new ArrayList<>(Collections.nCopies(MAX_PAGES, null));
 
+  /**
+   * Answers batches until the input ends.
+   *
+   * @throws MalformedInputException if a line is not a batch of the protocol
+   * @throws IOException if reading or writing fails
+   */
   public void run(InputStream in, OutputStream out) throws IOException {
     BufferedReader lines = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8));
     JsonGenerator reply = mapper.getFactory().createGenerator(out);
     reply.setRootValueSeparator(null);
     for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-      answer(line, reply);
+      handleBatch(line, reply);
       reply.writeRaw('\n');
       reply.flush();
     }
   }
 
-  private void answer(String line, JsonGenerator reply) throws IOException {
-    JsonNode batch;
-    try {
-      batch = mapper.readTree(line);
-    } catch (JsonProcessingException fault) {
-      throw new MalformedInputException("a line is not JSON: " + fault.getOriginalMessage());
-    }
-    if (batch == null || !batch.isObject()) {
-      throw new MalformedInputException("a line is no batch object");
-    }
-    long now = JsonFields.micros(batch, "simTimeMs");
-    JsonNode messages = JsonFields.required(batch, "msgs");
+  private void handleBatch(String line, JsonGenerator reply) throws IOException {
+    JsonNode batch = parse(line);
+    long now = JsonFields.micros(batch, SimulatorProtocol.TIME_MS);
+    JsonNode messages = JsonFields.required(batch, SimulatorProtocol.MESSAGES);
     if (!messages.isArray()) {
-      throw new MalformedInputException("'msgs' is no array");
+      throw new MalformedInputException("'" + SimulatorProtocol.MESSAGES + "' is no array");
     }
-    Map<Long, List<Event>> told = new LinkedHashMap<>();
+    Map<Long, List<Event>> eventsByInstance = new LinkedHashMap<>();
     for (JsonNode message : messages) {
-      take(message, now, told);
+      handleMessage(message, now, eventsByInstance);
     }
     reply.writeStartObject();
-    reply.writeArrayFieldStart("output");
-    for (Map.Entry<Long, List<Event>> entry : told.entrySet()) {
+    reply.writeArrayFieldStart(SimulatorProtocol.OUTPUT);
+    for (Map.Entry<Long, List<Event>> entry : eventsByInstance.entrySet()) {
       decide(entry.getKey(), now, entry.getValue(), reply);
     }
     reply.writeEndArray();
     reply.writeEndObject();
   }
 
-  private void take(JsonNode message, long now, Map<Long, List<Event>> told) throws IOException {
-    String kind = JsonFields.text(message, "kind");
-    if (kind.equals("Sheet")) {
-      long page = JsonFields.integer(message, "page");
-      if (page < 0 || page >= PAGES) {
-        throw new MalformedInputException("list page " + page + " is outside 0 to " + (PAGES - 1));
-      }
-      sheets.set((int) page, EventCodec.sheet(message));
+  private JsonNode parse(String line) throws IOException {
+    JsonNode batch;
+    try {
+      batch = mapper.readTree(line);
+    } catch (JsonProcessingException fault) {
+      throw new MalformedInputException("a line is not JSON: " + fault.getOriginalMessage());
+    }
+    if (batch == null || !batch.isObject()) {
+      throw new MalformedInputException("a line is no batch object");
+    }
+    return batch;
+  }
+
+  private void handleMessage(JsonNode message, long now, Map<Long, List<Event>> eventsByInstance)
+      throws IOException {
+    String kind = JsonFields.text(message, SimulatorProtocol.KIND);
+    if (kind.equals(EventKind.ENDPOINT_PAGE)) {
+      storePage(message);
       return;
     }
-    long instance = JsonFields.integer(message, "who");
-    if (kind.equals("Attach")) {
-      JsonNode salt = JsonFields.required(message, "salt");
-      instances.put(
-          instance,
-          new RoutingPolicy(
-              SettingsReader.read(JsonFields.required(message, "config")), salt.longValue()));
-      told.put(instance, new ArrayList<>());
-    } else if (kind.equals("Retire")) {
-      instances.remove(instance);
-      told.remove(instance);
-    } else {
-      Event event = EventCodec.read(message, now, sheets);
-      if (!instances.containsKey(instance)) {
-        throw new MalformedInputException(
-            "'" + kind + "' for instance " + instance + ", which was never attached");
+    long instance = JsonFields.integer(message, SimulatorProtocol.INSTANCE);
+    switch (kind) {
+      case EventKind.ATTACH -> {
+        instances.put(instance, attach(message));
+        eventsByInstance.put(instance, new ArrayList<>());
       }
-      List<Event> events = told.computeIfAbsent(instance, absent -> new ArrayList<>());
-      if (event != null) {
-        events.add(event);
+      case EventKind.RETIRE -> {
+        instances.remove(instance);
+        eventsByInstance.remove(instance);
       }
+      default -> addEvent(message, kind, instance, now, eventsByInstance);
+    }
+  }
+
+  private void storePage(JsonNode message) throws IOException {
+    long page = JsonFields.integer(message, SimulatorProtocol.PAGE);
+    if (page < 0 || page >= MAX_PAGES) {
+      throw new MalformedInputException(
+          "list page " + page + " is outside 0 to " + (MAX_PAGES - 1));
+    }
+    pages.set((int) page, EventReader.readPage(message));
+  }
+
+  private static RoutingPolicy attach(JsonNode message) throws IOException {
+    JsonNode seed = JsonFields.required(message, SimulatorProtocol.SEED);
+    return new RoutingPolicy(
+        SettingsReader.read(JsonFields.required(message, SimulatorProtocol.SETTINGS)),
+        seed.longValue());
+  }
+
+  private void addEvent(
+      JsonNode message,
+      String kind,
+      long instance,
+      long now,
+      Map<Long, List<Event>> eventsByInstance)
+      throws IOException {
+    Optional<Event> event = EventReader.read(message, now, pages);
+    if (!instances.containsKey(instance)) {
+      throw new MalformedInputException(
+          "'" + kind + "' for instance " + instance + ", which was never attached");
     }
+    List<Event> events = eventsByInstance.computeIfAbsent(instance, absent -> new ArrayList<>());
+    event.ifPresent(events::add);
   }
 
   private void decide(long instance, long now, List<Event> events, JsonGenerator reply)
@@ -112,12 +147,12 @@
       actions = instances.get(instance).on(now, events);
     } catch (RuntimeException fault) {
       StackTraceElement[] trace = fault.getStackTrace();
-      ActionCodec.writeBailOut(
+      ActionWriter.writeInstanceFailed(
           reply, instance, fault + (trace.length > 0 ? " at " + trace[0] : ""));
       return;
     }
     for (Action action : actions) {
-      ActionCodec.write(reply, instance, action);
+      ActionWriter.write(reply, instance, action);
     }
   }
 }
