--- a/cli/src/test/java/tidebank/cli/StoredDataTest.java
+++ b/cli/src/test/java/tidebank/cli/StoredDataTest.java
@@ -111,14 +111,15 @@
   @Test
   void aDivergingReplayIsToldAsItWas(@TempDir Path folder) throws IOException {
     List<CaptureRecord> stored =
-        CaptureSegments.read(Path.of(CAPTURES + "whole/capture-00000000.tbc")).entries();
-    CaptureRecord.Started start = (CaptureRecord.Started) stored.get(0);
-    CaptureRecord.Iteration turn = (CaptureRecord.Iteration) stored.get(1);
+        CaptureSegments.read(Path.of(CAPTURES + "whole/capture-00000000.tbc")).records();
+    CaptureRecord.PolicyStarted start = (CaptureRecord.PolicyStarted) stored.get(0);
+    CaptureRecord.DecisionRound turn = (CaptureRecord.DecisionRound) stored.get(1);
     try (CaptureRecorder recorder =
         new CaptureRecorder(
-            new CaptureRecorder.Plan(folder, true, 16, 1 << 20, 1 << 30, false), () -> 0)) {
-      recorder.started(start.settings(), start.seed());
-      recorder.turn(turn.nowUs(), turn.events(), List.of(new Action.LogNote("another decision")));
+            new CaptureRecorder.Config(folder, true, 16, 1 << 20, 1 << 30, false), () -> 0)) {
+      recorder.policyStarted(start.settings(), start.seed());
+      recorder.roundDecided(
+          turn.nowUs(), turn.events(), List.of(new Action.LogNote("another decision")));
     }
 
     JsonNode result = json("capture", "replay", folder.toString(), "--json");
--- /dev/null
+++ b/router/src/main/java/tidebank/capture/CaptureDecoder.java
@@ -0,0 +1,207 @@
+package tidebank.capture;
+
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import tidebank.capture.CaptureFormat.ActionKind;
+import tidebank.capture.CaptureFormat.EventKind;
+import tidebank.capture.CaptureFormat.RecordKind;
+import tidebank.model.Action;
+import tidebank.model.Event;
+import tidebank.model.Event.Endpoint;
+import tidebank.model.Event.EndpointStatus;
+import tidebank.model.Event.ListUpdate;
+import tidebank.model.Outcome;
+
+/**
+ * Decodes the records of one block. Skips kinds that it does not know, and fields that a later
+ * version has added at the end of a frame. Pure: does no I/O.
+ */
+final class CaptureDecoder {
+  private static final int MAX_INITIAL_CAPACITY = 1024;
+
+  private final BlockReader in;
+  private long now;
+
+  CaptureDecoder(byte[] block) {
+    in = new BlockReader(block);
+  }
+
+  /** Decodes all records; throws {@link UnreadableCaptureException} if the block has others. */
+  List<CaptureRecord> records() {
+    List<CaptureRecord> records = new ArrayList<>();
+    while (in.hasRemaining()) {
+      int outerLimit = in.limit();
+      int kind = in.readByte();
+      int end = in.openFrame();
+      CaptureRecord entry = readRecord(kind);
+      if (entry != null) {
+        records.add(entry);
+      }
+      in.closeFrame(end, outerLimit);
+    }
+    return records;
+  }
+
+  private CaptureRecord readRecord(int kind) {
+    return switch (kind) {
+      case RecordKind.POLICY_STARTED -> readStarted();
+      case RecordKind.DECISION_ROUND -> readRound();
+      case RecordKind.ROUND_FAILED -> {
+        now += in.readSignedVarint();
+        yield new CaptureRecord.RoundFailed(now, readEvents(), in.readString());
+      }
+      case RecordKind.GAP -> new CaptureRecord.Gap(in.readVarint());
+      default -> null;
+    };
+  }
+
+  private CaptureRecord.PolicyStarted readStarted() {
+    try {
+      return new CaptureRecord.PolicyStarted(SettingsJson.read(in.readBytes()), in.readLong());
+    } catch (IOException fault) {
+      throw new UnreadableCaptureException("settings that can't be read: " + fault.getMessage());
+    }
+  }
+
+  private CaptureRecord.DecisionRound readRound() {
+    now += in.readSignedVarint();
+    List<Event> events = readEvents();
+    int digest = (int) in.readLong();
+    int count = in.readCount();
+    return new CaptureRecord.DecisionRound(
+        now, events, digest, count == 0 ? null : readActions(count - 1));
+  }
+
+  private List<Action> readActions(int count) {
+    List<Action> actions = new ArrayList<>();
+    for (int i = 0; i < count; i++) {
+      Action action = readAction();
+      if (action != null) {
+        actions.add(action);
+      }
+    }
+    return actions;
+  }
+
+  private List<Event> readEvents() {
+    int count = in.readCount();
+    List<Event> events = new ArrayList<>(Math.min(count, MAX_INITIAL_CAPACITY));
+    for (int i = 0; i < count; i++) {
+      Event event = readEvent();
+      if (event != null) {
+        events.add(event);
+      }
+    }
+    return events;
+  }
+
+  private Event readEvent() {
+    int outerLimit = in.limit();
+    int kind = in.readByte();
+    int end = in.openFrame();
+    Event event =
+        switch (kind) {
+          case EventKind.ENDPOINT_LIST_RECEIVED -> readEndpointList();
+          case EventKind.QUERY_RECEIVED -> readQuery(end);
+          case EventKind.SHARD_REQUEST_RECEIVED ->
+              new Event.ShardRequestReceived(
+                  in.readString(),
+                  in.readSignedVarint(),
+                  (int) in.readSignedVarint(),
+                  in.readDouble(),
+                  in.readString());
+          case EventKind.ATTEMPT_COMPLETED ->
+              new Event.AttemptCompleted(
+                  in.readString(),
+                  (int) in.readSignedVarint(),
+                  in.readEnum(Outcome.values()),
+                  in.readSignedVarint(),
+                  in.readBoolean(),
+                  readLoadReport());
+          case EventKind.CLIENT_DISCONNECTED -> new Event.ClientDisconnected(in.readString());
+          case EventKind.SHUTDOWN_REQUESTED ->
+              new Event.ShutdownRequested(now + in.readSignedVarint());
+          case EventKind.TIMER_FIRED -> new Event.TimerFired(in.readSignedVarint());
+          case EventKind.HEALTH_CHECK_COMPLETED ->
+              new Event.HealthCheckCompleted(
+                  in.readString(),
+                  in.readEnum(Outcome.values()),
+                  in.readSignedVarint(),
+                  readLoadReport());
+          default -> null;
+        };
+    in.closeFrame(end, outerLimit);
+    return event;
+  }
+
+  private Event.EndpointListReceived readEndpointList() {
+    ListUpdate update = in.readEnum(ListUpdate.values());
+    int count = in.readCount();
+    List<Endpoint> endpoints = new ArrayList<>(Math.min(count, MAX_INITIAL_CAPACITY));
+    for (int i = 0; i < count; i++) {
+      int outerLimit = in.limit();
+      in.readByte();
+      int end = in.openFrame();
+      endpoints.add(
+          new Endpoint(
+              in.readString(),
+              (int) in.readSignedVarint(),
+              in.readEnum(EndpointStatus.values()),
+              in.readSignedVarint(),
+              in.readDouble()));
+      in.closeFrame(end, outerLimit);
+    }
+    return new Event.EndpointListReceived(update, endpoints);
+  }
+
+  private Event.QueryReceived readQuery(int end) {
+    String id = in.readString();
+    long number = in.readSignedVarint();
+    String queryClass = in.readString();
+    String tenant = in.readString();
+    long deadline = now + in.readSignedVarint();
+    boolean clientRetry = in.readBoolean();
+    String key = in.readString();
+    // The earliest captures of 0.2.0 end here: the query counts as received in this round.
+    long receivedAt = in.position() == end ? now : now - in.readSignedVarint();
+    return new Event.QueryReceived(
+        id, number, queryClass, tenant, receivedAt, deadline, clientRetry, key);
+  }
+
+  private Map<String, Double> readLoadReport() {
+    int count = in.readCount();
+    Map<String, Double> report = new LinkedHashMap<>();
+    for (int i = 0; i < count; i++) {
+      report.put(in.readString(), in.readDouble());
+    }
+    return report;
+  }
+
+  private Action readAction() {
+    int outerLimit = in.limit();
+    int kind = in.readByte();
+    int end = in.openFrame();
+    Action action =
+        switch (kind) {
+          case ActionKind.SEND_ATTEMPT ->
+              new Action.SendAttempt(in.readString(), in.readString(), now + in.readSignedVarint());
+          case ActionKind.CANCEL_ATTEMPT ->
+              new Action.CancelAttempt(in.readString(), (int) in.readSignedVarint());
+          case ActionKind.RESPOND -> new Action.Respond(in.readString(), in.readBoolean());
+          case ActionKind.THROTTLE -> new Action.Throttle(in.readString(), in.readSignedVarint());
+          case ActionKind.FAIL -> new Action.Fail(in.readString());
+          case ActionKind.SET_TIMER ->
+              new Action.SetTimer(in.readSignedVarint(), in.readSignedVarint());
+          case ActionKind.CHECK_HEALTH -> new Action.CheckHealth(in.readString());
+          case ActionKind.RETIRE_CONNECTIONS -> new Action.RetireConnections(in.readString());
+          case ActionKind.WATCH_ENDPOINTS -> new Action.WatchEndpoints(in.readBoolean());
+          case ActionKind.LOG_NOTE -> new Action.LogNote(in.readString());
+          default -> null;
+        };
+    in.closeFrame(end, outerLimit);
+    return action;
+  }
+}
--- a/router/src/main/java/tidebank/capture/CaptureRecord.java
+++ b/router/src/main/java/tidebank/capture/CaptureRecord.java
@@ -5,34 +5,41 @@
 import tidebank.model.Event;
 import tidebank.model.Settings;
 
-/** One thing that a capture tells, in the order in which it happened. */
+/** One record of a capture. Records are stored in the order in which things happened. */
 public sealed interface CaptureRecord {
   /**
-   * A module was started: the first one, or one anew after a failed turn. All that it knew before
-   * is forgotten.
+   * The routing policy was started, for the first time or again after a failed round. All earlier
+   * state is gone.
+   *
+   * @param settings of the policy
+   * @param seed of its random numbers
    */
-  record Started(Settings settings, long seed) implements CaptureRecord {}
+  record PolicyStarted(Settings settings, long seed) implements CaptureRecord {}
 
   /**
-   * A turn.
+   * One decision round.
    *
-   * @param nowUs the clock that the module was given
-   * @param events what it was told, in order
-   * @param digest over what it wanted done
-   * @param actions what it wanted done, or null where only the digest was kept
+   * @param nowUs the time that the policy was given, in microseconds
+   * @param events input of the policy, in order
+   * @param digest over the actions, as {@link ActionDigest} computes it
+   * @param actions output of the policy, or null where only the digest was stored
    */
-  record Iteration(long nowUs, List<Event> events, int digest, List<Action> actions)
+  record DecisionRound(long nowUs, List<Event> events, int digest, List<Action> actions)
       implements CaptureRecord {}
 
   /**
-   * A turn failed: what the module had been told in it, and nothing of what it wanted was done in
-   * full.
+   * A decision round that failed: none of its actions was carried out completely.
+   *
+   * @param nowUs the time that the policy was given, in microseconds
+   * @param events input of the policy, in order
+   * @param cause the exception as text
    */
-  record Failed(long nowUs, List<Event> events, String cause) implements CaptureRecord {}
+  record RoundFailed(long nowUs, List<Event> events, String cause) implements CaptureRecord {}
 
   /**
-   * So many turns are missing here: there was no room for them. What follows can't be replayed from
-   * before.
+   * Rounds that were dropped here. What follows can't be replayed from what precedes.
+   *
+   * @param rounds how many
    */
-  record Gap(long turns) implements CaptureRecord {}
+  record Gap(long rounds) implements CaptureRecord {}
 }
--- a/router/src/main/java/tidebank/capture/CaptureRecorder.java
+++ b/router/src/main/java/tidebank/capture/CaptureRecorder.java
@@ -17,260 +17,287 @@
 import tidebank.model.Settings;
 
 /**
- * Records what a module is told. The loop only puts a turn into a ring of fixed size; a thread of
- * its own packs and writes. What finds no room, or no disk, is missing, and the capture says how
- * much and where. Nothing here ever waits for the loop, or the loop for it.
+ * Records decision rounds to disk. The event loop only puts a round into a queue of fixed size; a
+ * writer thread encodes and writes. Rounds that find no room, or no working disk, are dropped, and
+ * the capture says how many and where. The event loop never waits for the writer.
  */
 public final class CaptureRecorder implements DecisionLog, AutoCloseable {
   /**
    * How to record.
    *
-   * @param folder where; it is made
-   * @param wholeActions whether actions are kept whole, or only a digest of a turn's
-   * @param ringTurns turns that may wait for the writer
+   * @param directory where the segments go; created if missing
+   * @param keepActions whether actions are stored in full, or only the digest of each round's
+   * @param queueCapacity rounds that may wait for the writer
    * @param segmentBytes size of a segment
-   * @param budgetBytes of all segments together
-   * @param force whether each block is forced to the disk, or only each segment at its end
+   * @param maxTotalBytes of all segments together
+   * @param syncEveryBlock whether each block is forced to the disk, or only each segment at its end
    */
-  public record Plan(
-      Path folder,
-      boolean wholeActions,
-      int ringTurns,
+  public record Config(
+      Path directory,
+      boolean keepActions,
+      int queueCapacity,
       long segmentBytes,
-      long budgetBytes,
-      boolean force) {}
+      long maxTotalBytes,
+      boolean syncEveryBlock) {}
 
   private static final Logger LOG = LoggerFactory.getLogger(CaptureRecorder.class);
   private static final long POLL_MS = 50;
-  private static final long LAST_MS = 1500;
+  private static final long CLOSE_TIMEOUT_MS = 1500;
+  private static final long US_PER_S = 1_000_000;
 
-  private record Waiting(CaptureRecord entry, List<Action> actions, int weight) {}
+  /**
+   * A record on its way to the writer.
+   *
+   * @param actions of a decision round, digested by the writer; else null
+   * @param weight events and actions, by which the queue is bounded
+   */
+  private record Queued(CaptureRecord entry, List<Action> actions, int weight) {}
 
-  private final Plan plan;
+  private final Config config;
   private final LongSupplier clock;
-  private final SegmentRetention keeping;
-  private final BlockingQueue<Waiting> ring;
-  private final Thread thread;
-  private final AtomicLong lost = new AtomicLong();
-  private final AtomicLong waiting = new AtomicLong();
+  private final SegmentRetention retention;
+  private final BlockingQueue<Queued> queue;
+  private final Thread writer;
+  private final AtomicLong dropped = new AtomicLong();
+  private final AtomicLong queuedWeight = new AtomicLong();
 
   /**
-   * Turns that found no room since the last gap was put into the ring; the last ones are said at
-   * the end.
+   * Rounds that found no room since the last gap record was queued; the last ones are recorded on
+   * close.
    */
-  private final AtomicLong missed = new AtomicLong();
+  private final AtomicLong droppedSinceGap = new AtomicLong();
 
   private volatile boolean closing;
 
-  private CaptureCodec.Encoder block = new CaptureCodec.Encoder();
-  private long blockTurns;
-  private long blockFrom;
-  private CaptureSegments.Writer segment;
-  private long segmentFrom;
-  private long next;
-  private long unwritten;
+  // The writer thread's alone.
+  private CaptureEncoder block = new CaptureEncoder();
+  private long blockRecords;
+  private long blockStartedAt;
+  private CaptureSegments.SegmentWriter segment;
+  private long segmentStartedAt;
+  private long nextSegment;
+  private long unwrittenRecords;
 
-  /** Starts to record; the clock gives microseconds that never go back. */
-  public CaptureRecorder(Plan plan, LongSupplier clock) throws IOException {
-    this.plan = plan;
+  /**
+   * Starts the writer thread.
+   *
+   * @param clock microseconds that never go back
+   * @throws IOException if the directory can't be created or listed
+   */
+  public CaptureRecorder(Config config, LongSupplier clock) throws IOException {
+    this.config = config;
     this.clock = clock;
-    keeping =
-        new SegmentRetention(SegmentRetention.Bounds.of(plan.segmentBytes(), plan.budgetBytes()));
-    ring = new ArrayBlockingQueue<>(plan.ringTurns());
-    Files.createDirectories(plan.folder());
-    for (Path old : CaptureSegments.in(plan.folder())) {
-      next = Math.max(next, CaptureSegments.number(old) + 1);
+    retention =
+        new SegmentRetention(
+            SegmentRetention.Limits.of(config.segmentBytes(), config.maxTotalBytes()));
+    queue = new ArrayBlockingQueue<>(config.queueCapacity());
+    Files.createDirectories(config.directory());
+    for (Path old : CaptureSegments.list(config.directory())) {
+      nextSegment = Math.max(nextSegment, CaptureSegments.number(old) + 1);
     }
-    thread = new Thread(this::run, "capture");
-    thread.setDaemon(true);
-    thread.start();
+    writer = new Thread(this::run, "capture");
+    writer.setDaemon(true);
+    writer.start();
   }
 
   @Override
-  public void started(Settings settings, long seed) {
-    put(new Waiting(new CaptureRecord.Started(settings, seed), null, 1));
+  public void policyStarted(Settings settings, long seed) {
+    enqueue(new Queued(new CaptureRecord.PolicyStarted(settings, seed), null, 1));
   }
 
   @Override
-  public void turn(long nowUs, List<Event> events, List<Action> actions) {
-    put(
-        new Waiting(
-            new CaptureRecord.Iteration(nowUs, events, 0, null),
+  public void roundDecided(long nowUs, List<Event> events, List<Action> actions) {
+    enqueue(
+        new Queued(
+            new CaptureRecord.DecisionRound(nowUs, events, 0, null),
             actions,
             events.size() + actions.size()));
   }
 
   @Override
-  public void failed(long nowUs, List<Event> events, Throwable cause) {
-    put(
-        new Waiting(
-            new CaptureRecord.Failed(nowUs, events, String.valueOf(cause)), null, events.size()));
+  public void roundFailed(long nowUs, List<Event> events, Throwable cause) {
+    enqueue(
+        new Queued(
+            new CaptureRecord.RoundFailed(nowUs, events, String.valueOf(cause)),
+            null,
+            events.size()));
   }
 
-  private void put(Waiting one) {
-    boolean room = SegmentRetention.mayWait(waiting.get(), one.weight, plan.ringTurns());
+  private void enqueue(Queued item) {
+    boolean room =
+        SegmentRetention.hasRoomFor(queuedWeight.get(), item.weight, config.queueCapacity());
     if (room
-        && missed.get() > 0
-        && ring.offer(new Waiting(new CaptureRecord.Gap(missed.get()), null, 0))) {
-      missed.set(0);
+        && droppedSinceGap.get() > 0
+        && queue.offer(new Queued(new CaptureRecord.Gap(droppedSinceGap.get()), null, 0))) {
+      droppedSinceGap.set(0);
     }
-    if (!room || missed.get() > 0 || !ring.offer(one)) {
-      missed.incrementAndGet();
-      lost.incrementAndGet();
+    if (!room || droppedSinceGap.get() > 0 || !queue.offer(item)) {
+      droppedSinceGap.incrementAndGet();
+      dropped.incrementAndGet();
     } else {
-      waiting.addAndGet(one.weight);
+      queuedWeight.addAndGet(item.weight);
     }
   }
 
-  /** Turns that are in no capture, as the ring was full or the disk failed. */
-  public long lost() {
-    return lost.get();
+  /** Returns how many rounds are in no capture, as the queue was full or the disk failed. */
+  public long droppedRounds() {
+    return dropped.get();
   }
 
-  /** Events and actions that wait for the writer. */
-  public long waiting() {
-    return waiting.get();
+  /** Returns how many events and actions wait for the writer. */
+  public long queuedItems() {
+    return queuedWeight.get();
   }
 
   private void run() {
     try {
       while (true) {
-        Waiting one = ring.poll(POLL_MS, TimeUnit.MILLISECONDS);
-        if (one != null) {
-          waiting.addAndGet(-one.weight);
-          add(one);
+        Queued item = queue.poll(POLL_MS, TimeUnit.MILLISECONDS);
+        if (item != null) {
+          queuedWeight.addAndGet(-item.weight);
+          append(item);
         }
         long now = clock.getAsLong();
-        if (closing && ring.isEmpty() && missed.get() > 0) {
-          block.add(new CaptureRecord.Gap(missed.getAndSet(0)));
+        if (closing && queue.isEmpty() && droppedSinceGap.get() > 0) {
+          block.write(new CaptureRecord.Gap(droppedSinceGap.getAndSet(0)));
         }
-        if (keeping.blockIsDue(block.length(), blockFrom, now) || closing && ring.isEmpty()) {
+        if (retention.shouldFlushBlock(block.length(), blockStartedAt, now)
+            || closing && queue.isEmpty()) {
           flush(now);
         }
-        if (closing && ring.isEmpty()) {
-          end();
+        if (closing && queue.isEmpty()) {
+          endSegment();
           return;
         }
       }
     } catch (InterruptedException fault) {
       Thread.currentThread().interrupt();
     } catch (RuntimeException | Error fault) {
-      LOG.error("the capture ends: its writer failed", fault);
+      LOG.error("capture stopped: its writer failed", fault);
     }
   }
 
-  private void add(Waiting one) {
+  private void append(Queued item) {
     if (block.length() == 0) {
-      blockFrom = clock.getAsLong();
+      blockStartedAt = clock.getAsLong();
     }
-    CaptureRecord entry = one.entry;
-    if (entry instanceof CaptureRecord.Iteration turn) {
+    CaptureRecord entry = item.entry;
+    if (entry instanceof CaptureRecord.DecisionRound round) {
       entry =
-          new CaptureRecord.Iteration(
-              turn.nowUs(),
-              turn.events(),
-              CaptureCodec.digest(one.actions),
-              plan.wholeActions() ? one.actions : null);
+          new CaptureRecord.DecisionRound(
+              round.nowUs(),
+              round.events(),
+              ActionDigest.of(item.actions),
+              config.keepActions() ? item.actions : null);
     }
-    block.add(entry);
-    blockTurns++;
+    block.write(entry);
+    blockRecords++;
   }
 
   private void flush(long now) {
     if (block.length() == 0) {
       return;
     }
-    if (!keeping.mayWrite(now)) {
-      drop();
+    if (!retention.canWrite(now)) {
+      dropBlock();
       return;
     }
     try {
-      if (segment != null && keeping.segmentIsDue(segment.bytes(), segmentFrom, now)) {
-        end();
-      }
-      if (segment == null) {
-        open(now);
-      }
-      if (unwritten > 0) {
-        CaptureCodec.Encoder gap = new CaptureCodec.Encoder();
-        gap.add(new CaptureRecord.Gap(unwritten));
-        segment.block(gap.bytes());
-        unwritten = 0;
-      }
-      segment.block(block.bytes());
-      if (plan.force()) {
-        segment.force();
-      }
-      keeping.wrote();
-      block = new CaptureCodec.Encoder();
-      blockTurns = 0;
+      writeBlock(now);
+      retention.recordSuccess();
+      startBlock();
     } catch (IOException fault) {
-      // What may stand there in part is told by the reader; the next try begins a new segment.
+      // The reader reports a block that was written in part; the next attempt starts a new segment.
       LOG.warn(
-          "the capture can't be written, tried again in {} s: {}",
-          (keeping.failed(now) - now) / 1_000_000,
+          "capture write failed: retry_in_s={} error={}",
+          (retention.recordFailure(now) - now) / US_PER_S,
           fault.toString());
-      abandon();
-      drop();
+      abandonSegment();
+      dropBlock();
+    }
+  }
+
+  private void writeBlock(long now) throws IOException {
+    if (segment != null && retention.shouldRollSegment(segment.bytes(), segmentStartedAt, now)) {
+      endSegment();
+    }
+    if (segment == null) {
+      openSegment(now);
+    }
+    if (unwrittenRecords > 0) {
+      CaptureEncoder gap = new CaptureEncoder();
+      gap.write(new CaptureRecord.Gap(unwrittenRecords));
+      segment.writeBlock(gap.toByteArray());
+      unwrittenRecords = 0;
+    }
+    segment.writeBlock(block.toByteArray());
+    if (config.syncEveryBlock()) {
+      segment.force();
     }
   }
 
-  private void drop() {
-    unwritten += blockTurns;
-    lost.addAndGet(blockTurns);
-    block = new CaptureCodec.Encoder();
-    blockTurns = 0;
+  private void startBlock() {
+    block = new CaptureEncoder();
+    blockRecords = 0;
   }
 
-  private void open(long now) throws IOException {
-    List<SegmentRetention.Segment> old = new ArrayList<>();
-    for (Path file : CaptureSegments.in(plan.folder())) {
-      old.add(new SegmentRetention.Segment(CaptureSegments.number(file), Files.size(file)));
+  private void dropBlock() {
+    unwrittenRecords += blockRecords;
+    dropped.addAndGet(blockRecords);
+    startBlock();
+  }
+
+  private void openSegment(long now) throws IOException {
+    List<SegmentRetention.Segment> existing = new ArrayList<>();
+    for (Path file : CaptureSegments.list(config.directory())) {
+      existing.add(new SegmentRetention.Segment(CaptureSegments.number(file), Files.size(file)));
     }
-    for (SegmentRetention.Segment go : keeping.tooMany(old)) {
-      Files.deleteIfExists(CaptureSegments.path(plan.folder(), go.number()));
+    for (SegmentRetention.Segment expired : retention.segmentsToDelete(existing)) {
+      Files.deleteIfExists(CaptureSegments.path(config.directory(), expired.number()));
     }
-    segment = new CaptureSegments.Writer(plan.folder(), next++);
-    segmentFrom = now;
+    segment = new CaptureSegments.SegmentWriter(config.directory(), nextSegment++);
+    segmentStartedAt = now;
   }
 
-  private void end() {
+  private void endSegment() {
     if (segment != null) {
       try {
         segment.force();
         segment.close();
       } catch (IOException fault) {
-        LOG.warn("a segment of the capture could not be ended: {}", fault.toString());
+        LOG.warn("capture segment not closed cleanly: error={}", fault.toString());
       }
       segment = null;
     }
   }
 
-  private void abandon() {
+  private void abandonSegment() {
     try {
       if (segment != null) {
         segment.close();
       }
     } catch (IOException fault) {
-      LOG.debug("after a failed write the close failed too", fault);
+      LOG.debug("closing the capture segment failed after a failed write", fault);
     }
     segment = null;
   }
 
-  /** Writes what waits, within a bounded time. */
+  /** Writes what is queued, and waits for it no longer than a bounded time. */
   @Override
   public void close() {
-    close(LAST_MS);
+    close(CLOSE_TIMEOUT_MS);
   }
 
   /**
-   * The same within this many milliseconds; a disk slower than that leaves a torn tail, which the
-   * reader tells.
+   * Writes what is queued, and waits for it no longer than the timeout. A slower disk leaves a
+   * damaged tail, which readers report.
+   *
+   * @param timeoutMs in milliseconds
    */
-  public void close(long mostMs) {
+  public void close(long timeoutMs) {
     closing = true;
     try {
-      thread.join(Math.max(1, mostMs));
+      writer.join(Math.max(1, timeoutMs));
     } catch (InterruptedException fault) {
       Thread.currentThread().interrupt();
     }
--- a/router/src/main/java/tidebank/capture/CaptureSegments.java
+++ b/router/src/main/java/tidebank/capture/CaptureSegments.java
@@ -7,6 +7,7 @@
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
@@ -17,79 +18,88 @@
 import java.util.zip.Inflater;
 
 /**
- * The files of a capture. A segment is a head (magic, version, its number, a checksum) and blocks:
- * packed length, plain length, CRC32C over both and the packed bytes, the bytes. A block is whole
- * or it is none; what stands behind the first that is not is never read as data, and is told.
+ * The segment files of a capture. A segment is a header (magic, version, its number, a checksum)
+ * and blocks: compressed length, uncompressed length, CRC32C over both and the compressed bytes,
+ * then these bytes. A reader stops at the first block that is incomplete or damaged and reports it.
  */
 public final class CaptureSegments {
-  static final long MAGIC = 0x5442_4341_5054_0001L;
-  static final int VERSION = 1;
-  static final int HEAD = 8 + 4 + 8 + 4;
-  private static final int BLOCK_HEAD = 12;
-  private static final int BLOCK_MOST = 64 << 20;
-  private static final Pattern NAME = Pattern.compile("capture-(\\d{8})\\.tbc");
+  private static final long MAGIC = 0x5442_4341_5054_0001L;
+  private static final int VERSION = 1;
+  private static final int VERSION_OFFSET = Long.BYTES;
+  private static final int CHECKSUM_OFFSET = Long.BYTES + Integer.BYTES + Long.BYTES;
+  private static final int HEADER_BYTES = CHECKSUM_OFFSET + Integer.BYTES;
+  private static final int BLOCK_CHECKSUM_OFFSET = 2 * Integer.BYTES;
+  private static final int BLOCK_HEADER_BYTES = 3 * Integer.BYTES;
+  private static final int MAX_BLOCK_BYTES = 64 << 20;
+  private static final Pattern FILE_NAME = Pattern.compile("capture-(\\d{8})\\.tbc");
 
   private CaptureSegments() {}
 
-  static Path path(Path folder, long number) {
-    return folder.resolve(String.format("capture-%08d.tbc", number));
+  static Path path(Path directory, long number) {
+    return directory.resolve(String.format("capture-%08d.tbc", number));
   }
 
-  /** The segments of a folder, the oldest first. */
-  public static List<Path> in(Path folder) throws IOException {
-    try (Stream<Path> files = Files.list(folder)) {
+  /**
+   * Lists the segments of a directory, the oldest first.
+   *
+   * @throws IOException if the directory can't be read
+   */
+  public static List<Path> list(Path directory) throws IOException {
+    try (Stream<Path> files = Files.list(directory)) {
       return files
-          .filter(file -> NAME.matcher(file.getFileName().toString()).matches())
+          .filter(file -> FILE_NAME.matcher(file.getFileName().toString()).matches())
           .sorted()
           .toList();
     }
   }
 
+  /** Returns the number in a segment's name, or -1 if the file is named otherwise. */
   static long number(Path file) {
-    Matcher name = NAME.matcher(file.getFileName().toString());
+    Matcher name = FILE_NAME.matcher(file.getFileName().toString());
     return name.matches() ? Long.parseLong(name.group(1)) : -1;
   }
 
-  /** Writes one segment. */
-  static final class Writer implements AutoCloseable {
+  /** Writes one segment. Not thread-safe. */
+  static final class SegmentWriter implements AutoCloseable {
     private final FileChannel channel;
     private final Deflater deflater = new Deflater(Deflater.BEST_SPEED, true);
     private long bytes;
 
-    Writer(Path folder, long number) throws IOException {
+    SegmentWriter(Path directory, long number) throws IOException {
       channel =
           FileChannel.open(
-              path(folder, number), StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
+              path(directory, number), StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
       try {
-        ByteBuffer head = ByteBuffer.allocate(HEAD).putLong(MAGIC).putInt(VERSION).putLong(number);
-        head.putInt(crc(head.array(), 0, HEAD - 4)).flip();
-        write(head);
+        ByteBuffer header =
+            ByteBuffer.allocate(HEADER_BYTES).putLong(MAGIC).putInt(VERSION).putLong(number);
+        header.putInt(headerChecksum(header.array())).flip();
+        write(header);
       } catch (IOException fault) {
         channel.close();
         throw fault;
       }
     }
 
-    /** One block, in one write: what is torn is at the end. */
-    void block(byte[] plain) throws IOException {
+    /** Compresses a block and appends it in one write, so that only the last block can be torn. */
+    void writeBlock(byte[] content) throws IOException {
       deflater.reset();
-      deflater.setInput(plain);
+      deflater.setInput(content);
       deflater.finish();
-      byte[] packed = new byte[plain.length + plain.length / 100 + 64];
+      byte[] compressed = new byte[content.length + content.length / 100 + 64];
       int length = 0;
       while (!deflater.finished()) {
-        length += deflater.deflate(packed, length, packed.length - length);
-        if (length == packed.length) {
-          packed = java.util.Arrays.copyOf(packed, 2 * packed.length);
+        length += deflater.deflate(compressed, length, compressed.length - length);
+        if (length == compressed.length) {
+          compressed = Arrays.copyOf(compressed, 2 * compressed.length);
         }
       }
       ByteBuffer block =
-          ByteBuffer.allocate(BLOCK_HEAD + length)
+          ByteBuffer.allocate(BLOCK_HEADER_BYTES + length)
               .putInt(length)
-              .putInt(plain.length)
+              .putInt(content.length)
               .putInt(0)
-              .put(packed, 0, length);
-      block.putInt(8, blockCrc(length, plain.length, packed, length)).flip();
+              .put(compressed, 0, length);
+      block.putInt(BLOCK_CHECKSUM_OFFSET, blockChecksum(content.length, compressed, length)).flip();
       write(block);
     }
 
@@ -99,6 +109,7 @@
       }
     }
 
+    /** Returns the size of the file so far. */
     long bytes() {
       return bytes;
     }
@@ -114,96 +125,121 @@
     }
   }
 
-  private static int blockCrc(int packed, int plain, byte[] bytes, int length) {
-    CRC32C crc = new CRC32C();
-    crc.update(ByteBuffer.allocate(8).putInt(packed).putInt(plain).flip());
-    crc.update(bytes, 0, length);
-    return (int) crc.getValue();
-  }
-
-  private static int crc(byte[] bytes, int from, int length) {
-    CRC32C crc = new CRC32C();
-    crc.update(bytes, from, length);
-    return (int) crc.getValue();
-  }
-
   /**
    * What was read of a segment.
    *
-   * @param entries of all whole blocks
-   * @param blocks how many
-   * @param bytes how many of the file were understood
-   * @param torn what stood behind them, in words; "" if nothing
+   * @param number in the file's name, or -1
+   * @param records of all complete blocks, in order
+   * @param blocks number of complete blocks
+   * @param bytes of the file up to the end of the last complete block
+   * @param damage describes what could not be read; "" if everything was
+   */
+  public record SegmentContent(
+      long number, List<CaptureRecord> records, int blocks, long bytes, String damage) {}
+
+  /**
+   * Reads a segment up to the first block that is incomplete or damaged.
+   *
+   * @throws IOException if the file can't be read, or is of a newer version
    */
-  public record Read(
-      long number, List<CaptureRecord> entries, int blocks, long bytes, String torn) {}
-
-  /** Reads a segment as far as it is whole. */
-  public static Read read(Path file) throws IOException {
-    byte[] all = Files.readAllBytes(file);
-    ByteBuffer in = ByteBuffer.wrap(all);
-    if (all.length < HEAD
+  public static SegmentContent read(Path file) throws IOException {
+    byte[] bytes = Files.readAllBytes(file);
+    ByteBuffer in = ByteBuffer.wrap(bytes);
+    if (bytes.length < HEADER_BYTES
         || in.getLong(0) != MAGIC
-        || in.getInt(HEAD - 4) != crc(all, 0, HEAD - 4)) {
-      return new Read(number(file), List.of(), 0, 0, "no whole head of a capture");
+        || in.getInt(CHECKSUM_OFFSET) != headerChecksum(bytes)) {
+      return new SegmentContent(number(file), List.of(), 0, 0, "no whole head of a capture");
     }
-    if (in.getInt(8) > VERSION) {
+    if (in.getInt(VERSION_OFFSET) > VERSION) {
       throw new IOException(
-          file + ": version " + in.getInt(8) + " is newer than the known " + VERSION);
+          file + ": version " + in.getInt(VERSION_OFFSET) + " is newer than the known " + VERSION);
     }
-    in.position(HEAD);
-    List<CaptureRecord> entries = new ArrayList<>();
+    in.position(HEADER_BYTES);
+    List<CaptureRecord> records = new ArrayList<>();
     int blocks = 0;
-    String torn = "";
-    while (in.hasRemaining() && torn.isEmpty()) {
+    String damage = "";
+    while (in.hasRemaining() && damage.isEmpty()) {
       int start = in.position();
-      if (in.remaining() < BLOCK_HEAD) {
-        torn = "a block's head is cut";
-        break;
-      }
-      int packed = in.getInt();
-      int plain = in.getInt();
-      int crc = in.getInt();
-      if (packed < 0 || plain < 0 || plain > BLOCK_MOST || packed > in.remaining()) {
-        torn = "a block is cut, or its length is damaged";
-      } else {
-        byte[] bytes = new byte[packed];
-        in.get(bytes);
-        if (crc != blockCrc(packed, plain, bytes, packed)) {
-          torn = "a block is damaged";
-        } else {
-          try {
-            entries.addAll(new CaptureCodec.Decoder(unpacked(bytes, plain)).entries());
-            blocks++;
-            continue;
-          } catch (CaptureCodec.Unreadable | DataFormatException fault) {
-            torn = "a block can't be understood: " + fault.getMessage();
-          }
-        }
+      try {
+        records.addAll(readBlock(in));
+        blocks++;
+      } catch (DamagedBlockException fault) {
+        in.position(start);
+        damage =
+            fault.getMessage()
+                + "; "
+                + in.remaining()
+                + " bytes from byte "
+                + in.position()
+                + " on are not read";
       }
-      in.position(start);
     }
-    if (!torn.isEmpty()) {
-      torn += "; " + in.remaining() + " bytes from byte " + in.position() + " on are not read";
+    return new SegmentContent(number(file), records, blocks, in.position(), damage);
+  }
+
+  private static List<CaptureRecord> readBlock(ByteBuffer in) throws DamagedBlockException {
+    if (in.remaining() < BLOCK_HEADER_BYTES) {
+      throw new DamagedBlockException("a block's head is cut");
+    }
+    int compressedLength = in.getInt();
+    int length = in.getInt();
+    int checksum = in.getInt();
+    if (compressedLength < 0
+        || length < 0
+        || length > MAX_BLOCK_BYTES
+        || compressedLength > in.remaining()) {
+      throw new DamagedBlockException("a block is cut, or its length is damaged");
+    }
+    byte[] compressed = new byte[compressedLength];
+    in.get(compressed);
+    if (checksum != blockChecksum(length, compressed, compressedLength)) {
+      throw new DamagedBlockException("a block is damaged");
+    }
+    try {
+      return new CaptureDecoder(decompress(compressed, length)).records();
+    } catch (UnreadableCaptureException | DataFormatException fault) {
+      throw new DamagedBlockException("a block can't be understood: " + fault.getMessage());
     }
-    return new Read(number(file), entries, blocks, in.position(), torn);
   }
 
-  private static byte[] unpacked(byte[] bytes, int plain) throws DataFormatException {
+  private static byte[] decompress(byte[] compressed, int length) throws DataFormatException {
     Inflater inflater = new Inflater(true);
     try {
-      inflater.setInput(bytes);
-      byte[] to = new byte[plain];
-      int length = 0;
-      while (length < plain && !inflater.finished() && !inflater.needsInput()) {
-        length += inflater.inflate(to, length, plain - length);
+      inflater.setInput(compressed);
+      byte[] content = new byte[length];
+      int filled = 0;
+      while (filled < length && !inflater.finished() && !inflater.needsInput()) {
+        filled += inflater.inflate(content, filled, length - filled);
       }
-      if (length != plain) {
+      if (filled != length) {
         throw new DataFormatException("a block of another length");
       }
-      return to;
+      return content;
     } finally {
       inflater.end();
     }
   }
+
+  private static int headerChecksum(byte[] header) {
+    CRC32C crc = new CRC32C();
+    crc.update(header, 0, CHECKSUM_OFFSET);
+    return (int) crc.getValue();
+  }
+
+  private static int blockChecksum(int length, byte[] compressed, int compressedLength) {
+    CRC32C crc = new CRC32C();
+    crc.update(
+        ByteBuffer.allocate(2 * Integer.BYTES).putInt(compressedLength).putInt(length).flip());
+    crc.update(compressed, 0, compressedLength);
+    return (int) crc.getValue();
+  }
+
+  /** Thrown when a block is cut short, damaged or not understood; the message says which. */
+  private static final class DamagedBlockException extends Exception {
+    private static final long serialVersionUID = 1L;
+
+    DamagedBlockException(String reason) {
+      super(reason, null, false, false);
+    }
+  }
 }
--- a/router/src/main/java/tidebank/capture/DecisionLog.java
+++ b/router/src/main/java/tidebank/capture/DecisionLog.java
@@ -6,27 +6,42 @@
 import tidebank.model.Settings;
 
 /**
- * Is told of every turn, on the loop; it must neither wait nor fail, and keeps the lists it is
- * given as they are.
+ * Receives every decision round, on the event loop. Implementations must neither block nor throw,
+ * and must not change the lists they are given.
  */
 public interface DecisionLog {
+  /** A log that discards everything. */
   DecisionLog NONE =
       new DecisionLog() {
         @Override
-        public void started(Settings settings, long seed) {}
+        public void policyStarted(Settings settings, long seed) {}
 
         @Override
-        public void turn(long nowUs, List<Event> events, List<Action> actions) {}
+        public void roundDecided(long nowUs, List<Event> events, List<Action> actions) {}
 
         @Override
-        public void failed(long nowUs, List<Event> events, Throwable cause) {}
+        public void roundFailed(long nowUs, List<Event> events, Throwable cause) {}
       };
 
-  /** The module was started, or started anew. */
-  void started(Settings settings, long seed);
+  /** Called when the routing policy was started, for the first time or again. */
+  void policyStarted(Settings settings, long seed);
 
-  void turn(long nowUs, List<Event> events, List<Action> actions);
+  /**
+   * Called after a decision round.
+   *
+   * @param nowUs the time that the policy was given, in microseconds
+   * @param events input of the policy
+   * @param actions output of the policy
+   */
+  void roundDecided(long nowUs, List<Event> events, List<Action> actions);
 
-  /** The module, or the carrying out of what it wanted, failed; it is started anew after this. */
-  void failed(long nowUs, List<Event> events, Throwable cause);
+  /**
+   * Called when the policy, or carrying out its actions, failed. The policy is started again after
+   * this.
+   *
+   * @param nowUs the time that the policy was given, in microseconds
+   * @param events input of the policy
+   * @param cause the failure
+   */
+  void roundFailed(long nowUs, List<Event> events, Throwable cause);
 }
--- a/router/src/main/java/tidebank/capture/SegmentRetention.java
+++ b/router/src/main/java/tidebank/capture/SegmentRetention.java
@@ -4,99 +4,111 @@
 import java.util.List;
 
 /**
- * Decides how a capture is kept: when a block is written, when a segment ends, which old ones go,
- * and when to try again after the disk failed. Pure: sizes and times come in, whole microseconds
- * and bytes.
+ * Decides how a capture is kept: when a block is written, when a segment ends, which old segments
+ * are deleted, and when to retry after the disk failed. Pure: sizes in bytes and times in
+ * microseconds are passed in.
  */
 final class SegmentRetention {
-  /** A kept segment. */
+  private static final int DEFAULT_BLOCK_BYTES = 128 << 10;
+  private static final long DEFAULT_BLOCK_AGE_US = 500_000;
+  private static final long DEFAULT_SEGMENT_AGE_US = 600_000_000;
+  private static final long INITIAL_BACKOFF_US = 1_000_000;
+  private static final long MAX_BACKOFF_US = 60_000_000;
+
+  /**
+   * Events and actions that may wait for each round that may: a stalled disk must not fill the heap
+   * with large rounds.
+   */
+  private static final int ITEMS_PER_ROUND = 32;
+
+  /**
+   * A segment on disk.
+   *
+   * @param number its place in the capture
+   * @param bytes its size
+   */
   record Segment(long number, long bytes) {}
 
   /**
-   * The bounds.
+   * Sizes and ages of blocks and segments.
    *
-   * @param blockBytes a block is written when its entries take so many bytes
-   * @param blockUs or when its first entry is so old
+   * @param blockBytes a block is written when its records take so many bytes
+   * @param blockAgeUs or when its first record is so old
    * @param segmentBytes a segment ends past this size
-   * @param segmentUs or past this age
-   * @param budgetBytes all segments together stay below this, the open one counted with its full
+   * @param segmentAgeUs or past this age
+   * @param maxTotalBytes all segments together stay below this, the open one counted with its full
    *     size
    */
-  record Bounds(int blockBytes, long blockUs, long segmentBytes, long segmentUs, long budgetBytes) {
-    /**
-     * A block of 128 KB or half a second, a segment of ten minutes: what a kill may cost, and what
-     * one file holds.
-     */
-    static Bounds of(long segmentBytes, long budgetBytes) {
-      return new Bounds(128 << 10, 500_000, segmentBytes, 600_000_000, budgetBytes);
+  record Limits(
+      int blockBytes, long blockAgeUs, long segmentBytes, long segmentAgeUs, long maxTotalBytes) {
+    /** Limits with the default block size and ages, which bound what a crash may lose. */
+    static Limits of(long segmentBytes, long maxTotalBytes) {
+      return new Limits(
+          DEFAULT_BLOCK_BYTES,
+          DEFAULT_BLOCK_AGE_US,
+          segmentBytes,
+          DEFAULT_SEGMENT_AGE_US,
+          maxTotalBytes);
     }
   }
 
-  /** First wait after a failure; doubled each time up to the most. */
-  private static final long RETRY_FIRST_US = 1_000_000;
-
-  private static final long RETRY_MOST_US = 60_000_000;
-
-  /**
-   * Events and actions that may wait for each turn that may: a stalled disk must not fill the heap
-   * with large turns.
-   */
-  private static final int A_TURN = 32;
-
-  private final Bounds bounds;
+  private final Limits limits;
   private long retryAt = Long.MIN_VALUE;
-  private long wait = RETRY_FIRST_US;
+  private long backoffUs = INITIAL_BACKOFF_US;
 
-  SegmentRetention(Bounds bounds) {
-    this.bounds = bounds;
+  SegmentRetention(Limits limits) {
+    this.limits = limits;
   }
 
   /**
-   * Whether a turn of so many events and actions may wait beside so many, in a ring of so many
-   * turns.
+   * Returns whether a round may be queued.
+   *
+   * @param queuedItems events and actions in the queue
+   * @param newItems events and actions of the round
+   * @param queueCapacity rounds that fit in the queue
    */
-  static boolean mayWait(long waiting, int more, int ringTurns) {
-    return waiting == 0 || waiting + more <= (long) A_TURN * ringTurns;
+  static boolean hasRoomFor(long queuedItems, int newItems, int queueCapacity) {
+    return queuedItems == 0 || queuedItems + newItems <= (long) ITEMS_PER_ROUND * queueCapacity;
   }
 
-  boolean blockIsDue(int bytes, long firstAt, long now) {
-    return bytes >= bounds.blockBytes() || bytes > 0 && now - firstAt >= bounds.blockUs();
+  boolean shouldFlushBlock(int bytes, long startedAt, long now) {
+    return bytes >= limits.blockBytes() || bytes > 0 && now - startedAt >= limits.blockAgeUs();
   }
 
-  boolean segmentIsDue(long bytes, long openedAt, long now) {
-    return bytes >= bounds.segmentBytes() || now - openedAt >= bounds.segmentUs();
+  boolean shouldRollSegment(long bytes, long openedAt, long now) {
+    return bytes >= limits.segmentBytes() || now - openedAt >= limits.segmentAgeUs();
   }
 
-  /** The oldest segments that must go so that a new one of full size fits the budget. */
-  List<Segment> tooMany(List<Segment> oldestFirst) {
-    long sum = bounds.segmentBytes();
+  /** Returns the oldest segments that must go so that a new one of full size fits. */
+  List<Segment> segmentsToDelete(List<Segment> oldestFirst) {
+    long totalBytes = limits.segmentBytes();
     for (Segment segment : oldestFirst) {
-      sum += segment.bytes();
+      totalBytes += segment.bytes();
     }
-    List<Segment> go = new ArrayList<>();
+    List<Segment> expired = new ArrayList<>();
     for (Segment segment : oldestFirst) {
-      if (sum <= bounds.budgetBytes()) {
+      if (totalBytes <= limits.maxTotalBytes()) {
         break;
       }
-      go.add(segment);
-      sum -= segment.bytes();
+      expired.add(segment);
+      totalBytes -= segment.bytes();
     }
-    return go;
+    return expired;
   }
 
-  boolean mayWrite(long now) {
+  boolean canWrite(long now) {
     return now >= retryAt;
   }
 
-  /** The disk failed; until the moment returned nothing is tried. */
-  long failed(long now) {
-    retryAt = now + wait;
-    wait = Math.min(RETRY_MOST_US, 2 * wait);
+  /** Doubles the backoff; returns the time before which nothing is to be written. */
+  long recordFailure(long now) {
+    retryAt = now + backoffUs;
+    backoffUs = Math.min(MAX_BACKOFF_US, 2 * backoffUs);
     return retryAt;
   }
 
-  void wrote() {
-    wait = RETRY_FIRST_US;
+  void recordSuccess() {
+    backoffUs = INITIAL_BACKOFF_US;
     retryAt = Long.MIN_VALUE;
   }
 }
--- a/router/src/main/java/tidebank/capture/SettingsJson.java
+++ b/router/src/main/java/tidebank/capture/SettingsJson.java
@@ -2,7 +2,11 @@
 
 import com.fasterxml.jackson.annotation.JsonProperty;
 import com.fasterxml.jackson.annotation.JsonPropertyOrder;
+import com.fasterxml.jackson.core.JsonProcessingException;
+import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.ObjectMapper;
+import com.fasterxml.jackson.databind.json.JsonMapper;
+import java.io.IOException;
 import java.util.Map;
 import tidebank.model.Idempotency;
 import tidebank.model.QueryClass;
@@ -13,10 +17,22 @@
  * components and stay as they are, so that captures of other versions can be read.
  */
 final class SettingsJson {
+  private static final ObjectMapper MAPPER =
+      configure(
+          JsonMapper.builder().disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES).build());
+
   private SettingsJson() {}
 
-  /** Registers the field names with a mapper and returns it. */
-  static ObjectMapper configure(ObjectMapper mapper) {
+  static byte[] write(Settings settings) throws JsonProcessingException {
+    return MAPPER.writeValueAsBytes(settings);
+  }
+
+  /** Reads settings; fields of a later version are ignored. */
+  static Settings read(byte[] json) throws IOException {
+    return MAPPER.readValue(json, Settings.class);
+  }
+
+  private static ObjectMapper configure(ObjectMapper mapper) {
     return mapper
         .addMixIn(Settings.class, SettingsFields.class)
         .addMixIn(Settings.Layout.class, LayoutFields.class)
--- a/router/src/main/java/tidebank/config/OperatorConfig.java
+++ b/router/src/main/java/tidebank/config/OperatorConfig.java
@@ -19,7 +19,10 @@
  * @param fleet how the gatherer takes part in its fleet's duties, or null
  */
 public record OperatorConfig(
-    Log.Style logging, long countersEveryUs, CaptureRecorder.Plan capture, FleetAgent.Plan fleet) {
+    Log.Style logging,
+    long countersEveryUs,
+    CaptureRecorder.Config capture,
+    FleetAgent.Plan fleet) {
   public static final OperatorConfig DEFAULT =
       new OperatorConfig(Log.Style.DEFAULT, 60_000_000, null, null);
   private static final long MB = 1 << 20;
@@ -29,17 +32,17 @@
     WHOLE
   }
 
-  private static CaptureRecorder.Plan capture(Toml.Table capture) {
+  private static CaptureRecorder.Config capture(Toml.Table capture) {
     String folder = capture.text("folder", "");
-    CaptureRecorder.Plan plan =
-        new CaptureRecorder.Plan(
+    CaptureRecorder.Config plan =
+        new CaptureRecorder.Config(
             Path.of(folder),
             capture.choice("actions", Kept.DIGEST, Kept.class) == Kept.WHOLE,
             (int) capture.whole("ring_turns", 4096, 16, 1 << 20),
             capture.whole("segment_mb", 8, 1, 1024) * MB,
             capture.whole("budget_mb", 200, 2, 1 << 20) * MB,
             capture.flag("force", false));
-    if (plan.budgetBytes() < 2 * plan.segmentBytes()) {
+    if (plan.maxTotalBytes() < 2 * plan.segmentBytes()) {
       capture.fault("budget_mb", "is less than two segments of segment_mb");
     }
     return folder.isEmpty() ? null : plan;
@@ -87,7 +90,7 @@
   static OperatorConfig read(Toml file) throws MalformedInputException {
     Log.Style style = style(file.root().table("log"));
     long every = file.root().table("report").whole("counters_every_s", 60, 1, 86_400);
-    CaptureRecorder.Plan capture = capture(file.root().table("capture"));
+    CaptureRecorder.Config capture = capture(file.root().table("capture"));
     FleetAgent.Plan fleet = fleet(file.root().table("fleet"));
     file.check();
     return new OperatorConfig(style, every * 1_000_000, capture, fleet);
--- a/router/src/main/java/tidebank/runtime/PolicyExecutor.java
+++ b/router/src/main/java/tidebank/runtime/PolicyExecutor.java
@@ -77,7 +77,7 @@
   /** Has every turn told from now on, which is before the first. */
   public void log(DecisionLog wanted) {
     log = wanted;
-    log.started(settings, seed);
+    log.policyStarted(settings, seed);
   }
 
   public void connect(BackendPort shards, DiscoveryPort discovery) {
@@ -276,7 +276,7 @@
     long now = clock.now();
     try {
       List<Action> actions = policy.on(now, taken);
-      log.turn(now, taken, actions);
+      log.roundDecided(now, taken, actions);
       for (Action action : actions) {
         carryOut(action);
       }
@@ -284,7 +284,7 @@
     } catch (RuntimeException | VirtualMachineError fault) {
       LOG.error("module or turn failed; all that is held is abandoned", fault);
       counters.add("turns.failed");
-      log.failed(now, taken, fault);
+      log.roundFailed(now, taken, fault);
       startOver();
     }
   }
@@ -304,7 +304,7 @@
         event ->
             !(event instanceof Event.QueryReceived || event instanceof Event.ShardRequestReceived));
     policy = new RoutingPolicy(settings, ++seed);
-    log.started(settings, seed);
+    log.policyStarted(settings, seed);
     events.add(
         0,
         new Event.EndpointListReceived(
--- a/router/src/test/java/tidebank/CaptureTest.java
+++ b/router/src/test/java/tidebank/CaptureTest.java
@@ -60,24 +60,24 @@
         new Action.LogNote("noted"));
   }
 
-  private CaptureRecorder.Plan plan(int ring, long segment, long budget) {
-    return new CaptureRecorder.Plan(folder.resolve("c"), true, ring, segment, budget, false);
+  private CaptureRecorder.Config plan(int ring, long segment, long budget) {
+    return new CaptureRecorder.Config(folder.resolve("c"), true, ring, segment, budget, false);
   }
 
-  private void record(CaptureRecorder.Plan plan, int turns) throws IOException {
+  private void record(CaptureRecorder.Config plan, int turns) throws IOException {
     try (CaptureRecorder recorder = new CaptureRecorder(plan, clock::get)) {
-      recorder.started(new PolicyHarness().settings(), 7);
+      recorder.policyStarted(new PolicyHarness().settings(), 7);
       for (int i = 0; i < turns; i++) {
-        recorder.turn(clock.addAndGet(1000), everyEvent(i), everyAction(i));
+        recorder.roundDecided(clock.addAndGet(1000), everyEvent(i), everyAction(i));
       }
-      assertThat(recorder.lost()).isZero();
+      assertThat(recorder.droppedRounds()).isZero();
     }
   }
 
   private List<CaptureRecord> read() throws IOException {
     List<CaptureRecord> entries = new ArrayList<>();
-    for (Path file : CaptureSegments.in(folder.resolve("c"))) {
-      entries.addAll(CaptureSegments.read(file).entries());
+    for (Path file : CaptureSegments.list(folder.resolve("c"))) {
+      entries.addAll(CaptureSegments.read(file).records());
     }
     return entries;
   }
@@ -87,46 +87,46 @@
     record(plan(1000, 1 << 20, 10 << 20), 50);
     List<CaptureRecord> entries = read();
     assertThat(entries.get(0))
-        .isEqualTo(new CaptureRecord.Started(new PolicyHarness().settings(), 7));
+        .isEqualTo(new CaptureRecord.PolicyStarted(new PolicyHarness().settings(), 7));
     assertThat(entries).hasSize(51);
     for (int i = 0; i < 50; i++) {
-      CaptureRecord.Iteration turn = (CaptureRecord.Iteration) entries.get(i + 1);
+      CaptureRecord.DecisionRound turn = (CaptureRecord.DecisionRound) entries.get(i + 1);
       assertThat(turn.nowUs()).isEqualTo(1_001_000 + 1000L * i);
       assertThat(turn.events()).isEqualTo(everyEvent(i));
       assertThat(turn.actions()).isEqualTo(everyAction(i));
     }
-    assertThat(((CaptureRecord.Iteration) entries.get(1)).digest())
-        .isNotEqualTo(((CaptureRecord.Iteration) entries.get(2)).digest());
+    assertThat(((CaptureRecord.DecisionRound) entries.get(1)).digest())
+        .isNotEqualTo(((CaptureRecord.DecisionRound) entries.get(2)).digest());
   }
 
   @Test
   void aFileCutAtAnyByteIsReadUpToItsLastWholeBlock() throws IOException {
     record(plan(1000, 1 << 20, 10 << 20), 30);
-    Path file = CaptureSegments.in(folder.resolve("c")).get(0);
+    Path file = CaptureSegments.list(folder.resolve("c")).get(0);
     byte[] whole = Files.readAllBytes(file);
     List<CaptureRecord> all = read();
     for (int length = 0; length < whole.length; length++) {
       Files.write(file, java.util.Arrays.copyOf(whole, length));
-      CaptureSegments.Read read = CaptureSegments.read(file);
-      assertThat(all.subList(0, read.entries().size())).isEqualTo(read.entries());
+      CaptureSegments.SegmentContent read = CaptureSegments.read(file);
+      assertThat(all.subList(0, read.records().size())).isEqualTo(read.records());
       boolean atAnEnd = read.bytes() == length && read.bytes() > 0;
-      assertThat(read.torn().isEmpty()).as("cut at " + length).isEqualTo(atAnEnd);
+      assertThat(read.damage().isEmpty()).as("cut at " + length).isEqualTo(atAnEnd);
     }
   }
 
   @Test
   void aBitFlippedAnywhereIsNeverReadAsData() throws IOException {
     record(plan(1000, 1 << 20, 10 << 20), 10);
-    Path file = CaptureSegments.in(folder.resolve("c")).get(0);
+    Path file = CaptureSegments.list(folder.resolve("c")).get(0);
     byte[] whole = Files.readAllBytes(file);
     List<CaptureRecord> all = read();
     for (int at = 0; at < whole.length; at++) {
       byte[] changed = whole.clone();
       changed[at] ^= 1 << at % 8;
       Files.write(file, changed);
-      CaptureSegments.Read read = CaptureSegments.read(file);
-      assertThat(read.torn()).as("flipped at " + at).isNotEmpty();
-      assertThat(all.subList(0, read.entries().size())).isEqualTo(read.entries());
+      CaptureSegments.SegmentContent read = CaptureSegments.read(file);
+      assertThat(read.damage()).as("flipped at " + at).isNotEmpty();
+      assertThat(all.subList(0, read.records().size())).isEqualTo(read.records());
     }
   }
 
@@ -146,19 +146,19 @@
               return clock.get();
             });
     for (int i = 0; i < 100; i++) {
-      recorder.turn(clock.addAndGet(1000), everyEvent(i), everyAction(i));
+      recorder.roundDecided(clock.addAndGet(1000), everyEvent(i), everyAction(i));
     }
-    long lost = recorder.lost();
+    long lost = recorder.droppedRounds();
     assertThat(lost).isBetween(82L, 84L);
     go.countDown();
-    while (recorder.waiting() > 0) {
+    while (recorder.queuedItems() > 0) {
       Thread.onSpinWait();
     }
-    recorder.turn(clock.addAndGet(1000), List.of(), List.of());
+    recorder.roundDecided(clock.addAndGet(1000), List.of(), List.of());
     recorder.close();
     assertThat(turns()).isEqualTo(100 - lost + 1);
     assertThat(missing()).isEqualTo(lost);
-    assertThat(((CaptureRecord.Iteration) read().get(read().size() - 1)).events()).isEmpty();
+    assertThat(((CaptureRecord.DecisionRound) read().get(read().size() - 1)).events()).isEmpty();
   }
 
   @Test
@@ -176,20 +176,20 @@
               return clock.get();
             });
     for (int i = 0; i < 40; i++) {
-      recorder.turn(clock.addAndGet(1000), everyEvent(i), everyAction(i));
+      recorder.roundDecided(clock.addAndGet(1000), everyEvent(i), everyAction(i));
     }
     go.countDown();
     recorder.close();
-    assertThat(missing()).isPositive().isEqualTo(recorder.lost()).isEqualTo(40 - turns());
+    assertThat(missing()).isPositive().isEqualTo(recorder.droppedRounds()).isEqualTo(40 - turns());
   }
 
   private long turns() throws IOException {
-    return read().stream().filter(CaptureRecord.Iteration.class::isInstance).count();
+    return read().stream().filter(CaptureRecord.DecisionRound.class::isInstance).count();
   }
 
   private long missing() throws IOException {
     return read().stream()
-        .mapToLong(entry -> entry instanceof CaptureRecord.Gap gap ? gap.turns() : 0)
+        .mapToLong(entry -> entry instanceof CaptureRecord.Gap gap ? gap.rounds() : 0)
         .sum();
   }
 
@@ -197,17 +197,17 @@
   void aDiskThatFailsIsServedWithoutAndTheCaptureGoesOnWithAGap() throws Exception {
     CaptureRecorder recorder = new CaptureRecorder(plan(1000, 1 << 20, 10 << 20), clock::get);
     Files.delete(folder.resolve("c"));
-    recorder.turn(clock.addAndGet(1000), everyEvent(0), everyAction(0));
-    while (recorder.lost() == 0) {
+    recorder.roundDecided(clock.addAndGet(1000), everyEvent(0), everyAction(0));
+    while (recorder.droppedRounds() == 0) {
       clock.addAndGet(600_000);
       Thread.onSpinWait();
     }
     Files.createDirectories(folder.resolve("c"));
     clock.addAndGet(100_000_000);
-    recorder.turn(clock.addAndGet(1000), everyEvent(1), everyAction(1));
+    recorder.roundDecided(clock.addAndGet(1000), everyEvent(1), everyAction(1));
     recorder.close();
     assertThat(read().get(0)).isEqualTo(new CaptureRecord.Gap(1));
-    assertThat(((CaptureRecord.Iteration) read().get(1)).events()).isEqualTo(everyEvent(1));
+    assertThat(((CaptureRecord.DecisionRound) read().get(1)).events()).isEqualTo(everyEvent(1));
   }
 
   @Test
@@ -216,7 +216,7 @@
       record(plan(1000, 2000, 12_000), 20);
     }
     long bytes = 0;
-    List<Path> left = CaptureSegments.in(folder.resolve("c"));
+    List<Path> left = CaptureSegments.list(folder.resolve("c"));
     for (Path file : left) {
       bytes += Files.size(file);
     }
--- a/router/src/test/java/tidebank/FakeSite.java
+++ b/router/src/test/java/tidebank/FakeSite.java
@@ -229,12 +229,12 @@
     DecisionLog stall =
         new DecisionLog() {
           @Override
-          public void started(Settings settings, long seed) {
+          public void policyStarted(Settings settings, long seed) {
             set.countDown();
           }
 
           @Override
-          public void turn(long nowUs, List<Event> events, List<Action> actions) {
+          public void roundDecided(long nowUs, List<Event> events, List<Action> actions) {
             if (actions.stream().noneMatch(Action.SendAttempt.class::isInstance)) {
               return;
             }
@@ -247,7 +247,7 @@
           }
 
           @Override
-          public void failed(long nowUs, List<Event> events, Throwable cause) {}
+          public void roundFailed(long nowUs, List<Event> events, Throwable cause) {}
         };
     eventLoop().execute(() -> driver.log(stall));
     set.await();
--- a/router/src/test/java/tidebank/capture/BusyRun.java
+++ b/router/src/test/java/tidebank/capture/BusyRun.java
@@ -54,7 +54,7 @@
     policy = new RoutingPolicy(settings, policySeed);
     random = new SplittableRandom(seed);
     this.recorder = recorder;
-    recorder.started(settings, policySeed);
+    recorder.policyStarted(settings, policySeed);
   }
 
   /** Plays so many turns; the last tenth of them after the instance was told to end. */
@@ -79,7 +79,7 @@
         }
       }
       List<Action> actions = policy.on(now, events);
-      recorder.turn(now, events, actions);
+      recorder.roundDecided(now, events, actions);
       actions.forEach(this::carryOut);
     }
   }
--- a/router/src/test/java/tidebank/capture/CaptureFixtures.java
+++ b/router/src/test/java/tidebank/capture/CaptureFixtures.java
@@ -115,13 +115,14 @@
             new Action.WatchEndpoints(false),
             new Action.LogNote("noted"));
     return List.of(
-        new CaptureRecord.Started(settings(), SEED),
-        new CaptureRecord.Iteration(4_200_000, others, 0x1234_5678, actions),
-        new CaptureRecord.Iteration(4_200_500, outcomes, -5, List.of()),
-        new CaptureRecord.Iteration(4_100_000, lists, 0, null),
-        new CaptureRecord.Failed(4_300_000, others, "java.lang.IllegalStateException: as it was"),
+        new CaptureRecord.PolicyStarted(settings(), SEED),
+        new CaptureRecord.DecisionRound(4_200_000, others, 0x1234_5678, actions),
+        new CaptureRecord.DecisionRound(4_200_500, outcomes, -5, List.of()),
+        new CaptureRecord.DecisionRound(4_100_000, lists, 0, null),
+        new CaptureRecord.RoundFailed(
+            4_300_000, others, "java.lang.IllegalStateException: as it was"),
         new CaptureRecord.Gap(300),
-        new CaptureRecord.Started(settings(), -1));
+        new CaptureRecord.PolicyStarted(settings(), -1));
   }
 
   @Test
@@ -129,12 +130,12 @@
   void write() throws IOException {
     Path every = Files.createDirectories(ROOT.resolve("every-kind"));
     Files.deleteIfExists(every.resolve("capture-00000003.tbc"));
-    try (CaptureSegments.Writer writer = new CaptureSegments.Writer(every, 3)) {
+    try (CaptureSegments.SegmentWriter writer = new CaptureSegments.SegmentWriter(every, 3)) {
       for (List<CaptureRecord> block :
           List.of(everyKind().subList(0, 4), everyKind().subList(4, 7))) {
-        CaptureCodec.Encoder encoder = new CaptureCodec.Encoder();
-        block.forEach(encoder::add);
-        writer.block(encoder.bytes());
+        CaptureEncoder encoder = new CaptureEncoder();
+        block.forEach(encoder::write);
+        writer.writeBlock(encoder.toByteArray());
       }
     }
     String block = new String(plain(everyKind().get(0)), StandardCharsets.UTF_8);
@@ -145,9 +146,9 @@
   }
 
   private static byte[] plain(CaptureRecord entry) {
-    CaptureCodec.Encoder encoder = new CaptureCodec.Encoder();
-    encoder.add(entry);
-    return encoder.bytes();
+    CaptureEncoder encoder = new CaptureEncoder();
+    encoder.write(entry);
+    return encoder.toByteArray();
   }
 
   /** The settings in a block that begins with a start. */
@@ -158,18 +159,18 @@
   private static void record(String name, boolean whole, int turns, long seed) throws IOException {
     Path folder = ROOT.resolve(name);
     if (Files.isDirectory(folder)) {
-      for (Path old : CaptureSegments.in(folder)) {
+      for (Path old : CaptureSegments.list(folder)) {
         Files.delete(old);
       }
     }
-    CaptureRecorder.Plan plan =
-        new CaptureRecorder.Plan(folder, whole, RING, SEGMENT_BYTES, BUDGET_BYTES, false);
+    CaptureRecorder.Config plan =
+        new CaptureRecorder.Config(folder, whole, RING, SEGMENT_BYTES, BUDGET_BYTES, false);
     // A clock that stands still: blocks end by their size, not by the speed of the machine.
     CaptureRecorder recorder = new CaptureRecorder(plan, () -> 0);
     new BusyRun(settings(), SEED, seed, recorder).run(turns);
     recorder.close(60_000);
-    if (recorder.lost() > 0) {
-      throw new IllegalStateException(recorder.lost() + " turns found no room");
+    if (recorder.droppedRounds() > 0) {
+      throw new IllegalStateException(recorder.droppedRounds() + " turns found no room");
     }
   }
 }
--- a/router/src/test/java/tidebank/capture/SegmentRetentionTest.java
+++ b/router/src/test/java/tidebank/capture/SegmentRetentionTest.java
@@ -4,7 +4,7 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import tidebank.capture.SegmentRetention.Bounds;
+import tidebank.capture.SegmentRetention.Limits;
 import tidebank.capture.SegmentRetention.Segment;
 
 /**
@@ -13,45 +13,45 @@
  */
 class SegmentRetentionTest {
   private final SegmentRetention keeping =
-      new SegmentRetention(new Bounds(1000, 500, 10_000, 60_000, 50_000));
+      new SegmentRetention(new Limits(1000, 500, 10_000, 60_000, 50_000));
 
   @Test
   void aFewLargeTurnsFillTheRingAsManySmallOnesDo() {
-    assertThat(SegmentRetention.mayWait(0, 1_000_000, 16)).isTrue();
-    assertThat(SegmentRetention.mayWait(500, 12, 16)).isTrue();
-    assertThat(SegmentRetention.mayWait(500, 13, 16)).isFalse();
+    assertThat(SegmentRetention.hasRoomFor(0, 1_000_000, 16)).isTrue();
+    assertThat(SegmentRetention.hasRoomFor(500, 12, 16)).isTrue();
+    assertThat(SegmentRetention.hasRoomFor(500, 13, 16)).isFalse();
   }
 
   @Test
   void blocksAndSegmentsEndBySizeOrAge() {
-    assertThat(keeping.blockIsDue(999, 0, 499)).isFalse();
-    assertThat(keeping.blockIsDue(1000, 0, 0)).isTrue();
-    assertThat(keeping.blockIsDue(1, 0, 500)).isTrue();
-    assertThat(keeping.blockIsDue(0, 0, 500)).isFalse();
-    assertThat(keeping.segmentIsDue(9_999, 0, 59_999)).isFalse();
-    assertThat(keeping.segmentIsDue(10_000, 0, 0)).isTrue();
-    assertThat(keeping.segmentIsDue(0, 0, 60_000)).isTrue();
+    assertThat(keeping.shouldFlushBlock(999, 0, 499)).isFalse();
+    assertThat(keeping.shouldFlushBlock(1000, 0, 0)).isTrue();
+    assertThat(keeping.shouldFlushBlock(1, 0, 500)).isTrue();
+    assertThat(keeping.shouldFlushBlock(0, 0, 500)).isFalse();
+    assertThat(keeping.shouldRollSegment(9_999, 0, 59_999)).isFalse();
+    assertThat(keeping.shouldRollSegment(10_000, 0, 0)).isTrue();
+    assertThat(keeping.shouldRollSegment(0, 0, 60_000)).isTrue();
   }
 
   @Test
   void theOldestGoUntilANewSegmentOfFullSizeFits() {
     List<Segment> old =
         List.of(new Segment(1, 9_000), new Segment(2, 20_000), new Segment(3, 20_000));
-    assertThat(keeping.tooMany(old)).containsExactly(old.get(0));
-    assertThat(keeping.tooMany(old.subList(1, 3))).isEmpty();
+    assertThat(keeping.segmentsToDelete(old)).containsExactly(old.get(0));
+    assertThat(keeping.segmentsToDelete(old.subList(1, 3))).isEmpty();
   }
 
   @Test
   void aDiskThatFailsIsTriedEverMoreSeldomAndAtOnceAgainAfterItWrote() {
-    assertThat(keeping.failed(0)).isEqualTo(1_000_000);
-    assertThat(keeping.mayWrite(999_999)).isFalse();
-    assertThat(keeping.mayWrite(1_000_000)).isTrue();
+    assertThat(keeping.recordFailure(0)).isEqualTo(1_000_000);
+    assertThat(keeping.canWrite(999_999)).isFalse();
+    assertThat(keeping.canWrite(1_000_000)).isTrue();
     long before = 0;
     for (int i = 0; i < 10; i++) {
-      before = keeping.failed(0);
+      before = keeping.recordFailure(0);
     }
     assertThat(before).isEqualTo(60_000_000);
-    keeping.wrote();
-    assertThat(keeping.failed(5)).isEqualTo(1_000_005);
+    keeping.recordSuccess();
+    assertThat(keeping.recordFailure(5)).isEqualTo(1_000_005);
   }
 }
--- a/router/src/test/java/tidebank/capture/StoredCaptureTest.java
+++ b/router/src/test/java/tidebank/capture/StoredCaptureTest.java
@@ -33,10 +33,10 @@
 
   private static List<CaptureRecord> read(String name) throws IOException {
     List<CaptureRecord> entries = new ArrayList<>();
-    for (Path file : CaptureSegments.in(CaptureFixtures.ROOT.resolve(name))) {
-      CaptureSegments.Read read = CaptureSegments.read(file);
-      assertThat(read.torn()).as(file.toString()).isEmpty();
-      entries.addAll(read.entries());
+    for (Path file : CaptureSegments.list(CaptureFixtures.ROOT.resolve(name))) {
+      CaptureSegments.SegmentContent read = CaptureSegments.read(file);
+      assertThat(read.damage()).as(file.toString()).isEmpty();
+      entries.addAll(read.records());
     }
     return entries;
   }
@@ -65,7 +65,7 @@
 
   @Test
   void settingsAreStoredUnderTheseNames() throws Exception {
-    Path file = CaptureSegments.in(CaptureFixtures.ROOT.resolve("every-kind")).get(0);
+    Path file = CaptureSegments.list(CaptureFixtures.ROOT.resolve("every-kind")).get(0);
     String block = new String(blocks(file).get(0), StandardCharsets.UTF_8);
     assertThat(CaptureFixtures.settingsJson(block))
         .isEqualTo(Files.readString(CaptureFixtures.ROOT.resolve("every-kind/settings.json")));
@@ -74,13 +74,13 @@
   @ParameterizedTest
   @ValueSource(strings = {"every-kind", "digest", "whole", "busy"})
   void entriesAreWrittenToTheBytesTheyWereReadFrom(String name) throws Exception {
-    for (Path file : CaptureSegments.in(CaptureFixtures.ROOT.resolve(name))) {
+    for (Path file : CaptureSegments.list(CaptureFixtures.ROOT.resolve(name))) {
       List<byte[]> blocks = blocks(file);
       assertThat(blocks).isNotEmpty();
       for (byte[] plain : blocks) {
-        CaptureCodec.Encoder encoder = new CaptureCodec.Encoder();
-        new CaptureCodec.Decoder(plain).entries().forEach(encoder::add);
-        assertThat(encoder.bytes()).as(file.toString()).isEqualTo(plain);
+        CaptureEncoder encoder = new CaptureEncoder();
+        new CaptureDecoder(plain).records().forEach(encoder::write);
+        assertThat(encoder.toByteArray()).as(file.toString()).isEqualTo(plain);
       }
     }
   }
@@ -88,12 +88,13 @@
   @ParameterizedTest
   @ValueSource(strings = {"every-kind", "digest", "whole", "busy"})
   void segmentsAreFramedAsTheyWere(String name) throws Exception {
-    for (Path file : CaptureSegments.in(CaptureFixtures.ROOT.resolve(name))) {
+    for (Path file : CaptureSegments.list(CaptureFixtures.ROOT.resolve(name))) {
       byte[] stored = Files.readAllBytes(file);
       long number = ByteBuffer.wrap(stored).getLong(SEGMENT_HEAD - 12);
-      try (CaptureSegments.Writer writer = new CaptureSegments.Writer(folder, number)) {
+      try (CaptureSegments.SegmentWriter writer =
+          new CaptureSegments.SegmentWriter(folder, number)) {
         for (byte[] plain : blocks(file)) {
-          writer.block(plain);
+          writer.writeBlock(plain);
         }
       }
       Path written = folder.resolve(file.getFileName());
@@ -118,11 +119,11 @@
     RoutingPolicy policy = null;
     int turns = 0;
     for (CaptureRecord entry : read(name)) {
-      if (entry instanceof CaptureRecord.Started started) {
+      if (entry instanceof CaptureRecord.PolicyStarted started) {
         assertThat(started)
-            .isEqualTo(new CaptureRecord.Started(CaptureFixtures.settings(), started.seed()));
+            .isEqualTo(new CaptureRecord.PolicyStarted(CaptureFixtures.settings(), started.seed()));
         policy = new RoutingPolicy(started.settings(), started.seed());
-      } else if (entry instanceof CaptureRecord.Iteration turn) {
+      } else if (entry instanceof CaptureRecord.DecisionRound turn) {
         var actions = policy.on(turn.nowUs(), turn.events());
         assertThat(ActionDigest.of(actions)).as(name + ", turn " + turns).isEqualTo(turn.digest());
         if (name.equals("whole")) {
@@ -141,7 +142,7 @@
     Set<Class<?>> kinds = new HashSet<>();
     Set<Outcome> outcomes = new HashSet<>();
     for (CaptureRecord entry : read("busy")) {
-      if (entry instanceof CaptureRecord.Iteration turn) {
+      if (entry instanceof CaptureRecord.DecisionRound turn) {
         for (Event event : turn.events()) {
           kinds.add(event.getClass());
           if (event instanceof Event.AttemptCompleted ended) {
--- a/router/src/test/java/tidebank/config/ConfigFixtureTest.java
+++ b/router/src/test/java/tidebank/config/ConfigFixtureTest.java
@@ -153,15 +153,15 @@
             .put("log.form", file.logging().form())
             .put("log.lines_a_second", file.logging().linesASecond())
             .put("report.counters_every_us", file.countersEveryUs());
-    CaptureRecorder.Plan capture = file.capture();
+    CaptureRecorder.Config capture = file.capture();
     if (capture != null) {
       fields
-          .put("capture.folder", capture.folder())
-          .put("capture.wholeActions", capture.wholeActions())
-          .put("capture.ring_turns", capture.ringTurns())
+          .put("capture.folder", capture.directory())
+          .put("capture.wholeActions", capture.keepActions())
+          .put("capture.ring_turns", capture.queueCapacity())
           .put("capture.segment_bytes", capture.segmentBytes())
-          .put("capture.budget_bytes", capture.budgetBytes())
-          .put("capture.force", capture.force());
+          .put("capture.budget_bytes", capture.maxTotalBytes())
+          .put("capture.force", capture.syncEveryBlock());
     }
     FleetAgent.Plan fleet = file.fleet();
     if (fleet != null) {
--- a/testbed/src/main/java/tidebank/testbed/capture/CaptureReplay.java
+++ b/testbed/src/main/java/tidebank/testbed/capture/CaptureReplay.java
@@ -13,142 +13,187 @@
 import tidebank.policy.RoutingPolicy;
 
 /**
- * Drives a fresh module with what a capture tells, and compares what it wants with what it wanted
- * then, turn by turn. What can't be replayed (behind a gap, before the first start that is kept) is
- * counted, never guessed.
+ * Replays the events of a capture through a new routing policy and compares its actions with the
+ * recorded ones, round by round, up to the first divergence. Rounds whose preceding state is not
+ * known (behind a gap, before the first start in the capture) are counted and not replayed.
  */
 public final class CaptureReplay {
   /**
-   * Where the two parted first.
+   * The first round that was decided otherwise.
    *
-   * @param turn its number in the capture, from 0
-   * @param then what was wanted when it was recorded, or null where only a digest was kept
-   * @param now what the module of today wants
+   * @param round its number in the capture, from 0
+   * @param nowUs its time, in microseconds
+   * @param recorded the actions of then, or null where only a digest was recorded
+   * @param replayed the actions of the replay
    */
-  public record Divergence(long turn, long nowUs, List<Action> then, List<Action> now) {}
+  public record Divergence(long round, long nowUs, List<Action> recorded, List<Action> replayed) {}
 
   /**
-   * What came of it.
+   * The outcome of a replay.
    *
-   * @param turns in the capture
-   * @param same replayed to the same actions
-   * @param skipped not replayed, as the module's state was not known
-   * @param starts of the module
-   * @param failures turns that failed when they were recorded
-   * @param missing turns that the capture says are missing
-   * @param torn what could not be read, by segment
-   * @param firstUs clock of the first turn
-   * @param lastUs clock of the last
-   * @param digest over all actions of today, to compare two replays
+   * @param rounds in the capture
+   * @param matching rounds that were replayed to the same actions
+   * @param skipped rounds that were not replayed
+   * @param policyStarts starts of the policy
+   * @param failures rounds that had failed when they were recorded
+   * @param missingRounds rounds that the capture reports as dropped
+   * @param damage what could not be read, by segment
+   * @param firstUs time of the first round, in microseconds
+   * @param lastUs time of the last round, in microseconds
+   * @param digest over all replayed actions, in hexadecimal, to compare two replays
    * @param divergence the first, or null
    */
   public record Result(
-      long turns,
-      long same,
+      long rounds,
+      long matching,
       long skipped,
-      long starts,
+      long policyStarts,
       long failures,
-      long missing,
-      List<String> torn,
+      long missingRounds,
+      List<String> damage,
       long firstUs,
       long lastUs,
       String digest,
       Divergence divergence) {
-    public boolean alike() {
+    /** Returns whether no round was decided otherwise. */
+    public boolean matches() {
       return divergence == null;
     }
   }
 
-  /** Takes each turn as it is replayed. */
+  /** Receives each round as it is replayed. */
   public interface Listener {
-    void turn(long number, CaptureRecord.Iteration turn, List<Action> now);
+    /**
+     * Called after a round was replayed.
+     *
+     * @param number its number in the capture, from 0
+     * @param round as it was recorded
+     * @param actions of the replay
+     */
+    void roundReplayed(long number, CaptureRecord.DecisionRound round, List<Action> actions);
   }
 
-  private CaptureReplay() {}
+  private final Listener listener;
+  private final CRC32C digest = new CRC32C();
+  private final List<String> damage = new ArrayList<>();
+  private long rounds;
+  private long matching;
+  private long skipped;
+  private long policyStarts;
+  private long failures;
+  private long missingRounds;
+  private long firstUs;
+  private long lastUs;
+  private Divergence divergence;
 
-  /** The segments of a folder, or one file. */
-  public static List<Path> segments(Path place) throws IOException {
-    if (!Files.exists(place)) {
-      throw new IOException(place + ": there is no such capture");
+  /** The policy in its replayed state, or null where that is not known. */
+  private RoutingPolicy policy;
+
+  private CaptureReplay(Listener listener) {
+    this.listener = listener;
+  }
+
+  /**
+   * Lists the segments of a capture.
+   *
+   * @param capture a directory of segments, or one segment
+   * @throws IOException if there is none
+   */
+  public static List<Path> segments(Path capture) throws IOException {
+    if (!Files.exists(capture)) {
+      throw new IOException(capture + ": there is no such capture");
     }
-    List<Path> files = Files.isDirectory(place) ? CaptureSegments.in(place) : List.of(place);
+    List<Path> files =
+        Files.isDirectory(capture) ? CaptureSegments.list(capture) : List.of(capture);
     if (files.isEmpty()) {
-      throw new IOException(place + ": there is no capture in it");
+      throw new IOException(capture + ": there is no capture in it");
     }
     return files;
   }
 
   /**
-   * Replays up to the first divergence; the module of today knows nothing but what the capture
-   * tells.
+   * Replays a capture.
+   *
+   * @param capture a directory of segments, or one segment
+   * @param listener called for each replayed round, up to the first divergence
+   * @throws IOException if there is no capture, or it can't be read
    */
-  public static Result replay(Path place, Listener listener) throws IOException {
-    long turns = 0;
-    long same = 0;
-    long skipped = 0;
-    long starts = 0;
-    long failures = 0;
-    long missing = 0;
-    long first = 0;
-    long last = 0;
-    List<String> torn = new ArrayList<>();
-    CRC32C digest = new CRC32C();
-    Divergence divergence = null;
-    RoutingPolicy policy = null;
-    long number = -1;
-    for (Path file : segments(place)) {
-      CaptureSegments.Read read = CaptureSegments.read(file);
-      if (number >= 0 && read.number() != number + 1) {
-        torn.add(file.getFileName() + ": segments before it are missing");
-        policy = null;
+  public static Result replay(Path capture, Listener listener) throws IOException {
+    CaptureReplay replay = new CaptureReplay(listener);
+    long lastNumber = -1;
+    for (Path file : segments(capture)) {
+      CaptureSegments.SegmentContent content = CaptureSegments.read(file);
+      if (lastNumber >= 0 && content.number() != lastNumber + 1) {
+        replay.reportDamage(file, "segments before it are missing");
       }
-      number = read.number();
-      for (CaptureRecord entry : read.entries()) {
-        if (entry instanceof CaptureRecord.Started started) {
-          starts++;
-          policy = new RoutingPolicy(started.settings(), started.seed());
-        } else if (entry instanceof CaptureRecord.Gap gap) {
-          missing += gap.turns();
-          policy = null;
-        } else if (entry instanceof CaptureRecord.Failed) {
-          // A module that failed is half changed; the start that follows is where it goes on.
-          failures++;
-          policy = null;
-        } else if (entry instanceof CaptureRecord.Iteration turn) {
-          first = turns++ == 0 ? turn.nowUs() : first;
-          last = turn.nowUs();
-          if (policy == null || divergence != null) {
-            skipped++;
-            continue;
-          }
-          List<Action> now = policy.on(turn.nowUs(), turn.events());
-          int found = ActionDigest.of(now);
-          for (int i = 0; i < 4; i++) {
-            digest.update(found >>> 8 * i);
-          }
-          listener.turn(turns - 1, turn, now);
-          if (found == turn.digest()) {
-            same++;
-          } else {
-            divergence = new Divergence(turns - 1, turn.nowUs(), turn.actions(), now);
-          }
-        }
+      lastNumber = content.number();
+      for (CaptureRecord entry : content.records()) {
+        replay.apply(entry);
       }
-      if (!read.torn().isEmpty()) {
-        torn.add(file.getFileName() + ": " + read.torn());
-        policy = null;
+      if (!content.damage().isEmpty()) {
+        replay.reportDamage(file, content.damage());
       }
     }
+    return replay.result();
+  }
+
+  private void reportDamage(Path file, String what) {
+    damage.add(file.getFileName() + ": " + what);
+    policy = null;
+  }
+
+  private void apply(CaptureRecord entry) {
+    if (entry instanceof CaptureRecord.PolicyStarted started) {
+      policyStarts++;
+      policy = new RoutingPolicy(started.settings(), started.seed());
+    } else if (entry instanceof CaptureRecord.Gap gap) {
+      missingRounds += gap.rounds();
+      policy = null;
+    } else if (entry instanceof CaptureRecord.RoundFailed) {
+      // A failed round leaves the policy half changed; the replay goes on with its next start.
+      failures++;
+      policy = null;
+    } else if (entry instanceof CaptureRecord.DecisionRound round) {
+      replay(round);
+    }
+  }
+
+  private void replay(CaptureRecord.DecisionRound round) {
+    long number = rounds++;
+    firstUs = number == 0 ? round.nowUs() : firstUs;
+    lastUs = round.nowUs();
+    if (policy == null || divergence != null) {
+      skipped++;
+      return;
+    }
+    List<Action> actions = policy.on(round.nowUs(), round.events());
+    int roundDigest = ActionDigest.of(actions);
+    updateDigest(roundDigest);
+    listener.roundReplayed(number, round, actions);
+    if (roundDigest == round.digest()) {
+      matching++;
+    } else {
+      divergence = new Divergence(number, round.nowUs(), round.actions(), actions);
+    }
+  }
+
+  private void updateDigest(int roundDigest) {
+    for (int i = 0; i < Integer.BYTES; i++) {
+      digest.update(roundDigest >>> Byte.SIZE * i);
+    }
+  }
+
+  private Result result() {
     return new Result(
-        turns,
-        same,
+        rounds,
+        matching,
         skipped,
-        starts,
+        policyStarts,
         failures,
-        missing,
-        torn,
-        first,
-        last,
+        missingRounds,
+        damage,
+        firstUs,
+        lastUs,
         Long.toHexString(digest.getValue()),
         divergence);
   }
--- a/testbed/src/test/java/tidebank/testbed/ArchitectureTest.java
+++ b/testbed/src/test/java/tidebank/testbed/ArchitectureTest.java
@@ -27,7 +27,10 @@
   private static final Set<String> DECIDE =
       Set.of(
           "tidebank.policy.RoutingPolicy",
-          "tidebank.capture.CaptureCodec",
+          "tidebank.capture.BlockReader",
+          "tidebank.capture.BlockWriter",
+          "tidebank.capture.CaptureDecoder",
+          "tidebank.capture.CaptureEncoder",
           "tidebank.capture.SegmentRetention",
           "tidebank.fleet.FleetReport",
           "tidebank.fleet.Retention",
--- a/testbed/src/test/java/tidebank/testbed/CaptureReplayTest.java
+++ b/testbed/src/test/java/tidebank/testbed/CaptureReplayTest.java
@@ -63,7 +63,7 @@
    */
   private int day(CaptureRecorder recorder, long seed, int scans) {
     RoutingPolicy policy = new RoutingPolicy(settings(), seed);
-    recorder.started(settings(), seed);
+    recorder.policyStarted(settings(), seed);
     SplittableRandom chance = new SplittableRandom(seed);
     List<Event> list = new ArrayList<>();
     List<Endpoint> lines = new ArrayList<>();
@@ -118,13 +118,13 @@
 
   private List<Action> turn(RoutingPolicy policy, CaptureRecorder recorder, List<Event> events) {
     List<Action> actions = policy.on(now, events);
-    recorder.turn(now, events, actions);
+    recorder.roundDecided(now, events, actions);
     return actions;
   }
 
   private CaptureRecorder recorder(boolean whole, long segment) throws IOException {
     return new CaptureRecorder(
-        new CaptureRecorder.Plan(folder.resolve("c"), whole, 100_000, segment, 1L << 30, false),
+        new CaptureRecorder.Config(folder.resolve("c"), whole, 100_000, segment, 1L << 30, false),
         () -> now);
   }
 
@@ -139,34 +139,34 @@
       turns = day(recorder, 3, 500);
     }
     CaptureReplay.Result first = replay();
-    assertThat(first.turns()).isEqualTo(turns).isEqualTo(first.same());
-    assertThat(first.torn()).isEmpty();
+    assertThat(first.rounds()).isEqualTo(turns).isEqualTo(first.matching());
+    assertThat(first.damage()).isEmpty();
     assertThat(replay()).isEqualTo(first);
   }
 
   @Test
   void adecisionThatWentOtherwiseIsNamedWithBothSides() throws IOException {
     try (CaptureRecorder recorder = recorder(true, 1 << 20)) {
-      recorder.started(settings(), 5);
+      recorder.policyStarted(settings(), 5);
       RoutingPolicy policy = new RoutingPolicy(settings(), 5);
       List<Event> list =
           List.of(
               new Event.EndpointListReceived(
                   ListUpdate.CACHED,
                   List.of(new Endpoint("s0", 0, EndpointStatus.IN_SERVICE, 0, 1))));
-      recorder.turn(now, list, policy.on(now, list));
+      recorder.roundDecided(now, list, policy.on(now, list));
       List<Event> scan =
           List.of(
               new Event.QueryReceived("a", 1, "part", "", now, now + 3000 * MS, false, "k"),
               new Event.ShardRequestReceived("a.0", 1, 0, 1, ""));
       // Another build of the module turned it away.
-      recorder.turn(now + 5, scan, List.of(new Action.Throttle("a", 0)));
+      recorder.roundDecided(now + 5, scan, List.of(new Action.Throttle("a", 0)));
     }
     CaptureReplay.Result result = replay();
-    assertThat(result.alike()).isFalse();
-    assertThat(result.divergence().turn()).isEqualTo(1);
-    assertThat(result.divergence().then()).containsExactly(new Action.Throttle("a", 0));
-    assertThat(result.divergence().now())
+    assertThat(result.matches()).isFalse();
+    assertThat(result.divergence().round()).isEqualTo(1);
+    assertThat(result.divergence().recorded()).containsExactly(new Action.Throttle("a", 0));
+    assertThat(result.divergence().replayed())
         .anyMatch(
             action ->
                 action instanceof Action.SendAttempt send && send.shardRequest().equals("a.0"));
@@ -177,12 +177,12 @@
     int turns;
     try (CaptureRecorder recorder = recorder(false, 1 << 20)) {
       turns = day(recorder, 3, 50);
-      recorder.failed(now, List.of(), new IllegalStateException("as the test wants it"));
+      recorder.roundFailed(now, List.of(), new IllegalStateException("as the test wants it"));
       turns += day(recorder, 4, 50);
     }
     CaptureReplay.Result result = replay();
-    assertThat(result.same()).isEqualTo(turns);
-    assertThat(result.starts()).isEqualTo(2);
+    assertThat(result.matching()).isEqualTo(turns);
+    assertThat(result.policyStarts()).isEqualTo(2);
     assertThat(result.failures()).isEqualTo(1);
   }
 
@@ -195,22 +195,25 @@
         turns += day(recorder, 3 + i, 200);
       }
     }
-    List<Path> files = CaptureSegments.in(folder.resolve("c"));
+    List<Path> files = CaptureSegments.list(folder.resolve("c"));
     assertThat(files).hasSize(3);
-    assertThat(replay().same()).isEqualTo(turns);
+    assertThat(replay().matching()).isEqualTo(turns);
     byte[] tail = Files.readAllBytes(files.get(2));
     Files.write(files.get(2), java.util.Arrays.copyOf(tail, tail.length - 1));
     CaptureReplay.Result cut = replay();
-    assertThat(cut.same()).isEqualTo(cut.turns()).isLessThan(turns);
-    assertThat(cut.torn()).singleElement().asString().contains("cut");
+    assertThat(cut.matching()).isEqualTo(cut.rounds()).isLessThan(turns);
+    assertThat(cut.damage()).singleElement().asString().contains("cut");
     Files.write(files.get(2), tail);
     Files.delete(files.get(1));
     CaptureReplay.Result holed = replay();
-    assertThat(holed.torn()).singleElement().asString().contains("segments before it are missing");
-    assertThat(holed.same()).isEqualTo(2L * 201);
-    assertThat(holed.alike()).isTrue();
+    assertThat(holed.damage())
+        .singleElement()
+        .asString()
+        .contains("segments before it are missing");
+    assertThat(holed.matching()).isEqualTo(2L * 201);
+    assertThat(holed.matches()).isTrue();
     Files.delete(files.get(0));
-    assertThat(replay().same()).isEqualTo(201);
+    assertThat(replay().matching()).isEqualTo(201);
   }
 
   @Test
--- a/testbed/src/test/java/tidebank/testbed/capture/StoredCaptureReplayTest.java
+++ b/testbed/src/test/java/tidebank/testbed/capture/StoredCaptureReplayTest.java
@@ -17,11 +17,11 @@
     CaptureReplay.Result result =
         CaptureReplay.replay(CAPTURES.resolve(name), (number, turn, actions) -> {});
 
-    assertThat(result.turns()).isEqualTo(turns);
-    assertThat(result.same()).isEqualTo(turns);
+    assertThat(result.rounds()).isEqualTo(turns);
+    assertThat(result.matching()).isEqualTo(turns);
     assertThat(result.skipped()).isZero();
-    assertThat(result.starts()).isEqualTo(1);
-    assertThat(result.torn()).isEqualTo(List.of());
+    assertThat(result.policyStarts()).isEqualTo(1);
+    assertThat(result.damage()).isEqualTo(List.of());
     assertThat(result.divergence()).isNull();
     assertThat(result.digest()).isEqualTo(digest);
   }
