--- a/cli/src/main/java/tidebank/cli/ChaosCommands.java
+++ b/cli/src/main/java/tidebank/cli/ChaosCommands.java
@@ -152,9 +152,9 @@
         List<Future<ScriptRunner.Verdict>> runs =
             jobs.stream().map(job -> pool.submit(() -> one(job, jobs.size() == 1))).toList();
         for (Future<ScriptRunner.Verdict> run : runs) {
-          broken += run.get().held() ? 0 : 1;
+          broken += run.get().passed() ? 0 : 1;
           run.get()
-              .gaps()
+              .unownedIntervals()
               .forEach(
                   (kind, some) ->
                       gaps.computeIfAbsent(kind, absent -> new ArrayList<>()).addAll(some));
@@ -168,7 +168,7 @@
         pool.shutdownNow();
       }
       if (!json && !gaps.isEmpty()) {
-        say("without an owner of the report, after " + UnownedIntervals.said(gaps));
+        say("without an owner of the report, after " + UnownedIntervals.describe(gaps));
       }
       if (!json && jobs.size() > 1) {
         say(jobs.size() - broken + " of " + jobs.size() + " runs held");
@@ -196,10 +196,10 @@
                   })
               .run();
       say(json ? new ObjectMapper().writeValueAsString(verdict) : line(verdict));
-      if (verdict.held() && !keep) {
+      if (verdict.passed() && !keep) {
         delete(folder);
       } else if (!json) {
-        say("  " + folder + "; again: " + RunArtifacts.again(verdict, folder));
+        say("  " + folder + "; again: " + RunArtifacts.replayCommand(verdict, folder));
       }
       return verdict;
     }
@@ -226,13 +226,13 @@
     return String.format(
         "%-20s %s in %.1f s; %d commands, %d reports, %d of %d scans counted%s",
         verdict.script(),
-        verdict.held() ? "held" : "BROKEN",
-        verdict.took() / 1e6,
+        verdict.passed() ? "held" : "BROKEN",
+        verdict.durationUs() / 1e6,
         verdict.commands(),
         verdict.publications(),
-        verdict.counted(),
-        verdict.scans(),
-        verdict.broken().stream().map(one -> "\n  " + one).reduce("", String::concat));
+        verdict.queriesCounted(),
+        verdict.queriesSent(),
+        verdict.violations().stream().map(one -> "\n  " + one).reduce("", String::concat));
   }
 
   @Command(
@@ -244,8 +244,8 @@
 
     @Override
     public Integer call() throws IOException {
-      for (String name : Script.known()) {
-        spec.commandLine().getOut().printf("%-20s %s%n", name, Script.read(name).about());
+      for (String name : Script.builtInNames()) {
+        spec.commandLine().getOut().printf("%-20s %s%n", name, Script.read(name).description());
       }
       return Tidebank.DONE;
     }
@@ -274,7 +274,7 @@
           List.of("report.html", "timeline.svg", "history.jsonl", "script.toml", "logs")) {
         out.println("  " + run.resolve(name));
       }
-      out.println("again: " + RunArtifacts.again(verdict, run));
+      out.println("again: " + RunArtifacts.replayCommand(verdict, run));
       return Tidebank.DONE;
     }
   }
--- a/router/src/main/java/tidebank/capture/BlockReader.java
+++ b/router/src/main/java/tidebank/capture/BlockReader.java
@@ -38,7 +38,7 @@
     require(CaptureFormat.LENGTH_BYTES);
     int size = 0;
     for (int i = 0; i < CaptureFormat.LENGTH_BYTES; i++) {
-      size = size << 8 | bytes[position++] & 0xff;
+      size = (size << 8) | (bytes[position++] & 0xff);
     }
     if (size < 0 || position + size > limit) {
       throw new UnreadableCaptureException("a length beyond its frame");
@@ -108,14 +108,14 @@
     require(Long.BYTES);
     long value = 0;
     for (int i = 0; i < Long.BYTES; i++) {
-      value = value << 8 | bytes[position++] & 0xff;
+      value = (value << 8) | (bytes[position++] & 0xff);
     }
     return value;
   }
 
   long readSignedVarint() {
     long value = readVarint();
-    return value >>> 1 ^ -(value & 1);
+    return (value >>> 1) ^ -(value & 1);
   }
 
   long readVarint() {
--- a/router/src/main/java/tidebank/capture/BlockWriter.java
+++ b/router/src/main/java/tidebank/capture/BlockWriter.java
@@ -44,7 +44,7 @@
   void endFrame(int lengthPosition) {
     int size = length - lengthPosition - CaptureFormat.LENGTH_BYTES;
     for (int i = 0; i < CaptureFormat.LENGTH_BYTES; i++) {
-      bytes[lengthPosition + i] = (byte) (size >>> 8 * (CaptureFormat.LENGTH_BYTES - 1 - i));
+      bytes[lengthPosition + i] = (byte) (size >>> (8 * (CaptureFormat.LENGTH_BYTES - 1 - i)));
     }
   }
 
@@ -79,20 +79,20 @@
   void writeLong(long value) {
     ensureCapacity(Long.BYTES);
     for (int i = Long.BYTES - 1; i >= 0; i--) {
-      bytes[length++] = (byte) (value >>> 8 * i);
+      bytes[length++] = (byte) (value >>> (8 * i));
     }
   }
 
   /** Writes a number of either sign in zigzag form. */
   void writeSignedVarint(long value) {
-    writeVarint(value << 1 ^ value >> 63);
+    writeVarint((value << 1) ^ (value >> 63));
   }
 
   void writeVarint(long value) {
     ensureCapacity(MAX_VARINT_BYTES);
     long rest = value;
     while ((rest & ~0x7fL) != 0) {
-      bytes[length++] = (byte) (rest & 0x7f | 0x80);
+      bytes[length++] = (byte) ((rest & 0x7f) | 0x80);
       rest >>>= 7;
     }
     bytes[length++] = (byte) rest;
--- a/router/src/main/java/tidebank/capture/CaptureEncoder.java
+++ b/router/src/main/java/tidebank/capture/CaptureEncoder.java
@@ -14,6 +14,7 @@
  * Encodes capture records into one block. Times are stored as differences to the time of the round
  * before; a block can be decoded without any other. Pure: does no I/O.
  */
+@SuppressWarnings("EnumOrdinal") // the stored form, see CaptureFormat
 final class CaptureEncoder {
   private final BlockWriter out = new BlockWriter();
   private long now;
--- a/router/src/main/java/tidebank/capture/CaptureRecorder.java
+++ b/router/src/main/java/tidebank/capture/CaptureRecorder.java
@@ -162,7 +162,7 @@
           block.write(new CaptureRecord.Gap(droppedSinceGap.getAndSet(0)));
         }
         if (retention.shouldFlushBlock(block.length(), blockStartedAt, now)
-            || closing && queue.isEmpty()) {
+            || (closing && queue.isEmpty())) {
           flush(now);
         }
         if (closing && queue.isEmpty()) {
--- a/router/src/main/java/tidebank/capture/SegmentRetention.java
+++ b/router/src/main/java/tidebank/capture/SegmentRetention.java
@@ -72,7 +72,7 @@
   }
 
   boolean shouldFlushBlock(int bytes, long startedAt, long now) {
-    return bytes >= limits.blockBytes() || bytes > 0 && now - startedAt >= limits.blockAgeUs();
+    return bytes >= limits.blockBytes() || (bytes > 0 && now - startedAt >= limits.blockAgeUs());
   }
 
   boolean shouldRollSegment(long bytes, long openedAt, long now) {
--- a/testbed/src/main/java/tidebank/testbed/capture/CaptureReplay.java
+++ b/testbed/src/main/java/tidebank/testbed/capture/CaptureReplay.java
@@ -179,7 +179,7 @@
 
   private void updateDigest(int roundDigest) {
     for (int i = 0; i < Integer.BYTES; i++) {
-      digest.update(roundDigest >>> Byte.SIZE * i);
+      digest.update(roundDigest >>> (Byte.SIZE * i));
     }
   }
 
--- a/testbed/src/main/java/tidebank/testbed/chaos/ClusterObserver.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/ClusterObserver.java
@@ -14,130 +14,150 @@
 import tidebank.lease.LeaseTable;
 
 /**
- * Asks the stewards over and over what holds, past all relays, and writes it into the history. What
- * it saw last is for the script to wait for.
+ * Polls the coordinators' state past all proxies, records it in the history and checks what is
+ * published. Has a thread of its own; the last observation can be read from any thread.
  */
 final class ClusterObserver implements AutoCloseable {
-  private static final long EVERY_MS = 25;
-  private static final Duration ONE = Duration.ofMillis(400);
+  private static final long POLL_MS = 25;
+  private static final long CLOSE_TIMEOUT_S = 5;
+  private static final Duration CALL_TIMEOUT = Duration.ofMillis(400);
+  private static final int HTTP_OK = 200;
+  private static final int NO_LEADER = -1;
 
   /**
-   * What it saw.
+   * One observation.
    *
-   * @param state the last one that any steward told, or null
-   * @param leader the steward that told it, or -1 where in the last round none did
-   * @param round counts the rounds
-   * @param scans counted in all published reports
+   * @param state the last one read, or null
+   * @param leader number of the coordinator that answered, or -1 if none did in the last round
+   * @param round number of the round
+   * @param queriesCounted in all published reports
    */
-  record Sight(LeaseTable.State state, int leader, long round, long scans) {
+  record Observation(LeaseTable.State state, int leader, long round, long queriesCounted) {
+    /** Returns the lease of the report task, or null. */
     LeaseTable.TaskLease report() {
-      return LeaseRules.duty(state, "report");
+      return LeaseRules.findTask(state, "report");
     }
 
-    /** For people. */
-    String said() {
-      return (leader < 0 ? "no steward answers" : "s" + leader + " leads")
-          + ", "
-          + scans
-          + " scans counted"
-          + (state == null
-              ? ""
-              : state.members().stream()
-                      .map(
-                          member ->
-                              ", "
-                                  + member.name()
-                                  + (member.expiresAt() > state.leaderClock()
-                                      ? " alive"
-                                      : " silent"))
-                      .reduce("", String::concat)
-                  + state.tasks().stream()
-                      .map(
-                          duty ->
-                              ", "
-                                  + duty.task()
-                                  + " by "
-                                  + duty.fencingToken()
-                                  + " of "
-                                  + duty.holder()
-                                  + (duty.expiresAt() > state.leaderClock() ? "" : " which is over")
-                                  + " meant for "
-                                  + duty.assignedMember()
-                                  + " at revision "
-                                  + duty.revision())
-                      .reduce("", String::concat));
+    /** Returns a description for people. */
+    String describe() {
+      StringBuilder text = new StringBuilder();
+      text.append(leader < 0 ? "no coordinator answers" : "s" + leader + " leads")
+          .append(", ")
+          .append(queriesCounted)
+          .append(" queries counted");
+      if (state != null) {
+        state.members().forEach(member -> text.append(", ").append(describe(member)));
+        state.tasks().forEach(lease -> text.append(", ").append(describe(lease)));
+      }
+      return text.toString();
+    }
+
+    private String describe(LeaseTable.Member member) {
+      return member.name() + (member.expiresAt() > state.leaderClock() ? " alive" : " silent");
+    }
+
+    private String describe(LeaseTable.TaskLease lease) {
+      return lease.task()
+          + " by "
+          + lease.fencingToken()
+          + " of "
+          + lease.holder()
+          + (lease.expiresAt() > state.leaderClock() ? "" : " which has expired")
+          + " assigned to "
+          + lease.assignedMember()
+          + " at revision "
+          + lease.revision();
     }
   }
 
   private final HttpClient http =
-      HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(ONE).build();
-  private final List<String> addresses;
+      HttpClient.newBuilder()
+          .version(HttpClient.Version.HTTP_1_1)
+          .connectTimeout(CALL_TIMEOUT)
+          .build();
+  private final List<String> coordinators;
   private final History history;
-  private final Reports reports;
-  private final SharedFolderCheck stored;
+  private final PublishedReports reports;
+  private final SharedFolderCheck sharedFolder;
   private final Thread thread;
-  private volatile Sight sight = new Sight(null, -1, 0, 0);
+  private volatile Observation observation = new Observation(null, NO_LEADER, 0, 0);
   private volatile boolean closed;
 
+  /**
+   * Starts to observe.
+   *
+   * @param coordinators addresses, by number
+   */
   ClusterObserver(
-      List<String> addresses, History history, Reports reports, SharedFolderCheck stored) {
-    this.stored = stored;
-    this.addresses = addresses;
+      List<String> coordinators,
+      History history,
+      PublishedReports reports,
+      SharedFolderCheck sharedFolder) {
+    this.coordinators = coordinators;
     this.history = history;
     this.reports = reports;
+    this.sharedFolder = sharedFolder;
     thread = new Thread(this::run, "observer");
     thread.setDaemon(true);
     thread.start();
   }
 
-  Sight sight() {
-    return sight;
+  Observation observation() {
+    return observation;
   }
 
   private void run() {
     while (!closed) {
       try {
-        look();
-        Thread.sleep(EVERY_MS);
+        observe();
+        Thread.sleep(POLL_MS);
       } catch (InterruptedException ended) {
         return;
       }
     }
   }
 
-  private void look() throws InterruptedException {
-    int first = Math.max(0, sight.leader());
-    for (int i = 0; i < addresses.size(); i++) {
-      int steward = (first + i) % addresses.size();
-      Set<String> gone = stored.gone();
-      long call = history.now();
-      LeaseTable.State state = ask(addresses.get(steward));
+  /** Reads the state from the first coordinator that answers, beginning with the last leader. */
+  private void observe() throws InterruptedException {
+    int first = Math.max(0, observation.leader());
+    for (int i = 0; i < coordinators.size(); i++) {
+      int coordinator = (first + i) % coordinators.size();
+      Set<String> removed = sharedFolder.removedFiles();
+      long calledAt = history.now();
+      LeaseTable.State state = readState(coordinators.get(coordinator));
       if (state != null) {
-        history.read("observer", call, state);
-        LeaseTable.TaskLease duty = LeaseRules.duty(state, "report");
-        if (duty != null) {
-          reports.see(duty);
-        }
-        LeaseTable.TaskLease retention = LeaseRules.duty(state, "retention");
-        if (retention != null) {
-          stored.see(retention, gone);
-        }
-        sight = new Sight(state, steward, sight.round() + 1, reports.scans());
+        history.stateRead("observer", calledAt, state);
+        check(state, removed);
+        observation =
+            new Observation(state, coordinator, observation.round() + 1, reports.queriesCounted());
         return;
       }
     }
-    sight = new Sight(sight.state(), -1, sight.round() + 1, sight.scans());
+    observation =
+        new Observation(
+            observation.state(), NO_LEADER, observation.round() + 1, observation.queriesCounted());
+  }
+
+  private void check(LeaseTable.State state, Set<String> removed) {
+    LeaseTable.TaskLease report = LeaseRules.findTask(state, "report");
+    if (report != null) {
+      reports.check(report);
+    }
+    LeaseTable.TaskLease retention = LeaseRules.findTask(state, "retention");
+    if (retention != null) {
+      sharedFolder.check(retention, removed);
+    }
   }
 
-  private LeaseTable.State ask(String address) throws InterruptedException {
+  /** Returns the state as a coordinator tells it; null if it does not answer or does not lead. */
+  private LeaseTable.State readState(String address) throws InterruptedException {
+    HttpRequest request =
+        HttpRequest.newBuilder(URI.create("http://" + address + "/fleet/state"))
+            .timeout(CALL_TIMEOUT)
+            .build();
     try {
-      HttpResponse<byte[]> response =
-          http.send(
-              HttpRequest.newBuilder(URI.create("http://" + address + "/fleet/state"))
-                  .timeout(ONE)
-                  .build(),
-              BodyHandlers.ofByteArray());
-      return response.statusCode() == 200
+      HttpResponse<byte[]> response = http.send(request, BodyHandlers.ofByteArray());
+      return response.statusCode() == HTTP_OK
           ? LeaseCodec.read(response.body(), LeaseTable.State.class)
           : null;
     } catch (IOException noAnswer) {
@@ -150,7 +170,7 @@
     closed = true;
     thread.interrupt();
     try {
-      thread.join(TimeUnit.SECONDS.toMillis(5));
+      thread.join(TimeUnit.SECONDS.toMillis(CLOSE_TIMEOUT_S));
     } catch (InterruptedException fault) {
       Thread.currentThread().interrupt();
     }
--- a/testbed/src/main/java/tidebank/testbed/chaos/ConnectionOwners.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/ConnectionOwners.java
@@ -8,28 +8,29 @@
 import java.util.Map;
 
 /**
- * Whose a connection is, by the system's tables (Linux): a relay stands at an address that all
- * processes share, and what is done to a link depends on who calls.
+ * Finds the process that owns one end of a TCP connection on this machine, from {@code
+ * /proc/net/tcp} and {@code /proc/PID/fd}. Linux only.
  */
 final class ConnectionOwners {
-  private static final int LOCAL = 1;
-  private static final int REMOTE = 2;
-  private static final int INODE = 9;
+  private static final List<String> SOCKET_TABLES = List.of("/proc/net/tcp", "/proc/net/tcp6");
+  private static final int LOCAL_ADDRESS_COLUMN = 1;
+  private static final int REMOTE_ADDRESS_COLUMN = 2;
+  private static final int INODE_COLUMN = 9;
 
   private ConnectionOwners() {}
 
   /**
-   * The name of the process whose end of a connection this is, or null.
+   * Returns the name of the process that owns one end of a connection, or null.
    *
-   * @param port of its end
-   * @param peer port of the other end
-   * @param processes by name, with their process numbers
+   * @param port of that end
+   * @param peerPort of the other end
+   * @param processes process numbers by name
    */
-  static String owner(int port, int peer, Map<String, Long> processes) {
-    String inode = inode(port, peer);
+  static String owner(int port, int peerPort, Map<String, Long> processes) {
+    String inode = findInode(port, peerPort);
     if (inode != null) {
       for (Map.Entry<String, Long> process : processes.entrySet()) {
-        if (holds(process.getValue(), "socket:[" + inode + "]")) {
+        if (hasOpen(process.getValue(), "socket:[" + inode + "]")) {
           return process.getKey();
         }
       }
@@ -37,35 +38,31 @@
     return null;
   }
 
-  private static String inode(int port, int peer) {
+  private static String findInode(int port, int peerPort) {
     String local = String.format(":%04X", port);
-    String remote = String.format(":%04X", peer);
-    for (String table : List.of("/proc/net/tcp", "/proc/net/tcp6")) {
+    String remote = String.format(":%04X", peerPort);
+    for (String table : SOCKET_TABLES) {
       try {
         for (String line : Files.readAllLines(Path.of(table))) {
-          String[] words = line.trim().split("\\s+");
-          if (words.length > INODE
-              && words[LOCAL].endsWith(local)
-              && words[REMOTE].endsWith(remote)) {
-            return words[INODE];
+          String[] columns = line.trim().split("\\s+");
+          if (columns.length > INODE_COLUMN
+              && columns[LOCAL_ADDRESS_COLUMN].endsWith(local)
+              && columns[REMOTE_ADDRESS_COLUMN].endsWith(remote)) {
+            return columns[INODE_COLUMN];
           }
         }
       } catch (IOException absent) {
-        // No such table here: the other one is asked.
+        // This machine has only the other table.
       }
     }
     return null;
   }
 
-  private static boolean holds(long pid, String socket) {
+  private static boolean hasOpen(long pid, String socket) {
     try (DirectoryStream<Path> files = Files.newDirectoryStream(Path.of("/proc/" + pid + "/fd"))) {
       for (Path file : files) {
-        try {
-          if (Files.readSymbolicLink(file).toString().equals(socket)) {
-            return true;
-          }
-        } catch (IOException closed) {
-          // It was closed meanwhile, so it is not the one.
+        if (isLinkTo(file, socket)) {
+          return true;
         }
       }
     } catch (IOException gone) {
@@ -73,4 +70,13 @@
     }
     return false;
   }
+
+  private static boolean isLinkTo(Path file, String target) {
+    try {
+      return Files.readSymbolicLink(file).toString().equals(target);
+    } catch (IOException closed) {
+      // It was closed meanwhile, so it is not the one.
+      return false;
+    }
+  }
 }
--- a/testbed/src/main/java/tidebank/testbed/chaos/FaultProxy.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/FaultProxy.java
@@ -2,10 +2,8 @@
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
-import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
-import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelInboundHandlerAdapter;
+import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoopGroup;
@@ -16,55 +14,58 @@
 import io.netty.channel.socket.nio.NioSocketChannel;
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.Deque;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
+import tidebank.testbed.chaos.FaultyLink.Fault;
 
 /**
- * Stands before the addresses of a fleet's processes and carries what goes to them, or does what it
- * is told to the link between two of them. One event loop owns all of it.
+ * A TCP proxy in front of the processes of a cluster, which forwards their traffic and injects
+ * faults into the link between any two of them. One event loop owns all of its state; the methods
+ * may be called from any other thread.
  */
 final class FaultProxy implements AutoCloseable {
-  /** What may wait on one way before its sender is not read from any more. */
-  private static final int HELD_MOST = 1 << 20;
-
-  private static final int PIECES_PER_S = 20;
-
-  /** Who calls, by the port of its end and of the relay's; null if it is nobody's. */
-  interface Callers {
-    String at(int port, int relay);
+  /** Finds the process at the other end of an accepted connection. */
+  interface CallerLookup {
+    /**
+     * Returns the name of the calling process.
+     *
+     * @param port of the caller's end
+     * @param proxyPort of the proxy's end
+     * @return null if it belongs to no known process
+     */
+    String find(int port, int proxyPort);
   }
 
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private final Callers callers;
+  private final CallerLookup callers;
   private final History history;
   private final long seed;
-  private final List<Channel> doors = new ArrayList<>();
+  private final List<Channel> listeners = new ArrayList<>();
   private final Map<String, FaultyLink> links = new LinkedHashMap<>();
-  private final Set<Pair> pairs = new HashSet<>();
+  private final Set<ProxiedConnection> connections = new HashSet<>();
 
-  FaultProxy(Callers callers, History history, long seed) {
+  FaultProxy(CallerLookup callers, History history, long seed) {
     this.callers = callers;
     this.history = history;
     this.seed = seed;
   }
 
   /**
-   * Opens a door before an address.
+   * Opens a listener in front of an address.
    *
-   * @param to the process that listens there
-   * @param tapped whether the history hears what goes through it
-   * @return the door's own address
+   * @param to the process that listens at the target
+   * @param recorded whether the history records what goes through it
+   * @return the listener's own address
+   * @throws IOException if it can't listen
    */
-  InetSocketAddress open(String to, InetSocketAddress target, boolean tapped) throws IOException {
-    var binding =
+  InetSocketAddress open(String to, InetSocketAddress target, boolean recorded) throws IOException {
+    ChannelFuture binding =
         new ServerBootstrap()
             .group(group)
             .channel(NioServerSocketChannel.class)
@@ -74,100 +75,102 @@
                 new ChannelInitializer<SocketChannel>() {
                   @Override
                   protected void initChannel(SocketChannel channel) {
-                    accepted(channel, to, target, tapped);
+                    accept(channel, to, target, recorded);
                   }
                 })
             .bind(new InetSocketAddress("127.0.0.1", 0))
             .awaitUninterruptibly();
     if (!binding.isSuccess()) {
       throw new IOException(
-          "a relay before " + target + " can't listen: " + binding.cause().getMessage());
+          "a proxy before " + target + " can't listen: " + binding.cause().getMessage());
     }
-    doors.add(binding.channel());
+    listeners.add(binding.channel());
     return (InetSocketAddress) binding.channel().localAddress();
   }
 
-  private FaultyLink link(String from, String to) {
-    return links.computeIfAbsent(from + ">" + to, key -> new FaultyLink(seed + key.hashCode()));
-  }
-
-  /** Does something to the link between two processes, and comes back once it is done. */
-  void put(String from, String to, FaultyLink.Fault fault, long us, long jitterUs, long bytesPerS) {
+  /**
+   * Puts a fault on the link between two processes in place of the one there is; returns once that
+   * is done.
+   *
+   * @param delayUs of {@code DELAY} and {@code FLAP}, in microseconds
+   * @param jitterUs of {@code DELAY}, in microseconds
+   * @param bytesPerS of {@code TRICKLE}
+   */
+  void inject(String from, String to, Fault fault, long delayUs, long jitterUs, long bytesPerS) {
     group
         .next()
         .submit(
             () -> {
               FaultyLink link = link(from, to);
-              if (fault != FaultyLink.Fault.RESET && fault != FaultyLink.Fault.HALF_OPEN) {
+              if (!fault.isMomentary()) {
                 link.heal();
               }
-              List<Pair> there = pairs.stream().filter(pair -> pair.link == link).toList();
+              List<ProxiedConnection> affected = connectionsOf(link);
               switch (fault) {
-                case DELAY -> {
-                  link.up.delayUs = us;
-                  link.down.delayUs = us;
-                  link.up.jitterUs = jitterUs;
-                  link.down.jitterUs = jitterUs;
-                }
-                case SILENT_UP -> link.up.silent = true;
-                case SILENT_DOWN -> link.down.silent = true;
+                case DELAY -> link.delay(delayUs, jitterUs);
+                case SILENT_UP -> link.silenceUp();
+                case SILENT_DOWN -> link.silenceDown();
                 case CUT -> {
-                  link.up.silent = true;
-                  link.down.silent = true;
-                }
-                case TRICKLE -> {
-                  link.up.bytesPerS = bytesPerS;
-                  link.down.bytesPerS = bytesPerS;
+                  link.silenceUp();
+                  link.silenceDown();
                 }
-                case RESET -> there.forEach(Pair::reset);
-                case HALF_OPEN -> there.forEach(Pair::half);
+                case TRICKLE -> link.limitBandwidth(bytesPerS);
+                case RESET -> affected.forEach(ProxiedConnection::reset);
+                case HALF_OPEN -> affected.forEach(ProxiedConnection::closeCalledSide);
                 case REFUSE -> refuse(link);
                 case FLAP -> {
-                  link.flapUs = us;
-                  flap(link, link.turn);
+                  link.flapEvery(delayUs);
+                  flap(link, link.generation());
                 }
                 default -> {}
               }
-              there.forEach(Pair::pump);
+              affected.forEach(ProxiedConnection::forward);
             })
         .syncUninterruptibly();
   }
 
+  private FaultyLink link(String from, String to) {
+    return links.computeIfAbsent(from + ">" + to, key -> new FaultyLink(seed + key.hashCode()));
+  }
+
+  private List<ProxiedConnection> connectionsOf(FaultyLink link) {
+    return connections.stream().filter(connection -> connection.link() == link).toList();
+  }
+
   private void refuse(FaultyLink link) {
-    link.refusing = true;
-    List.copyOf(pairs).stream().filter(pair -> pair.link == link).forEach(Pair::reset);
+    link.refuse(true);
+    connectionsOf(link).forEach(ProxiedConnection::reset);
   }
 
-  private void flap(FaultyLink link, int turn) {
-    if (link.turn != turn || group.isShuttingDown()) {
+  private void flap(FaultyLink link, int generation) {
+    if (link.generation() != generation || group.isShuttingDown()) {
       return;
     }
-    if (link.refusing) {
-      link.refusing = false;
+    if (link.isRefusing()) {
+      link.refuse(false);
     } else {
       refuse(link);
     }
-    group.next().schedule(() -> flap(link, turn), link.flapUs, TimeUnit.MICROSECONDS);
+    group.next().schedule(() -> flap(link, generation), link.flapUs(), TimeUnit.MICROSECONDS);
   }
 
-  private static void reset(Channel channel) {
-    if (channel != null && channel.isOpen()) {
-      channel.config().setOption(ChannelOption.SO_LINGER, 0);
-      channel.close();
-    }
-  }
-
-  private void accepted(
-      SocketChannel channel, String to, InetSocketAddress target, boolean tapped) {
-    String from = callers.at(channel.remoteAddress().getPort(), channel.localAddress().getPort());
+  private void accept(
+      SocketChannel channel, String to, InetSocketAddress target, boolean recorded) {
+    String from = callers.find(channel.remoteAddress().getPort(), channel.localAddress().getPort());
     FaultyLink link = from == null ? null : link(from, to);
-    if (link == null || link.refusing) {
-      reset(channel);
+    if (link == null || link.isRefusing()) {
+      ProxiedConnection.reset(channel);
       return;
     }
-    Pair pair = new Pair(link, channel, tapped ? new TrafficRecorder(history, from) : null);
-    pairs.add(pair);
-    channel.pipeline().addLast(pair.new End(true));
+    ProxiedConnection connection =
+        new ProxiedConnection(
+            link,
+            channel,
+            recorded ? new TrafficRecorder(history, from) : null,
+            history::now,
+            connections::remove);
+    connections.add(connection);
+    channel.pipeline().addLast(connection.callerHandler());
     new Bootstrap()
         .group(channel.eventLoop())
         .channel(NioSocketChannel.class)
@@ -176,24 +179,13 @@
         .handler(
             new ChannelInitializer<SocketChannel>() {
               @Override
-              protected void initChannel(SocketChannel one) {
-                pair.called = one;
-                one.pipeline().addLast(pair.new End(false));
+              protected void initChannel(SocketChannel called) {
+                connection.attach(called);
+                called.pipeline().addLast(connection.calledHandler());
               }
             })
         .connect(target)
-        .addListener(
-            connected -> {
-              if (connected.isSuccess() && !pairs.contains(pair)) {
-                // The caller has gone meanwhile.
-                pair.called.close();
-              } else if (connected.isSuccess()) {
-                channel.config().setAutoRead(true);
-                pair.called.config().setAutoRead(true);
-              } else {
-                pair.reset();
-              }
-            });
+        .addListener(connected -> connection.connected(connected.isSuccess()));
   }
 
   @Override
@@ -202,204 +194,10 @@
         .next()
         .submit(
             () -> {
-              doors.forEach(Channel::close);
-              List.copyOf(pairs).forEach(Pair::reset);
+              listeners.forEach(Channel::close);
+              List.copyOf(connections).forEach(ProxiedConnection::reset);
             })
         .awaitUninterruptibly();
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
   }
-
-  /**
-   * Bytes on their way, or the end of the connection where there are none; not to arrive before a
-   * time.
-   */
-  private record Piece(ByteBuf bytes, long at) {}
-
-  /**
-   * A connection through a door: the caller's half, the called side's half, and what is on its way
-   * each way.
-   */
-  private final class Pair {
-    private final FaultyLink link;
-    private final Channel caller;
-    private final TrafficRecorder tap;
-    private final Pipe up;
-    private final Pipe down;
-    private Channel called;
-    private boolean half;
-
-    Pair(FaultyLink link, Channel caller, TrafficRecorder tap) {
-      this.link = link;
-      this.caller = caller;
-      this.tap = tap;
-      up = new Pipe(true);
-      down = new Pipe(false);
-    }
-
-    void reset() {
-      FaultProxy.reset(caller);
-      FaultProxy.reset(called);
-      forget();
-    }
-
-    /** The called side ends; the caller's half stays, and whatever it sends is lost. */
-    void half() {
-      half = true;
-      if (called != null) {
-        called.close();
-      }
-    }
-
-    private void forget() {
-      if (pairs.remove(this)) {
-        up.drop();
-        down.drop();
-        if (tap != null) {
-          tap.close();
-        }
-      }
-    }
-
-    void pump() {
-      up.pump();
-      down.pump();
-    }
-
-    private final class Pipe {
-      private final boolean isUp;
-      private final Deque<Piece> pieces = new ArrayDeque<>();
-      private long held;
-      private long last;
-      private boolean waits;
-
-      Pipe(boolean isUp) {
-        this.isUp = isUp;
-      }
-
-      private FaultyLink.Way way() {
-        return isUp ? link.up : link.down;
-      }
-
-      private Channel from() {
-        return isUp ? caller : called;
-      }
-
-      private Channel into() {
-        return isUp ? called : caller;
-      }
-
-      void add(ByteBuf bytes) {
-        if (half) {
-          bytes.release();
-          return;
-        }
-        held += bytes.readableBytes();
-        long rate = way().bytesPerS;
-        int piece = rate == 0 ? bytes.readableBytes() : (int) Math.max(1, rate / PIECES_PER_S);
-        while (bytes.readableBytes() > piece) {
-          push(bytes.readRetainedSlice(piece), rate == 0 ? 0 : piece * 1_000_000L / rate);
-        }
-        push(bytes, rate == 0 ? 0 : bytes.readableBytes() * 1_000_000L / rate);
-        if (held > HELD_MOST) {
-          from().config().setAutoRead(false);
-        }
-      }
-
-      private void push(ByteBuf bytes, long takes) {
-        FaultyLink.Way way = way();
-        long arrives =
-            history.now()
-                + way.delayUs
-                + (long) (way.jitterUs == 0 ? 0 : way.jitterUs * link.chance.nextDouble());
-        last = Math.max(last, arrives) + takes;
-        pieces.add(new Piece(bytes, last));
-        pump();
-      }
-
-      void end() {
-        push(null, 0);
-      }
-
-      void pump() {
-        while (!pieces.isEmpty() && !way().silent && pairs.contains(Pair.this)) {
-          Piece first = pieces.peek();
-          long wait = first.at() - history.now();
-          if (wait > 0) {
-            if (!waits) {
-              waits = true;
-              group
-                  .next()
-                  .schedule(
-                      () -> {
-                        waits = false;
-                        pump();
-                      },
-                      wait,
-                      TimeUnit.MICROSECONDS);
-            }
-            return;
-          }
-          pieces.poll();
-          if (first.bytes() == null) {
-            into().close();
-            continue;
-          }
-          held -= first.bytes().readableBytes();
-          into().writeAndFlush(first.bytes());
-          if (held <= HELD_MOST / 2 && from().isOpen()) {
-            from().config().setAutoRead(true);
-          }
-        }
-      }
-
-      void drop() {
-        pieces.forEach(
-            piece -> {
-              if (piece.bytes() != null) {
-                piece.bytes().release();
-              }
-            });
-        pieces.clear();
-      }
-    }
-
-    /** One half of the connection. */
-    private final class End extends ChannelInboundHandlerAdapter {
-      private final boolean isCaller;
-
-      End(boolean isCaller) {
-        this.isCaller = isCaller;
-      }
-
-      @Override
-      public void channelRead(ChannelHandlerContext context, Object message) {
-        ByteBuf bytes = (ByteBuf) message;
-        if (tap != null && isCaller) {
-          tap.up(bytes);
-        } else if (tap != null) {
-          tap.down(bytes);
-        }
-        (isCaller ? up : down).add(bytes);
-      }
-
-      @Override
-      public void channelInactive(ChannelHandlerContext context) {
-        if (!pairs.contains(Pair.this) || half && !isCaller) {
-          return;
-        }
-        boolean otherOpen = isCaller ? called != null && called.isOpen() : caller.isOpen();
-        if (otherOpen) {
-          (isCaller ? up : down).end();
-        } else {
-          forget();
-        }
-      }
-
-      @Override
-      public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        // A reset on one side is passed on as one.
-        reset();
-      }
-    }
-  }
 }
--- a/testbed/src/main/java/tidebank/testbed/chaos/FaultyLink.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/FaultyLink.java
@@ -3,70 +3,104 @@
 import tidebank.model.SeededRandom;
 
 /**
- * The state of the way from one process to another: what is done to all its connections. Belongs to
- * the relays' event loop.
+ * The faults in effect on the link from one process to another; applies to all its connections.
+ * Owned by the event loop of {@link FaultProxy}.
  */
 final class FaultyLink {
-  /** What happens in one direction. */
-  static final class Way {
-    long delayUs;
-    long jitterUs;
-
-    /** 0 for no bound. */
-    long bytesPerS;
-
-    /**
-     * What is sent stays on the way until the silence ends, as with lost packets that are sent
-     * again.
-     */
-    boolean silent;
-
-    private void heal() {
-      delayUs = 0;
-      jitterUs = 0;
-      bytesPerS = 0;
-      silent = false;
-    }
-  }
-
-  /** What can be done to a link. */
+  /** A fault that a script can put on a link. Scripts use these names in lower case. */
   public enum Fault {
-    /** Nothing any more. */
+    /** Ends all faults of the link. */
     HEAL,
-    /** All takes {@code ms} longer, and up to {@code jitter_ms} more. */
+    /** All bytes take {@code ms} longer, and up to {@code jitter_ms} more. */
     DELAY,
     /** Nothing arrives that the caller sends. */
     SILENT_UP,
-    /** Nothing arrives that is answered. */
+    /** Nothing arrives that the called process sends. */
     SILENT_DOWN,
-    /** Nothing arrives at all. */
+    /** Nothing arrives in either direction. */
     CUT,
-    /** All connections there are break with a reset; new ones are fine. */
+    /** Open connections are reset; new ones are fine. */
     RESET,
-    /**
-     * All connections there are end at the called side, and the caller hears nothing of it; new
-     * ones are fine.
-     */
+    /** Open connections end at the called side unseen by the caller; new ones are fine. */
     HALF_OPEN,
-    /** {@code bytes_s} pass in a second, each way. */
+    /** {@code bytes_s} bytes pass in a second, each way. */
     TRICKLE,
-    /** New connections are reset at once, and so are those there are. */
+    /** Open connections are reset, and new ones at once. */
     REFUSE,
     /** Refused and healed in turn, for {@code ms} each. */
-    FLAP
+    FLAP;
+
+    /** Returns whether this fault hits open connections once and leaves no state on the link. */
+    boolean isMomentary() {
+      return this == RESET || this == HALF_OPEN;
+    }
+  }
+
+  /** Faults in effect in one direction. */
+  static final class Direction {
+    private final SeededRandom random;
+    private long delayUs;
+    private long jitterUs;
+    private long bytesPerS;
+    private boolean silent;
+
+    private Direction(SeededRandom random) {
+      this.random = random;
+    }
+
+    private void heal() {
+      delayUs = 0;
+      jitterUs = 0;
+      bytesPerS = 0;
+      silent = false;
+    }
+
+    private void delay(long fixedUs, long randomUs) {
+      delayUs = fixedUs;
+      jitterUs = randomUs;
+    }
+
+    /** Draws the latency of the next chunk, in microseconds. */
+    long nextLatencyUs() {
+      return delayUs + (long) (jitterUs == 0 ? 0 : jitterUs * random.nextDouble());
+    }
+
+    /** Returns the bandwidth in bytes a second; 0 for no bound. */
+    long bytesPerS() {
+      return bytesPerS;
+    }
+
+    /**
+     * Returns whether nothing arrives for now. What was sent stays under way until the fault ends,
+     * as with lost packets that are sent again.
+     */
+    boolean isSilent() {
+      return silent;
+    }
   }
 
-  final Way up = new Way();
-  final Way down = new Way();
-  final SeededRandom chance;
-  boolean refusing;
-  long flapUs;
+  private final Direction up;
+  private final Direction down;
+  private boolean refusing;
+  private long flapUs;
 
-  /** Counts what was done, so that a flapping that was ended knows it. */
-  int turn;
+  /** Counts changes, by which a scheduled flap notices that it was ended. */
+  private int generation;
 
   FaultyLink(long seed) {
-    chance = new SeededRandom(seed);
+    SeededRandom random = new SeededRandom(seed);
+    up = new Direction(random);
+    down = new Direction(random);
+  }
+
+  /** From the caller to the called process. */
+  Direction up() {
+    return up;
+  }
+
+  /** From the called process to the caller. */
+  Direction down() {
+    return down;
   }
 
   void heal() {
@@ -74,6 +108,44 @@
     down.heal();
     refusing = false;
     flapUs = 0;
-    turn++;
+    generation++;
+  }
+
+  void delay(long fixedUs, long randomUs) {
+    up.delay(fixedUs, randomUs);
+    down.delay(fixedUs, randomUs);
+  }
+
+  void limitBandwidth(long bytesPerS) {
+    up.bytesPerS = bytesPerS;
+    down.bytesPerS = bytesPerS;
+  }
+
+  void silenceUp() {
+    up.silent = true;
+  }
+
+  void silenceDown() {
+    down.silent = true;
+  }
+
+  void refuse(boolean on) {
+    refusing = on;
+  }
+
+  boolean isRefusing() {
+    return refusing;
+  }
+
+  void flapEvery(long us) {
+    flapUs = us;
+  }
+
+  long flapUs() {
+    return flapUs;
+  }
+
+  int generation() {
+    return generation;
   }
 }
--- a/testbed/src/main/java/tidebank/testbed/chaos/History.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/History.java
@@ -1,156 +1,186 @@
 package tidebank.testbed.chaos;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
+import com.fasterxml.jackson.annotation.JsonPropertyOrder;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.TreeSet;
+import java.util.Set;
+import java.util.function.Predicate;
 import tidebank.lease.CommandResult;
 import tidebank.lease.LeaseCommand;
 import tidebank.lease.LeaseTable;
 
 /**
- * What went over the links, and what was done to whom, as seen from outside of all processes; in
- * microseconds since the run began. Written to by relays, the observer and the script, each under
- * this object's lock, and read once they have ended.
+ * What went over the links of a cluster and what was done to its processes, as seen from outside of
+ * them. Times are microseconds since the history began. Thread-safe: written by the proxy, the
+ * observer and the script, and read once they have ended.
  */
 public final class History {
-  /** An answer that came as the answer to another call of its command already. */
-  private static final TreeSet<String> LATE =
-      new TreeSet<>(List.of("TB-1006", "TB-1007", "TB-1008", "TB-1010"));
+  /**
+   * Errors of a result that a copy of a command may get after another copy was answered otherwise.
+   */
+  private static final Set<String> ERRORS_OF_LATE_COPIES =
+      Set.of("TB-1006", "TB-1007", "TB-1008", "TB-1010");
 
   /**
-   * A command of one session, however often it was sent.
+   * A command, however often it was sent. Stored as JSON under the names given here.
    *
-   * @param call when the first copy came by
-   * @param back when the first answer came by, or {@link Long#MAX_VALUE}
+   * @param from the process that sent its latest copy
+   * @param calledAt when the first copy was sent
+   * @param returnedAt when the first result was seen, or {@link Long#MAX_VALUE}
+   * @param result the first, or null
    * @param copies how often it was sent
    */
-  public record Asked(
-      String from, LeaseCommand command, long call, long back, CommandResult answer, int copies) {}
-
-  /** A state that somebody was told. */
-  public record Read(String from, long call, long back, LeaseTable.State state) {}
+  @JsonPropertyOrder({"from", "command", "call", "back", "answer", "copies"})
+  public record RecordedCommand(
+      String from,
+      LeaseCommand command,
+      @JsonProperty("call") long calledAt,
+      @JsonProperty("back") long returnedAt,
+      @JsonProperty("answer") CommandResult result,
+      int copies) {
+    private RecordedCommand withCopyFrom(String sender) {
+      return new RecordedCommand(sender, command, calledAt, returnedAt, result, copies + 1);
+    }
 
-  /** Something that was done or seen, for people. */
-  public record Event(long at, String who, String what) {}
+    private RecordedCommand withResult(long at, CommandResult first) {
+      return new RecordedCommand(from, command, calledAt, at, first, copies);
+    }
+  }
 
-  private final long began = System.nanoTime();
-  private final Map<String, Integer> rows = new HashMap<>();
-  private final List<Asked> asked = new ArrayList<>();
-  private final List<Read> reads = new ArrayList<>();
-  private final List<Event> events = new ArrayList<>();
-  private final List<String> faults = new ArrayList<>();
-  private final Map<String, Integer> sent = new HashMap<>();
+  /**
+   * A read of the coordinators' state. Stored as JSON under the names given here.
+   *
+   * @param from the process that read it
+   * @param calledAt when it was asked for
+   * @param returnedAt when it was seen
+   */
+  @JsonPropertyOrder({"from", "call", "back", "state"})
+  public record RecordedRead(
+      String from,
+      @JsonProperty("call") long calledAt,
+      @JsonProperty("back") long returnedAt,
+      LeaseTable.State state) {}
 
-  /** The time of this history, in microseconds. */
+  /**
+   * Something that was done or seen, for people. Stored as JSON under the names given here.
+   *
+   * @param process or role that it concerns
+   */
+  @JsonPropertyOrder({"at", "who", "what"})
+  public record TimelineEvent(
+      long at, @JsonProperty("who") String process, @JsonProperty("what") String description) {}
+
+  private final long startedNs = System.nanoTime();
+  private final Map<String, Integer> commandIndex = new HashMap<>();
+  private final List<RecordedCommand> commands = new ArrayList<>();
+  private final List<RecordedRead> reads = new ArrayList<>();
+  private final List<TimelineEvent> events = new ArrayList<>();
+  private final List<String> violations = new ArrayList<>();
+  private final Map<String, Integer> commandsSent = new HashMap<>();
+
+  /** Returns the time of this history, in microseconds. */
   public long now() {
-    return (System.nanoTime() - began) / 1000;
+    return (System.nanoTime() - startedNs) / 1000;
   }
 
   private static String key(LeaseCommand command) {
     return command.session() + '#' + command.sequence();
   }
 
-  public synchronized void asked(String from, LeaseCommand command) {
-    sent.merge(from, 1, Integer::sum);
-    Integer row = rows.putIfAbsent(key(command), asked.size());
-    if (row == null) {
-      asked.add(new Asked(from, command, now(), Long.MAX_VALUE, null, 1));
+  /** Records that a process sent a command, or another copy of it. */
+  public synchronized void commandSent(String from, LeaseCommand command) {
+    commandsSent.merge(from, 1, Integer::sum);
+    Integer index = commandIndex.putIfAbsent(key(command), commands.size());
+    if (index == null) {
+      commands.add(new RecordedCommand(from, command, now(), Long.MAX_VALUE, null, 1));
       return;
     }
-    Asked before = asked.get(row);
-    asked.set(
-        row,
-        new Asked(
-            from,
-            before.command(),
-            before.call(),
-            before.back(),
-            before.answer(),
-            before.copies() + 1));
-    if (!before.command().equals(command)) {
-      faults.add(
-          "one number for two commands of a session: " + before.command() + " and " + command);
+    RecordedCommand first = commands.get(index);
+    commands.set(index, first.withCopyFrom(from));
+    if (!first.command().equals(command)) {
+      violations.add(
+          "one number for two commands of a session: " + first.command() + " and " + command);
     }
   }
 
-  /** A decided answer. What only kept a call from being decided is none. */
-  public synchronized void answered(LeaseCommand command, CommandResult answer) {
-    int row = rows.get(key(command));
-    Asked before = asked.get(row);
-    if (before.answer() == null) {
-      asked.set(
-          row, new Asked(before.from(), command, before.call(), now(), answer, before.copies()));
-    } else if (!before.answer().equals(answer)
-        && (answer.error() == null || !LATE.contains(answer.error().code()))) {
-      faults.add("two answers to " + command + ": " + before.answer() + " and " + answer);
+  /** Records a decided result of a command. An error that only kept it undecided is none. */
+  public synchronized void commandAnswered(LeaseCommand command, CommandResult result) {
+    int index = commandIndex.get(key(command));
+    RecordedCommand recorded = commands.get(index);
+    if (recorded.result() == null) {
+      commands.set(index, recorded.withResult(now(), result));
+    } else if (!recorded.result().equals(result)
+        && (result.error() == null || !ERRORS_OF_LATE_COPIES.contains(result.error().code()))) {
+      violations.add("two answers to " + command + ": " + recorded.result() + " and " + result);
     }
   }
 
-  /** Commands that somebody sent so far, each copy counted. */
-  public synchronized int sent(String from) {
-    return sent.getOrDefault(from, 0);
+  /** Records that a process read the coordinators' state. */
+  public synchronized void stateRead(String from, long calledAt, LeaseTable.State state) {
+    reads.add(new RecordedRead(from, calledAt, now(), state));
+  }
+
+  /** Records an event for people. */
+  public synchronized void event(String process, String description) {
+    events.add(new TimelineEvent(now(), process, description));
   }
 
-  /** Renewals that somebody has had answered so far. */
-  public synchronized int renewals(String from) {
-    return (int)
-        asked.stream()
-            .filter(
-                one ->
-                    one.from().equals(from)
-                        && one.command().kind() == LeaseCommand.Kind.RENEW
-                        && one.answer() != null
-                        && one.answer().error() == null)
-            .count();
+  /** Returns how many commands a process has sent, each copy counted. */
+  public synchronized int commandsSentBy(String process) {
+    return commandsSent.getOrDefault(process, 0);
   }
 
-  /** Claims of a duty that somebody sent so far, answered or not. */
-  public synchronized int claims(String from, String duty) {
-    return (int)
-        asked.stream()
-            .filter(
-                one ->
-                    one.from().equals(from)
-                        && one.command().kind() == LeaseCommand.Kind.CLAIM
-                        && one.command().task().equals(duty))
-            .count();
+  /** Returns how many renewals of a process succeeded. */
+  public synchronized int renewalsAnsweredTo(String process) {
+    return count(
+        recorded ->
+            recorded.from().equals(process)
+                && recorded.command().kind() == LeaseCommand.Kind.RENEW
+                && recorded.result() != null
+                && recorded.result().error() == null);
   }
 
-  /** What was sent to be published under a duty so far, answered or not. */
-  public synchronized int published(String duty) {
-    return (int)
-        asked.stream()
-            .filter(
-                one ->
-                    one.command().kind() == LeaseCommand.Kind.PUBLISH
-                        && one.command().task().equals(duty))
-            .count();
+  /** Returns how many claims of a task a process has sent, answered or not. */
+  public synchronized int claimsSentBy(String process, String task) {
+    return count(
+        recorded ->
+            recorded.from().equals(process)
+                && recorded.command().kind() == LeaseCommand.Kind.CLAIM
+                && recorded.command().task().equals(task));
   }
 
-  public synchronized void read(String from, long call, LeaseTable.State state) {
-    reads.add(new Read(from, call, now(), state));
+  /** Returns how many publications of a task were sent by any process, answered or not. */
+  public synchronized int publicationsSentFor(String task) {
+    return count(
+        recorded ->
+            recorded.command().kind() == LeaseCommand.Kind.PUBLISH
+                && recorded.command().task().equals(task));
   }
 
-  public synchronized void event(String who, String what) {
-    events.add(new Event(now(), who, what));
+  private int count(Predicate<RecordedCommand> condition) {
+    return (int) commands.stream().filter(condition).count();
   }
 
-  public synchronized List<Asked> asked() {
-    return List.copyOf(asked);
+  /** Returns all commands, in the order of their first copies. */
+  public synchronized List<RecordedCommand> commands() {
+    return List.copyOf(commands);
   }
 
-  public synchronized List<Read> reads() {
+  /** Returns all reads, in the order in which they returned. */
+  public synchronized List<RecordedRead> reads() {
     return List.copyOf(reads);
   }
 
-  public synchronized List<Event> events() {
+  /** Returns all events for people, in order. */
+  public synchronized List<TimelineEvent> events() {
     return List.copyOf(events);
   }
 
-  /** What could be told to be wrong as it came by. */
-  public synchronized List<String> faults() {
-    return List.copyOf(faults);
+  /** Returns the violations that were seen while recording. */
+  public synchronized List<String> violations() {
+    return List.copyOf(violations);
   }
 }
--- a/testbed/src/main/java/tidebank/testbed/chaos/LeaseRules.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/LeaseRules.java
@@ -10,271 +10,328 @@
 import tidebank.lease.LeaseCommand.Kind;
 import tidebank.lease.LeaseConfig;
 import tidebank.lease.LeaseTable;
-import tidebank.testbed.chaos.History.Asked;
-import tidebank.testbed.chaos.History.Read;
+import tidebank.testbed.chaos.History.RecordedCommand;
+import tidebank.testbed.chaos.History.RecordedRead;
 
 /**
- * What must hold for a duty, whatever happened, judged from a history alone: its commands and reads
- * are linearizable, and nobody is granted it before the lease of the one before can be over.
+ * The rules of leases, checked on a history alone: commands and reads of each task are
+ * linearizable, and no task is granted before the lease of the previous holder can be over. Pure.
  */
 public final class LeaseRules {
   /**
-   * A duty as far as it does not depend on time. The owner stays named after its lease ended, until
-   * another claims.
+   * The state of a task as far as it does not depend on time. The holder stays named after its
+   * lease has ended, until another member claims the task.
+   *
+   * @param fencingToken of the last grant
+   * @param session of the holder, or "" after it released the task
+   * @param revision of what is published
+   * @param value that is published
    */
-  public record Cell(long token, String session, long revision, String value) {
-    static final Cell NEW = new Cell(0, "", 0, "");
+  public record TaskState(long fencingToken, String session, long revision, String value) {
+    static final TaskState INITIAL = new TaskState(0, "", 0, "");
 
-    private boolean by(LeaseCommand command) {
-      return token == command.fencingToken() && session.equals(command.session());
+    private boolean isHeldBy(LeaseCommand command) {
+      return fencingToken == command.fencingToken() && session.equals(command.session());
     }
 
-    private Cell let() {
-      return new Cell(token, "", revision, value);
+    private TaskState released() {
+      return new TaskState(fencingToken, "", revision, value);
+    }
+
+    private TaskState grantedTo(String newSession) {
+      return new TaskState(fencingToken + 1, newSession, revision, value);
+    }
+
+    private TaskState published(String newValue) {
+      return new TaskState(fencingToken, session, revision + 1, newValue);
+    }
+
+    private boolean accepts(LeaseCommand publication) {
+      return isHeldBy(publication) && revision == publication.revision();
     }
   }
 
   private LeaseRules() {}
 
-  /** All that is wrong; empty if nothing is. */
-  public static List<String> broken(History history, LeaseConfig terms) {
-    List<String> broken = new ArrayList<>(history.faults());
-    TreeSet<String> duties = new TreeSet<>();
-    history.reads().forEach(read -> read.state().tasks().forEach(duty -> duties.add(duty.task())));
-    for (String duty : duties) {
+  /** Returns all violations in a history; empty if every rule holds. */
+  public static List<String> violations(History history, LeaseConfig config) {
+    List<String> violations = new ArrayList<>(history.violations());
+    TreeSet<String> tasks = new TreeSet<>();
+    history.reads().forEach(read -> read.state().tasks().forEach(task -> tasks.add(task.task())));
+    for (String task : tasks) {
       LinearizabilityChecker.Outcome outcome =
           LinearizabilityChecker.check(
-              operations(history.asked(), history.reads(), duty), Cell.NEW);
+              operations(history.commands(), history.reads(), task), TaskState.INITIAL);
       if (!outcome.holds()) {
-        broken.add(duty + " is not linearizable: " + outcome.fault());
+        violations.add(task + " is not linearizable: " + outcome.violation());
       }
-      broken.addAll(early(history.asked(), duty, terms));
+      violations.addAll(overlappingGrants(history.commands(), task, config));
     }
-    return broken;
+    return violations;
   }
 
-  /** What the history says of one duty. */
-  static List<LinearizabilityChecker.Operation<Cell>> operations(
-      List<Asked> asked, List<Read> reads, String duty) {
-    List<LinearizabilityChecker.Operation<Cell>> operations = new ArrayList<>();
-    for (Asked one : asked) {
-      UnaryOperator<Cell> step =
-          one.answer() == null
-              ? unheard(one.command(), duty)
-              : answered(one.command(), one.answer(), duty);
-      if (step != null) {
+  // ---- linearizability
+
+  /** Returns the operations of a history on one task. */
+  static List<LinearizabilityChecker.Operation<TaskState>> operations(
+      List<RecordedCommand> commands, List<RecordedRead> reads, String task) {
+    List<LinearizabilityChecker.Operation<TaskState>> operations = new ArrayList<>();
+    for (RecordedCommand recorded : commands) {
+      UnaryOperator<TaskState> transition =
+          recorded.result() == null
+              ? possibleEffect(recorded.command(), task)
+              : effectWithGrants(recorded.command(), recorded.result(), task);
+      if (transition != null) {
         operations.add(
-            new LinearizabilityChecker.Operation<>(said(one), one.call(), one.back(), step));
+            new LinearizabilityChecker.Operation<>(
+                describe(recorded), recorded.calledAt(), recorded.returnedAt(), transition));
       }
     }
-    for (Read read : reads) {
-      read.state().tasks().stream()
-          .filter(cell -> cell.task().equals(duty))
-          .findFirst()
-          .ifPresent(
-              told -> {
-                Cell cell =
-                    new Cell(told.fencingToken(), told.session(), told.revision(), told.value());
-                operations.add(
-                    new LinearizabilityChecker.Operation<>(
-                        read.from() + " read " + cell,
-                        read.call(),
-                        read.back(),
-                        now -> now.equals(cell) ? now : null));
-              });
+    for (RecordedRead read : reads) {
+      LeaseTable.TaskLease lease = findTask(read.state(), task);
+      if (lease != null) {
+        operations.add(readOperation(read, lease));
+      }
     }
     return operations;
   }
 
-  private static String said(Asked one) {
-    LeaseCommand command = one.command();
+  private static LinearizabilityChecker.Operation<TaskState> readOperation(
+      RecordedRead read, LeaseTable.TaskLease lease) {
+    TaskState state =
+        new TaskState(lease.fencingToken(), lease.session(), lease.revision(), lease.value());
+    return new LinearizabilityChecker.Operation<>(
+        read.from() + " read " + state,
+        read.calledAt(),
+        read.returnedAt(),
+        now -> now.equals(state) ? now : null);
+  }
+
+  private static String describe(RecordedCommand recorded) {
+    LeaseCommand command = recorded.command();
     return command.member()
         + ' '
         + command.kind()
         + (command.fencingToken() == 0 ? "" : " by " + command.fencingToken())
         + (command.kind() == Kind.PUBLISH ? " after " + command.revision() : "")
         + " at "
-        + one.call() / 1000
+        + recorded.calledAt() / 1000
         + " ms: "
-        + (one.answer() == null
-            ? "no answer"
-            : one.answer().error() == null
-                ? "done, owns " + one.answer().leases()
-                : one.answer().error().code());
+        + describe(recorded.result());
+  }
+
+  private static String describe(CommandResult result) {
+    if (result == null) {
+      return "no answer";
+    }
+    return result.error() == null ? "done, owns " + result.leases() : result.error().code();
   }
 
   /**
-   * One that nobody knows the outcome of: where it fits it may have had its effect. Null if it has
-   * none on the duty.
+   * Returns the effect that a command without a result may have had, wherever it fits; null if it
+   * has none on the task.
    */
-  private static UnaryOperator<Cell> unheard(LeaseCommand command, String duty) {
-    boolean about = command.task().equals(duty);
+  private static UnaryOperator<TaskState> possibleEffect(LeaseCommand command, String task) {
     if (command.kind() == Kind.LEAVE) {
-      return now -> now.session().equals(command.session()) ? now.let() : now;
-    } else if (about && command.kind() == Kind.CLAIM) {
-      return now -> new Cell(now.token() + 1, command.session(), now.revision(), now.value());
-    } else if (about && command.kind() == Kind.RELEASE) {
-      return now -> now.by(command) ? now.let() : now;
-    } else if (about && command.kind() == Kind.PUBLISH) {
-      return now ->
-          now.by(command) && now.revision() == command.revision()
-              ? new Cell(now.token(), now.session(), now.revision() + 1, command.value())
-              : now;
+      return leaveEffect(command);
     }
-    return null;
+    if (!command.task().equals(task)) {
+      return null;
+    }
+    return switch (command.kind()) {
+      case CLAIM -> now -> now.grantedTo(command.session());
+      case RELEASE -> now -> now.isHeldBy(command) ? now.released() : now;
+      case PUBLISH -> now -> now.accepts(command) ? now.published(command.value()) : now;
+      default -> null;
+    };
+  }
+
+  private static UnaryOperator<TaskState> leaveEffect(LeaseCommand command) {
+    return now -> now.session().equals(command.session()) ? now.released() : now;
   }
 
-  /** One with its answer. Null if the answer says nothing of the duty. */
-  private static UnaryOperator<Cell> answered(
-      LeaseCommand command, CommandResult answer, String duty) {
-    UnaryOperator<Cell> step = effect(command, answer, duty);
-    CommandResult.Grant grant =
-        answer.leases() == null
-            ? null
-            : answer.leases().stream()
-                .filter(one -> one.task().equals(duty))
-                .findFirst()
-                .orElse(null);
-    if (grant == null) {
-      return step;
+  /**
+   * Returns the effect of a command, after which the task must be as the leases in its result say;
+   * null if the result says nothing of the task.
+   */
+  private static UnaryOperator<TaskState> effectWithGrants(
+      LeaseCommand command, CommandResult result, String task) {
+    UnaryOperator<TaskState> effect = effect(command, result, task);
+    long token = grantedToken(result, task);
+    if (token == 0) {
+      return effect;
     }
     return now -> {
-      Cell after = step == null ? now : step.apply(now);
+      TaskState after = effect == null ? now : effect.apply(now);
       return after != null
-              && after.token() == grant.fencingToken()
+              && after.fencingToken() == token
               && after.session().equals(command.session())
           ? after
           : null;
     };
   }
 
-  private static UnaryOperator<Cell> effect(
-      LeaseCommand command, CommandResult answer, String duty) {
-    TidebankException.Details fault = answer.error();
-    if (command.kind() == Kind.LEAVE && fault == null) {
-      return now -> now.session().equals(command.session()) ? now.let() : now;
+  private static UnaryOperator<TaskState> effect(
+      LeaseCommand command, CommandResult result, String task) {
+    TidebankException.Details error = result.error();
+    if (command.kind() == Kind.LEAVE && error == null) {
+      return leaveEffect(command);
     }
-    if (!command.task().equals(duty)) {
+    if (!command.task().equals(task)) {
       return null;
     }
     return switch (command.kind()) {
-      case CLAIM ->
-          fault == null
-              ? now -> claimed(now, command, answer, duty)
-              : fault.is(TidebankException.LeaseHeldByOther.class)
-                  ? now ->
-                      now.session().equals(command.session()) || now.session().isEmpty()
-                          ? null
-                          : now
-                  : null;
+      case CLAIM -> claimEffect(command, result, task);
       case RELEASE ->
-          fault == null ? now -> now.by(command) ? now.let() : null : refused(command, fault);
-      case PUBLISH ->
-          fault == null
-              ? now ->
-                  now.by(command)
-                          && now.revision() == command.revision()
-                          && answer.revision() == now.revision() + 1
-                      ? new Cell(now.token(), now.session(), now.revision() + 1, command.value())
-                      : null
-              : fault.is(TidebankException.RevisionConflict.class)
-                  ? now -> now.by(command) && now.revision() != command.revision() ? now : null
-                  : refused(command, fault);
+          error == null
+              ? now -> now.isHeldBy(command) ? now.released() : null
+              : rejectedEffect(command, error);
+      case PUBLISH -> publishEffect(command, result);
       default -> null;
     };
   }
 
-  private static Cell claimed(Cell now, LeaseCommand command, CommandResult answer, String duty) {
-    long token =
-        answer.leases().stream()
-            .filter(grant -> grant.task().equals(duty))
-            .mapToLong(CommandResult.Grant::fencingToken)
-            .findFirst()
-            .orElse(-1);
-    boolean again = token == now.token() && now.session().equals(command.session());
-    return again
-        ? now
-        : token == now.token() + 1
-            ? new Cell(token, command.session(), now.revision(), now.value())
-            : null;
+  private static UnaryOperator<TaskState> claimEffect(
+      LeaseCommand command, CommandResult result, String task) {
+    TidebankException.Details error = result.error();
+    if (error == null) {
+      return now -> claimed(now, command, grantedToken(result, task));
+    }
+    if (error.is(TidebankException.LeaseHeldByOther.class)) {
+      return now -> now.session().equals(command.session()) || now.session().isEmpty() ? null : now;
+    }
+    return null;
+  }
+
+  private static TaskState claimed(TaskState now, LeaseCommand command, long token) {
+    if (token == now.fencingToken() && now.session().equals(command.session())) {
+      return now;
+    }
+    return token == now.fencingToken() + 1 ? now.grantedTo(command.session()) : null;
+  }
+
+  private static UnaryOperator<TaskState> publishEffect(
+      LeaseCommand command, CommandResult result) {
+    TidebankException.Details error = result.error();
+    if (error == null) {
+      return now ->
+          now.accepts(command) && result.revision() == now.revision() + 1
+              ? now.published(command.value())
+              : null;
+    }
+    if (error.is(TidebankException.RevisionConflict.class)) {
+      return now -> now.isHeldBy(command) && now.revision() != command.revision() ? now : null;
+    }
+    return rejectedEffect(command, error);
   }
 
-  private static UnaryOperator<Cell> refused(
-      LeaseCommand command, TidebankException.Details fault) {
-    return fault.is(TidebankException.StaleFencingToken.class)
-        ? now -> now.by(command) ? null : now
-        : fault.is(TidebankException.LeaseExpired.class)
-            ? now -> now.by(command) ? now : null
-            : null;
+  private static UnaryOperator<TaskState> rejectedEffect(
+      LeaseCommand command, TidebankException.Details error) {
+    if (error.is(TidebankException.StaleFencingToken.class)) {
+      return now -> now.isHeldBy(command) ? null : now;
+    }
+    if (error.is(TidebankException.LeaseExpired.class)) {
+      return now -> now.isHeldBy(command) ? now : null;
+    }
+    return null;
   }
 
+  // ---- leases that must not overlap
+
   /**
-   * Grants that came too early. A claim or renewal that was called at c leaves its owner believing
-   * until c + lease / (1 + drift) at the most: it counts lease x (1 - drift) / (1 + drift) from
-   * before, by a clock that is 1 - drift slow at the worst. No successor may have its answer
-   * before, unless the owner let go.
+   * Returns the grants that came too early. A claim or renewal that was called at c lets its holder
+   * believe in its lease until c + lease / (1 + drift) at the latest: it counts lease x (1 - drift)
+   * / (1 + drift) from before, by a clock that is 1 - drift slow at the worst. No successor may
+   * have its result before, unless the holder released the task.
    */
-  static List<String> early(List<Asked> asked, String duty, LeaseConfig terms) {
-    List<String> early = new ArrayList<>();
-    long lasts = (long) (terms.leaseUs() / (1 + terms.maxClockDrift()));
-    for (Asked next : asked) {
-      long token = next.command().kind() == Kind.CLAIM ? granted(next, duty) : 0;
-      for (Asked before : token == 0 ? List.<Asked>of() : asked) {
-        boolean sets =
-            before.command().kind() == Kind.RENEW
-                || before.command().kind() == Kind.CLAIM && before.command().task().equals(duty);
-        long held = sets ? granted(before, duty) : 0;
+  static List<String> overlappingGrants(
+      List<RecordedCommand> commands, String task, LeaseConfig config) {
+    List<String> violations = new ArrayList<>();
+    long leaseUs = (long) (config.leaseUs() / (1 + config.maxClockDrift()));
+    for (RecordedCommand next : commands) {
+      long token = next.command().kind() == Kind.CLAIM ? grantedToken(next, task) : 0;
+      if (token == 0) {
+        continue;
+      }
+      for (RecordedCommand before : commands) {
+        long held = extendsLease(before.command(), task) ? grantedToken(before, task) : 0;
         if (held > 0
             && held < token
-            && next.back() < before.call() + lasts
-            && !let(asked, before, held, duty, next.back())) {
-          early.add(
-              duty
-                  + ": token "
-                  + token
-                  + " of "
-                  + next.command().member()
-                  + " was granted at "
-                  + next.back() / 1000
-                  + " ms, the lease of token "
-                  + held
-                  + " of "
-                  + before.command().member()
-                  + " lasts to "
-                  + (before.call() + lasts) / 1000
-                  + " ms");
+            && next.returnedAt() < before.calledAt() + leaseUs
+            && !isReleased(commands, before, held, task, next.returnedAt())) {
+          violations.add(describeOverlap(task, before, held, next, token, leaseUs));
         }
       }
     }
-    return early;
+    return violations;
   }
 
-  private static long granted(Asked one, String duty) {
-    return one.answer() == null || one.answer().error() != null || one.answer().leases() == null
+  private static boolean extendsLease(LeaseCommand command, String task) {
+    return command.kind() == Kind.RENEW
+        || (command.kind() == Kind.CLAIM && command.task().equals(task));
+  }
+
+  private static String describeOverlap(
+      String task,
+      RecordedCommand before,
+      long held,
+      RecordedCommand next,
+      long token,
+      long leaseUs) {
+    return task
+        + ": token "
+        + token
+        + " of "
+        + next.command().member()
+        + " was granted at "
+        + next.returnedAt() / 1000
+        + " ms, the lease of token "
+        + held
+        + " of "
+        + before.command().member()
+        + " lasts to "
+        + (before.calledAt() + leaseUs) / 1000
+        + " ms";
+  }
+
+  private static boolean isReleased(
+      List<RecordedCommand> commands, RecordedCommand holder, long token, String task, long until) {
+    return commands.stream()
+        .filter(one -> one.command().session().equals(holder.command().session()))
+        .filter(one -> one.calledAt() < until)
+        .map(RecordedCommand::command)
+        .anyMatch(
+            command ->
+                command.kind() == Kind.LEAVE
+                    || (command.kind() == Kind.RELEASE
+                        && command.task().equals(task)
+                        && command.fencingToken() == token));
+  }
+
+  /** Returns the token by which a successful command left its sender the task, or 0. */
+  private static long grantedToken(RecordedCommand recorded, String task) {
+    return recorded.result() == null || recorded.result().error() != null
         ? 0
-        : one.answer().leases().stream()
-            .filter(grant -> grant.task().equals(duty))
+        : grantedToken(recorded.result(), task);
+  }
+
+  private static long grantedToken(CommandResult result, String task) {
+    return result.leases() == null
+        ? 0
+        : result.leases().stream()
+            .filter(lease -> lease.task().equals(task))
             .mapToLong(CommandResult.Grant::fencingToken)
             .findFirst()
             .orElse(0);
   }
 
-  private static boolean let(List<Asked> asked, Asked owner, long token, String duty, long until) {
-    return asked.stream()
-        .anyMatch(
-            one ->
-                one.command().session().equals(owner.command().session())
-                    && one.call() < until
-                    && (one.command().kind() == Kind.LEAVE
-                        || one.command().kind() == Kind.RELEASE
-                            && one.command().task().equals(duty)
-                            && one.command().fencingToken() == token));
-  }
-
-  /** A duty in a state, if it is there. */
-  static LeaseTable.TaskLease duty(LeaseTable.State state, String name) {
+  /** Returns a task in a state; null if the state is null or has no such task. */
+  static LeaseTable.TaskLease findTask(LeaseTable.State state, String task) {
     return state == null
         ? null
-        : state.tasks().stream().filter(duty -> duty.task().equals(name)).findFirst().orElse(null);
+        : state.tasks().stream()
+            .filter(lease -> lease.task().equals(task))
+            .findFirst()
+            .orElse(null);
   }
 }
--- a/testbed/src/main/java/tidebank/testbed/chaos/LinearizabilityChecker.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/LinearizabilityChecker.java
@@ -11,114 +11,165 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Whether operations that overlapped can have taken effect one after the other, each at some moment
- * between its call and its return. The search of Wing and Gong, which never comes twice to the same
- * operations done with the same state (Lowe).
+ * Checks whether overlapping operations can have taken effect one after the other, each at some
+ * moment between its call and its return. Uses the search of Wing and Gong with the memoization of
+ * Lowe: a set of operations done is never tried twice with the same state. Pure.
  */
 public final class LinearizabilityChecker {
-  /** Operations tried before a history counts as undecided. */
-  private static final int MOST = 2_000_000;
+  /** Steps after which a history counts as undecided. */
+  private static final int MAX_STEPS = 2_000_000;
 
   /**
    * One operation.
    *
-   * @param what for people
-   * @param call when it was asked for
-   * @param back when its answer was there; {@link Long#MAX_VALUE} where none came: it may have
-   *     taken effect any time, or never
-   * @param step the state after it, or null where it can't have had this answer in that state
+   * @param description for people
+   * @param calledAt when it was called
+   * @param returnedAt when its result was there; {@link Long#MAX_VALUE} if there was none: it may
+   *     have taken effect at any time, or never
+   * @param transition returns the state after it, or null if it can't have had its result in the
+   *     state before
    */
-  public record Operation<S>(String what, long call, long back, UnaryOperator<S> step) {
-    private boolean answered() {
-      return back != Long.MAX_VALUE;
+  public record Operation<S>(
+      String description, long calledAt, long returnedAt, UnaryOperator<S> transition) {
+    private boolean hasReturned() {
+      return returnedAt != Long.MAX_VALUE;
     }
   }
 
-  /** What came of it: fine where {@code fault} is empty. */
-  public record Outcome(String fault, int tried) {
+  /**
+   * The outcome of a check.
+   *
+   * @param violation describes where the search got stuck; "" if the history is linearizable
+   * @param steps of the search
+   */
+  public record Outcome(String violation, int steps) {
+    /** Returns whether the history is linearizable. */
     public boolean holds() {
-      return fault.isEmpty();
+      return violation.isEmpty();
     }
   }
 
-  private record Choice<S>(int operation, S before) {}
-
-  private record Seen<S>(BitSet done, S state) {}
+  /** Checks a history that starts in an initial state. */
+  public static <S> Outcome check(List<Operation<S>> history, S initial) {
+    return new Search<>(history, initial).run();
+  }
 
   private LinearizabilityChecker() {}
 
-  public static <S> Outcome check(List<Operation<S>> history, S first) {
-    List<Operation<S>> all = new ArrayList<>(history);
-    all.sort(Comparator.comparingLong(Operation::call));
-    int left = (int) all.stream().filter(Operation::answered).count();
-    BitSet done = new BitSet(all.size());
-    Deque<Choice<S>> path = new ArrayDeque<>();
-    Set<Seen<S>> seen = new HashSet<>();
-    S state = first;
-    int from = 0;
-    int tried = 0;
-    int deepest = -1;
-    String stuck = "";
-    while (left > 0) {
-      if (++tried > MOST) {
-        return new Outcome("undecided after " + MOST + " steps", tried);
+  /** A depth-first search over the orders in which the operations may have taken effect. */
+  private static final class Search<S> {
+    private record Choice<S>(int operation, S before) {}
+
+    private record Visited<S>(BitSet done, S state) {}
+
+    private final List<Operation<S>> operations;
+    private final BitSet done;
+    private final Deque<Choice<S>> path = new ArrayDeque<>();
+    private final Set<Visited<S>> visited = new HashSet<>();
+    private S state;
+    private int undone;
+    private int mostDone = -1;
+    private String stuckAt = "";
+
+    Search(List<Operation<S>> history, S initial) {
+      operations = new ArrayList<>(history);
+      operations.sort(Comparator.comparingLong(Operation::calledAt));
+      done = new BitSet(operations.size());
+      state = initial;
+      undone = (int) operations.stream().filter(Operation::hasReturned).count();
+    }
+
+    Outcome run() {
+      int from = 0;
+      int steps = 0;
+      while (undone > 0) {
+        if (++steps > MAX_STEPS) {
+          return new Outcome("undecided after " + MAX_STEPS + " steps", steps);
+        }
+        int next = nextOperation(from);
+        if (next >= 0) {
+          apply(next);
+          from = 0;
+          continue;
+        }
+        noteWhereStuck();
+        if (path.isEmpty()) {
+          return new Outcome(stuckAt, steps);
+        }
+        from = undoLast() + 1;
       }
-      int next = -1;
-      S after = null;
-      long soonest = Long.MAX_VALUE;
+      return new Outcome("", steps);
+    }
+
+    /**
+     * Returns the first operation from an index on that may take effect next and leads to a pair of
+     * done operations and state that was not visited; -1 if there is none.
+     */
+    private int nextOperation(int from) {
+      long earliestReturn = Long.MAX_VALUE;
       for (int i = done.nextClearBit(0);
-          i < all.size() && all.get(i).call() <= soonest;
+          i < operations.size() && operations.get(i).calledAt() <= earliestReturn;
           i = done.nextClearBit(i + 1)) {
-        Operation<S> one = all.get(i);
-        soonest = Math.min(soonest, one.back());
-        if (i >= from && next < 0) {
-          after = one.step().apply(state);
-          if (after != null) {
-            done.set(i);
-            next = seen.add(new Seen<>((BitSet) done.clone(), after)) ? i : -1;
-            done.clear(i);
-          }
+        earliestReturn = Math.min(earliestReturn, operations.get(i).returnedAt());
+        if (i >= from && isNew(i)) {
+          return i;
         }
       }
-      if (next >= 0) {
-        path.push(new Choice<>(next, state));
-        done.set(next);
-        left -= all.get(next).answered() ? 1 : 0;
-        state = after;
-        from = 0;
-        continue;
-      }
-      if (done.cardinality() > deepest) {
-        deepest = done.cardinality();
-        stuck = stuck(all, done, soonest, state);
+      return -1;
+    }
+
+    private boolean isNew(int operation) {
+      S after = operations.get(operation).transition().apply(state);
+      if (after == null) {
+        return false;
       }
-      if (path.isEmpty()) {
-        return new Outcome(stuck, tried);
+      done.set(operation);
+      boolean added = visited.add(new Visited<>((BitSet) done.clone(), after));
+      done.clear(operation);
+      return added;
+    }
+
+    private void apply(int operation) {
+      path.push(new Choice<>(operation, state));
+      done.set(operation);
+      undone -= operations.get(operation).hasReturned() ? 1 : 0;
+      state = operations.get(operation).transition().apply(state);
+    }
+
+    /** Takes the last operation back; returns its index. */
+    private int undoLast() {
+      Choice<S> last = path.pop();
+      done.clear(last.operation());
+      undone += operations.get(last.operation()).hasReturned() ? 1 : 0;
+      state = last.before();
+      return last.operation();
+    }
+
+    /** Keeps a description of the state in which most operations were done. */
+    private void noteWhereStuck() {
+      if (done.cardinality() > mostDone) {
+        mostDone = done.cardinality();
+        stuckAt = describeStuck();
       }
-      Choice<S> back = path.pop();
-      done.clear(back.operation());
-      left += all.get(back.operation()).answered() ? 1 : 0;
-      state = back.before();
-      from = back.operation() + 1;
     }
-    return new Outcome("", tried);
-  }
 
-  /** What none of the operations that were due could follow. */
-  private static <S> String stuck(List<Operation<S>> all, BitSet done, long soonest, S state) {
-    List<String> due = new ArrayList<>();
-    for (int i = done.nextClearBit(0);
-        i < all.size() && all.get(i).call() <= soonest;
-        i = done.nextClearBit(i + 1)) {
-      due.add(all.get(i).what());
+    private String describeStuck() {
+      long earliestReturn = Long.MAX_VALUE;
+      List<String> candidates = new ArrayList<>();
+      for (int i = done.nextClearBit(0);
+          i < operations.size() && operations.get(i).calledAt() <= earliestReturn;
+          i = done.nextClearBit(i + 1)) {
+        earliestReturn = Math.min(earliestReturn, operations.get(i).returnedAt());
+        candidates.add(operations.get(i).description());
+      }
+      return "after "
+          + done.cardinality()
+          + " of "
+          + operations.size()
+          + " operations, with "
+          + state
+          + ", none of these fits: "
+          + String.join("; ", candidates);
     }
-    return "after "
-        + done.cardinality()
-        + " of "
-        + all.size()
-        + " operations, with "
-        + state
-        + ", none of these fits: "
-        + String.join("; ", due);
   }
 }
--- /dev/null
+++ b/testbed/src/main/java/tidebank/testbed/chaos/ProcessSelector.java
@@ -0,0 +1,68 @@
+package tidebank.testbed.chaos;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.stream.Stream;
+import tidebank.lease.LeaseTable;
+
+/**
+ * Resolves the names in a script to processes: roles such as {@code owner} to those that have them
+ * now, and aliases to the processes that were given them.
+ */
+final class ProcessSelector {
+  private final TestCluster cluster;
+  private final ClusterObserver observer;
+  private final Map<String, List<String>> aliases = new HashMap<>();
+
+  ProcessSelector(TestCluster cluster, ClusterObserver observer) {
+    this.cluster = cluster;
+    this.observer = observer;
+  }
+
+  void addAlias(String alias, List<String> processes) {
+    aliases.put(alias, processes);
+  }
+
+  boolean exists(String process) {
+    return cluster.memberNames().contains(process) || cluster.coordinatorNames().contains(process);
+  }
+
+  /** Returns the processes that a name stands for; a name that is no role or alias is a process. */
+  List<String> resolve(String name) {
+    return switch (name) {
+      case "owner" -> List.of(reportHolder());
+      case "remover" -> List.of(holderOf("retention").orElse(reportHolder()));
+      case "other" -> List.of(firstOther(cluster.memberNames(), reportHolder()));
+      case "leader" -> List.of(leader());
+      case "follower" -> List.of(firstOther(cluster.coordinatorNames(), leader()));
+      case "members" -> cluster.memberNames();
+      case "stewards" -> cluster.coordinatorNames();
+      case "all" ->
+          Stream.concat(cluster.memberNames().stream(), cluster.coordinatorNames().stream())
+              .toList();
+      default -> aliases.getOrDefault(name, List.of(name));
+    };
+  }
+
+  /** Returns the holder of the report task, or the first member while nobody holds it. */
+  String reportHolder() {
+    return holderOf("report").orElse(cluster.memberNames().get(0));
+  }
+
+  private Optional<String> holderOf(String task) {
+    LeaseTable.TaskLease lease = LeaseRules.findTask(observer.observation().state(), task);
+    return Optional.ofNullable(lease)
+        .map(LeaseTable.TaskLease::holder)
+        .filter(holder -> !holder.isEmpty());
+  }
+
+  private String leader() {
+    return "s" + Math.max(0, observer.observation().leader());
+  }
+
+  private static String firstOther(List<String> processes, String excluded) {
+    return processes.stream().filter(one -> !one.equals(excluded)).findFirst().orElse(excluded);
+  }
+}
--- a/testbed/src/main/java/tidebank/testbed/chaos/RandomScript.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/RandomScript.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 import java.util.TreeMap;
 import tidebank.model.SeededRandom;
-import tidebank.testbed.chaos.Script.Await;
-import tidebank.testbed.chaos.Script.Do;
+import tidebank.testbed.chaos.Script.Condition;
+import tidebank.testbed.chaos.Script.Operation;
 import tidebank.testbed.chaos.Script.Step;
 
 /** Scripts drawn from a seed: the same seed, the same script. */
@@ -45,11 +45,11 @@
     for (int i = 0; i < troubles; i++) {
       drawn.steps.add(
           new Step(
-              Await.NOTHING,
+              Condition.NOTHING,
               1,
               1 + drawn.pick(3),
               "owner",
-              Do.SCANS,
+              Operation.SCANS,
               "",
               "",
               "",
@@ -80,32 +80,34 @@
   }
 
   /** What a step waits for while something is wrong: never what may not come. */
-  private Await meanwhile() {
-    return one(List.of(Await.CALLS, Await.CALLS, Await.NOTHING));
+  private Condition meanwhile() {
+    return one(List.of(Condition.CALLS, Condition.CALLS, Condition.NOTHING));
   }
 
   private void trouble(String called) {
     String member = one(List.of("owner", "owner", "other"));
     boolean owner = member.equals("owner");
-    Await then =
+    Condition then =
         owner && members > 1
-            ? one(List.of(Await.GRANT, Await.SUCCESSOR, Await.CALLS))
-            : Await.PUBLICATIONS;
-    Await before = one(List.of(Await.PUBLICATIONS, Await.RENEWALS, Await.OWNED));
+            ? one(List.of(Condition.GRANT, Condition.SUCCESSOR, Condition.CALLS))
+            : Condition.PUBLICATIONS;
+    Condition before = one(List.of(Condition.PUBLICATIONS, Condition.RENEWALS, Condition.OWNED));
     switch (pick(8)) {
       case 0 -> {
-        steps.add(Step.of(before, 1, Do.STOP, member, called));
-        steps.add(step(then, Do.WAKE, called));
+        steps.add(Step.of(before, 1, Operation.STOP, member, called));
+        steps.add(step(then, Operation.WAKE, called));
       }
       case 1 -> {
-        steps.add(Step.of(before, 1, one(List.of(Do.KILL, Do.TERM)), member, called));
-        steps.add(new Step(Await.ENDED, 1, 1, called, Do.START, called, "", "", null, 0, 0, 0, 1));
+        steps.add(Step.of(before, 1, one(List.of(Operation.KILL, Operation.TERM)), member, called));
+        steps.add(
+            new Step(
+                Condition.ENDED, 1, 1, called, Operation.START, called, "", "", null, 0, 0, 0, 1));
       }
       case 2 -> {
-        steps.add(Step.of(before, 1, Do.NOTHING, member, called));
+        steps.add(Step.of(before, 1, Operation.NOTHING, member, called));
         steps.add(
             Step.link(
-                Await.NOTHING,
+                Condition.NOTHING,
                 1,
                 called,
                 "stewards",
@@ -126,7 +128,7 @@
                 "stewards",
                 one(List.of(FaultyLink.Fault.RESET, FaultyLink.Fault.HALF_OPEN)),
                 0));
-        steps.add(Step.of(Await.PUBLICATIONS, 1, Do.NOTHING, "owner", ""));
+        steps.add(Step.of(Condition.PUBLICATIONS, 1, Operation.NOTHING, "owner", ""));
       }
       case 4 -> {
         steps.add(
@@ -142,24 +144,27 @@
         steps.add(heal(meanwhile(), "members", "stewards"));
       }
       case 5 -> {
-        steps.add(Step.of(before, 1, Do.STOP, "leader", called));
-        steps.add(step(stewards > 1 ? Await.LEADER : Await.LEADERLESS, Do.WAKE, called));
+        steps.add(Step.of(before, 1, Operation.STOP, "leader", called));
+        steps.add(
+            step(stewards > 1 ? Condition.LEADER : Condition.LEADERLESS, Operation.WAKE, called));
       }
       case 6 -> {
         steps.add(
             Step.of(
                 before,
                 1,
-                one(List.of(Do.KILL, Do.TERM)),
+                one(List.of(Operation.KILL, Operation.TERM)),
                 one(List.of("leader", "follower")),
                 called));
-        steps.add(new Step(Await.ENDED, 1, 1, called, Do.START, called, "", "", null, 0, 0, 0, 1));
+        steps.add(
+            new Step(
+                Condition.ENDED, 1, 1, called, Operation.START, called, "", "", null, 0, 0, 0, 1));
       }
       default -> {
-        steps.add(Step.of(before, 1, Do.NOTHING, "leader", called));
+        steps.add(Step.of(before, 1, Operation.NOTHING, "leader", called));
         steps.add(
             Step.link(
-                Await.NOTHING,
+                Condition.NOTHING,
                 1,
                 stewards > 1 && pick(2) == 0 ? called : "stewards",
                 "stewards",
@@ -175,17 +180,17 @@
     }
   }
 
-  private static Step step(Await await, Do act, String who) {
+  private static Step step(Condition await, Operation act, String who) {
     return new Step(await, 1, 1, "members", act, who, "", "", null, 0, 0, 0, 1);
   }
 
-  private Step heal(Await await, String from, String to) {
+  private Step heal(Condition await, String from, String to) {
     return new Step(
         await,
         1 + pick(6),
         1,
         "members",
-        Do.LINK,
+        Operation.LINK,
         from,
         "",
         to,
--- a/testbed/src/main/java/tidebank/testbed/chaos/Script.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/Script.java
@@ -5,207 +5,250 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.ArrayList;
-import java.util.HashSet;
+import java.util.EnumSet;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
-import java.util.TreeMap;
-import java.util.TreeSet;
-import java.util.regex.Pattern;
 import tidebank.config.MalformedInputException;
 import tidebank.config.Toml;
 import tidebank.errors.TidebankException;
 
 /**
- * What is done to a fleet, step by step, each as soon as something was seen.
+ * A script: operations on the processes and links of a cluster, each carried out once its condition
+ * is met. Stored as TOML, where the constants of the enums here are written in lower case.
  *
  * @param name of the script
- * @param about one sentence on what it is for
- * @param stewards how many
- * @param members how many
- * @param leaseMs the lease
- * @param drift by which clocks may be wrong, as the stewards are told
- * @param clocks of single processes, as rates; the others run true
+ * @param description one sentence
+ * @param coordinators number of coordinators
+ * @param members number of members
+ * @param leaseMs duration of a lease, in milliseconds
+ * @param maxClockDrift by which clocks may be wrong, as the coordinators are configured
+ * @param clockRates of processes whose clocks run fast or slow; the others have 1
  * @param steps in order
  */
 public record Script(
     String name,
-    String about,
-    int stewards,
+    String description,
+    int coordinators,
     int members,
     long leaseMs,
-    double drift,
-    Map<String, Double> clocks,
+    double maxClockDrift,
+    Map<String, Double> clockRates,
     List<Step> steps) {
-  private static final Pattern PROCESS = Pattern.compile("[gs]\\d{1,2}");
-  private static final Pattern NAME = Pattern.compile("[a-z][a-z-]*");
-  private static final Set<String> ROLES =
-      Set.of("owner", "remover", "other", "leader", "follower", "members", "stewards", "all");
-  private static final Set<Await> OF =
-      Set.of(Await.RENEWALS, Await.CALLS, Await.CLAIMS, Await.ENDED);
 
-  /** What has to be seen before a step is taken, counted from the step before. */
-  public enum Await {
+  /** What has to be observed before a step is taken, counted from the step before. */
+  public enum Condition {
+    /** Nothing. */
     NOTHING,
     /** So many more reports published. */
     PUBLICATIONS,
-    /** So many more renewals by {@code of} answered. */
+    /** So many more successful renewals of the observed processes. */
     RENEWALS,
-    /** So many more commands sent by {@code of}. */
+    /** So many more commands sent by the observed processes. */
     CALLS,
-    /** So many more claims of the report sent by {@code of}. */
+    /** So many more claims of the report sent by the observed processes. */
     CLAIMS,
-    /** So many more lists of removals sent to be published, by whomever. */
+    /** So many more lists of removals sent to be published, by any process. */
     LISTS,
-    /** The duty was granted by a newer token. */
+    /** A newer grant of the report. */
     GRANT,
-    /** A newer token has published. */
+    /** A publication of the report under a newer token. */
     SUCCESSOR,
-    /** The lease of the duty's last owner is over, and nobody has it. */
+    /** The last lease of the report has expired, and nobody holds it. */
     EXPIRED,
-    /** Every duty has a living owner. */
+    /** Every task has a holder that is alive. */
     OWNED,
-    /** So many members are alive, as the stewards see it. */
+    /** So many members are alive, as the coordinators see it. */
     ALIVE,
-    /** Another steward leads. */
+    /** Another coordinator leads. */
     LEADER,
-    /** No steward can decide anything. */
+    /** No coordinator can decide anything. */
     LEADERLESS,
-    /** The process {@code of} has ended. */
-    ENDED
+    /** The observed processes have ended. */
+    ENDED;
+
+    private static final Set<Condition> OF_PROCESSES = EnumSet.of(RENEWALS, CALLS, CLAIMS, ENDED);
+
+    /** Returns whether the condition is about the processes that the step observes. */
+    boolean observesProcesses() {
+      return OF_PROCESSES.contains(this);
+    }
   }
 
   /** What a step does. */
-  public enum Do {
+  public enum Operation {
+    /** Nothing. */
     NOTHING,
-    /** SIGSTOP. */
+    /** Sends SIGSTOP. */
     STOP,
-    /** SIGCONT. */
+    /** Sends SIGCONT. */
     WAKE,
-    /** SIGKILL. */
+    /** Sends SIGKILL. */
     KILL,
-    /** SIGTERM. */
+    /** Sends SIGTERM. */
     TERM,
-    /**
-     * Starts a process that has ended, under its name and with its disk; at the rate {@code clock}.
-     */
+    /** Starts a process that has ended, with its name and disk. */
     START,
-    /** Something to the links from {@code who} to {@code to}. */
+    /** Puts a fault on the links from the target to the link target. */
     LINK,
-    /** Keeps a copy of the disk of a steward that is down, to be put back by OLDER_DISK. */
+    /** Copies the disk of a coordinator that is down, for OLDER_DISK. */
     COPY_DISK,
-    /** The disk of a steward that is down is emptied. */
+    /** Empties the disk of a coordinator that is down. */
     EMPTY_DISK,
-    /** It is put back as it was copied. */
+    /** Restores the copied disk of a coordinator that is down. */
     OLDER_DISK,
-    /** Half of its newest snapshot is cut off. */
+    /** Cuts the snapshots of a coordinator that is down in half. */
     DAMAGED_DISK,
-    /** {@code scans} scans to every member that can answer. */
+    /** Sends so many queries to each member that can answer. */
     SCANS,
-    /**
-     * {@code scans} files that are kept too long, and as many that are not, into the fleet's
-     * folder.
-     */
+    /** Puts so many expired files, and as many that are not, into the shared folder. */
     LITTER,
-    /** An operator drains a member. */
+    /** Drains a member, as an operator. */
     DRAIN,
-    /** An operator admits it again. */
+    /** Admits a drained member, as an operator. */
     ADMIT,
-    /** An operator moves the report to a member. */
+    /** Moves the report to a member, as an operator. */
     MOVE,
-    /** An operator moves it to anywhere. */
-    MOVE_ANYWHERE
+    /** Lets any member have the report, as an operator. */
+    MOVE_ANYWHERE;
+
+    private static final Set<Operation> WITHOUT_TARGET =
+        EnumSet.of(NOTHING, SCANS, LITTER, MOVE_ANYWHERE);
+
+    /** Returns whether a step with this operation must name its target. */
+    boolean needsTarget() {
+      return !WITHOUT_TARGET.contains(this);
+    }
   }
 
   /**
-   * A step.
+   * A step. Processes are given by name, by an alias of an earlier step, or by role: {@code owner}
+   * (holder of the report), {@code remover} (holder of the retention task) and {@code leader} at
+   * that moment, {@code other} and {@code follower} the first process that is not, {@code members},
+   * {@code stewards} and {@code all}.
    *
-   * @param await what has to be seen first
-   * @param count how much of it
-   * @param scans how many, where scans are sent
-   * @param of whose
-   * @param act what is done then
-   * @param who to whom; {@code owner} (of the report), {@code remover} (the owner of the retention)
-   *     and {@code leader} are those of that moment, {@code other} and {@code follower} the first
-   *     that are neither
-   * @param as a name by which later steps call the same one
-   * @param to the other end of the links
-   * @param fault what is done to links
-   * @param ms a time of the fault
-   * @param jitterMs how much it varies
-   * @param bytesPerS a rate of the fault
-   * @param clock the rate at which a started process's clock runs
+   * @param condition awaited first
+   * @param count how much of the condition
+   * @param queries how many queries, or files of LITTER
+   * @param observed the processes that the condition is about
+   * @param operation carried out then
+   * @param target of the operation
+   * @param alias for the target, by which later steps can name it
+   * @param linkTarget the other end of the links
+   * @param fault put on the links, or null
+   * @param ms delay or period of the fault, in milliseconds
+   * @param jitterMs random part of the delay, in milliseconds
+   * @param bytesPerS bandwidth of the fault
+   * @param clockRate of a started process
    */
   public record Step(
-      Await await,
+      Condition condition,
       int count,
-      int scans,
-      String of,
-      Do act,
-      String who,
-      String as,
-      String to,
+      int queries,
+      String observed,
+      Operation operation,
+      String target,
+      String alias,
+      String linkTarget,
       FaultyLink.Fault fault,
       long ms,
       long jitterMs,
       long bytesPerS,
-      double clock) {
-    /** What does not count is the same in all. */
+      double clockRate) {
+    static final int DEFAULT_BYTES_PER_S = 400;
+
+    /** Clears what has no meaning for the condition and the operation. */
     public Step {
-      of = OF.contains(await) ? of : "";
+      observed = condition.observesProcesses() ? observed : "";
       ms = fault == null ? 0 : ms;
       jitterMs = fault == null ? 0 : jitterMs;
       bytesPerS = fault == null ? 0 : bytesPerS;
     }
 
-    static Step of(Await await, int count, Do act, String who, String as) {
-      return new Step(await, count, 1, "members", act, who, as, "", null, 0, 0, 0, 1);
+    /** A step with an operation on processes. */
+    static Step of(
+        Condition condition, int count, Operation operation, String target, String alias) {
+      return new Step(
+          condition, count, 1, "members", operation, target, alias, "", null, 0, 0, 0, 1);
     }
 
+    /** A step with a fault, whose jitter is half of its delay. */
     static Step link(
-        Await await, int count, String from, String to, FaultyLink.Fault fault, long ms) {
-      return new Step(await, count, 1, "members", Do.LINK, from, "", to, fault, ms, ms / 2, 400, 1);
+        Condition condition, int count, String from, String to, FaultyLink.Fault fault, long ms) {
+      return new Step(
+          condition,
+          count,
+          1,
+          "members",
+          Operation.LINK,
+          from,
+          "",
+          to,
+          fault,
+          ms,
+          ms / 2,
+          DEFAULT_BYTES_PER_S,
+          1);
+    }
+
+    /** Returns a description of the operation for people. */
+    public String describe() {
+      return operation == Operation.LINK ? describeLink() : describeOperation();
     }
 
-    /** For people. */
-    public String said() {
-      String what = act.name().toLowerCase(Locale.ROOT).replace('_', ' ');
-      return act == Do.LINK
-          ? "link "
-              + who
-              + " to "
-              + to
-              + ": "
-              + fault.name().toLowerCase(Locale.ROOT).replace('_', ' ')
-              + (ms > 0 ? " " + ms + " ms" : "")
-          : what
-              + (who.isEmpty() ? "" : " " + who)
-              + (as.isEmpty() ? "" : " as " + as)
-              + (act == Do.SCANS || act == Do.LITTER ? " " + scans : "")
-              + (clock == 1 ? "" : " with a clock at " + clock);
+    private String describeLink() {
+      return "link "
+          + target
+          + " to "
+          + linkTarget
+          + ": "
+          + words(fault)
+          + (ms > 0 ? " " + ms + " ms" : "");
+    }
+
+    private String describeOperation() {
+      boolean counts = operation == Operation.SCANS || operation == Operation.LITTER;
+      return words(operation)
+          + (target.isEmpty() ? "" : " " + target)
+          + (alias.isEmpty() ? "" : " as " + alias)
+          + (counts ? " " + queries : "")
+          + (clockRate == 1 ? "" : " with a clock at " + clockRate);
+    }
+
+    private static String words(Enum<?> constant) {
+      return constant.name().toLowerCase(Locale.ROOT).replace('_', ' ');
     }
   }
 
-  /** Names of the scripts that come with the program. */
-  public static List<String> known() throws IOException {
-    return text("index.txt").lines().filter(line -> !line.isBlank()).toList();
+  /**
+   * Returns the names of the built-in scripts.
+   *
+   * @throws IOException if their list can't be read
+   */
+  public static List<String> builtInNames() throws IOException {
+    return resource("index.txt").lines().filter(line -> !line.isBlank()).toList();
   }
 
-  /** A script that comes with the program, by its name, or any file. */
+  /**
+   * Reads a built-in script by its name, or any file.
+   *
+   * @throws TidebankException.ScriptUnknown if it is neither
+   * @throws IOException if it can't be read, or is no valid script
+   */
   public static Script read(String nameOrFile) throws IOException {
-    if (known().contains(nameOrFile)) {
-      return read(Toml.read(nameOrFile + ".toml", text(nameOrFile + ".toml")), nameOrFile);
+    if (builtInNames().contains(nameOrFile)) {
+      String file = nameOrFile + ".toml";
+      return read(Toml.read(file, resource(file)), nameOrFile);
     }
     Path file = Path.of(nameOrFile);
     if (!Files.isRegularFile(file)) {
-      throw new TidebankException.ScriptUnknown(nameOrFile, known());
+      throw new TidebankException.ScriptUnknown(nameOrFile, builtInNames());
     }
     return read(Toml.read(file), file.getFileName().toString().replace(".toml", ""));
   }
 
-  private static String text(String name) throws IOException {
+  private static String resource(String name) throws IOException {
     try (InputStream in = Script.class.getResourceAsStream(name)) {
       if (in == null) {
         throw new IOException("the program lacks its script " + name);
@@ -215,145 +258,11 @@
   }
 
   static Script read(Toml file, String name) throws MalformedInputException {
-    Toml.Table root = file.root();
-    Map<String, Double> clocks = new TreeMap<>();
-    root.table("clocks")
-        .freeTexts()
-        .forEach(
-            (who, rate) -> {
-              if (!PROCESS.matcher(who).matches() || !rate.matches("(0\\.[5-9]\\d*|1(\\.\\d+)?)")) {
-                file.fault(
-                    "clocks." + who,
-                    "found "
-                        + rate
-                        + ", wanted a rate from 0.5 to under 2 for a process such as g0 or s1");
-              } else {
-                clocks.put(who, Double.parseDouble(rate));
-              }
-            });
-    List<Step> steps = new ArrayList<>();
-    Set<String> called = new HashSet<>(ROLES);
-    for (Toml.Table step : root.tables("steps")) {
-      Step read =
-          new Step(
-              step.choice("await", Await.NOTHING, Await.class),
-              (int) step.whole("count", 1, 1, 1000),
-              (int) step.whole("scans", 1, 1, 1000),
-              step.text("of", "owner"),
-              step.choice("do", Do.NOTHING, Do.class),
-              step.text("who", ""),
-              step.text("as", ""),
-              step.text("to", ""),
-              step.choice("fault", null, FaultyLink.Fault.class),
-              step.whole("ms", 0, 0, 60_000),
-              step.whole("jitter_ms", 0, 0, 60_000),
-              step.whole("bytes_s", 400, 1, 1 << 30),
-              step.number("clock", 1, 0.5, 2));
-      boolean link = read.act() == Do.LINK;
-      if (link && (read.fault() == null || read.to().isEmpty())) {
-        step.fault("do", "a link needs `to` and `fault`");
-      }
-      boolean needs =
-          link
-              || read.act() != Do.NOTHING
-                  && read.act() != Do.SCANS
-                  && read.act() != Do.LITTER
-                  && read.act() != Do.MOVE_ANYWHERE;
-      who(step, "who", needs || !read.who().isEmpty() ? read.who() : "all", called);
-      who(step, "of", read.of().isEmpty() ? "all" : read.of(), called);
-      who(step, "to", link ? read.to() : "all", called);
-      if (!read.as().isEmpty()
-          && (!NAME.matcher(read.as()).matches() || ROLES.contains(read.as()))) {
-        step.fault(
-            "as",
-            "found '"
-                + read.as()
-                + "', wanted a name of small letters that is none of "
-                + String.join(", ", new TreeSet<>(ROLES)));
-      }
-      called.add(read.as());
-      steps.add(read);
-    }
-    Script script =
-        new Script(
-            name,
-            root.text("about", ""),
-            (int) root.whole("stewards", 3, 1, 5),
-            (int) root.whole("members", 3, 1, 12),
-            root.whole("lease_ms", 1000, 200, 60_000),
-            root.number("drift", 0.05, 0, 0.2),
-            clocks,
-            steps);
-    if (script.stewards() % 2 == 0) {
-      root.fault("stewards", "found " + script.stewards() + ", wanted an odd number");
-    }
-    file.check();
-    return script;
-  }
-
-  /** Who is called so has to be a process, a role, or somebody whom a step before gave the name. */
-  private static void who(Toml.Table step, String key, String who, Set<String> called) {
-    if (!PROCESS.matcher(who).matches() && !called.contains(who)) {
-      String near = Toml.nearest(who, called);
-      step.fault(
-          key,
-          "found '"
-              + who
-              + "', wanted a process such as g0 or s1, a name given by `as` before, or one of "
-              + String.join(", ", new TreeSet<>(ROLES))
-              + (near == null ? "" : "; did you mean \"" + near + "\"?"));
-    }
-  }
-
-  /** As a file that {@link #read} takes. */
-  public String toml() {
-    StringBuilder text =
-        new StringBuilder(
-            "about = \""
-                + about
-                + "\"\nstewards = "
-                + stewards
-                + "\nmembers = "
-                + members
-                + "\nlease_ms = "
-                + leaseMs
-                + "\ndrift = "
-                + drift
-                + "\n");
-    if (!clocks.isEmpty()) {
-      text.append("\n[clocks]\n");
-      clocks.forEach((who, rate) -> text.append(who).append(" = ").append(rate).append('\n'));
-    }
-    for (Step step : steps) {
-      text.append("\n[[steps]]\n");
-      put(text, "await", word(step.await()), step.await() != Await.NOTHING);
-      put(text, "of", step.of(), !step.of().isEmpty());
-      text.append(step.count() == 1 ? "" : "count = " + step.count() + "\n");
-      text.append(step.scans() == 1 ? "" : "scans = " + step.scans() + "\n");
-      put(text, "do", word(step.act()), step.act() != Do.NOTHING);
-      put(text, "who", step.who(), !step.who().isEmpty());
-      put(text, "as", step.as(), !step.as().isEmpty());
-      put(text, "to", step.to(), !step.to().isEmpty());
-      if (step.fault() != null) {
-        put(text, "fault", word(step.fault()), true);
-        text.append("ms = ")
-            .append(step.ms())
-            .append("\njitter_ms = ")
-            .append(step.jitterMs())
-            .append("\nbytes_s = ")
-            .append(step.bytesPerS())
-            .append('\n');
-      }
-      text.append(step.clock() == 1 ? "" : "clock = " + step.clock() + "\n");
-    }
-    return text.toString();
-  }
-
-  private static String word(Enum<?> one) {
-    return one.name().toLowerCase(Locale.ROOT).replace('_', '-');
+    return new ScriptReader(file).read(name);
   }
 
-  private static void put(StringBuilder text, String key, String value, boolean there) {
-    text.append(there ? key + " = \"" + value + "\"\n" : "");
+  /** Returns the script as a TOML file that {@link #read(String)} accepts. */
+  public String toToml() {
+    return ScriptWriter.toToml(this);
   }
 }
--- /dev/null
+++ b/testbed/src/main/java/tidebank/testbed/chaos/ScriptWriter.java
@@ -0,0 +1,79 @@
+package tidebank.testbed.chaos;
+
+import java.util.Locale;
+import tidebank.testbed.chaos.Script.Condition;
+import tidebank.testbed.chaos.Script.Operation;
+import tidebank.testbed.chaos.Script.Step;
+
+/** Writes scripts as TOML. Keys with default values are left out. */
+final class ScriptWriter {
+  private final StringBuilder toml = new StringBuilder();
+
+  private ScriptWriter() {}
+
+  static String toToml(Script script) {
+    ScriptWriter writer = new ScriptWriter();
+    writer.writeHead(script);
+    script.steps().forEach(writer::writeStep);
+    return writer.toml.toString();
+  }
+
+  private void writeHead(Script script) {
+    writeText("about", script.description());
+    writeValue("stewards", script.coordinators());
+    writeValue("members", script.members());
+    writeValue("lease_ms", script.leaseMs());
+    writeValue("drift", script.maxClockDrift());
+    if (!script.clockRates().isEmpty()) {
+      toml.append("\n[clocks]\n");
+      script.clockRates().forEach(this::writeValue);
+    }
+  }
+
+  private void writeStep(Step step) {
+    toml.append("\n[[steps]]\n");
+    if (step.condition() != Condition.NOTHING) {
+      writeText("await", word(step.condition()));
+    }
+    writeUnlessEmpty("of", step.observed());
+    if (step.count() != 1) {
+      writeValue("count", step.count());
+    }
+    if (step.queries() != 1) {
+      writeValue("scans", step.queries());
+    }
+    if (step.operation() != Operation.NOTHING) {
+      writeText("do", word(step.operation()));
+    }
+    writeUnlessEmpty("who", step.target());
+    writeUnlessEmpty("as", step.alias());
+    writeUnlessEmpty("to", step.linkTarget());
+    if (step.fault() != null) {
+      writeText("fault", word(step.fault()));
+      writeValue("ms", step.ms());
+      writeValue("jitter_ms", step.jitterMs());
+      writeValue("bytes_s", step.bytesPerS());
+    }
+    if (step.clockRate() != 1) {
+      writeValue("clock", step.clockRate());
+    }
+  }
+
+  private static String word(Enum<?> constant) {
+    return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
+  }
+
+  private void writeUnlessEmpty(String key, String value) {
+    if (!value.isEmpty()) {
+      writeText(key, value);
+    }
+  }
+
+  private void writeText(String key, String value) {
+    toml.append(key).append(" = \"").append(value).append("\"\n");
+  }
+
+  private void writeValue(String key, Object value) {
+    toml.append(key).append(" = ").append(value).append('\n');
+  }
+}
--- a/testbed/src/main/java/tidebank/testbed/chaos/SharedFolderCheck.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/SharedFolderCheck.java
@@ -15,79 +15,97 @@
 import tidebank.lease.LeaseTable;
 
 /**
- * Files of the fleet's folder, some kept too long, and what becomes of them: none may go that no
- * published list had named before, and none that was not too old. Written to by the script, looked
- * at by the observer, each under this object's lock.
+ * Checks what the retention task removes from the shared folder: no file that was not in a
+ * published list before, and none that had not expired. Thread-safe: the script creates files, the
+ * observer checks.
  */
 final class SharedFolderCheck {
-  private static final Duration OLD = Duration.ofDays(60);
-  private static final Duration YOUNG = Duration.ofDays(2);
+  private static final Duration EXPIRED_AGE = Duration.ofDays(60);
+  private static final Duration KEPT_AGE = Duration.ofDays(2);
+  private static final int FILE_BYTES = 100;
 
   private final Path folder;
-  private final Set<String> old = new HashSet<>();
-  private final Set<String> young = new HashSet<>();
-  private final Set<String> named = new HashSet<>();
-  private final Set<String> told = new HashSet<>();
-  private final List<String> faults = new ArrayList<>();
-  private String last = "";
+  private final Set<String> expired = new HashSet<>();
+  private final Set<String> kept = new HashSet<>();
+  private final Set<String> listed = new HashSet<>();
+  private final Set<String> reported = new HashSet<>();
+  private final List<String> violations = new ArrayList<>();
+  private String lastList = "";
   private int batches;
 
   SharedFolderCheck(Path folder) {
     this.folder = folder;
   }
 
-  /** So many files that are too old, and as many that are not. */
-  synchronized void litter(int count) throws IOException {
-    Path captures = Files.createDirectories(folder.resolve("captures/of-" + ++batches));
+  /**
+   * Creates files in the shared folder.
+   *
+   * @param count of expired files, and of as many that are not
+   */
+  synchronized void createFiles(int count) throws IOException {
+    String batch = "captures/of-" + ++batches;
+    Files.createDirectories(folder.resolve(batch));
     for (int i = 0; i < 2 * count; i++) {
-      boolean aged = i < count;
-      Path file = Files.write(captures.resolve(i + ".part"), new byte[100]);
-      Files.setLastModifiedTime(file, FileTime.from(Instant.now().minus(aged ? OLD : YOUNG)));
+      boolean isExpired = i < count;
+      String name = batch + "/" + i + ".tbc";
+      Path file = Files.write(folder.resolve(batch).resolve(i + ".part"), new byte[FILE_BYTES]);
+      Duration age = isExpired ? EXPIRED_AGE : KEPT_AGE;
+      Files.setLastModifiedTime(file, FileTime.from(Instant.now().minus(age)));
       // In place at once with its age: a list that is made now must not find it young, or half
       // there.
-      Files.move(file, captures.resolve(i + ".tbc"));
-      (aged ? old : young).add("captures/of-" + batches + "/" + i + ".tbc");
+      Files.move(file, folder.resolve(name));
+      (isExpired ? expired : kept).add(name);
     }
   }
 
-  /** Which of them are gone by now. To be asked before the state that tells what was published. */
-  synchronized Set<String> gone() {
-    Set<String> gone = new HashSet<>(old);
-    gone.addAll(young);
-    gone.removeIf(name -> Files.exists(folder.resolve(name)));
-    return gone;
+  /** Returns the files that were removed so far. To be called before the state is read. */
+  synchronized Set<String> removedFiles() {
+    Set<String> removed = new HashSet<>(expired);
+    removed.addAll(kept);
+    removed.removeIf(name -> Files.exists(folder.resolve(name)));
+    return removed;
   }
 
-  /** What is published, after {@code gone} was seen. */
-  synchronized void see(LeaseTable.TaskLease duty, Set<String> gone) {
+  /**
+   * Checks removals against the lists published so far.
+   *
+   * @param lease of the retention task, read after the removals were seen
+   * @param removed as {@link #removedFiles} returned them
+   */
+  synchronized void check(LeaseTable.TaskLease lease, Set<String> removed) {
+    readNewLists(lease.value());
+    for (String name : removed) {
+      boolean allowed = listed.contains(name) && !kept.contains(name);
+      if (!allowed && reported.add(name)) {
+        violations.add(
+            name
+                + " was removed, and "
+                + (listed.contains(name) ? "was not too old" : "no published list names it"));
+      }
+    }
+  }
+
+  private void readNewLists(String newest) {
     try {
-      for (String name = duty.value(); !name.equals(last) && !name.isEmpty(); ) {
+      for (String name = newest; !name.equals(lastList) && !name.isEmpty(); ) {
         Retention list =
             LeaseCodec.read(
                 Files.readAllBytes(folder.resolve("removals").resolve(name)), Retention.class);
-        named.addAll(list.names());
+        listed.addAll(list.names());
         name = list.previous();
       }
     } catch (IOException fault) {
-      faults.add(duty.value() + " is published and can't be read: " + fault);
-    }
-    last = duty.value();
-    for (String name : gone) {
-      if ((!named.contains(name) || young.contains(name)) && told.add(name)) {
-        faults.add(
-            name
-                + " was removed, and "
-                + (named.contains(name) ? "was not too old" : "no published list names it"));
-      }
+      violations.add(newest + " is published and can't be read: " + fault);
     }
+    lastList = newest;
   }
 
-  /** How many are there that were kept too long. */
-  synchronized long old() {
-    return old.stream().filter(name -> Files.exists(folder.resolve(name))).count();
+  /** Returns how many expired files are still there. */
+  synchronized long expiredFilesLeft() {
+    return expired.stream().filter(name -> Files.exists(folder.resolve(name))).count();
   }
 
-  synchronized List<String> faults() {
-    return List.copyOf(faults);
+  synchronized List<String> violations() {
+    return List.copyOf(violations);
   }
 }
--- a/testbed/src/main/java/tidebank/testbed/chaos/TestCluster.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/TestCluster.java
@@ -31,72 +31,76 @@
 import tidebank.testbed.replay.RouterProcess;
 
 /**
- * Stewards and gatherers as processes, with a relay before every address of a steward, so that
- * whatever one process asks of another can be seen and broken. Signals go only to processes that it
- * started. The script's thread owns it; relays only look up who calls.
+ * Coordinators and query routers as processes of this machine, with a proxy before every address of
+ * a coordinator. Signals go only to processes that it started. Belongs to the script's thread; the
+ * proxy's event loop only looks up which process calls.
  */
 final class TestCluster implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(TestCluster.class);
-  private static final long EVERY_MS = 250;
-  private static final Duration SCAN = Duration.ofSeconds(8);
-  private static final String SELF = "rig";
+  private static final long REPORT_INTERVAL_MS = 250;
+  private static final Duration QUERY_TIMEOUT = Duration.ofSeconds(8);
+  private static final long US_PER_MS = 1000;
+  private static final String SELF = "testbed";
 
   private final Path folder;
   private final Script script;
   private final History history;
-  private final FaultProxy relays;
-  private final CoordinatorProcesses stewards;
+  private final FaultProxy proxy;
+  private final CoordinatorProcesses coordinators;
   private final Map<String, RouterProcess> members = new LinkedHashMap<>();
   private final Map<String, ChildProcess> processes = new ConcurrentHashMap<>();
   private final Map<ChildProcess, Long> pids = new ConcurrentHashMap<>();
   private final Set<String> stopped = new HashSet<>();
-  private final Map<String, Integer> scans = new TreeMap<>();
+  private final Map<String, Integer> queriesByMember = new TreeMap<>();
   private final HttpClient http =
-      HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(SCAN).build();
+      HttpClient.newBuilder()
+          .version(HttpClient.Version.HTTP_1_1)
+          .connectTimeout(QUERY_TIMEOUT)
+          .build();
   private final List<BufferedWriter> logs = new ArrayList<>();
-  private int sent;
-  private int untold;
+  private int queriesSent;
+  private int unreportedQueries;
 
   TestCluster(Path folder, Script script, History history, long seed) throws IOException {
     this.folder = folder;
     this.script = script;
     this.history = history;
     Files.createDirectories(folder.resolve("logs"));
-    relays = new FaultProxy(this::caller, history, seed);
-    stewards =
+    proxy = new FaultProxy(this::findCaller, history, seed);
+    coordinators =
         new CoordinatorProcesses(
             folder,
-            script.stewards(),
+            script.coordinators(),
             "[duties]\n"
                 + "names = [\"report\", \"retention\", \"spare/a\", \"spare/b\"]\n"
                 + "[lease]\n"
                 + "ms = "
                 + script.leaseMs()
                 + "\ndrift = "
-                + script.drift()
+                + script.maxClockDrift()
                 + "\n[election]\nms = 200\n[snapshot]\nevery = 100\n[log]\nlevel = \"debug\"\n"
                 + "lines_a_second = 1000\n",
-            this::door);
-    for (int i = 0; i < script.stewards(); i++) {
-      start("s" + i, rate("s" + i));
+            this::openProxy);
+    for (int i = 0; i < script.coordinators(); i++) {
+      start("s" + i, clockRate("s" + i));
     }
     for (int i = 0; i < script.members(); i++) {
-      start("g" + i, rate("g" + i));
+      start("g" + i, clockRate("g" + i));
     }
   }
 
-  private String door(int steward, boolean raft, String address) throws IOException {
+  private String openProxy(int coordinator, boolean raft, String address) throws IOException {
     int colon = address.lastIndexOf(':');
-    InetSocketAddress door =
-        relays.open(
-            "s" + steward,
+    InetSocketAddress listener =
+        proxy.open(
+            "s" + coordinator,
             new InetSocketAddress(
                 address.substring(0, colon), Integer.parseInt(address.substring(colon + 1))),
             !raft);
-    return door.getHostString() + ':' + door.getPort();
+    return listener.getHostString() + ':' + listener.getPort();
   }
 
-  private String caller(int port, int relay) {
+  private String findCaller(int port, int proxyPort) {
     Map<String, Long> known = new LinkedHashMap<>();
     processes.forEach(
         (name, process) ->
@@ -110,14 +114,18 @@
                     })));
     known.values().removeIf(pid -> pid == null);
     known.put(SELF, ProcessHandle.current().pid());
-    return ConnectionOwners.owner(port, relay, known);
+    return ConnectionOwners.owner(port, proxyPort, known);
   }
 
-  private double rate(String name) {
-    return script.clocks().getOrDefault(name, 1.0);
+  private double clockRate(String name) {
+    return script.clockRates().getOrDefault(name, 1.0);
   }
 
-  /** Starts one, or starts it again with its disk. */
+  /**
+   * Starts a process, or starts it again with its disk.
+   *
+   * @param clock rate of its monotonic clock
+   */
   void start(String name, double clock) throws IOException {
     List<String> launcher =
         clock == 1
@@ -130,22 +138,23 @@
             StandardOpenOption.CREATE,
             StandardOpenOption.APPEND);
     logs.add(log);
-    Consumer<String> told =
+    Consumer<String> output =
         line -> {
           try {
             log.write(line + "\n");
             log.flush();
           } catch (IOException closed) {
-            // Its last lines, after the rig has closed its log.
+            // Its last lines, after the cluster has closed its log.
           }
         };
     if (name.startsWith("s")) {
-      int steward = Integer.parseInt(name.substring(1));
-      stewards.start(steward, launcher, told);
-      processes.put(name, stewards.process(steward));
+      int coordinator = Integer.parseInt(name.substring(1));
+      coordinators.start(coordinator, launcher, output);
+      processes.put(name, coordinators.process(coordinator));
     } else {
       RouterProcess member =
-          RouterProcesses.start(folder, name, stewards.told(), EVERY_MS, List.of(), launcher, told);
+          RouterProcesses.start(
+              folder, name, coordinators.told(), REPORT_INTERVAL_MS, List.of(), launcher, output);
       RouterProcess before = members.put(name, member);
       if (before != null) {
         before.close();
@@ -155,7 +164,7 @@
     stopped.remove(name);
   }
 
-  List<String> stewardNames() {
+  List<String> coordinatorNames() {
     return processes.keySet().stream().filter(name -> name.startsWith("s")).sorted().toList();
   }
 
@@ -163,17 +172,17 @@
     return processes.keySet().stream().filter(name -> name.startsWith("g")).sorted().toList();
   }
 
-  /** Where the stewards are reached past all relays. */
-  List<String> direct() {
-    return stewards.addresses();
+  /** Where the stewards are reached past all proxy. */
+  List<String> coordinatorAddresses() {
+    return coordinators.addresses();
   }
 
   boolean alive(String name) {
     return processes.get(name).alive();
   }
 
-  Path disk(String steward) {
-    return stewards.disk(Integer.parseInt(steward.substring(1)));
+  Path disk(String coordinator) {
+    return coordinators.disk(Integer.parseInt(coordinator.substring(1)));
   }
 
   Path shared() {
@@ -185,19 +194,17 @@
     stopped.add(name);
   }
 
-  void wake(String name) throws IOException {
+  void resume(String name) throws IOException {
     if (stopped.remove(name) && alive(name)) {
       processes.get(name).wake();
     }
   }
 
-  /**
-   * SIGKILL, or SIGTERM and then whatever it does. What it had not told of its scans may be lost.
-   */
+  /** Ends a process by SIGKILL or SIGTERM. What it had not reported of its queries may be lost. */
   void end(String name, boolean kill) throws IOException {
-    wake(name);
-    untold += scans.getOrDefault(name, 0);
-    scans.remove(name);
+    resume(name);
+    unreportedQueries += queriesByMember.getOrDefault(name, 0);
+    queriesByMember.remove(name);
     if (kill) {
       processes.get(name).kill();
       processes.get(name).waitFor(5000);
@@ -208,27 +215,29 @@
 
   void link(
       String from, String to, FaultyLink.Fault fault, long ms, long jitterMs, long bytesPerS) {
-    relays.put(from, to, fault, ms * 1000, jitterMs * 1000, bytesPerS);
+    proxy.inject(from, to, fault, ms * US_PER_MS, jitterMs * US_PER_MS, bytesPerS);
   }
 
-  /** Scans to all members that can answer: whatever the stewards do, each is answered. */
-  void scans(int count) throws IOException {
+  /**
+   * Sends queries to each member that can answer: whatever the coordinators do, each is answered.
+   */
+  void sendQueries(int count) throws IOException {
     for (String name : memberNames()) {
       for (int i = 0; i < count && alive(name) && !stopped.contains(name); i++) {
-        scan(name);
+        sendQuery(name);
       }
     }
   }
 
-  private void scan(String name) throws IOException {
+  private void sendQuery(String name) throws IOException {
     InetSocketAddress at = members.get(name).address();
     try {
       int status =
           http.send(
                   HttpRequest.newBuilder(
                           URI.create("http://127.0.0.1:" + at.getPort() + "/checkout"))
-                      .timeout(SCAN)
-                      .header("X-Correlation-Id", Long.toHexString(++sent + (1L << 40)))
+                      .timeout(QUERY_TIMEOUT)
+                      .header("X-Correlation-Id", Long.toHexString(++queriesSent + (1L << 40)))
                       .header("X-Time-Left", "2000m")
                       .POST(
                           BodyPublishers.ofString(
@@ -236,28 +245,30 @@
                       .build(),
                   BodyHandlers.discarding())
               .statusCode();
-      scans.merge(name, 1, Integer::sum);
+      queriesByMember.merge(name, 1, Integer::sum);
       if (status != 429 && status != 503) {
-        throw new IOException("a scan at " + name + " was answered with " + status);
+        throw new IOException("a query to " + name + " was answered with " + status);
       }
     } catch (IOException fault) {
-      throw new IOException("a scan at " + name + " failed: " + fault, fault);
+      throw new IOException("a query to " + name + " failed: " + fault, fault);
     } catch (InterruptedException fault) {
       Thread.currentThread().interrupt();
       throw new IOException("interrupted");
     }
   }
 
-  int sent() {
-    return sent;
+  int queriesSent() {
+    return queriesSent;
   }
 
-  /** Scans that may be in no report, as their gatherer ended before it told of them. */
-  int untold() {
-    return untold;
+  /**
+   * Returns how many queries may be in no report, as their router ended before it reported them.
+   */
+  int unreportedQueries() {
+    return unreportedQueries;
   }
 
-  /** A copy of all files of a folder, in place of what is there. */
+  /** Copies all files of a folder, in place of what is there. */
   static void copy(Path from, Path to) throws IOException {
     clear(to);
     try (Stream<Path> files = Files.walk(from)) {
@@ -282,18 +293,18 @@
     }
   }
 
-  /** Heals all links, wakes who is stopped and starts who has ended. */
-  void mend() throws IOException {
+  /** Heals all links, resumes processes that are stopped and starts those that have ended. */
+  void repairAll() throws IOException {
     for (String from : processes.keySet()) {
-      for (String to : stewardNames()) {
+      for (String to : coordinatorNames()) {
         link(from, to, FaultyLink.Fault.HEAL, 0, 0, 0);
       }
     }
     for (String name : new ArrayList<>(processes.keySet())) {
-      wake(name);
+      resume(name);
       if (!alive(name)) {
         history.event(name, "started");
-        start(name, rate(name));
+        start(name, clockRate(name));
       }
     }
   }
@@ -301,13 +312,13 @@
   @Override
   public void close() {
     members.values().forEach(RouterProcess::close);
-    stewards.close();
-    relays.close();
+    coordinators.close();
+    proxy.close();
     for (BufferedWriter log : logs) {
       try {
         log.close();
       } catch (IOException fault) {
-        LOG.warn("a log of the run could not be closed: " + fault.getMessage());
+        LOG.warn("log file not closed: error={}", fault.getMessage());
       }
     }
   }
--- a/testbed/src/main/java/tidebank/testbed/chaos/TrafficRecorder.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/TrafficRecorder.java
@@ -8,6 +8,7 @@
 import io.netty.handler.codec.http.HttpObjectAggregator;
 import io.netty.handler.codec.http.HttpRequestDecoder;
 import io.netty.handler.codec.http.HttpResponseDecoder;
+import io.netty.handler.codec.http.HttpResponseStatus;
 import java.io.IOException;
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -19,74 +20,88 @@
 import tidebank.lease.LeaseTable;
 
 /**
- * Reads along on one connection to a steward, and tells the history what was asked and answered.
- * Belongs to one event loop.
+ * Decodes the traffic of one connection to a coordinator and records commands, results and reads in
+ * the history. Sees the bytes before any fault is injected. Belongs to the proxy's event loop.
  */
 final class TrafficRecorder {
   private static final Logger LOG = LoggerFactory.getLogger(TrafficRecorder.class);
-  private static final int BODY = 1 << 22;
+  private static final int MAX_BODY_BYTES = 1 << 22;
+  private static final String COMMAND_PATH = "/fleet/command";
+  private static final String STATE_PATH = "/fleet/state";
 
-  /** A call that is not answered yet; of a command, or of the state. */
-  private record Call(LeaseCommand command, boolean ofState, long at) {}
+  /**
+   * A call without a response so far.
+   *
+   * @param command null if it is another call, or could not be read
+   * @param readsState whether it is a read of the state
+   */
+  private record PendingCall(LeaseCommand command, boolean readsState, long calledAt) {}
 
   private final History history;
   private final String from;
-  private final EmbeddedChannel up =
-      new EmbeddedChannel(new HttpRequestDecoder(), new HttpObjectAggregator(BODY));
-  private final EmbeddedChannel down =
-      new EmbeddedChannel(new HttpResponseDecoder(), new HttpObjectAggregator(BODY));
-  private final Deque<Call> calls = new ArrayDeque<>();
+  private final EmbeddedChannel requests =
+      new EmbeddedChannel(new HttpRequestDecoder(), new HttpObjectAggregator(MAX_BODY_BYTES));
+  private final EmbeddedChannel responses =
+      new EmbeddedChannel(new HttpResponseDecoder(), new HttpObjectAggregator(MAX_BODY_BYTES));
+  private final Deque<PendingCall> pending = new ArrayDeque<>();
 
   TrafficRecorder(History history, String from) {
     this.history = history;
     this.from = from;
   }
 
-  /** What the member sent, before anything is done to it. The buffer is only looked at. */
-  void up(ByteBuf bytes) {
-    up.writeInbound(bytes.copy());
-    for (FullHttpRequest request = up.readInbound(); request != null; request = up.readInbound()) {
+  /** Decodes bytes from the caller. The buffer is only read. */
+  void requestBytes(ByteBuf bytes) {
+    requests.writeInbound(bytes.copy());
+    for (FullHttpRequest request = requests.readInbound();
+        request != null;
+        request = requests.readInbound()) {
       LeaseCommand command = null;
       try {
-        if (request.uri().equals("/fleet/command")) {
+        if (request.uri().equals(COMMAND_PATH)) {
           command = LeaseCodec.readCommand(ByteBufUtil.getBytes(request.content()));
-          history.asked(from, command);
+          history.commandSent(from, command);
         }
       } catch (IOException fault) {
-        LOG.warn("a call of " + from + " can't be read: " + fault.getMessage());
+        LOG.warn("unreadable command: from={} error={}", from, fault.getMessage());
       }
-      calls.add(new Call(command, request.uri().equals("/fleet/state"), history.now()));
+      pending.add(new PendingCall(command, request.uri().equals(STATE_PATH), history.now()));
       request.release();
     }
   }
 
-  /** What the steward answered, before anything is done to it. */
-  void down(ByteBuf bytes) {
-    down.writeInbound(bytes.copy());
-    for (FullHttpResponse response = down.readInbound();
+  /** Decodes bytes from the coordinator. The buffer is only read. */
+  void responseBytes(ByteBuf bytes) {
+    responses.writeInbound(bytes.copy());
+    for (FullHttpResponse response = responses.readInbound();
         response != null;
-        response = down.readInbound()) {
-      Call call = calls.poll();
+        response = responses.readInbound()) {
+      PendingCall call = pending.poll();
       try {
-        if (call != null && response.status().code() == 200) {
-          byte[] body = ByteBufUtil.getBytes(response.content());
-          CommandResult answer =
-              call.command() == null ? null : LeaseCodec.read(body, CommandResult.class);
-          if (call.ofState()) {
-            history.read(from, call.at(), LeaseCodec.read(body, LeaseTable.State.class));
-          } else if (answer != null && answer.config() != null) {
-            history.answered(call.command(), answer);
-          }
+        if (call != null && response.status().code() == HttpResponseStatus.OK.code()) {
+          record(call, ByteBufUtil.getBytes(response.content()));
         }
       } catch (IOException fault) {
-        LOG.warn("an answer to " + from + " can't be read: " + fault.getMessage());
+        LOG.warn("unreadable response: to={} error={}", from, fault.getMessage());
       }
       response.release();
     }
   }
 
+  private void record(PendingCall call, byte[] body) throws IOException {
+    if (call.readsState()) {
+      history.stateRead(from, call.calledAt(), LeaseCodec.read(body, LeaseTable.State.class));
+    } else if (call.command() != null) {
+      CommandResult result = LeaseCodec.read(body, CommandResult.class);
+      // A result without a configuration was not decided by a leader.
+      if (result != null && result.config() != null) {
+        history.commandAnswered(call.command(), result);
+      }
+    }
+  }
+
   void close() {
-    up.finishAndReleaseAll();
-    down.finishAndReleaseAll();
+    requests.finishAndReleaseAll();
+    responses.finishAndReleaseAll();
   }
 }
--- a/testbed/src/main/java/tidebank/testbed/chaos/UnownedIntervals.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/UnownedIntervals.java
@@ -3,76 +3,97 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import tidebank.lease.LeaseCommand.Kind;
-import tidebank.testbed.chaos.History.Asked;
-import tidebank.testbed.chaos.History.Event;
+import tidebank.testbed.chaos.History.RecordedCommand;
+import tidebank.testbed.chaos.History.TimelineEvent;
 
-/** How long a duty was without anybody who could act for it, by what had happened to its owner. */
+/**
+ * Measures how long a task was without a holder that could act, by the fault that the holder before
+ * had. Pure.
+ */
 public final class UnownedIntervals {
-  private static final Pattern LOSS =
+  /** Events by which a holder can no longer act; the first or second group is the kind of fault. */
+  private static final Pattern HOLDER_LOST =
       Pattern.compile("(kill|term|stop) .*|link .* to stewards: (cut|silent up|silent down)");
 
-  private record Grant(long token, String to, long at) {}
+  private static final int US_PER_MS = 1000;
+
+  private record Grant(long token, String holder, long at) {}
 
   private UnownedIntervals() {}
 
   /**
-   * For each kind of loss, from the loss to the answer of the next grant, in microseconds, in the
-   * order of the run.
+   * Returns the intervals from each loss of the holder to the result of the next grant, in
+   * microseconds, by kind of fault and in the order of the run.
    */
-  public static Map<String, List<Long>> of(List<Event> events, List<Asked> asked, String duty) {
-    List<Grant> grants = new ArrayList<>();
-    for (Asked one : asked) {
-      if (one.command().kind() == Kind.CLAIM
-          && one.answer() != null
-          && one.answer().error() == null) {
-        one.answer().leases().stream()
-            .filter(grant -> grant.task().equals(duty))
-            .forEach(grant -> grants.add(new Grant(grant.fencingToken(), one.from(), one.back())));
+  public static Map<String, List<Long>> of(
+      List<TimelineEvent> events, List<RecordedCommand> commands, String task) {
+    List<Grant> grants = grants(commands, task);
+    Map<String, List<Long>> intervals = new TreeMap<>();
+    for (TimelineEvent event : events) {
+      Matcher lost = HOLDER_LOST.matcher(event.description());
+      if (lost.matches()) {
+        String kind = lost.group(1) != null ? lost.group(1) : lost.group(2);
+        nextGrant(grants, event)
+            .ifPresent(
+                next ->
+                    intervals
+                        .computeIfAbsent(kind, absent -> new ArrayList<>())
+                        .add(next.at() - event.at()));
       }
     }
-    Map<String, List<Long>> gaps = new TreeMap<>();
-    for (Event event : events) {
-      Matcher loss = LOSS.matcher(event.what());
-      if (!loss.matches()) {
-        continue;
-      }
-      Grant held =
-          grants.stream()
-              .filter(grant -> grant.at() <= event.at())
-              .reduce((first, last) -> last)
-              .orElse(null);
-      Grant next =
-          grants.stream().filter(grant -> grant.at() > event.at()).findFirst().orElse(null);
-      if (held != null
-          && next != null
-          && held.to().equals(event.who())
-          && next.token() > held.token()) {
-        gaps.computeIfAbsent(
-                loss.group(1) != null ? loss.group(1) : loss.group(2), kind -> new ArrayList<>())
-            .add(next.at() - event.at());
+    return intervals;
+  }
+
+  private static List<Grant> grants(List<RecordedCommand> commands, String task) {
+    List<Grant> grants = new ArrayList<>();
+    for (RecordedCommand claim : commands) {
+      if (claim.command().kind() == Kind.CLAIM
+          && claim.result() != null
+          && claim.result().error() == null) {
+        claim.result().leases().stream()
+            .filter(lease -> lease.task().equals(task))
+            .forEach(
+                lease ->
+                    grants.add(new Grant(lease.fencingToken(), claim.from(), claim.returnedAt())));
       }
     }
-    return gaps;
+    return grants;
+  }
+
+  /** Returns the grant that ended the interval, if the event hit the holder of that moment. */
+  private static Optional<Grant> nextGrant(List<Grant> grants, TimelineEvent event) {
+    Optional<Grant> held =
+        grants.stream()
+            .filter(grant -> grant.at() <= event.at())
+            .reduce((first, last) -> last)
+            .filter(grant -> grant.holder().equals(event.process()));
+    return held.flatMap(
+        before ->
+            grants.stream()
+                .filter(grant -> grant.at() > event.at())
+                .findFirst()
+                .filter(next -> next.token() > before.token()));
   }
 
-  /** For people: how many, median and most of each kind. */
-  public static String said(Map<String, List<Long>> gaps) {
-    List<String> said = new ArrayList<>();
-    gaps.forEach(
+  /** Returns count, median and maximum of each kind, for people. */
+  public static String describe(Map<String, List<Long>> intervals) {
+    List<String> descriptions = new ArrayList<>();
+    intervals.forEach(
         (kind, all) -> {
           List<Long> sorted = all.stream().sorted().toList();
-          said.add(
+          descriptions.add(
               String.format(
                   "%s %d: median %d ms, most %d ms",
                   kind,
                   sorted.size(),
-                  sorted.get(sorted.size() / 2) / 1000,
-                  sorted.get(sorted.size() - 1) / 1000));
+                  sorted.get(sorted.size() / 2) / US_PER_MS,
+                  sorted.get(sorted.size() - 1) / US_PER_MS));
         });
-    return String.join("; ", said);
+    return String.join("; ", descriptions);
   }
 }
--- a/testbed/src/test/java/tidebank/testbed/chaos/ChaosTest.java
+++ b/testbed/src/test/java/tidebank/testbed/chaos/ChaosTest.java
@@ -31,7 +31,7 @@
   @TempDir private Path folder;
 
   static Stream<String> scripts() throws IOException {
-    return Script.known().stream().filter(name -> !NAMED.contains(name));
+    return Script.builtInNames().stream().filter(name -> !NAMED.contains(name));
   }
 
   private ScriptRunner.Verdict play(Script script) throws IOException {
@@ -43,7 +43,7 @@
   @MethodSource("scripts")
   void allThatIsPromisedHolds(String name) throws Exception {
     ScriptRunner.Verdict verdict = play(Script.read(name));
-    assertThat(verdict.broken()).isEmpty();
+    assertThat(verdict.violations()).isEmpty();
     assertThat(verdict.publications()).isGreaterThanOrEqualTo(3);
   }
 
@@ -80,15 +80,15 @@
     Script wrong =
         new Script(
             good.name(),
-            good.about(),
+            good.description(),
             1,
             good.members(),
             good.leaseMs(),
-            good.drift(),
+            good.maxClockDrift(),
             Map.of("s0", 1.9),
             good.steps());
     ScriptRunner.Verdict verdict = play(wrong);
-    assertThat(verdict.broken()).isNotEmpty().allMatch(one -> one.contains("was granted at"));
+    assertThat(verdict.violations()).isNotEmpty().allMatch(one -> one.contains("was granted at"));
     assertThat(RunArtifacts.verdict(folder)).isEqualTo(verdict);
     assertThat(Files.readString(folder.resolve("report.html")))
         .contains("broken")
--- a/testbed/src/test/java/tidebank/testbed/chaos/FaultProxyTest.java
+++ b/testbed/src/test/java/tidebank/testbed/chaos/FaultProxyTest.java
@@ -17,15 +17,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** One door before a server that sends back what it gets, and what may be done to the link. */
+/** One listener before a server that sends back what it gets, and what may be done to the link. */
 @Timeout(30)
 class FaultProxyTest {
   private final History history = new History();
   private final List<Socket> sockets = new ArrayList<>();
   private final Map<String, Long> processes = Map.of("me", ProcessHandle.current().pid());
-  private FaultProxy relays;
+  private FaultProxy proxy;
   private ServerSocket server;
-  private InetSocketAddress door;
+  private InetSocketAddress listener;
 
   @BeforeEach
   void open() throws Exception {
@@ -54,9 +54,10 @@
             });
     echo.setDaemon(true);
     echo.start();
-    relays =
-        new FaultProxy((port, relay) -> ConnectionOwners.owner(port, relay, processes), history, 1);
-    door = relays.open("echo", (InetSocketAddress) server.getLocalSocketAddress(), false);
+    proxy =
+        new FaultProxy(
+            (port, proxyPort) -> ConnectionOwners.owner(port, proxyPort, processes), history, 1);
+    listener = proxy.open("echo", (InetSocketAddress) server.getLocalSocketAddress(), false);
   }
 
   @AfterEach
@@ -64,12 +65,12 @@
     for (Socket one : sockets) {
       one.close();
     }
-    relays.close();
+    proxy.close();
     server.close();
   }
 
   private Socket connect() throws IOException {
-    Socket socket = new Socket(door.getAddress(), door.getPort());
+    Socket socket = new Socket(listener.getAddress(), listener.getPort());
     socket.setSoTimeout(10_000);
     sockets.add(socket);
     return socket;
@@ -84,7 +85,7 @@
   }
 
   private void put(FaultyLink.Fault fault, long ms, long bytesPerS) {
-    relays.put("me", "echo", fault, ms * 1000, 0, bytesPerS);
+    proxy.inject("me", "echo", fault, ms * 1000, 0, bytesPerS);
   }
 
   @Test
@@ -161,10 +162,11 @@
     Socket socket = connect();
     send(socket, "x");
     got(socket, 1);
-    assertThat(ConnectionOwners.owner(socket.getLocalPort(), door.getPort(), processes))
+    assertThat(ConnectionOwners.owner(socket.getLocalPort(), listener.getPort(), processes))
         .isEqualTo("me");
-    assertThat(ConnectionOwners.owner(socket.getLocalPort(), door.getPort(), Map.of("other", 1L)))
+    assertThat(
+            ConnectionOwners.owner(socket.getLocalPort(), listener.getPort(), Map.of("other", 1L)))
         .isNull();
-    assertThat(ConnectionOwners.owner(1, door.getPort(), processes)).isNull();
+    assertThat(ConnectionOwners.owner(1, listener.getPort(), processes)).isNull();
   }
 }
--- a/testbed/src/test/java/tidebank/testbed/chaos/LeaseRulesTest.java
+++ b/testbed/src/test/java/tidebank/testbed/chaos/LeaseRulesTest.java
@@ -13,7 +13,7 @@
 import tidebank.lease.LeaseCommand.Kind;
 import tidebank.lease.LeaseConfig;
 import tidebank.lease.LeaseTable;
-import tidebank.testbed.chaos.History.Asked;
+import tidebank.testbed.chaos.History.RecordedCommand;
 
 /**
  * Histories of a duty, a good one and ones with a planted fault each. Times in milliseconds; the
@@ -23,7 +23,7 @@
   private static final LeaseConfig TERMS = new LeaseConfig(1_000_000, 0.05, 100, 100);
   private static final String DUTY = "report";
 
-  private final List<Asked> asked = new ArrayList<>();
+  private final List<RecordedCommand> asked = new ArrayList<>();
   private int number;
 
   private void add(
@@ -54,7 +54,7 @@
             List.of(),
             TERMS,
             now);
-    asked.add(new Asked(who, command, call * 1000, back * 1000, answer, 1));
+    asked.add(new RecordedCommand(who, command, call * 1000, back * 1000, answer, 1));
   }
 
   private void claim(long call, long back, String who, long token) {
@@ -76,12 +76,12 @@
 
   private boolean linear() {
     return LinearizabilityChecker.check(
-            LeaseRules.operations(asked, List.of(), DUTY), LeaseRules.Cell.NEW)
+            LeaseRules.operations(asked, List.of(), DUTY), LeaseRules.TaskState.INITIAL)
         .holds();
   }
 
   private List<String> early() {
-    return LeaseRules.early(asked, DUTY, TERMS);
+    return LeaseRules.overlappingGrants(asked, DUTY, TERMS);
   }
 
   /**
@@ -135,15 +135,15 @@
   @Test
   void aGapLastsFromAnOwnersLossToTheNextGrantAndALossOfAnotherIsNone() {
     good();
-    List<History.Event> events =
+    List<History.TimelineEvent> events =
         List.of(
-            new History.Event(200_000, "b", "kill other"),
-            new History.Event(310_000, "a", "stop owner as x"),
-            new History.Event(320_000, "a", "scans 2"),
-            new History.Event(1_400_000, "b", "link b to stewards: cut"));
+            new History.TimelineEvent(200_000, "b", "kill other"),
+            new History.TimelineEvent(310_000, "a", "stop owner as x"),
+            new History.TimelineEvent(320_000, "a", "scans 2"),
+            new History.TimelineEvent(1_400_000, "b", "link b to stewards: cut"));
     assertThat(UnownedIntervals.of(events, asked, DUTY))
         .isEqualTo(Map.of("stop", List.of(1_000_000L)));
-    assertThat(UnownedIntervals.said(Map.of("stop", List.of(9000L, 1000L, 5000L))))
+    assertThat(UnownedIntervals.describe(Map.of("stop", List.of(9000L, 1000L, 5000L))))
         .isEqualTo("stop 3: median 5 ms, most 9 ms");
   }
 
@@ -167,7 +167,7 @@
         .contains("lasts to 1252 ms");
     asked.add(
         1,
-        new Asked(
+        new RecordedCommand(
             "a",
             new LeaseCommand(Kind.RELEASE, "a", 99, "a", DUTY, 1, 0, "", null),
             1_100_000,
@@ -186,15 +186,19 @@
     assertThat(
             LinearizabilityChecker.check(
                     LeaseRules.operations(
-                        asked, List.of(new History.Read("o", 1_000_000, 1_100_000, state)), DUTY),
-                    LeaseRules.Cell.NEW)
+                        asked,
+                        List.of(new History.RecordedRead("o", 1_000_000, 1_100_000, state)),
+                        DUTY),
+                    LeaseRules.TaskState.INITIAL)
                 .holds())
         .isTrue();
     assertThat(
             LinearizabilityChecker.check(
                     LeaseRules.operations(
-                        asked, List.of(new History.Read("o", 1_340_000, 1_390_000, state)), DUTY),
-                    LeaseRules.Cell.NEW)
+                        asked,
+                        List.of(new History.RecordedRead("o", 1_340_000, 1_390_000, state)),
+                        DUTY),
+                    LeaseRules.TaskState.INITIAL)
                 .holds())
         .as("read after the next one's first")
         .isFalse();
@@ -204,12 +208,12 @@
   void twoAnswersToOneCommandAreFoundAndALateCopyIsNone() {
     History history = new History();
     LeaseCommand command = new LeaseCommand(Kind.CLAIM, "a", 1, "a", DUTY, 0, 0, "", null);
-    history.asked("a", command);
-    history.asked("a", command);
+    history.commandSent("a", command);
+    history.commandSent("a", command);
     CommandResult first = new CommandResult(null, List.of(new Grant(DUTY, 1)), List.of(), TERMS, 0);
-    history.answered(command, first);
-    history.answered(command, first);
-    history.answered(
+    history.commandAnswered(command, first);
+    history.commandAnswered(command, first);
+    history.commandAnswered(
         command,
         new CommandResult(
             new TidebankException.StaleSequenceNumber("a", 1, 2).details(),
@@ -217,10 +221,10 @@
             List.of(),
             TERMS,
             0));
-    assertThat(history.faults()).isEmpty();
-    assertThat(history.asked()).singleElement().matches(one -> one.copies() == 2);
-    history.answered(
+    assertThat(history.violations()).isEmpty();
+    assertThat(history.commands()).singleElement().matches(one -> one.copies() == 2);
+    history.commandAnswered(
         command, new CommandResult(null, List.of(new Grant(DUTY, 2)), List.of(), TERMS, 0));
-    assertThat(history.faults()).singleElement().asString().contains("two answers");
+    assertThat(history.violations()).singleElement().asString().contains("two answers");
   }
 }
--- a/testbed/src/test/java/tidebank/testbed/chaos/LinearizabilityCheckerTest.java
+++ b/testbed/src/test/java/tidebank/testbed/chaos/LinearizabilityCheckerTest.java
@@ -64,7 +64,7 @@
   void itSaysWhereItStoodStill() {
     LinearizabilityChecker.Outcome outcome =
         LinearizabilityChecker.check(List.of(set(0, 2, 0, 1, true), read(3, 4, 7)), 0);
-    assertThat(outcome.fault())
+    assertThat(outcome.violation())
         .isEqualTo("after 1 of 2 operations, with 1, none of these fits: read 7");
   }
 
--- a/testbed/src/test/java/tidebank/testbed/chaos/ScriptTest.java
+++ b/testbed/src/test/java/tidebank/testbed/chaos/ScriptTest.java
@@ -14,12 +14,12 @@
 class ScriptTest {
   @Test
   void everyScriptThatComesWithTheProgramIsReadAndWrittenAsItWas() throws Exception {
-    assertThat(Script.known()).hasSizeGreaterThanOrEqualTo(12).doesNotHaveDuplicates();
-    for (String name : Script.known()) {
+    assertThat(Script.builtInNames()).hasSizeGreaterThanOrEqualTo(12).doesNotHaveDuplicates();
+    for (String name : Script.builtInNames()) {
       Script script = Script.read(name);
-      assertThat(script.about()).as(name).hasSizeGreaterThan(20);
+      assertThat(script.description()).as(name).hasSizeGreaterThan(20);
       assertThat(script.steps()).as(name).isNotEmpty();
-      assertThat(Script.read(Toml.read(name, script.toml()), name)).isEqualTo(script);
+      assertThat(Script.read(Toml.read(name, script.toToml()), name)).isEqualTo(script);
     }
   }
 
@@ -29,19 +29,22 @@
     for (long seed = 1; seed <= 200; seed++) {
       Script script = RandomScript.script(seed);
       assertThat(RandomScript.script(seed)).isEqualTo(script);
-      assertThat(Script.read(Toml.read("drawn", script.toml()), script.name())).isEqualTo(script);
+      assertThat(Script.read(Toml.read("drawn", script.toToml()), script.name())).isEqualTo(script);
       script
           .steps()
-          .forEach(step -> done.add(step.act() == Script.Do.LINK ? step.fault() : step.act()));
+          .forEach(
+              step ->
+                  done.add(
+                      step.operation() == Script.Operation.LINK ? step.fault() : step.operation()));
     }
     assertThat(done)
         .contains(
-            Script.Do.STOP,
-            Script.Do.WAKE,
-            Script.Do.KILL,
-            Script.Do.TERM,
-            Script.Do.START,
-            Script.Do.SCANS,
+            Script.Operation.STOP,
+            Script.Operation.WAKE,
+            Script.Operation.KILL,
+            Script.Operation.TERM,
+            Script.Operation.START,
+            Script.Operation.SCANS,
             FaultyLink.Fault.SILENT_UP,
             FaultyLink.Fault.SILENT_DOWN,
             FaultyLink.Fault.CUT,
--- a/testbed/src/test/java/tidebank/testbed/chaos/SharedFolderCheckTest.java
+++ b/testbed/src/test/java/tidebank/testbed/chaos/SharedFolderCheckTest.java
@@ -24,7 +24,7 @@
   @BeforeEach
   void litter() throws Exception {
     stored = new SharedFolderCheck(folder);
-    stored.litter(1);
+    stored.createFiles(1);
     Files.createDirectories(folder.resolve("removals"));
   }
 
@@ -39,20 +39,20 @@
   @Test
   void whatAPublishedListNamesMayGo() throws Exception {
     LeaseTable.TaskLease duty = published(OLD);
-    assertThat(stored.gone()).isEmpty();
+    assertThat(stored.removedFiles()).isEmpty();
     Files.delete(folder.resolve(OLD));
-    stored.see(duty, stored.gone());
-    assertThat(stored.old()).isZero();
-    assertThat(stored.faults()).isEmpty();
+    stored.check(duty, stored.removedFiles());
+    assertThat(stored.expiredFilesLeft()).isZero();
+    assertThat(stored.violations()).isEmpty();
   }
 
   @Test
   void whatGoesBeforeItsListIsPublishedIsFound() throws Exception {
     Files.delete(folder.resolve(OLD));
-    Set<String> gone = stored.gone();
-    stored.see(new LeaseTable.TaskLease("retention", 1, "g0", "x", 0, "g0", "", 0, 0, ""), gone);
-    stored.see(published(OLD), gone);
-    assertThat(stored.faults())
+    Set<String> gone = stored.removedFiles();
+    stored.check(new LeaseTable.TaskLease("retention", 1, "g0", "x", 0, "g0", "", 0, 0, ""), gone);
+    stored.check(published(OLD), gone);
+    assertThat(stored.violations())
         .containsExactly(OLD + " was removed, and no published list names it");
   }
 
@@ -60,7 +60,7 @@
   void whatAListNamesThatIsNotTooOldIsFound() throws Exception {
     LeaseTable.TaskLease duty = published(YOUNG);
     Files.delete(folder.resolve(YOUNG));
-    stored.see(duty, stored.gone());
-    assertThat(stored.faults()).containsExactly(YOUNG + " was removed, and was not too old");
+    stored.check(duty, stored.removedFiles());
+    assertThat(stored.violations()).containsExactly(YOUNG + " was removed, and was not too old");
   }
 }
--- a/testbed/src/test/java/tidebank/testbed/chaos/StoredRunTest.java
+++ b/testbed/src/test/java/tidebank/testbed/chaos/StoredRunTest.java
@@ -63,9 +63,9 @@
               kind == LeaseCommand.Kind.PLAN
                   ? new LeaseCommand.Plan(TERMS, List.of("report", "retention"))
                   : null);
-      history.asked("g0", command);
+      history.commandSent("g0", command);
       if (kind == LeaseCommand.Kind.CLAIM) {
-        history.answered(
+        history.commandAnswered(
             command,
             new CommandResult(
                 null,
@@ -74,10 +74,10 @@
                 TERMS,
                 4));
       } else if (kind == LeaseCommand.Kind.PUBLISH) {
-        history.answered(command, new CommandResult(refused(), null, null, null, 5));
+        history.commandAnswered(command, new CommandResult(refused(), null, null, null, 5));
       }
     }
-    history.read("g1", 0, state());
+    history.stateRead("g1", 0, state());
     return history;
   }
 
@@ -104,7 +104,7 @@
 
   private void write(Path to) throws Exception {
     Script script = Script.read("owner-killed");
-    Files.writeString(to.resolve("script.toml"), script.toml());
+    Files.writeString(to.resolve("script.toml"), script.toToml());
     RunArtifacts.write(to, script, history(), verdict());
     Path lines = to.resolve("history.jsonl");
     Files.writeString(lines, untimed(Files.readString(lines)));
@@ -134,7 +134,7 @@
   @Test
   void theVerdictOfAStoredRunIsRead() throws Exception {
     assertThat(RunArtifacts.verdict(STORED)).isEqualTo(verdict());
-    assertThat(RunArtifacts.again(verdict(), STORED))
+    assertThat(RunArtifacts.replayCommand(verdict(), STORED))
         .isEqualTo("bin/tidebank chaos run owner-killed");
   }
 
@@ -144,7 +144,7 @@
     Script script = Script.read(Toml.read("script.toml", stored), "owner-killed");
 
     assertThat(script).isEqualTo(Script.read("owner-killed"));
-    assertThat(script.toml()).isEqualTo(stored);
+    assertThat(script.toToml()).isEqualTo(stored);
   }
 
   @Test
@@ -152,9 +152,11 @@
     Path all = STORED.resolveSibling("every-word.toml");
     Script script = Script.read(Toml.read(all), "every-word");
 
-    assertThat(script.toml()).isEqualTo(Files.readString(all));
-    assertThat(script.steps().stream().map(Script.Step::await)).contains(Script.Await.values());
-    assertThat(script.steps().stream().map(Script.Step::act)).contains(Script.Do.values());
+    assertThat(script.toToml()).isEqualTo(Files.readString(all));
+    assertThat(script.steps().stream().map(Script.Step::condition))
+        .contains(Script.Condition.values());
+    assertThat(script.steps().stream().map(Script.Step::operation))
+        .contains(Script.Operation.values());
     assertThat(script.steps().stream().map(Script.Step::fault)).contains(FaultyLink.Fault.values());
   }
 
@@ -166,7 +168,7 @@
       all.append("# ")
           .append(seed)
           .append('\n')
-          .append(RandomScript.script(seed).toml())
+          .append(RandomScript.script(seed).toToml())
           .append('\n');
     }
 
