--- a/cli/src/main/java/tidebank/cli/ChaosCommands.java
+++ b/cli/src/main/java/tidebank/cli/ChaosCommands.java
@@ -35,12 +35,12 @@
 import tidebank.testbed.chaos.UnownedIntervals;
 import tidebank.testbed.fleet.CoordinatorLoad;
 
-/** A fleet of processes under faults, by script or by seed. */
+/** The group of commands that run clusters of processes under injected faults. */
 @Command(
     name = "chaos",
     description =
-        "Breaks a fleet of processes and the links between them, by a script or one drawn from a"
-            + " seed, and judges what was seen from outside.",
+        "Injects faults into a cluster of processes and the links between them, by a script or one"
+            + " drawn from a seed, and checks what was observed from outside.",
     mixinStandardHelpOptions = true,
     synopsisSubcommandLabel = "COMMAND",
     subcommands = {
@@ -59,7 +59,7 @@
 
   @Command(
       name = "run",
-      description = "Plays scripts, each on a fleet of its own on loopback. Linux only.",
+      description = "Runs scripts, each on a cluster of its own on loopback. Linux only.",
       mixinStandardHelpOptions = true,
       exitCodeListHeading = "%nExit codes:%n",
       exitCodeList = {
@@ -237,7 +237,7 @@
 
   @Command(
       name = "list",
-      description = "Lists the scripts that come with the program.",
+      description = "Lists the built-in scripts.",
       mixinStandardHelpOptions = true)
   static final class ListAll implements Callable<Integer> {
     @Spec private CommandSpec spec;
@@ -253,7 +253,7 @@
 
   @Command(
       name = "show",
-      description = "Shows what came of a run, from its folder.",
+      description = "Shows the verdict of a run, from its folder.",
       mixinStandardHelpOptions = true)
   static final class Show extends ResultCommand {
 
@@ -281,7 +281,8 @@
 
   @Command(
       name = "load",
-      description = "Measures what stewards bear: agents that renew as fast as they are answered.",
+      description =
+          "Measures the load that coordinators sustain: agents renew as fast as they are answered.",
       mixinStandardHelpOptions = true)
   static final class Loaded implements Callable<Integer> {
     @Spec private CommandSpec spec;
