--- a/cli/src/main/java/tidebank/cli/FleetCommands.java
+++ b/cli/src/main/java/tidebank/cli/FleetCommands.java
@@ -26,7 +26,9 @@
 import tidebank.fleet.LeaseJson;
 import tidebank.lease.CommandResult;
 import tidebank.lease.LeaseCommand.Kind;
-import tidebank.lease.LeaseTable;
+import tidebank.lease.LeaseTableState;
+import tidebank.lease.Member;
+import tidebank.lease.TaskLease;
 
 /** The fleet's duties, as its operators see and steer them. */
 @Command(
@@ -147,7 +149,7 @@
       return text.isEmpty() ? "-" : text;
     }
 
-    protected static String member(LeaseTable.State state, LeaseTable.Member member) {
+    protected static String member(LeaseTableState state, Member member) {
       return member.retired()
           ? "retired"
           : member.expiresAt() <= state.leaderClock()
@@ -158,7 +160,7 @@
     }
 
     /** The owner at the moment of the last command that the stewards decided, or a dash. */
-    protected static String owner(LeaseTable.State state, LeaseTable.TaskLease duty) {
+    protected static String owner(LeaseTableState state, TaskLease duty) {
       return duty.holder().isEmpty() || duty.expiresAt() <= state.leaderClock()
           ? "-"
           : duty.holder();
@@ -186,13 +188,13 @@
   static final class Status extends Shown {
     @Override
     int once() throws IOException {
-      LeaseTable.State state = client().state();
+      LeaseTableState state = client().state();
       Map<String, Integer> members = new TreeMap<>();
       state.members().forEach(member -> members.merge(member(state, member), 1, Integer::sum));
       List<String> without =
           state.tasks().stream()
               .filter(duty -> owner(state, duty).equals("-"))
-              .map(LeaseTable.TaskLease::task)
+              .map(TaskLease::task)
               .toList();
       Map<String, Object> whole =
           Map.of(
@@ -223,7 +225,7 @@
   static final class Members extends Shown {
     @Override
     int once() throws IOException {
-      LeaseTable.State state = client().state();
+      LeaseTableState state = client().state();
       return show(
           state.members(),
           List.of("member", "is", "duties"),
@@ -237,7 +239,7 @@
                               ", ",
                               state.tasks().stream()
                                   .filter(duty -> owner(state, duty).equals(member.name()))
-                                  .map(LeaseTable.TaskLease::task)
+                                  .map(TaskLease::task)
                                   .toList()))));
     }
   }
@@ -249,7 +251,7 @@
   static final class Tasks extends Shown {
     @Override
     int once() throws IOException {
-      LeaseTable.State state = client().state();
+      LeaseTableState state = client().state();
       return show(
           state.tasks(),
           List.of("duty", "owner", "token", "meant for", "pinned to", "revision", "published"),
@@ -277,7 +279,7 @@
 
     @Override
     int once() throws IOException {
-      List<CoordinatorClient.AuditEntry> past = client().history().get(duty);
+      List<CoordinatorClient.AuditEntry> past = client().auditLog().get(duty);
       if (past == null) {
         throw new TidebankException.TaskNotFound(duty);
       }
--- a/cli/src/main/java/tidebank/cli/FleetDemo.java
+++ b/cli/src/main/java/tidebank/cli/FleetDemo.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 import tidebank.coordinator.CoordinatorClient;
-import tidebank.lease.LeaseTable;
+import tidebank.lease.TaskLease;
 import tidebank.testbed.fleet.CoordinatorProcesses;
 import tidebank.testbed.fleet.RouterProcesses;
 import tidebank.testbed.replay.RouterProcess;
@@ -52,7 +52,7 @@
             RouterProcesses.start(folder, "g" + i, stewards.addresses(), EVERY_MS, List.of()));
       }
       say("three stewards and three gatherers started; their files are in " + folder);
-      LeaseTable.TaskLease first = until(client, duty -> duty.revision() >= 2);
+      TaskLease first = until(client, duty -> duty.revision() >= 2);
       say(
           first.holder()
               + " owns the report by token "
@@ -62,8 +62,7 @@
       RouterProcess owner = gatherers.get(Integer.parseInt(first.holder().substring(1)));
       owner.stop();
       say(owner.name() + " is stopped (SIGSTOP): it neither renews nor knows that it does not");
-      LeaseTable.TaskLease second =
-          until(client, duty -> duty.publishingToken() > first.fencingToken());
+      TaskLease second = until(client, duty -> duty.publishingToken() > first.fencingToken());
       say(
           "its lease has ended; "
               + second.holder()
@@ -73,7 +72,7 @@
               + second.value());
       owner.wake();
       say(owner.name() + " is woken and goes on where it stood");
-      LeaseTable.TaskLease third = until(client, duty -> duty.revision() >= second.revision() + 3);
+      TaskLease third = until(client, duty -> duty.revision() >= second.revision() + 3);
       boolean harm = third.publishingToken() < second.fencingToken();
       say(
           "three reports later: "
@@ -88,11 +87,11 @@
     }
   }
 
-  private static LeaseTable.TaskLease until(
-      CoordinatorClient client, Predicate<LeaseTable.TaskLease> wanted) throws IOException {
+  private static TaskLease until(CoordinatorClient client, Predicate<TaskLease> wanted)
+      throws IOException {
     long end = System.nanoTime() + PATIENCE_MS * 1_000_000;
     while (System.nanoTime() < end) {
-      for (LeaseTable.TaskLease duty : client.state().tasks()) {
+      for (TaskLease duty : client.state().tasks()) {
         if (wanted.test(duty)) {
           return duty;
         }
--- a/coordinator/src/main/java/tidebank/coordinator/CoordinatorConfig.java
+++ b/coordinator/src/main/java/tidebank/coordinator/CoordinatorConfig.java
@@ -14,47 +14,98 @@
 import tidebank.logging.Log;
 
 /**
- * A steward's file (deploy/steward.toml).
+ * A coordinator's configuration, as read from its file (deploy/steward.toml).
  *
  * @param name its name, one of the peers'
- * @param folder where it keeps log and snapshots
- * @param peers all stewards, itself among them
- * @param listen where it listens itself, which is as its peer's line says unless something stands
+ * @param dataDirectory where it keeps log and snapshots
+ * @param peers all coordinators, itself among them
+ * @param listen where it listens itself, which is as its peer's entry says unless a proxy stands
  *     between
- * @param log how it logs
- * @param terms what leases are granted by
- * @param duties the names of all duties
- * @param electionUs how long a follower waits for its leader, in microseconds
- * @param snapshotEvery commands between two snapshots
+ * @param logging how it logs
+ * @param leaseConfig what leases are granted by
+ * @param tasks the names of all singleton tasks
+ * @param electionTimeoutUs how long a follower waits for its leader, in microseconds
+ * @param commandsPerSnapshot commands between two snapshots
  */
 public record CoordinatorConfig(
     String name,
-    Path folder,
+    Path dataDirectory,
     List<Peer> peers,
     Peer listen,
-    Log.Style log,
-    LeaseConfig terms,
-    List<String> duties,
-    long electionUs,
-    long snapshotEvery) {
-  private static final Pattern NAME = Pattern.compile("[a-z0-9][a-z0-9/._-]{0,62}");
+    Log.Style logging,
+    LeaseConfig leaseConfig,
+    List<String> tasks,
+    long electionTimeoutUs,
+    long commandsPerSnapshot) {
+  private static final Pattern TASK_NAME = Pattern.compile("[a-z0-9][a-z0-9/._-]{0,62}");
 
-  /** A steward: where its peers reach it, and where members and operators do. */
-  public record Peer(String name, InetSocketAddress raft, InetSocketAddress http) {}
+  /**
+   * A coordinator's addresses.
+   *
+   * @param name its name
+   * @param raft where its peers reach it
+   * @param http where members and operators reach it
+   */
+  public record Peer(String name, InetSocketAddress raft, InetSocketAddress http) {
+    /** Returns the HTTP address as host:port. */
+    String httpAddress() {
+      return http.getHostString() + ':' + http.getPort();
+    }
 
+    /** Returns name and HTTP address, for people. */
+    String describe() {
+      return name + " at " + httpAddress();
+    }
+  }
+
+  /**
+   * Reads a file.
+   *
+   * @throws MalformedInputException with all that is wrong in it
+   */
   public static CoordinatorConfig read(Path file) throws MalformedInputException {
     return read(Toml.read(file));
   }
 
+  /**
+   * Reads a parsed file.
+   *
+   * @throws MalformedInputException with all that is wrong in it
+   */
   public static CoordinatorConfig read(Toml file) throws MalformedInputException {
     Toml.Table root = file.root();
     Toml.Table lease = root.table("lease");
     Toml.Table limits = root.table("limits");
     String name = root.needText("name");
-    String folder = root.needText("folder");
+    String dataDirectory = root.needText("folder");
+    List<Peer> peers = readPeers(file, name);
+    List<String> tasks = readTasks(file);
+    LeaseConfig leaseConfig =
+        new LeaseConfig(
+            lease.whole("ms", 3000, 100, 600_000) * 1000,
+            lease.number("drift", 0.05, 0, 0.2),
+            (int) limits.whole("members", 1000, 1, 10_000),
+            (int) limits.whole("text", 1024, 16, 4096));
+    CoordinatorConfig config =
+        new CoordinatorConfig(
+            name,
+            Path.of(dataDirectory),
+            peers,
+            readListen(root, name, peers),
+            OperatorConfig.style(root.table("log")),
+            leaseConfig,
+            tasks,
+            root.table("election").whole("ms", 500, 50, 60_000) * 1000,
+            root.table("snapshot").whole("every", 10_000, 10, 10_000_000));
+    file.check();
+    return config;
+  }
+
+  private static List<Peer> readPeers(Toml file, String ownName) {
     List<Peer> peers = new ArrayList<>();
-    for (Toml.Table peer : root.tables("peers")) {
-      peers.add(new Peer(peer.needText("name"), address(peer, "raft"), address(peer, "http")));
+    for (Toml.Table peer : file.root().tables("peers")) {
+      peers.add(
+          new Peer(peer.needText("name"), readAddress(peer, "raft"), readAddress(peer, "http")));
     }
     Set<String> names = new HashSet<>();
     peers.forEach(peer -> names.add(peer.name()));
@@ -66,46 +117,34 @@
               + " of "
               + names.size()
               + " names, wanted an odd number, each name once");
-    } else if (!names.contains(name)) {
+    } else if (!names.contains(ownName)) {
       file.fault(
-          "name", "found " + name + ", wanted one of the peers: " + String.join(", ", names));
+          "name", "found " + ownName + ", wanted one of the peers: " + String.join(", ", names));
     }
-    List<String> duties = root.table("duties").texts("names");
-    for (String duty : duties) {
-      if (!NAME.matcher(duty).matches()) {
+    return peers;
+  }
+
+  private static List<String> readTasks(Toml file) {
+    List<String> tasks = file.root().table("duties").texts("names");
+    for (String task : tasks) {
+      if (!TASK_NAME.matcher(task).matches()) {
         file.fault(
-            "duties.names", "found " + duty + ", wanted small letters, digits, and / . _ - within");
+            "duties.names", "found " + task + ", wanted small letters, digits, and / . _ - within");
       }
     }
-    LeaseConfig terms =
-        new LeaseConfig(
-            lease.whole("ms", 3000, 100, 600_000) * 1000,
-            lease.number("drift", 0.05, 0, 0.2),
-            (int) limits.whole("members", 1000, 1, 10_000),
-            (int) limits.whole("text", 1024, 16, 4096));
+    return tasks;
+  }
+
+  private static Peer readListen(Toml.Table root, String name, List<Peer> peers) {
     Toml.Table listen = root.table("listen");
     Peer self = peers.stream().filter(peer -> peer.name().equals(name)).findFirst().orElse(null);
-    Peer own =
-        new Peer(
-            name,
-            listen.has("raft") ? address(listen, "raft") : self == null ? null : self.raft(),
-            listen.has("http") ? address(listen, "http") : self == null ? null : self.http());
-    CoordinatorConfig read =
-        new CoordinatorConfig(
-            name,
-            Path.of(folder),
-            peers,
-            own,
-            OperatorConfig.style(root.table("log")),
-            terms,
-            duties,
-            root.table("election").whole("ms", 500, 50, 60_000) * 1000,
-            root.table("snapshot").whole("every", 10_000, 10, 10_000_000));
-    file.check();
-    return read;
+    return new Peer(
+        name,
+        listen.has("raft") ? readAddress(listen, "raft") : self == null ? null : self.raft(),
+        listen.has("http") ? readAddress(listen, "http") : self == null ? null : self.http());
   }
 
-  private static InetSocketAddress address(Toml.Table table, String key) {
+  private static InetSocketAddress readAddress(Toml.Table table, String key) {
     String text = table.needText(key);
     int colon = text.lastIndexOf(':');
     try {
@@ -113,8 +152,8 @@
       if (colon > 0 && port > 0 && port < 1 << 16) {
         return new InetSocketAddress(text.substring(0, colon), port);
       }
-    } catch (NumberFormatException fault) {
-      // Named below, as any other text that is no address.
+    } catch (NumberFormatException notANumber) {
+      // Reported below, as any other text that is no address.
     }
     table.fault(key, "found " + text + ", wanted an address such as 127.0.0.1:7100");
     return null;
--- a/coordinator/src/main/java/tidebank/coordinator/CoordinatorMain.java
+++ b/coordinator/src/main/java/tidebank/coordinator/CoordinatorMain.java
@@ -7,48 +7,52 @@
 import tidebank.logging.Log;
 
 /**
- * The process of one steward: {@code --config FILE}. Ends with 0 on SIGTERM, 1 if it can't start, 2
- * for a wrong file.
+ * The process of one coordinator: {@code --config FILE}. Exits with 0 on SIGTERM, 1 if it cannot
+ * start or go on, 2 for a wrong file.
  */
 public final class CoordinatorMain {
+  private static final int EXIT_FAILED = 1;
+  private static final int EXIT_USAGE = 2;
+
   private CoordinatorMain() {}
 
+  /** Runs a coordinator until the process is terminated. */
   public static void main(String[] args) {
     if (args.length != 2 || !args[0].equals("--config")) {
       System.err.println("usage: tidebank steward --config FILE");
-      System.exit(2);
+      System.exit(EXIT_USAGE);
     }
     try {
       serve(Path.of(args[1]));
-    } catch (MalformedInputException fault) {
-      System.err.println("tidebank: " + fault.getMessage().replace("\n", "\ntidebank: "));
-      System.exit(2);
-    } catch (IOException fault) {
+    } catch (MalformedInputException exception) {
+      System.err.println("tidebank: " + exception.getMessage().replace("\n", "\ntidebank: "));
+      System.exit(EXIT_USAGE);
+    } catch (IOException exception) {
       System.err.println(
-          fault instanceof TidebankException known
+          exception instanceof TidebankException known
               ? known.details().lines()
-              : "tidebank: " + fault);
-      System.exit(1);
+              : "tidebank: " + exception);
+      System.exit(EXIT_FAILED);
     }
   }
 
-  /** Runs one until SIGTERM, which ends the process with 0. */
-  public static int serve(Path config) throws IOException {
-    CoordinatorConfig file = CoordinatorConfig.read(config);
+  /** Runs a coordinator until SIGTERM, which ends the process with 0. */
+  public static int serve(Path file) throws IOException {
+    CoordinatorConfig config = CoordinatorConfig.read(file);
     Log.own();
-    Log.style(file.log());
-    CoordinatorServer steward = CoordinatorServer.start(file);
+    Log.style(config.logging());
+    CoordinatorServer coordinator = CoordinatorServer.start(config);
     Runtime.getRuntime()
         .addShutdownHook(
             new Thread(
                 () -> {
-                  steward.close();
+                  coordinator.close();
                   Runtime.getRuntime().halt(0);
                 }));
-    // SIGTERM ends the process from the hook; this comes back only where the steward can't go on.
-    TidebankException fault = steward.ended().join();
-    System.err.println(fault.details().lines());
-    Runtime.getRuntime().halt(1);
-    return 1;
+    // SIGTERM ends the process from the hook; this returns only where the coordinator cannot go on.
+    TidebankException failure = coordinator.failure().join();
+    System.err.println(failure.details().lines());
+    Runtime.getRuntime().halt(EXIT_FAILED);
+    return EXIT_FAILED;
   }
 }
--- a/coordinator/src/main/java/tidebank/coordinator/HttpServer.java
+++ b/coordinator/src/main/java/tidebank/coordinator/HttpServer.java
@@ -1,7 +1,6 @@
 package tidebank.coordinator;
 
 import io.netty.bootstrap.ServerBootstrap;
-import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelFutureListener;
@@ -17,169 +16,149 @@
 import io.netty.handler.codec.http.DefaultFullHttpResponse;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpObjectAggregator;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpServerCodec;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
-import io.netty.handler.codec.http.QueryStringDecoder;
 import io.netty.handler.timeout.IdleStateEvent;
 import io.netty.handler.timeout.IdleStateHandler;
-import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.util.List;
-import java.util.Map;
-import java.util.concurrent.CompletableFuture;
-import java.util.concurrent.CompletionException;
+import java.util.Optional;
 import java.util.concurrent.TimeUnit;
+import java.util.function.Supplier;
 import tidebank.errors.TidebankException;
-import tidebank.fleet.LeaseCodec;
-import tidebank.lease.CommandResult;
 
 /**
- * HTTP/1.1 with JSON, as members and operators speak to a steward. A connection has one call at
- * work at a time.
+ * HTTP/1.1 with JSON, for members and operators, on one event loop. A connection has one request
+ * pending at a time.
  */
-final class HttpServer {
-  private static final int BODY = 1 << 16;
-  private static final int IDLE_S = 60;
-
-  /** How long a call may wait for news; well under what ends an idle connection. */
-  private static final int WAIT_MOST_MS = 30_000;
-
-  /** One is a call at a time; a fleet of a thousand has two each, one of which waits for news. */
-  private static final int CONNECTIONS = 4096;
-
-  private final CoordinatorServer steward;
+final class HttpServer implements AutoCloseable {
+  private static final int MAX_BODY_BYTES = 1 << 16;
+  private static final int IDLE_TIMEOUT_S = 60;
+
+  /**
+   * A fleet of a thousand has two connections each, one of which waits for tasks; beyond this many
+   * a new one is closed at once.
+   */
+  private static final int MAX_CONNECTIONS = 4096;
+
+  private final HttpRequestHandler handler;
+  private final Supplier<Optional<CoordinatorConfig.Peer>> leader;
   private final InetSocketAddress address;
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 
-  /** Connections that are open; belongs to the one event loop. */
-  private int open;
-
-  HttpServer(CoordinatorServer steward, InetSocketAddress address) {
-    this.steward = steward;
+  /** Owned by the one event loop. */
+  private int openConnections;
+
+  /**
+   * Creates it without listening.
+   *
+   * @param leader returns the leader, for requests that came to another coordinator
+   */
+  HttpServer(
+      InetSocketAddress address,
+      HttpRequestHandler handler,
+      Supplier<Optional<CoordinatorConfig.Peer>> leader) {
     this.address = address;
+    this.handler = handler;
+    this.leader = leader;
   }
 
-  void listen() throws IOException {
+  void listen() throws TidebankException {
     ChannelFuture binding =
         new ServerBootstrap()
             .group(group)
             .channel(NioServerSocketChannel.class)
             .option(ChannelOption.SO_REUSEADDR, true)
             .childOption(ChannelOption.TCP_NODELAY, true)
-            .childHandler(
-                new ChannelInitializer<SocketChannel>() {
-                  @Override
-                  protected void initChannel(SocketChannel channel) {
-                    if (++open > CONNECTIONS) {
-                      channel.close();
-                    }
-                    channel.closeFuture().addListener(closed -> open--);
-                    channel
-                        .pipeline()
-                        .addLast(
-                            new IdleStateHandler(0, 0, IDLE_S) {
-                              @Override
-                              protected void channelIdle(
-                                  ChannelHandlerContext context, IdleStateEvent event) {
-                                context.close();
-                              }
-                            },
-                            new HttpServerCodec(),
-                            new HttpObjectAggregator(BODY),
-                            new Calls());
-                  }
-                })
+            .childHandler(new ConnectionInitializer())
             .bind(address)
             .awaitUninterruptibly();
     if (!binding.isSuccess()) {
       throw new TidebankException.AddressTaken(
-          CoordinatorServer.text(address), binding.cause().getMessage());
+          address.getHostString() + ':' + address.getPort(), binding.cause().getMessage());
     }
   }
 
-  void close() {
+  @Override
+  public void close() {
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
-  private final class Calls extends SimpleChannelInboundHandler<FullHttpRequest> {
+  private final class ConnectionInitializer extends ChannelInitializer<SocketChannel> {
+    @Override
+    protected void initChannel(SocketChannel channel) {
+      if (++openConnections > MAX_CONNECTIONS) {
+        channel.close();
+      }
+      channel.closeFuture().addListener(closed -> openConnections--);
+      channel
+          .pipeline()
+          .addLast(
+              new IdleConnectionCloser(),
+              new HttpServerCodec(),
+              new HttpObjectAggregator(MAX_BODY_BYTES),
+              new RequestHandler());
+    }
+  }
+
+  private static final class IdleConnectionCloser extends IdleStateHandler {
+    IdleConnectionCloser() {
+      super(0, 0, IDLE_TIMEOUT_S);
+    }
+
+    @Override
+    protected void channelIdle(ChannelHandlerContext context, IdleStateEvent event) {
+      context.close();
+    }
+  }
+
+  private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
-      boolean keep = HttpUtil.isKeepAlive(request) && request.decoderResult().isSuccess();
-      // The next call is read once this one is answered.
+      boolean keepAlive = HttpUtil.isKeepAlive(request) && request.decoderResult().isSuccess();
+      // The next request is read once this one is answered.
       context.channel().config().setAutoRead(false);
-      answer(request)
+      handler
+          .handle(request)
           .whenComplete(
-              (body, fault) ->
-                  context
-                      .executor()
-                      .execute(
-                          () ->
-                              write(
-                                  context,
-                                  keep,
-                                  fault == null ? 200 : status(fault),
-                                  fault == null ? body : told(fault))));
-    }
-
-    private CompletableFuture<byte[]> answer(FullHttpRequest request) {
-      String path = request.uri();
-      try {
-        if (!request.decoderResult().isSuccess()) {
-          throw new TidebankException.MalformedRequest("it is no HTTP/1.1");
-        }
-        if (path.equals("/fleet/command") && request.method().equals(HttpMethod.POST)) {
-          return steward.command(LeaseCodec.readCommand(ByteBufUtil.getBytes(request.content())));
-        } else if (path.equals("/fleet/state") && request.method().equals(HttpMethod.GET)) {
-          return steward.state();
-        } else if (path.startsWith("/fleet/wanted?") && request.method().equals(HttpMethod.GET)) {
-          return wanted(new QueryStringDecoder(path));
-        } else if (path.equals("/fleet/history") && request.method().equals(HttpMethod.GET)) {
-          return steward.history();
-        } else if (path.equals("/health/ready") && request.method().equals(HttpMethod.GET)) {
-          if (!steward.ready()) {
-            throw new TidebankException.NoMajority("no leader is known");
-          }
-          return CompletableFuture.completedFuture(
-              LeaseCodec.write(Map.of("leader", steward.leader())));
-        }
-        throw new TidebankException.PathUnknown(request.method().name(), path);
-      } catch (TidebankException fault) {
-        return CompletableFuture.failedFuture(fault);
-      }
+              (body, failed) ->
+                  context.executor().execute(() -> respond(context, keepAlive, body, failed)));
     }
 
-    private CompletableFuture<byte[]> wanted(QueryStringDecoder query) throws TidebankException {
-      String name = query.parameters().getOrDefault("name", List.of("")).get(0);
-      String wait = query.parameters().getOrDefault("wait_ms", List.of("0")).get(0);
-      if (name.isEmpty() || !wait.matches("\\d{1,5}") || Integer.parseInt(wait) > WAIT_MOST_MS) {
-        throw new TidebankException.MalformedRequest(
-            "'name' is to be a member's, 'wait_ms' from 0 to " + WAIT_MOST_MS);
+    private void respond(
+        ChannelHandlerContext context, boolean keepAlive, byte[] body, Throwable failed) {
+      if (failed == null) {
+        write(context, keepAlive, HttpResponseStatus.OK, body);
+        return;
       }
-      return steward.wanted(name, Integer.parseInt(wait));
+      TidebankException exception = HttpErrors.toTidebankException(failed);
+      write(context, keepAlive, HttpErrors.status(exception), HttpErrors.body(exception));
     }
 
-    private void write(ChannelHandlerContext context, boolean keep, int status, byte[] body) {
+    private void write(
+        ChannelHandlerContext context, boolean keepAlive, HttpResponseStatus status, byte[] body) {
       DefaultFullHttpResponse response =
-          new DefaultFullHttpResponse(
-              HttpVersion.HTTP_1_1,
-              HttpResponseStatus.valueOf(status),
-              Unpooled.wrappedBuffer(body));
+          new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(body));
       response.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
       response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, body.length);
-      if (status == 421 && !steward.leaderAddress().isEmpty()) {
-        response.headers().set(HttpHeaderNames.LOCATION, "http://" + steward.leaderAddress());
+      if (status.equals(HttpResponseStatus.MISDIRECTED_REQUEST)) {
+        leader
+            .get()
+            .ifPresent(
+                peer ->
+                    response
+                        .headers()
+                        .set(HttpHeaderNames.LOCATION, "http://" + peer.httpAddress()));
       }
-      HttpUtil.setKeepAlive(response, keep);
-      // A client that does not read its answers is not read from.
+      HttpUtil.setKeepAlive(response, keepAlive);
+      // A client that does not read its responses is not read from.
       context
           .writeAndFlush(response)
           .addListener(
-              keep
+              keepAlive
                   ? (ChannelFutureListener) written -> written.channel().config().setAutoRead(true)
                   : ChannelFutureListener.CLOSE);
     }
@@ -189,29 +168,4 @@
       context.close();
     }
   }
-
-  /** What kept a call from being decided, as a condition of its own. */
-  static TidebankException fault(Throwable thrown) {
-    Throwable cause =
-        thrown instanceof CompletionException && thrown.getCause() != null
-            ? thrown.getCause()
-            : thrown;
-    return cause instanceof TidebankException known
-        ? known
-        : new TidebankException.NoMajority(String.valueOf(cause));
-  }
-
-  private static int status(Throwable thrown) {
-    TidebankException fault = fault(thrown);
-    return fault instanceof TidebankException.NotLeading
-        ? 421
-        : fault instanceof TidebankException.MalformedRequest
-            ? 400
-            : fault instanceof TidebankException.PathUnknown ? 404 : 503;
-  }
-
-  /** What went wrong, in the form of an answer, so that a caller reads one form only. */
-  private static byte[] told(Throwable thrown) {
-    return LeaseCodec.write(new CommandResult(fault(thrown).details(), null, null, null, 0));
-  }
 }
--- a/coordinator/src/main/java/tidebank/coordinator/LeaseAuditLog.java
+++ b/coordinator/src/main/java/tidebank/coordinator/LeaseAuditLog.java
@@ -9,70 +9,73 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 import tidebank.coordinator.CoordinatorClient.AuditEntry;
-import tidebank.lease.LeaseTable;
-import tidebank.lease.LeaseTable.TaskLease;
+import tidebank.lease.LeaseTableState;
+import tidebank.lease.TaskLease;
 
 /**
- * What became of each duty, the last of it, for people. Kept beside the rules, which know nothing
- * of it; a function of the log alone, so that all stewards have the same.
+ * The last grants, releases and moves of each task, for operators. A function of the log alone, so
+ * that all replicas have the same; the lease table knows nothing of it.
  */
 final class LeaseAuditLog {
-  /** Of each duty. */
-  static final int KEPT = 64;
+  static final int MAX_ENTRIES_PER_TASK = 64;
 
-  private final SortedMap<String, Deque<AuditEntry>> duties = new TreeMap<>();
+  private final SortedMap<String, Deque<AuditEntry>> entriesByTask = new TreeMap<>();
 
-  LeaseAuditLog(Map<String, List<AuditEntry>> kept) {
-    kept.forEach((duty, past) -> duties.put(duty, new ArrayDeque<>(past)));
+  /** Creates a log that goes on from stored entries. */
+  LeaseAuditLog(Map<String, List<AuditEntry>> stored) {
+    stored.forEach((task, entries) -> entriesByTask.put(task, new ArrayDeque<>(entries)));
   }
 
-  /** A command was taken that led from one state to another. */
-  void applied(LeaseTable.State before, LeaseTable.State after, long wallMs) {
+  /** Records what a command changed. */
+  void recordChanges(LeaseTableState before, LeaseTableState after, long timestampMs) {
     if (before.tasks().equals(after.tasks())) {
       return;
     }
-    Map<String, TaskLease> then = new HashMap<>();
-    before.tasks().forEach(duty -> then.put(duty.task(), duty));
-    for (TaskLease now : after.tasks()) {
-      TaskLease was = then.remove(now.task());
-      if (was == null) {
-        duties.putIfAbsent(now.task(), new ArrayDeque<>());
-        continue;
-      }
-      if (now.fencingToken() != was.fencingToken()) {
-        String late =
-            was.holder().isEmpty() || was.fencingToken() == 0
-                ? ""
-                : ", as the lease of " + was.holder() + " was over";
-        add(now.task(), new AuditEntry(wallMs, now.fencingToken(), now.holder(), "granted" + late));
-      } else if (now.holder().isEmpty() && !was.holder().isEmpty()) {
-        add(now.task(), new AuditEntry(wallMs, now.fencingToken(), was.holder(), "let go"));
-      }
-      if (!now.stickyMember().equals(was.stickyMember())) {
-        add(
-            now.task(),
-            new AuditEntry(
-                wallMs,
-                now.fencingToken(),
-                now.stickyMember(),
-                now.stickyMember().isEmpty() ? "moved to anywhere" : "moved to"));
+    Map<String, TaskLease> removed = new HashMap<>();
+    before.tasks().forEach(lease -> removed.put(lease.task(), lease));
+    for (TaskLease lease : after.tasks()) {
+      TaskLease previous = removed.remove(lease.task());
+      if (previous == null) {
+        entriesByTask.putIfAbsent(lease.task(), new ArrayDeque<>());
+      } else {
+        recordLeaseChange(previous, lease, timestampMs);
+        recordMove(previous, lease, timestampMs);
       }
     }
-    then.keySet().forEach(duties::remove);
+    removed.keySet().forEach(entriesByTask::remove);
+  }
+
+  private void recordLeaseChange(TaskLease before, TaskLease after, long timestampMs) {
+    if (after.fencingToken() != before.fencingToken()) {
+      boolean tookOver = !before.holder().isEmpty() && before.fencingToken() != 0;
+      String event =
+          tookOver ? "granted, as the lease of " + before.holder() + " was over" : "granted";
+      add(after, timestampMs, after.holder(), event);
+    } else if (after.holder().isEmpty() && !before.holder().isEmpty()) {
+      add(after, timestampMs, before.holder(), "let go");
+    }
+  }
+
+  private void recordMove(TaskLease before, TaskLease after, long timestampMs) {
+    if (!after.stickyMember().equals(before.stickyMember())) {
+      String event = after.stickyMember().isEmpty() ? "moved to anywhere" : "moved to";
+      add(after, timestampMs, after.stickyMember(), event);
+    }
   }
 
-  private void add(String duty, AuditEntry past) {
-    Deque<AuditEntry> all = duties.computeIfAbsent(duty, absent -> new ArrayDeque<>());
-    all.addLast(past);
-    if (all.size() > KEPT) {
-      all.removeFirst();
+  private void add(TaskLease lease, long timestampMs, String member, String event) {
+    Deque<AuditEntry> entries =
+        entriesByTask.computeIfAbsent(lease.task(), absent -> new ArrayDeque<>());
+    entries.addLast(new AuditEntry(timestampMs, lease.fencingToken(), member, event));
+    if (entries.size() > MAX_ENTRIES_PER_TASK) {
+      entries.removeFirst();
     }
   }
 
-  /** All of it, the oldest first. */
+  /** Returns the entries of all tasks, the oldest first. */
   SortedMap<String, List<AuditEntry>> all() {
     SortedMap<String, List<AuditEntry>> all = new TreeMap<>();
-    duties.forEach((duty, past) -> all.put(duty, new ArrayList<>(past)));
+    entriesByTask.forEach((task, entries) -> all.put(task, new ArrayList<>(entries)));
     return all;
   }
 }
--- a/coordinator/src/main/java/tidebank/coordinator/LeaseStateMachine.java
+++ b/coordinator/src/main/java/tidebank/coordinator/LeaseStateMachine.java
@@ -2,19 +2,12 @@
 
 import com.fasterxml.jackson.annotation.JsonProperty;
 import com.fasterxml.jackson.annotation.JsonPropertyOrder;
-import java.io.File;
 import java.io.IOException;
-import java.nio.ByteBuffer;
-import java.nio.channels.FileChannel;
 import java.nio.file.Files;
-import java.nio.file.StandardCopyOption;
-import java.nio.file.StandardOpenOption;
-import java.util.Arrays;
+import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
-import java.util.function.Consumer;
-import java.util.zip.CRC32C;
 import org.apache.ratis.io.MD5Hash;
 import org.apache.ratis.proto.RaftProtos.LogEntryProto;
 import org.apache.ratis.proto.RaftProtos.RaftPeerRole;
@@ -41,25 +34,30 @@
 import tidebank.lease.LeaseCommand;
 import tidebank.lease.LeaseConfig;
 import tidebank.lease.LeaseTable;
+import tidebank.lease.LeaseTableState;
 
 /**
- * The rules of leases behind the replicated log. The leader stamps each command with its term and
- * clock before it goes into the log; all stewards apply what the log says, in its order. A stamp of
+ * The lease table behind the replicated log. The leader stamps each command with its term and clock
+ * before it goes into the log; all replicas apply what the log says, in its order. A stamp of
  * another term than the one the command came into the log in is no time at all, and the command has
- * no effect.
+ * no effect. Table and audit log are guarded by this object's monitor.
  */
 final class LeaseStateMachine extends BaseStateMachine {
   private static final Logger LOG = LoggerFactory.getLogger(LeaseStateMachine.class);
 
-  /** Snapshots begin with their version and a check of what follows. */
-  private static final int VERSION = 2;
+  /** Is notified on the library's threads, and has to return quickly. */
+  interface Listener {
+    /** This replica leads and knows all that was decided before. */
+    void leadershipAcquired();
 
-  /** Held the state of the rules alone. */
-  private static final int WITHOUT_HISTORY = 1;
+    /** The state may have changed. */
+    void commandApplied();
 
-  private static final int HEAD = Integer.BYTES + Long.BYTES;
+    /** The log cannot be written any more. */
+    void logFailed(Throwable cause);
+  }
 
-  /** What stands in the log. */
+  /** An entry of the log. */
   @JsonPropertyOrder({"term", "at", "wallMs", "command"})
   record LogRecord(
       long term,
@@ -67,39 +65,29 @@
       @JsonProperty("wallMs") long timestampMs,
       LeaseCommand command) {}
 
-  /** What stands in a snapshot. */
+  /** The content of a snapshot. */
   @JsonPropertyOrder({"state", "history"})
   record SnapshotContent(
-      LeaseTable.State state,
+      LeaseTableState state,
       @JsonProperty("history") Map<String, List<CoordinatorClient.AuditEntry>> auditLog) {}
 
-  /** A query for the history of all duties; any other is for the state. */
-  static final ByteString HISTORY = ByteString.copyFromUtf8("history");
+  /** A read request for the audit log of all tasks; any other is for the state. */
+  static final ByteString READ_AUDIT_LOG = ByteString.copyFromUtf8("history");
 
   private final SimpleStateMachineStorage storage = new SimpleStateMachineStorage();
-  private final LeaseConfig terms;
-  private final Runnable leading;
-  private final Runnable changed;
-  private final Consumer<Throwable> broken;
-  private LeaseTable book;
-  private LeaseAuditLog history = new LeaseAuditLog(Map.of());
-  private volatile LeaseTable.State seen;
+  private final Listener listener;
+  private LeaseTable table;
+  private LeaseAuditLog auditLog = new LeaseAuditLog(Map.of());
+  private volatile LeaseTableState lastApplied;
 
-  /**
-   * @param leading run, briefly, once this steward leads and knows all that was decided before
-   * @param changed run, briefly, after each command
-   * @param broken hears why the log can't be written any more
-   */
-  LeaseStateMachine(
-      LeaseConfig terms, Runnable leading, Runnable changed, Consumer<Throwable> broken) {
-    this.changed = changed;
-    this.terms = terms;
-    this.leading = leading;
-    this.broken = broken;
-    book = new LeaseTable(terms);
-    seen = book.state();
+  LeaseStateMachine(LeaseConfig config, Listener listener) {
+    this.listener = listener;
+    table = new LeaseTable(config);
+    lastApplied = table.state();
   }
 
+  // ---- snapshots
+
   @Override
   public void initialize(RaftServer server, RaftGroupId group, RaftStorage raftStorage)
       throws IOException {
@@ -118,92 +106,32 @@
     if (snapshot == null) {
       return;
     }
-    File file = snapshot.getFile().getPath().toFile();
-    byte[] bytes = Files.readAllBytes(file.toPath());
-    SnapshotContent kept = unpacked(file.getName(), bytes);
-    book = new LeaseTable(kept.state());
-    history = new LeaseAuditLog(kept.auditLog());
-    seen = book.state();
+    Path file = snapshot.getFile().getPath();
+    String name = file.getFileName().toString();
+    SnapshotContent content = SnapshotFormat.decode(name, Files.readAllBytes(file));
+    table = new LeaseTable(content.state());
+    auditLog = new LeaseAuditLog(content.auditLog());
+    lastApplied = table.state();
     setLastAppliedTermIndex(snapshot.getTermIndex());
     LOG.info(
-        "restored "
-            + file.getName()
-            + ": "
-            + seen.members().size()
-            + " members, "
-            + seen.tasks().size()
-            + " duties");
-  }
-
-  /** The state of a snapshot, or the fault that says why there is none. */
-  static SnapshotContent unpacked(String name, byte[] bytes)
-      throws TidebankException.CorruptSnapshot {
-    if (bytes.length < HEAD) {
-      throw new TidebankException.CorruptSnapshot(name, "it is " + bytes.length + " bytes short");
-    }
-    ByteBuffer buffer = ByteBuffer.wrap(bytes);
-    int version = buffer.getInt();
-    if (version != VERSION && version != WITHOUT_HISTORY) {
-      throw new TidebankException.CorruptSnapshot(
-          name, "its version is " + version + ", not " + VERSION);
-    }
-    if (buffer.getLong() != check(bytes, HEAD)) {
-      throw new TidebankException.CorruptSnapshot(name, "its check does not fit its content");
-    }
-    try {
-      byte[] json = Arrays.copyOfRange(bytes, HEAD, bytes.length);
-      return version == VERSION
-          ? LeaseCodec.read(json, SnapshotContent.class)
-          : new SnapshotContent(LeaseCodec.read(json, LeaseTable.State.class), Map.of());
-    } catch (IOException fault) {
-      throw new TidebankException.CorruptSnapshot(name, fault.getMessage());
-    }
-  }
-
-  static byte[] packed(SnapshotContent kept) {
-    byte[] json = LeaseCodec.write(kept);
-    ByteBuffer buffer =
-        ByteBuffer.allocate(HEAD + json.length).putInt(VERSION).putLong(check(json, 0)).put(json);
-    return buffer.array();
+        "restored snapshot: file={}, members={}, tasks={}",
+        name,
+        lastApplied.members().size(),
+        lastApplied.tasks().size());
   }
 
-  private static long check(byte[] bytes, int from) {
-    CRC32C crc = new CRC32C();
-    crc.update(bytes, from, bytes.length - from);
-    return crc.getValue();
-  }
-
-  /** Written beside, forced, then put in place: a snapshot is there whole or not at all. */
   @Override
   public long takeSnapshot() throws IOException {
     TermIndex last;
     byte[] bytes;
     synchronized (this) {
       last = getLastAppliedTermIndex();
-      bytes = packed(new SnapshotContent(book.state(), history.all()));
-    }
-    File file = storage.getSnapshotFile(last.getTerm(), last.getIndex());
-    File beside = new File(file.getParentFile(), file.getName() + ".part");
-    try (FileChannel channel =
-        FileChannel.open(
-            beside.toPath(),
-            StandardOpenOption.CREATE,
-            StandardOpenOption.TRUNCATE_EXISTING,
-            StandardOpenOption.WRITE)) {
-      ByteBuffer buffer = ByteBuffer.wrap(bytes);
-      while (buffer.hasRemaining()) {
-        channel.write(buffer);
-      }
-      channel.force(true);
+      bytes = SnapshotFormat.encode(new SnapshotContent(table.state(), auditLog.all()));
     }
-    Files.move(
-        beside.toPath(),
-        file.toPath(),
-        StandardCopyOption.ATOMIC_MOVE,
-        StandardCopyOption.REPLACE_EXISTING);
-    MD5Hash hash = MD5FileUtil.computeAndSaveMd5ForFile(file);
-    storage.updateLatestSnapshot(
-        new SingleFileSnapshotInfo(new FileInfo(file.toPath(), hash), last));
+    Path file = storage.getSnapshotFile(last.getTerm(), last.getIndex()).toPath();
+    SnapshotFormat.writeAtomically(file, bytes);
+    MD5Hash hash = MD5FileUtil.computeAndSaveMd5ForFile(file.toFile());
+    storage.updateLatestSnapshot(new SingleFileSnapshotInfo(new FileInfo(file, hash), last));
     return last.getIndex();
   }
 
@@ -212,18 +140,18 @@
     return storage;
   }
 
+  // ---- commands
+
   @Override
   public TransactionContext startTransaction(RaftClientRequest request) throws IOException {
-    long term = getServer().join().getDivision(getGroupId()).getInfo().getCurrentTerm();
     LeaseCommand command =
         LeaseCodec.read(request.getMessage().getContent().toByteArray(), LeaseCommand.class);
-    byte[] stamped =
-        LeaseCodec.write(new LogRecord(term, clock(), System.currentTimeMillis(), command));
+    LogRecord entry = new LogRecord(currentTerm(), clockUs(), System.currentTimeMillis(), command);
     return TransactionContext.newBuilder()
         .setServerRole(RaftPeerRole.LEADER)
         .setStateMachine(this)
         .setClientRequest(request)
-        .setLogData(UnsafeByteOperations.unsafeWrap(stamped))
+        .setLogData(UnsafeByteOperations.unsafeWrap(LeaseCodec.write(entry)))
         .build();
   }
 
@@ -231,77 +159,91 @@
   public CompletableFuture<Message> applyTransaction(TransactionContext transaction) {
     LogEntryProto entry = transaction.getLogEntry();
     try {
-      LogRecord stamped =
+      LogRecord logged =
           LeaseCodec.read(
               entry.getStateMachineLogEntry().getLogData().toByteArray(), LogRecord.class);
-      CommandResult answer;
-      synchronized (this) {
-        answer =
-            stamped.term() == entry.getTerm()
-                ? book.apply(entry.getTerm(), stamped.leaderClock(), stamped.command())
-                : new CommandResult(
-                    new TidebankException.LeaderChanged(stamped.term(), entry.getTerm()).details(),
-                    null,
-                    null,
-                    null,
-                    0);
-        history.applied(seen, book.state(), stamped.timestampMs());
-        seen = book.state();
-        updateLastAppliedTermIndex(entry.getTerm(), entry.getIndex());
-      }
-      changed.run();
-      return CompletableFuture.completedFuture(
-          Message.valueOf(ByteString.copyFrom(LeaseCodec.write(answer))));
-    } catch (IOException | RuntimeException fault) {
-      // The same on every steward, as the log is; the command has no effect.
+      CommandResult result = apply(entry, logged);
+      listener.commandApplied();
+      return completed(result);
+    } catch (IOException | RuntimeException exception) {
+      // The same on every replica, as the log is; the command has no effect.
       LOG.error(
-          "entry " + entry.getTerm() + ":" + entry.getIndex() + " of the log can't be applied",
-          fault);
+          "could not apply log entry: term={}, index={}",
+          entry.getTerm(),
+          entry.getIndex(),
+          exception);
       updateLastAppliedTermIndex(entry.getTerm(), entry.getIndex());
-      return CompletableFuture.failedFuture(fault);
+      return CompletableFuture.failedFuture(exception);
     }
   }
 
-  /**
-   * The state, for calls that the library found to come to the leader, by whose clock they are told
-   * how late it is.
-   */
+  private synchronized CommandResult apply(LogEntryProto entry, LogRecord logged) {
+    CommandResult result =
+        logged.term() == entry.getTerm()
+            ? table.apply(entry.getTerm(), logged.leaderClock(), logged.command())
+            : leaderChanged(logged.term(), entry.getTerm());
+    LeaseTableState before = lastApplied;
+    lastApplied = table.state();
+    auditLog.recordChanges(before, lastApplied, logged.timestampMs());
+    updateLastAppliedTermIndex(entry.getTerm(), entry.getIndex());
+    return result;
+  }
+
+  private static CommandResult leaderChanged(long stampedTerm, long loggedTerm) {
+    return new CommandResult(
+        new TidebankException.LeaderChanged(stampedTerm, loggedTerm).details(),
+        null,
+        null,
+        null,
+        0);
+  }
+
+  // ---- reads
+
+  /** Returns the audit log, or the state at the leader's current time. */
   @Override
   public CompletableFuture<Message> query(Message request) {
-    if (request.getContent().equals(HISTORY)) {
+    if (request.getContent().equals(READ_AUDIT_LOG)) {
       synchronized (this) {
-        return CompletableFuture.completedFuture(
-            Message.valueOf(ByteString.copyFrom(LeaseCodec.write(history.all()))));
+        return completed(auditLog.all());
       }
     }
-    LeaseTable.State now = seen;
+    LeaseTableState state = lastApplied;
     try {
-      long term = getServer().join().getDivision(getGroupId()).getInfo().getCurrentTerm();
-      now = term == now.term() ? now.asOf(clock()) : now;
-    } catch (IOException fault) {
-      return CompletableFuture.failedFuture(fault);
+      return completed(currentTerm() == state.term() ? state.asOf(clockUs()) : state);
+    } catch (IOException exception) {
+      return CompletableFuture.failedFuture(exception);
     }
+  }
+
+  private static CompletableFuture<Message> completed(Object reply) {
     return CompletableFuture.completedFuture(
-        Message.valueOf(ByteString.copyFrom(LeaseCodec.write(now))));
+        Message.valueOf(ByteString.copyFrom(LeaseCodec.write(reply))));
   }
 
-  private static long clock() {
+  private long currentTerm() throws IOException {
+    return getServer().join().getDivision(getGroupId()).getInfo().getCurrentTerm();
+  }
+
+  private static long clockUs() {
     return System.nanoTime() / 1000;
   }
 
-  /** The state as last applied here, however old. */
-  LeaseTable.State seen() {
-    return seen;
+  /** Returns the state as last applied here, however old. */
+  LeaseTableState lastAppliedState() {
+    return lastApplied;
   }
 
+  // ---- the library's notifications
+
   @Override
   public void notifyLeaderReady() {
-    leading.run();
+    listener.leadershipAcquired();
   }
 
   /** The library closes its log after this and takes part in nothing any more. */
   @Override
   public void notifyLogFailed(Throwable cause, LogEntryProto entry) {
-    broken.accept(cause);
+    listener.logFailed(cause);
   }
 }
--- /dev/null
+++ b/coordinator/src/main/java/tidebank/coordinator/RaftReplica.java
@@ -0,0 +1,182 @@
+package tidebank.coordinator;
+
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.Optional;
+import java.util.UUID;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicLong;
+import org.apache.ratis.protocol.ClientId;
+import org.apache.ratis.protocol.Message;
+import org.apache.ratis.protocol.RaftClientReply;
+import org.apache.ratis.protocol.RaftClientRequest;
+import org.apache.ratis.protocol.RaftGroup;
+import org.apache.ratis.protocol.RaftGroupId;
+import org.apache.ratis.protocol.RaftPeer;
+import org.apache.ratis.protocol.RaftPeerId;
+import org.apache.ratis.server.RaftServer;
+import org.apache.ratis.server.storage.RaftStorage;
+import org.apache.ratis.statemachine.StateMachine;
+import org.apache.ratis.thirdparty.com.google.protobuf.ByteString;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import tidebank.errors.TidebankException;
+
+/**
+ * One replica of the coordinators' Raft group. Submits commands and reads to it, and knows who
+ * leads. Methods may be called by any thread.
+ */
+final class RaftReplica implements AutoCloseable {
+  private static final Logger LOG = LoggerFactory.getLogger(RaftReplica.class);
+  private static final RaftGroupId GROUP =
+      RaftGroupId.valueOf(UUID.nameUUIDFromBytes("tidebank".getBytes(StandardCharsets.UTF_8)));
+
+  /** How long a request waits for a majority, in election timeouts. */
+  private static final int REQUEST_TIMEOUT_ELECTIONS = 8;
+
+  private final CoordinatorConfig config;
+  private final RaftServer server;
+  private final ClientId clientId = ClientId.randomId();
+  private final AtomicLong lastCallId = new AtomicLong();
+  private final CompletableFuture<TidebankException> failure = new CompletableFuture<>();
+
+  RaftReplica(CoordinatorConfig config, StateMachine stateMachine) throws IOException {
+    this.config = config;
+    List<RaftPeer> peers =
+        config.peers().stream()
+            .map(peer -> RaftPeer.newBuilder().setId(peer.name()).setAddress(peer.raft()).build())
+            .toList();
+    server =
+        RaftServer.newBuilder()
+            .setServerId(RaftPeerId.valueOf(config.name()))
+            .setStateMachine(stateMachine)
+            .setGroup(RaftGroup.valueOf(GROUP, peers))
+            .setOption(RaftStorage.StartupOption.RECOVER)
+            .setProperties(RaftSettings.of(config))
+            .build();
+  }
+
+  void start() throws IOException {
+    server.start();
+  }
+
+  // ---- requests
+
+  /** Has a command decided by a majority; completes with the state machine's reply. */
+  CompletableFuture<byte[]> write(byte[] request) {
+    return submit(RaftClientRequest.writeRequestType(), request);
+  }
+
+  /** Reads what a majority knows; completes with the state machine's reply. */
+  CompletableFuture<byte[]> read(byte[] request) {
+    return submit(RaftClientRequest.readRequestType(), request);
+  }
+
+  private CompletableFuture<byte[]> submit(RaftClientRequest.Type type, byte[] body) {
+    if (failure.isDone()) {
+      return CompletableFuture.failedFuture(failure.join());
+    }
+    try {
+      requireLeader();
+      return server
+          .submitClientRequestAsync(request(type, body))
+          .orTimeout(REQUEST_TIMEOUT_ELECTIONS * config.electionTimeoutUs(), TimeUnit.MICROSECONDS)
+          .handle(this::result)
+          .thenCompose(result -> result);
+    } catch (TidebankException exception) {
+      return CompletableFuture.failedFuture(exception);
+    } catch (IOException exception) {
+      return CompletableFuture.failedFuture(new TidebankException.NoMajority(exception.toString()));
+    }
+  }
+
+  private RaftClientRequest request(RaftClientRequest.Type type, byte[] body) {
+    return RaftClientRequest.newBuilder()
+        .setClientId(clientId)
+        .setServerId(server.getId())
+        .setGroupId(GROUP)
+        .setCallId(lastCallId.incrementAndGet())
+        .setType(type)
+        .setMessage(Message.valueOf(ByteString.copyFrom(body)))
+        .build();
+  }
+
+  private CompletableFuture<byte[]> result(RaftClientReply reply, Throwable failed) {
+    if (failed != null) {
+      return CompletableFuture.failedFuture(
+          new TidebankException.NoMajority(String.valueOf(failed)));
+    }
+    if (reply.getNotLeaderException() != null) {
+      return CompletableFuture.failedFuture(notLeading());
+    }
+    if (!reply.isSuccess()) {
+      return CompletableFuture.failedFuture(
+          new TidebankException.NoMajority(String.valueOf(reply.getException())));
+    }
+    return CompletableFuture.completedFuture(reply.getMessage().getContent().toByteArray());
+  }
+
+  // ---- leadership
+
+  /** Fails unless this replica leads, as far as it knows. */
+  void requireLeader() throws TidebankException {
+    try {
+      if (!server.getDivision(GROUP).getInfo().isLeader()) {
+        throw notLeading();
+      }
+    } catch (TidebankException exception) {
+      throw exception;
+    } catch (IOException exception) {
+      throw new TidebankException.NoMajority(exception.toString());
+    }
+  }
+
+  private TidebankException notLeading() {
+    return new TidebankException.NotLeading(
+        config.name(), leader().map(CoordinatorConfig.Peer::describe).orElse(""));
+  }
+
+  /** Returns the leader, as far as this replica knows. */
+  Optional<CoordinatorConfig.Peer> leader() {
+    try {
+      RaftPeerId leader = server.getDivision(GROUP).getInfo().getLeaderId();
+      return config.peers().stream()
+          .filter(peer -> leader != null && peer.name().equals(leader.toString()))
+          .findFirst();
+    } catch (IOException exception) {
+      return Optional.empty();
+    }
+  }
+
+  // ---- failure
+
+  /** Stops taking requests, as the log cannot be written any more. */
+  void fail(Throwable cause) {
+    Throwable root = cause;
+    while (root.getCause() != null) {
+      root = root.getCause();
+    }
+    TidebankException exception =
+        new TidebankException.DataDirectoryUnusable(
+            config.dataDirectory().toString(), "its log can't be written: " + root);
+    if (failure.complete(exception)) {
+      LOG.error(exception.details().lines().replace('\n', ' '));
+    }
+  }
+
+  /** Completes once this replica cannot go on, with the reason. */
+  CompletableFuture<TidebankException> failure() {
+    return failure;
+  }
+
+  @Override
+  public void close() {
+    try {
+      server.close();
+    } catch (IOException exception) {
+      LOG.warn("could not close the log: error={}", exception.getMessage());
+    }
+  }
+}
--- /dev/null
+++ b/router/src/main/java/tidebank/fleet/AgentErrorLogger.java
@@ -0,0 +1,23 @@
+package tidebank.fleet;
+
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import tidebank.errors.TidebankException;
+
+/** Logs an error that repeats only once, until something succeeded. Owned by the agent's thread. */
+final class AgentErrorLogger {
+  private static final Logger LOG = LoggerFactory.getLogger(FleetAgent.class);
+
+  private String lastCode = "";
+
+  void log(TidebankException.Details error) {
+    if (!error.code().equals(lastCode)) {
+      lastCode = error.code();
+      LOG.warn(error.lines().replace('\n', ' '));
+    }
+  }
+
+  void succeeded() {
+    lastCode = "";
+  }
+}
--- a/router/src/main/java/tidebank/fleet/AgentMailbox.java
+++ b/router/src/main/java/tidebank/fleet/AgentMailbox.java
@@ -5,61 +5,67 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * What a gatherer's event loop, its agent's thread and the one that waits for news hand each other;
- * neither ever waits for the other, so that a loop that stalls costs no lease. Requests and takes
- * are the agent's, answers the loop's. Its law: one request for counters is out at a time, each set
- * of counters is taken at most once, and was counted after the request that it answers; news are
- * taken at most once and never lost; once {@link #leave} has been called, {@link #leaving} is true
- * for all.
+ * Messages between a router's event loop, its agent's thread and the thread that waits for
+ * assignments. None of them ever waits for another, so that a stalled event loop costs no lease.
+ *
+ * <p>One request for counters is pending at a time; each set of counters is taken at most once, and
+ * was counted after the request that it answers. An assignment notice is taken at most once and
+ * never lost. Once {@link #requestLeave} has been called, {@link #leaveRequested} is true for all.
  */
 public final class AgentMailbox {
-  /** A request is out. The agent's alone. */
-  private boolean out;
+  /** Owned by the agent's thread. */
+  private boolean countersRequested;
 
-  private final AtomicReference<SortedMap<String, Long>> counted = new AtomicReference<>();
-  private final AtomicBoolean news = new AtomicBoolean();
-  private volatile boolean left;
+  private final AtomicReference<SortedMap<String, Long>> counters = new AtomicReference<>();
+  private final AtomicBoolean assignmentNotice = new AtomicBoolean();
+  private volatile boolean leaveRequested;
 
   /**
-   * The agent's: whether the loop is to be asked for counters now; if so, a request is out until
-   * what it brought is taken.
+   * Requests counters, unless a request is pending; called by the agent's thread.
+   *
+   * @return whether the event loop is to be asked now
    */
-  public boolean ask() {
-    boolean free = !out;
-    out = true;
-    return free;
+  public boolean requestCounters() {
+    boolean isNew = !countersRequested;
+    countersRequested = true;
+    return isNew;
   }
 
-  /** The loop's answer. */
-  public void tell(SortedMap<String, Long> counters) {
-    counted.set(counters);
+  /** Delivers the requested counters; called by the event loop. */
+  public void deliverCounters(SortedMap<String, Long> counted) {
+    counters.set(counted);
   }
 
-  /** The agent's: what the loop told, once; null if it has not yet. */
-  public SortedMap<String, Long> take() {
-    SortedMap<String, Long> told = counted.getAndSet(null);
-    if (told != null) {
-      out = false;
+  /**
+   * Takes the delivered counters, which ends the request; called by the agent's thread.
+   *
+   * @return the counters, or null if they were not delivered yet
+   */
+  public SortedMap<String, Long> takeCounters() {
+    SortedMap<String, Long> taken = counters.getAndSet(null);
+    if (taken != null) {
+      countersRequested = false;
     }
-    return told;
+    return taken;
   }
 
-  /** Of whoever waits for news: there are some. */
-  public void news() {
-    news.set(true);
+  /** Says that there is a task to claim; called by the thread that waits for assignments. */
+  public void notifyAssignment() {
+    assignmentNotice.set(true);
   }
 
-  /** The agent's: whether there were news since this was last asked. */
-  public boolean takeNews() {
-    return news.getAndSet(false);
+  /** Returns whether there was a notice since the last call; called by the agent's thread. */
+  public boolean takeAssignmentNotice() {
+    return assignmentNotice.getAndSet(false);
   }
 
-  /** The gatherer's: it drains, and no duty is to be begun any more. */
-  public void leave() {
-    left = true;
+  /** Requests that the member leaves, as the router is draining; may be called by any thread. */
+  public void requestLeave() {
+    leaveRequested = true;
   }
 
-  public boolean leaving() {
-    return left;
+  /** Returns whether the member is to leave. */
+  public boolean leaveRequested() {
+    return leaveRequested;
   }
 }
--- a/router/src/main/java/tidebank/fleet/CoordinatorSession.java
+++ b/router/src/main/java/tidebank/fleet/CoordinatorSession.java
@@ -12,27 +12,28 @@
 import tidebank.errors.TidebankException;
 import tidebank.lease.CommandResult;
 import tidebank.lease.LeaseCommand;
-import tidebank.lease.LeaseTable;
+import tidebank.lease.LeaseTableState;
 
 /**
- * A member's calls to the stewards, one at a time, on the agent's thread. Remembers who answered
- * last.
+ * A member's HTTP client of the coordinators: one request at a time, on one thread. It goes back to
+ * the coordinator that answered last, follows a follower's redirect to the leader, and tries the
+ * next one where none answered.
  */
 final class CoordinatorSession {
   private static final int TIMEOUT_MS = 1000;
 
-  private final List<String> stewards;
-  private String next;
-  private int turn;
+  private final List<String> coordinators;
+  private String target;
+  private int lastTried;
 
-  CoordinatorSession(List<String> stewards) {
-    this.stewards = List.copyOf(stewards);
-    next = stewards.get(0);
+  CoordinatorSession(List<String> coordinators) {
+    this.coordinators = List.copyOf(coordinators);
+    target = coordinators.get(0);
   }
 
   /**
-   * What the stewards made of it, or nothing: it may or may not have taken effect, and may be sent
-   * again.
+   * Returns a command's result. If there is none, the command may or may not have taken effect, and
+   * may be repeated.
    */
   Optional<CommandResult> command(LeaseCommand command) throws IOException {
     byte[] body = call("/fleet/command", LeaseCodec.write(command), TIMEOUT_MS);
@@ -41,64 +42,81 @@
         : Optional.of(LeaseCodec.read(body, CommandResult.class));
   }
 
-  Optional<LeaseTable.State> state() throws IOException {
+  /** Returns the state of the lease table, if a coordinator answers. */
+  Optional<LeaseTableState> state() throws IOException {
     byte[] body = call("/fleet/state", null, TIMEOUT_MS);
     return body == null
         ? Optional.empty()
-        : Optional.of(LeaseCodec.read(body, LeaseTable.State.class));
+        : Optional.of(LeaseCodec.read(body, LeaseTableState.class));
   }
 
   /**
-   * Waits until there is a duty that this member should claim and nobody has; whether there is one.
+   * Waits until there is a task that is assigned to the member and that nobody holds.
+   *
+   * @return whether there is one
    */
-  boolean news(String name, int waitMs) throws IOException {
+  boolean awaitUnclaimedTask(String member, int waitMs) throws IOException {
     String query =
-        "?name=" + URLEncoder.encode(name, StandardCharsets.UTF_8) + "&wait_ms=" + waitMs;
+        "?name=" + URLEncoder.encode(member, StandardCharsets.UTF_8) + "&wait_ms=" + waitMs;
     byte[] body = call("/fleet/wanted" + query, null, waitMs + TIMEOUT_MS);
     return body != null && LeaseCodec.read(body, String[].class).length > 0;
   }
 
-  /** The body of a good answer; null where none was got, and the next call goes to another. */
+  /** Returns the body of a good answer, or null if there was none; the next call goes elsewhere. */
   private byte[] call(String path, byte[] body, int timeoutMs)
       throws TidebankException.RequestRejected {
-    String asked = next;
     try {
-      HttpURLConnection call =
-          (HttpURLConnection) URI.create("http://" + asked + path).toURL().openConnection();
-      call.setConnectTimeout(TIMEOUT_MS);
-      call.setReadTimeout(timeoutMs);
-      call.setInstanceFollowRedirects(false);
-      if (body != null) {
-        call.setDoOutput(true);
-        call.setFixedLengthStreamingMode(body.length);
-        try (OutputStream out = call.getOutputStream()) {
-          out.write(body);
-        }
-      }
-      int status = call.getResponseCode();
-      try (InputStream in = status == 200 ? call.getInputStream() : call.getErrorStream()) {
+      HttpURLConnection connection = send(path, body, timeoutMs);
+      int status = connection.getResponseCode();
+      try (InputStream in =
+          status == HttpURLConnection.HTTP_OK
+              ? connection.getInputStream()
+              : connection.getErrorStream()) {
         byte[] answer = in == null ? new byte[0] : in.readAllBytes();
-        if (status == 200) {
+        if (status == HttpURLConnection.HTTP_OK) {
           return answer;
         }
-        TidebankException.Details told =
-            answer.length == 0 ? null : LeaseCodec.read(answer, CommandResult.class).error();
-        if (told != null && told.retry() == TidebankException.Retry.NO) {
-          throw new TidebankException.RequestRejected(told);
-        }
-        String leader = call.getHeaderField("Location");
-        next = leader == null ? another() : URI.create(leader).getAuthority();
+        throwIfRejected(answer);
+        String leader = connection.getHeaderField("Location");
+        target = leader == null ? nextCoordinator() : URI.create(leader).getAuthority();
       }
-    } catch (TidebankException.RequestRejected fault) {
-      throw fault;
-    } catch (IOException fault) {
-      next = another();
+    } catch (TidebankException.RequestRejected exception) {
+      throw exception;
+    } catch (IOException exception) {
+      target = nextCoordinator();
     }
     return null;
   }
 
-  private String another() {
-    turn = (turn + 1) % stewards.size();
-    return stewards.get(turn);
+  private HttpURLConnection send(String path, byte[] body, int timeoutMs) throws IOException {
+    HttpURLConnection connection =
+        (HttpURLConnection) URI.create("http://" + target + path).toURL().openConnection();
+    connection.setConnectTimeout(TIMEOUT_MS);
+    connection.setReadTimeout(timeoutMs);
+    connection.setInstanceFollowRedirects(false);
+    if (body != null) {
+      connection.setDoOutput(true);
+      connection.setFixedLengthStreamingMode(body.length);
+      try (OutputStream out = connection.getOutputStream()) {
+        out.write(body);
+      }
+    }
+    return connection;
+  }
+
+  /** Throws if the answer is an error that no retry can help. */
+  private static void throwIfRejected(byte[] answer) throws IOException {
+    if (answer.length == 0) {
+      return;
+    }
+    TidebankException.Details error = LeaseCodec.read(answer, CommandResult.class).error();
+    if (error != null && error.retry() == TidebankException.Retry.NO) {
+      throw new TidebankException.RequestRejected(error);
+    }
+  }
+
+  private String nextCoordinator() {
+    lastTried = (lastTried + 1) % coordinators.size();
+    return coordinators.get(lastTried);
   }
 }
--- a/router/src/main/java/tidebank/fleet/FleetReport.java
+++ b/router/src/main/java/tidebank/fleet/FleetReport.java
@@ -7,17 +7,17 @@
 import java.util.TreeMap;
 
 /**
- * One window's report of the fleet. It holds what every member had counted since its start, so that
+ * The fleet's report of one window. It holds what every member had counted since its start, so that
  * a window is the difference to the report before, whoever made that one: nothing is counted twice
- * as long as each report follows the one before it, which the stewards see to by its revision. A
- * member that was killed loses what it had not yet told.
+ * as long as each report follows the one before it, which the coordinator ensures by the revision.
+ * A member that was killed loses what it had not yet written.
  *
- * @param number 1 for the first, as the stewards publish it
- * @param previous the name under which the one before it was published; none before the first
- * @param fencingToken by which its maker owned the duty
+ * @param number 1 for the first, as the coordinator publishes it
+ * @param previous the name under which the report before was published; empty in the first
+ * @param fencingToken the fencing token that its maker held the task's lease with
  * @param window what the fleet counted since the report before
- * @param silentMembers members of which nothing new was heard since the report before
- * @param members what each had counted, by name
+ * @param silentMembers members that have written no new counters since the report before
+ * @param members the last counters of each member, by name
  */
 public record FleetReport(
     long number,
@@ -27,59 +27,73 @@
     List<String> silentMembers,
     SortedMap<String, MemberCounters> members) {
   /**
-   * What a member told: which start of it, the how manieth time, and all it has counted since that
-   * start.
+   * What a member had counted.
+   *
+   * @param session the start of the member that counted it
+   * @param sequence grows by one with each time the member writes its counters
+   * @param counters all that it counted since that start, by counter
    */
-  public record MemberCounters(String session, long sequence, SortedMap<String, Long> counters) {}
+  public record MemberCounters(String session, long sequence, SortedMap<String, Long> counters) {
+    private boolean isNewerThan(MemberCounters before) {
+      return before == null || !session.equals(before.session) || sequence > before.sequence;
+    }
 
-  /** The first has none before it. */
+    /** Adds what was counted since an earlier time of the same start, or all of it. */
+    private void addIncrease(MemberCounters before, SortedMap<String, Long> window) {
+      boolean sameStart = before != null && session.equals(before.session);
+      counters.forEach(
+          (counter, count) -> {
+            long counted = sameStart ? before.counters.getOrDefault(counter, 0L) : 0;
+            window.merge(counter, count - counted, Long::sum);
+          });
+    }
+  }
+
+  /** The report before the first. */
   public static final FleetReport NONE =
       new FleetReport(0, "", 0, new TreeMap<>(), List.of(), new TreeMap<>());
 
   /**
-   * The report after this one.
+   * Returns the report after this one.
    *
    * @param published the name that this one was published under
-   * @param by the token of its maker
-   * @param alive who is a member now
-   * @param told the newest of each, where there is one
+   * @param nextFencingToken the fencing token of the next one's maker
+   * @param alive the members that are alive
+   * @param current the last counters of each member that wrote any
    */
   public FleetReport next(
-      String published, long by, List<String> alive, Map<String, MemberCounters> told) {
-    SortedMap<String, Long> sum = new TreeMap<>();
-    SortedMap<String, MemberCounters> kept = new TreeMap<>();
-    List<String> silent = new ArrayList<>();
-    // Who is a member and has no file now was counted before, and is not to be counted again once
-    // it is there.
+      String published,
+      long nextFencingToken,
+      List<String> alive,
+      Map<String, MemberCounters> current) {
+    SortedMap<String, Long> nextWindow = new TreeMap<>();
+    SortedMap<String, MemberCounters> nextMembers = new TreeMap<>();
+    // A member without a file now was counted before, and is not to be counted again once its file
+    // is there.
     members.forEach(
         (name, before) -> {
           if (alive.contains(name)) {
-            kept.put(name, before);
+            nextMembers.put(name, before);
           }
         });
-    told.forEach(
-        (name, now) -> {
+    current.forEach(
+        (name, counted) -> {
           MemberCounters before = members.get(name);
-          boolean same = before != null && before.session().equals(now.session());
-          if (same && now.sequence() <= before.sequence()) {
-            // Told nothing new, or an older file came back: what was counted stays counted.
-            kept.put(name, before);
-            return;
+          if (counted.isNewerThan(before)) {
+            counted.addIncrease(before, nextWindow);
+            nextMembers.put(name, counted);
+          } else {
+            // Nothing new, or an older file came back: what was counted stays counted.
+            nextMembers.put(name, before);
           }
-          now.counters()
-              .forEach(
-                  (counter, count) ->
-                      sum.merge(
-                          counter,
-                          count - (same ? before.counters().getOrDefault(counter, 0L) : 0),
-                          Long::sum));
-          kept.put(name, now);
         });
+    List<String> silent = new ArrayList<>();
     for (String name : alive) {
-      if (!kept.containsKey(name) || kept.get(name).equals(members.get(name))) {
+      if (!nextMembers.containsKey(name) || nextMembers.get(name).equals(members.get(name))) {
         silent.add(name);
       }
     }
-    return new FleetReport(number + 1, published, by, sum, silent, kept);
+    return new FleetReport(
+        number + 1, published, nextFencingToken, nextWindow, silent, nextMembers);
   }
 }
--- /dev/null
+++ b/router/src/main/java/tidebank/fleet/LazySharedFolder.java
@@ -0,0 +1,21 @@
+package tidebank.fleet;
+
+import java.io.IOException;
+import java.nio.file.Path;
+
+/** The shared folder, opened when it is first needed. Owned by the agent's thread. */
+final class LazySharedFolder {
+  private final Path path;
+  private SharedFolder opened;
+
+  LazySharedFolder(Path path) {
+    this.path = path;
+  }
+
+  SharedFolder open() throws IOException {
+    if (opened == null) {
+      opened = new SharedFolder(path);
+    }
+    return opened;
+  }
+}
--- a/router/src/main/java/tidebank/fleet/LeaseJson.java
+++ b/router/src/main/java/tidebank/fleet/LeaseJson.java
@@ -9,7 +9,10 @@
 import tidebank.lease.CommandResult.Grant;
 import tidebank.lease.LeaseCommand;
 import tidebank.lease.LeaseConfig;
-import tidebank.lease.LeaseTable;
+import tidebank.lease.LeaseTableState;
+import tidebank.lease.Member;
+import tidebank.lease.OperatorSession;
+import tidebank.lease.TaskLease;
 
 /**
  * JSON field names of the lease protocol, of the coordinators' log and of the files in the shared
@@ -27,10 +30,10 @@
         .addMixIn(CommandResult.class, CommandResultFields.class)
         .addMixIn(Grant.class, GrantFields.class)
         .addMixIn(LeaseConfig.class, LeaseConfigFields.class)
-        .addMixIn(LeaseTable.Member.class, MemberFields.class)
-        .addMixIn(LeaseTable.TaskLease.class, TaskLeaseFields.class)
-        .addMixIn(LeaseTable.Operator.class, OperatorFields.class)
-        .addMixIn(LeaseTable.State.class, StateFields.class)
+        .addMixIn(Member.class, MemberFields.class)
+        .addMixIn(TaskLease.class, TaskLeaseFields.class)
+        .addMixIn(OperatorSession.class, OperatorFields.class)
+        .addMixIn(LeaseTableState.class, StateFields.class)
         .addMixIn(FleetReport.class, FleetReportFields.class)
         .addMixIn(Retention.class, RetentionFields.class)
         .addMixIn(TidebankException.Details.class, ErrorDetailsFields.class);
@@ -111,7 +114,7 @@
     int maxTextLength();
   }
 
-  /** Fields of {@link LeaseTable.Member}. */
+  /** Fields of {@link Member}. */
   @JsonPropertyOrder({
     "name",
     "session",
@@ -140,7 +143,7 @@
     CommandResult lastResult();
   }
 
-  /** Fields of {@link LeaseTable.TaskLease}. */
+  /** Fields of {@link TaskLease}. */
   @JsonPropertyOrder({
     "name",
     "token",
@@ -176,7 +179,7 @@
     long publishingToken();
   }
 
-  /** Fields of {@link LeaseTable.Operator}. */
+  /** Fields of {@link OperatorSession}. */
   @JsonPropertyOrder({"session", "number", "answer"})
   private interface OperatorFields {
     @JsonProperty("number")
@@ -186,7 +189,7 @@
     CommandResult lastResult();
   }
 
-  /** Fields of {@link LeaseTable.State}. */
+  /** Fields of {@link LeaseTableState}. */
   @JsonPropertyOrder({"terms", "term", "now", "tokenFloor", "members", "duties", "operators"})
   private interface StateFields {
     @JsonProperty("terms")
@@ -196,7 +199,7 @@
     long leaderClock();
 
     @JsonProperty("duties")
-    List<LeaseTable.TaskLease> tasks();
+    List<TaskLease> tasks();
   }
 
   /** Fields of {@link FleetReport}. */
--- /dev/null
+++ b/router/src/main/java/tidebank/fleet/ReportTask.java
@@ -0,0 +1,66 @@
+package tidebank.fleet;
+
+import java.io.IOException;
+import java.util.List;
+import java.util.Optional;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import tidebank.lease.LeaseTableState;
+import tidebank.lease.Member;
+import tidebank.lease.TaskLease;
+
+/**
+ * The singleton task that publishes the fleet's report once an interval: reads the published one,
+ * writes the next beside it under a name with the fencing token, and publishes that name. If the
+ * process is stopped anywhere in between, the coordinator refuses the stale token or the old
+ * revision, and the file counts for nothing. Owned by the agent's thread.
+ */
+final class ReportTask {
+  /** The task's name. */
+  static final String NAME = "report";
+
+  private static final Logger LOG = LoggerFactory.getLogger(FleetAgent.class);
+
+  private final long intervalUs;
+  private final LeaseClient leases;
+  private long startedAt;
+
+  ReportTask(long intervalUs, LeaseClient leases) {
+    this.intervalUs = intervalUs;
+    this.leases = leases;
+  }
+
+  /** Publishes the next report if the lease is held and a report is due. */
+  void runIfDue(LazySharedFolder folder) throws IOException {
+    long fencingToken = leases.tokenIfHeld(NAME);
+    if (fencingToken == 0 || LeaseClient.now() - startedAt < intervalUs) {
+      return;
+    }
+    startedAt = LeaseClient.now();
+    Optional<LeaseTableState> state = leases.state();
+    Optional<TaskLease> lease = state.flatMap(known -> LeaseClient.find(known, NAME));
+    if (lease.isPresent()) {
+      publishNext(folder, state.get(), lease.get(), fencingToken);
+    }
+  }
+
+  private void publishNext(
+      LazySharedFolder lazyFolder, LeaseTableState state, TaskLease lease, long fencingToken)
+      throws IOException {
+    SharedFolder folder = lazyFolder.open();
+    List<String> alive =
+        state.members().stream()
+            .filter(member -> member.expiresAt() > state.leaderClock())
+            .map(Member::name)
+            .toList();
+    FleetReport next =
+        folder
+            .readReport(lease.value())
+            .next(lease.value(), fencingToken, alive, folder.readCounters());
+    String file = folder.write(next);
+    if (leases.publish(NAME, lease.revision(), file)) {
+      LOG.info("published report: file={}", file);
+      folder.removeOldReports(next);
+    }
+  }
+}
--- a/router/src/main/java/tidebank/fleet/Retention.java
+++ b/router/src/main/java/tidebank/fleet/Retention.java
@@ -6,55 +6,72 @@
 import java.util.Set;
 
 /**
- * What is stored too long, or beyond a budget. A removal has two steps: its list is published by
- * the duty's token, and only what a published list names is removed, by its owner or, if that died
- * in between, by the next one before it makes a list of its own. Names never come back, so that
- * whoever wakes late with a published list removes what was to go anyway, and one whose list was
- * refused removes nothing.
+ * A list of stored files to remove, as they are too old or beyond a budget. A removal has two
+ * steps: the list is published with the task's fencing token, and only what a published list names
+ * is removed, by its maker or, if that died in between, by the next holder before it makes a list
+ * of its own. Names never come back, so that whoever wakes late with a published list removes what
+ * was to go anyway, and one whose list was refused removes nothing.
+ *
+ * @param number 1 for the first
+ * @param previous the name under which the list before was published; empty in the first
+ * @param fencingToken the fencing token that its maker held the task's lease with
+ * @param names the files' names in the shared folder
  */
 public record Retention(long number, String previous, long fencingToken, List<String> names) {
-  /** Before the first list. */
+  /** The list before the first. */
   public static final Retention NONE = new Retention(0, "", 0, List.of());
 
+  /** The folders in the shared folder whose files are under retention. */
+  public static final Set<String> FOLDERS = Set.of("captures", "reports");
+
   /**
-   * How long and how much is kept.
+   * How long and how much is stored.
    *
-   * @param ageUs that a file may have, in microseconds
-   * @param bytes that all files may have together
+   * @param ageUs the greatest age of a file, in microseconds
+   * @param bytes the greatest size of all files together
    */
   public record Bounds(long ageUs, long bytes) {}
 
-  /** What is stored: all bytes there are, and the oldest files, as many as were asked for. */
+  /**
+   * What is stored.
+   *
+   * @param bytes the size of all files together
+   * @param oldest the oldest files, as many as were asked for
+   */
   public record Stock(long bytes, List<Item> oldest) {}
 
   /**
-   * A stored file: its name in the fleet's folder, its size, how long ago it was last written, and
-   * whether it is still needed.
+   * A stored file.
+   *
+   * @param name its name in the shared folder
+   * @param bytes its size
+   * @param ageUs how long ago it was last written, in microseconds
+   * @param needed whether it must not be removed
    */
   public record Item(String name, long bytes, long ageUs, boolean needed) {}
 
   /**
-   * The list after this one.
+   * Returns the list after this one.
    *
    * @param published the name that this one was published under
-   * @param by the token of its maker
-   * @param most names of one list; what is left over stands in the next
+   * @param nextFencingToken the fencing token of the next one's maker
+   * @param maxNames the most names of one list; what is left over comes into the next
    */
-  public Retention next(String published, long by, Stock stock, Bounds bounds, int most) {
-    List<Item> may =
+  public Retention next(
+      String published, long nextFencingToken, Stock stock, Bounds bounds, int maxNames) {
+    List<Item> removable =
         new ArrayList<>(stock.oldest().stream().filter(item -> !item.needed()).toList());
-    may.sort(Comparator.comparingLong(Item::ageUs).reversed().thenComparing(Item::name));
-    long bytes = stock.bytes();
-    List<String> over = new ArrayList<>();
-    for (Item item : may) {
-      if (over.size() < most && (item.ageUs() > bounds.ageUs() || bytes > bounds.bytes())) {
-        over.add(item.name());
-        bytes -= item.bytes();
+    removable.sort(Comparator.comparingLong(Item::ageUs).reversed().thenComparing(Item::name));
+    long bytesLeft = stock.bytes();
+    List<String> removed = new ArrayList<>();
+    for (Item item : removable) {
+      boolean tooOld = item.ageUs() > bounds.ageUs();
+      boolean overBudget = bytesLeft > bounds.bytes();
+      if (removed.size() < maxNames && (tooOld || overBudget)) {
+        removed.add(item.name());
+        bytesLeft -= item.bytes();
       }
     }
-    return new Retention(number + 1, published, by, over);
+    return new Retention(number + 1, published, nextFencingToken, removed);
   }
-
-  /** The names of folders of the fleet's folder whose files are kept so long and no longer. */
-  public static final Set<String> FOLDERS = Set.of("captures", "reports");
 }
--- a/router/src/main/java/tidebank/lease/CommandResult.java
+++ b/router/src/main/java/tidebank/lease/CommandResult.java
@@ -4,13 +4,13 @@
 import tidebank.errors.TidebankException;
 
 /**
- * What a command came to.
+ * The result of a {@link LeaseCommand}.
  *
- * @param error what kept it from taking effect, or null
- * @param leases all that the member owns now; told to members only
- * @param assignedTasks duties that it should claim
- * @param config what the grants were given by
- * @param revision what is published now, where the command was about that
+ * @param error why the command had no effect, or null
+ * @param leases all leases that the command's session holds now; empty for operators
+ * @param assignedTasks the tasks that the member holds or should claim
+ * @param config what leases are granted by
+ * @param revision the revision of the value that the command published, or 0
  */
 public record CommandResult(
     TidebankException.Details error,
@@ -18,6 +18,6 @@
     List<String> assignedTasks,
     LeaseConfig config,
     long revision) {
-  /** A duty that the member owns, by this token. */
+  /** A task whose lease the session holds, and the fencing token it was granted with. */
   public record Grant(String task, long fencingToken) {}
 }
--- a/router/src/main/java/tidebank/lease/LeaseCommand.java
+++ b/router/src/main/java/tidebank/lease/LeaseCommand.java
@@ -3,17 +3,18 @@
 import java.util.List;
 
 /**
- * What a member or an operator wants of the stewards. Session and number make it take effect once:
- * a repeated one gets the first one's answer.
+ * A command of a member, an operator or a leader to the {@link LeaseTable}. Session and sequence
+ * number make it take effect once: a repeated one gets the first one's result.
  *
- * @param session who asks: a name that no other process ever has
+ * @param kind what is to be done
+ * @param session who sends it: a name that no other process ever has
  * @param sequence grows by one with each new command of a session
  * @param member the member it is about
- * @param task the duty it is about
- * @param fencingToken the token its sender holds the duty by
- * @param revision what is published, as its sender last saw it
- * @param value what is to be published
- * @param plan what the stewards are to go by, in a command of that kind only, else null
+ * @param task the singleton task it is about
+ * @param fencingToken the fencing token that its sender holds the task's lease with
+ * @param revision the revision of the published value that its sender has last seen
+ * @param value the value to publish
+ * @param plan the configuration, in a command of that kind only, else null
  */
 public record LeaseCommand(
     Kind kind,
@@ -26,45 +27,43 @@
     String value,
     Plan plan) {
   /**
-   * Terms and the names of all duties. In the log, as all stewards must go by the same at the same
-   * place in it.
+   * The configuration of leases and the names of all singleton tasks. It goes through the log, as
+   * all replicas must change over at the same place in it.
    */
   public record Plan(LeaseConfig config, List<String> tasks) {}
 
-  /** What is wanted, and the fields that say more. */
+  /** What is to be done, and the fields that the kind needs. */
   public enum Kind {
-    /** To be a member (name). */
+    /** Become a member (member). */
     JOIN,
-    /** To stay one and keep all leases (name). */
+    /** Stay a member and renew all leases (member). */
     RENEW,
-    /** To be none any more, and to let go of all leases at once (name). */
+    /** Stop being a member and release all leases at once (member). */
     LEAVE,
-    /** To own a duty (name, duty). */
+    /** Acquire a task's lease (member, task). */
     CLAIM,
-    /** To own it no longer (name, duty, token). */
+    /** Release a task's lease (member, task, fencingToken). */
     RELEASE,
-    /** To replace what is published under a duty (name, duty, token, revision, value). */
+    /** Replace the value published under a task (member, task, fencingToken, revision, value). */
     PUBLISH,
-    /**
-     * An operator's: the duty is to be at this member, or anywhere if no name is given (duty,
-     * name).
-     */
+    /** An operator's: assign a task to a member, or to any if none is named (task, member). */
     MOVE,
-    /** An operator's: the member is to get no duty and to lose those it has (name). */
+    /** An operator's: assign no task to the member and move those it has (member). */
     DRAIN,
-    /** An operator's: the member may get duties again (name). */
+    /** An operator's: let a drained member have tasks again (member). */
     ADMIT,
-    /** An operator's: the name may never be a member again (name). */
+    /** An operator's: never accept the name as a member's again (member). */
     RETIRE,
-    /** A leading steward's, where its file says other than what holds (plan). */
+    /** A new leader's, where its file differs from the configuration in force (plan). */
     PLAN
   }
 
-  /** One that needs no more than a member's name. */
-  public static LeaseCommand of(Kind kind, String session, long number, String name) {
-    return new LeaseCommand(kind, session, number, name, "", 0, 0, "", null);
+  /** Returns a command that needs no more than a member's name. */
+  public static LeaseCommand of(Kind kind, String session, long sequence, String member) {
+    return new LeaseCommand(kind, session, sequence, member, "", 0, 0, "", null);
   }
 
+  /** Returns whether this is a kind of command that members send. */
   public boolean sentByMember() {
     return kind.compareTo(Kind.MOVE) < 0;
   }
--- a/router/src/main/java/tidebank/lease/LeaseHolder.java
+++ b/router/src/main/java/tidebank/lease/LeaseHolder.java
@@ -6,240 +6,292 @@
 import java.util.TreeMap;
 import tidebank.errors.TidebankException;
 import tidebank.lease.CommandResult.Grant;
+import tidebank.lease.LeaseCommand.Kind;
 
 /**
- * A member's side: what it should ask the stewards for next, and what it owns until when by its own
- * monotonic clock. It has one command out at a time, which it repeats unchanged until it is
- * answered. A lease counts from before its command was first sent: the stewards may have taken the
- * first copy. What may be done is asked for just before it is done; whoever stops in between is
- * caught at the resource, by the token.
+ * A member's side of the protocol: the command to send to the coordinator next, and the leases that
+ * the member holds, by its own monotonic clock in microseconds. It has one command pending at a
+ * time, which it repeats unchanged until it is answered. A lease counts from before its command was
+ * first sent: the coordinator may have taken the first copy. Callers ask for the fencing token just
+ * before they act; whoever is stopped in between is caught at the resource, by that token.
  */
 public class LeaseHolder {
-  /** A duty that is owned: its token, and the end of the lease on the own clock. */
+  /** A lease that is held: its fencing token, and its end on the member's own clock. */
   public record HeldLease(long fencingToken, long expiresAt) {}
 
-  private final String name;
+  /** The end of a lease whose grant was never heard: of no use before it is renewed. */
+  private static final long NEVER_USABLE = Long.MIN_VALUE / 2;
+
+  private final String member;
   private final String session;
-  private final SortedMap<String, HeldLease> owned = new TreeMap<>();
-  private List<String> wanted = List.of();
-  private long number;
+  private final SortedMap<String, HeldLease> leases = new TreeMap<>();
+  private List<String> assignedTasks = List.of();
+  private long lastSequence;
   private long renewedAt;
-  private long renewEvery;
+  private long renewIntervalUs;
   private boolean joined;
-  private long joinAt = Long.MIN_VALUE;
+  private long nextJoinAt = Long.MIN_VALUE;
   private boolean leaving;
   private boolean left;
-  private LeaseCommand out;
-  private long askedAt;
+  private LeaseCommand pending;
+  private long pendingSentAt;
 
   /**
+   * Creates a holder without leases that joins with its first command.
+   *
+   * @param member the member's name
    * @param session a name that no other process and no earlier start ever had
    */
-  public LeaseHolder(String name, String session) {
-    this.name = name;
+  public LeaseHolder(String member, String session) {
+    this.member = member;
     this.session = session;
   }
 
+  /** Returns a holder in the same state that goes on independently of this one. */
   public LeaseHolder copy() {
-    LeaseHolder copy = blank(name, session);
-    copy.owned.putAll(owned);
-    copy.wanted = wanted;
-    copy.number = number;
+    LeaseHolder copy = newInstance(member, session);
+    copy.leases.putAll(leases);
+    copy.assignedTasks = assignedTasks;
+    copy.lastSequence = lastSequence;
     copy.renewedAt = renewedAt;
-    copy.renewEvery = renewEvery;
+    copy.renewIntervalUs = renewIntervalUs;
     copy.joined = joined;
-    copy.joinAt = joinAt;
+    copy.nextJoinAt = nextJoinAt;
     copy.leaving = leaving;
     copy.left = left;
-    copy.out = out;
-    copy.askedAt = askedAt;
+    copy.pending = pending;
+    copy.pendingSentAt = pendingSentAt;
     return copy;
   }
 
-  protected LeaseHolder blank(String called, String in) {
-    return new LeaseHolder(called, in);
+  /** Returns a fresh holder of the same class, for {@link #copy}. */
+  protected LeaseHolder newInstance(String ofMember, String inSession) {
+    return new LeaseHolder(ofMember, inSession);
   }
 
-  /** The command to send now, or to send again; null if there is nothing to ask for. */
+  // ---- commands
+
+  /** Returns the command to send now, or to send again; null if there is none. */
   public LeaseCommand nextCommand(long now) {
-    askedAt = out == null ? now : askedFrom(askedAt, now);
-    out = out == null ? next(now) : out;
-    return out;
+    if (pending == null) {
+      pendingSentAt = now;
+      pending = newCommand(now);
+    } else {
+      pendingSentAt = sentAt(pendingSentAt, now);
+    }
+    return pending;
   }
 
-  /** When there will be something to ask for, should nothing else happen. */
+  /** Returns when there will be a command to send, should nothing else happen. */
   public long nextCommandAt() {
-    return left ? Long.MAX_VALUE : joined ? renewedAt + renewEvery : joinAt;
+    if (left) {
+      return Long.MAX_VALUE;
+    }
+    return joined ? renewedAt + renewIntervalUs : nextJoinAt;
   }
 
-  /**
-   * There may be news for this member: it renews, and so hears them, as soon as it can. Leases last
-   * as they did.
-   */
+  /** Makes a renewal due at once, as its result may assign a new task. Leases last as they did. */
   public void renewSoon(long now) {
-    renewedAt = Math.min(renewedAt, now - renewEvery);
+    renewedAt = Math.min(renewedAt, now - renewIntervalUs);
   }
 
-  private LeaseCommand next(long now) {
+  private LeaseCommand newCommand(long now) {
     left |= leaving && !joined;
-    if (left || !joined && now < joinAt) {
+    if (left || !joined && now < nextJoinAt) {
       return null;
     }
-    if (!joined || leaving) {
-      return LeaseCommand.of(
-          joined ? LeaseCommand.Kind.LEAVE : LeaseCommand.Kind.JOIN, session, ++number, name);
+    if (!joined) {
+      return LeaseCommand.of(Kind.JOIN, session, ++lastSequence, member);
+    }
+    if (leaving) {
+      return LeaseCommand.of(Kind.LEAVE, session, ++lastSequence, member);
     }
-    if (now - renewedAt >= renewEvery) {
-      return LeaseCommand.of(LeaseCommand.Kind.RENEW, session, ++number, name);
+    if (now - renewedAt >= renewIntervalUs) {
+      return LeaseCommand.of(Kind.RENEW, session, ++lastSequence, member);
     }
-    for (Map.Entry<String, HeldLease> one : owned.entrySet()) {
-      if (!wanted.contains(one.getKey())) {
-        LeaseCommand release =
-            about(LeaseCommand.Kind.RELEASE, one.getKey(), one.getValue().fencingToken());
-        letGo(one.getKey());
+    LeaseCommand release = releaseOfUnassigned();
+    return release == null ? claimOfAssigned() : release;
+  }
+
+  private LeaseCommand releaseOfUnassigned() {
+    for (Map.Entry<String, HeldLease> held : leases.entrySet()) {
+      String task = held.getKey();
+      if (!assignedTasks.contains(task)) {
+        LeaseCommand release = taskCommand(Kind.RELEASE, task, held.getValue().fencingToken());
+        dropBeforeRelease(task);
         return release;
       }
     }
-    return wanted.stream()
-        .filter(duty -> !owned.containsKey(duty))
-        .findFirst()
-        .map(duty -> about(LeaseCommand.Kind.CLAIM, duty, 0))
-        .orElse(null);
+    return null;
+  }
+
+  private LeaseCommand claimOfAssigned() {
+    for (String task : assignedTasks) {
+      if (!leases.containsKey(task)) {
+        return taskCommand(Kind.CLAIM, task, 0);
+      }
+    }
+    return null;
   }
 
-  private LeaseCommand about(LeaseCommand.Kind kind, String duty, long token) {
-    return new LeaseCommand(kind, session, ++number, name, duty, token, 0, "", null);
+  private LeaseCommand taskCommand(Kind kind, String task, long fencingToken) {
+    return new LeaseCommand(kind, session, ++lastSequence, member, task, fencingToken, 0, "", null);
   }
 
-  /** A command of the holder's own, such as to publish; only where none is out. */
-  public LeaseCommand publish(String duty, long revision, String value, long now) {
-    if (out == null && owned.containsKey(duty)) {
-      out =
+  /**
+   * Returns the command that publishes a value under a task, or the pending command if there is one
+   * already; null if the task's lease is not held.
+   */
+  public LeaseCommand publish(String task, long revision, String value, long now) {
+    if (pending == null && leases.containsKey(task)) {
+      long fencingToken = leases.get(task).fencingToken();
+      pending =
           new LeaseCommand(
-              LeaseCommand.Kind.PUBLISH,
+              Kind.PUBLISH,
               session,
-              ++number,
-              name,
-              duty,
-              owned.get(duty).fencingToken(),
+              ++lastSequence,
+              member,
+              task,
+              fencingToken,
               revision,
               value,
               null);
-      askedAt = now;
+      pendingSentAt = now;
     }
-    return out;
+    return pending;
   }
 
-  /** The answer to a command. One that is not awaited any more changes nothing. */
-  public void handleResult(long call, CommandResult answer, long now) {
-    if (out == null || !awaited(call)) {
+  // ---- results
+
+  /** Handles the result of a command. One that is not awaited any more changes nothing. */
+  public void handleResult(long sequence, CommandResult result, long now) {
+    if (pending == null || !isAwaited(sequence)) {
       return;
     }
-    LeaseCommand command = out;
-    out = null;
-    TidebankException.Details fault = answer.error();
-    boolean retired = fault != null && fault.is(TidebankException.MemberRetired.class);
-    boolean gone = retired || fault != null && fault.is(TidebankException.MemberUnknown.class);
-    joined = !gone && (joined || fault == null);
-    left = retired || command.kind() == LeaseCommand.Kind.LEAVE;
-    renewEvery = answer.config().renewIntervalUs();
-    renewedAt =
-        command.kind() == LeaseCommand.Kind.RENEW || command.kind() == LeaseCommand.Kind.JOIN
-            ? askedAt
-            : renewedAt;
-    joinAt = command.kind() == LeaseCommand.Kind.JOIN ? askedAt + renewEvery : joinAt;
-    // A claim or a renewal sets the end of a lease; any other answer only tells what is owned
-    // still.
-    owned
+    LeaseCommand command = pending;
+    pending = null;
+    updateMembership(command, result);
+    updateLeases(command, result, now);
+    updateAssignedTasks(command, result);
+  }
+
+  private void updateMembership(LeaseCommand command, CommandResult result) {
+    TidebankException.Details error = result.error();
+    boolean retired = error != null && error.is(TidebankException.MemberRetired.class);
+    boolean unknown = error != null && error.is(TidebankException.MemberUnknown.class);
+    joined = !retired && !unknown && (joined || error == null);
+    left = retired || command.kind() == Kind.LEAVE;
+    renewIntervalUs = result.config().renewIntervalUs();
+    if (command.kind() == Kind.RENEW || command.kind() == Kind.JOIN) {
+      renewedAt = pendingSentAt;
+    }
+    if (command.kind() == Kind.JOIN) {
+      nextJoinAt = pendingSentAt + renewIntervalUs;
+    }
+  }
+
+  /** A claim or renewal sets the end of a lease; other results only say what is still held. */
+  private void updateLeases(LeaseCommand command, CommandResult result, long now) {
+    leases
         .keySet()
-        .removeIf(duty -> answer.leases().stream().noneMatch(grant -> grant.task().equals(duty)));
-    for (Grant grant : answer.leases()) {
+        .removeIf(task -> result.leases().stream().noneMatch(grant -> grant.task().equals(task)));
+    for (Grant grant : result.leases()) {
       boolean renewed =
-          command.kind() == LeaseCommand.Kind.RENEW
-              || command.kind() == LeaseCommand.Kind.CLAIM && command.task().equals(grant.task());
-      HeldLease before = owned.get(grant.task());
+          command.kind() == Kind.RENEW
+              || command.kind() == Kind.CLAIM && command.task().equals(grant.task());
+      HeldLease before = leases.get(grant.task());
       if (renewed) {
-        owned.put(
-            grant.task(),
-            new HeldLease(grant.fencingToken(), countsFrom(askedAt, now) + lasts(answer.config())));
+        long expiresAt = leaseStart(pendingSentAt, now) + leaseDurationUs(result.config());
+        leases.put(grant.task(), new HeldLease(grant.fencingToken(), expiresAt));
       } else if (before == null || before.fencingToken() != grant.fencingToken()) {
-        // Owned, as it seems, by an answer that was never heard: of no use before it is renewed.
-        owned.put(grant.task(), new HeldLease(grant.fencingToken(), Long.MIN_VALUE / 2));
+        leases.put(grant.task(), new HeldLease(grant.fencingToken(), NEVER_USABLE));
       }
     }
-    wanted = leaving ? List.of() : answer.assignedTasks();
-    if (command.kind() == LeaseCommand.Kind.CLAIM && fault != null) {
-      // Refused: to be looked at again with the next renewal.
-      wanted =
-          wanted.stream()
-              .filter(duty -> !duty.equals(command.task()) || owned.containsKey(duty))
+  }
+
+  private void updateAssignedTasks(LeaseCommand command, CommandResult result) {
+    assignedTasks = leaving ? List.of() : result.assignedTasks();
+    if (command.kind() == Kind.CLAIM && result.error() != null) {
+      // Refused: the next renewal says whether it is still assigned.
+      assignedTasks =
+          assignedTasks.stream()
+              .filter(task -> !task.equals(command.task()) || leases.containsKey(task))
               .toList();
     }
   }
 
+  // ---- what is held
+
   /**
-   * The token by which something may be done for a duty now, or 0; with this much time left at the
-   * least.
+   * Returns the fencing token to act with for a task now, or 0 if its lease is not held.
+   *
+   * @param marginUs how much time the lease has to have left at the least, in microseconds
    */
-  public long tokenIfHeld(String duty, long now, long margin) {
-    HeldLease one = owned.get(duty);
-    return one != null && !leaving && inTime(one, now, margin) ? one.fencingToken() : 0;
+  public long tokenIfHeld(String task, long now, long marginUs) {
+    HeldLease lease = leases.get(task);
+    return lease != null && !leaving && isHeld(lease, now, marginUs) ? lease.fencingToken() : 0;
   }
 
-  /** No duty is begun any more, and all that is owned is let go of at the next call. */
+  /** Stops acting for all tasks at once; the next command releases all leases. */
   public void leave() {
     leaving = true;
   }
 
+  /** Returns whether the member has left or was retired, and there is nothing more to send. */
   public boolean hasLeft() {
     return left;
   }
 
-  // ---- rules that must hold, one method each
+  // ---- rules that must hold, one method each, so that a model test can leave out any of them
 
   /**
-   * What is let go of may not be acted for from the moment that this is asked: a successor hears of
-   * it first.
+   * Drops a lease once its release is sent: nothing may be done under it from then on, as a
+   * successor hears of the release first.
    */
-  protected void letGo(String duty) {
-    owned.remove(duty);
+  protected void dropBeforeRelease(String task) {
+    leases.remove(task);
   }
 
-  protected long askedFrom(long first, long again) {
-    return first;
+  /** Returns when a command counts as sent: the first time, however often it was repeated. */
+  protected long sentAt(long firstSentAt, long repeatedAt) {
+    return firstSentAt;
   }
 
-  protected long lasts(LeaseConfig terms) {
-    return terms.holderLeaseUs();
+  /** Returns how long a lease lasts on the member's own clock, in microseconds. */
+  protected long leaseDurationUs(LeaseConfig config) {
+    return config.holderLeaseUs();
   }
 
-  protected long countsFrom(long asked, long answered) {
-    return asked;
+  /** Returns when a lease starts: when its command was sent, not when it was answered. */
+  protected long leaseStart(long sentAt, long answeredAt) {
+    return sentAt;
   }
 
-  protected boolean inTime(HeldLease one, long now, long margin) {
-    return now + margin < one.expiresAt();
+  /** Returns whether a lease has that much time left. */
+  protected boolean isHeld(HeldLease lease, long now, long marginUs) {
+    return now + marginUs < lease.expiresAt();
   }
 
-  protected boolean awaited(long call) {
-    return out.sequence() == call;
+  /** Returns whether a result is the pending command's. */
+  protected boolean isAwaited(long sequence) {
+    return pending.sequence() == sequence;
   }
 
-  /** All of the state, for whoever compares two of them. */
+  /** Returns all of the state, for comparing two holders. */
   @Override
   public String toString() {
-    return name
+    return member
         + session
-        + owned
-        + wanted
-        + number
+        + leases
+        + assignedTasks
+        + lastSequence
         + ' '
         + renewedAt
         + ' '
-        + joinAt
+        + nextJoinAt
         + joined
         + leaving
         + left
-        + (out == null ? "" : out.kind() + out.task() + askedAt);
+        + (pending == null ? "" : pending.kind() + pending.task() + pendingSentAt);
   }
 }
--- /dev/null
+++ b/router/src/main/java/tidebank/lease/TaskLeaseTable.java
@@ -0,0 +1,177 @@
+package tidebank.lease;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.SortedMap;
+import java.util.TreeMap;
+import tidebank.errors.TidebankException;
+
+/**
+ * The singleton tasks of a {@link LeaseTable}: granting, renewing and releasing their leases,
+ * publishing values under them, and assigning them to members.
+ */
+final class TaskLeaseTable {
+  private final SortedMap<String, TaskLease> leases = new TreeMap<>();
+  private final GrantRules rules;
+
+  /**
+   * The greatest fencing token of any task that was removed: a task that comes back under its name
+   * goes on from there.
+   */
+  private long fencingTokenFloor;
+
+  TaskLeaseTable(GrantRules rules) {
+    this.rules = rules;
+  }
+
+  void restore(List<TaskLease> stored, long storedTokenFloor) {
+    stored.forEach(this::put);
+    fencingTokenFloor = storedTokenFloor;
+  }
+
+  List<TaskLease> all() {
+    return List.copyOf(leases.values());
+  }
+
+  long fencingTokenFloor() {
+    return fencingTokenFloor;
+  }
+
+  // ---- leases
+
+  void claim(LeaseCommand command, long leaderClock, LeaseConfig config) throws TidebankException {
+    TaskLease lease = require(command.task());
+    boolean expired = rules.isExpired(lease, leaderClock);
+    if (!expired && !lease.heldBy(command.session())) {
+      throw new TidebankException.LeaseHeldByOther(
+          lease.task(), lease.holder(), lease.expiresAt() - leaderClock);
+    }
+    if (!lease.assignedMember().equals(command.member())) {
+      throw new TidebankException.TaskAssignedElsewhere(
+          lease.task(), lease.assignedMember(), command.member());
+    }
+    long fencingToken = expired ? rules.nextFencingToken(lease) : lease.fencingToken();
+    put(
+        lease.granted(
+            fencingToken, command.member(), command.session(), leaderClock + config.leaseUs()));
+  }
+
+  void release(LeaseCommand command, long leaderClock) throws TidebankException {
+    put(requireCurrentHolder(command, leaderClock).released());
+  }
+
+  /** Renews all leases of a session that have not expired. */
+  void renewAll(String session, long leaderClock, long expiresAt) {
+    leases.replaceAll(
+        (task, lease) ->
+            lease.heldBy(session) && !rules.isExpired(lease, leaderClock)
+                ? lease.withExpiry(expiresAt)
+                : lease);
+  }
+
+  void releaseAll(String session) {
+    leases.replaceAll((task, lease) -> lease.heldBy(session) ? lease.released() : lease);
+  }
+
+  /** Replaces a task's published value; returns the new revision. */
+  long publish(LeaseCommand command, long leaderClock, LeaseConfig config)
+      throws TidebankException {
+    TaskLease lease = requireCurrentHolder(command, leaderClock);
+    config.checkTextLength("value", command.value());
+    if (lease.revision() != command.revision()) {
+      throw new TidebankException.RevisionConflict(
+          lease.task(), command.revision(), lease.revision());
+    }
+    TaskLease published = lease.published(command.value());
+    put(published);
+    return published.revision();
+  }
+
+  /** Returns the task of a command that only the current holder of its lease may send. */
+  private TaskLease requireCurrentHolder(LeaseCommand command, long leaderClock)
+      throws TidebankException {
+    TaskLease lease = require(command.task());
+    if (!rules.isCurrentHolder(lease, command)) {
+      throw new TidebankException.StaleFencingToken(
+          lease.task(), command.fencingToken(), lease.fencingToken());
+    }
+    if (rules.isExpired(lease, leaderClock)) {
+      throw new TidebankException.LeaseExpired(lease.task(), lease.fencingToken());
+    }
+    return lease;
+  }
+
+  /** Returns the leases that a session holds. */
+  List<CommandResult.Grant> heldBy(String session, long leaderClock) {
+    return leases.values().stream()
+        .filter(lease -> lease.heldBy(session) && !rules.isExpired(lease, leaderClock))
+        .map(lease -> new CommandResult.Grant(lease.task(), lease.fencingToken()))
+        .toList();
+  }
+
+  /** Moves all times to the clock of a new leader. */
+  void startTerm(long oldClock, long newClock, LeaseConfig config) {
+    leases.replaceAll(
+        (task, lease) ->
+            lease.withExpiry(
+                rules.expiryInNewTerm(rules.isExpired(lease, oldClock), newClock, config)));
+  }
+
+  // ---- tasks and their assignment
+
+  TaskLease require(String task) throws TidebankException {
+    TaskLease lease = leases.get(task);
+    if (lease == null) {
+      throw new TidebankException.TaskNotFound(task);
+    }
+    return lease;
+  }
+
+  /** Removes the tasks that are not listed and adds those that are not there yet. */
+  void configure(List<String> tasks, long leaderClock) {
+    for (TaskLease lease : all()) {
+      if (!tasks.contains(lease.task())) {
+        fencingTokenFloor = Math.max(fencingTokenFloor, lease.fencingToken());
+        leases.remove(lease.task());
+      }
+    }
+    for (String task : tasks) {
+      leases.computeIfAbsent(
+          task, absent -> TaskLease.neverGranted(absent, fencingTokenFloor, leaderClock));
+    }
+  }
+
+  /** Assigns a task to one member for as long as that is eligible, or with an empty name to any. */
+  void setStickyMember(TaskLease lease, String member) {
+    put(lease.assigned(lease.assignedMember(), member));
+  }
+
+  /** Assigns all tasks to the eligible members. */
+  void assign(List<String> eligibleMembers, long leaderClock) {
+    Map<String, String> current = new HashMap<>();
+    Map<String, String> sticky = new HashMap<>();
+    for (TaskLease lease : leases.values()) {
+      boolean expired = rules.isExpired(lease, leaderClock);
+      current.put(lease.task(), expired ? lease.assignedMember() : lease.holder());
+      sticky.put(lease.task(), lease.stickyMember());
+    }
+    Map<String, String> assignment =
+        TaskAssignment.assign(leases.keySet(), eligibleMembers, current, sticky);
+    leases.replaceAll(
+        (task, lease) -> lease.assigned(assignment.getOrDefault(task, ""), lease.stickyMember()));
+  }
+
+  /** Returns the tasks assigned to a command's sender that it holds or could claim at once. */
+  List<String> claimableBy(LeaseCommand command, long leaderClock) {
+    return leases.values().stream()
+        .filter(lease -> lease.assignedMember().equals(command.member()))
+        .filter(lease -> rules.isExpired(lease, leaderClock) || lease.heldBy(command.session()))
+        .map(TaskLease::task)
+        .toList();
+  }
+
+  private void put(TaskLease lease) {
+    leases.put(lease.task(), lease);
+  }
+}
--- a/router/src/test/java/tidebank/config/ConfigFixtureTest.java
+++ b/router/src/test/java/tidebank/config/ConfigFixtureTest.java
@@ -166,11 +166,11 @@
     FleetAgent.Plan fleet = file.fleet();
     if (fleet != null) {
       fields
-          .put("fleet.stewards", fleet.stewards())
-          .put("fleet.folder", fleet.folder())
-          .put("fleet.every_us", fleet.everyUs())
-          .put("fleet.keep_us", fleet.keep().ageUs())
-          .put("fleet.keep_bytes", fleet.keep().bytes());
+          .put("fleet.stewards", fleet.coordinators())
+          .put("fleet.folder", fleet.sharedFolder())
+          .put("fleet.every_us", fleet.intervalUs())
+          .put("fleet.keep_us", fleet.retention().ageUs())
+          .put("fleet.keep_bytes", fleet.retention().bytes());
     }
     return fields.lines();
   }
--- a/router/src/test/java/tidebank/fleet/RetentionTest.java
+++ b/router/src/test/java/tidebank/fleet/RetentionTest.java
@@ -78,7 +78,7 @@
             .next(
                 "",
                 1,
-                fleet.stock("report-3-by-1.json", 100, () -> {}),
+                fleet.scanStored("report-3-by-1.json", 100, () -> {}),
                 new Bounds(30 * DAY, 1000),
                 100)
             .names();
@@ -95,7 +95,7 @@
     Path outside = Files.createTempFile(folder.getParent(), "outside", ".txt");
     Path link = Files.createSymbolicLink(folder.resolve("captures/link.tbc"), outside);
     try {
-      assertThat(fleet.stock("", 100, () -> {}).oldest())
+      assertThat(fleet.scanStored("", 100, () -> {}).oldest())
           .extracting(Item::name)
           .doesNotContain("captures/link.tbc");
       Retention list =
@@ -131,7 +131,7 @@
     AtomicInteger between = new AtomicInteger();
     put("captures/g0/7.tbc", 40);
     put("captures/g0/9.tbc", 50);
-    Stock stock = fleet.stock("", 2, between::incrementAndGet);
+    Stock stock = fleet.scanStored("", 2, between::incrementAndGet);
     assertThat(stock.oldest())
         .extracting(Item::name)
         .containsExactlyInAnyOrder("captures/g0/7.tbc", "captures/g0/9.tbc");
@@ -144,8 +144,8 @@
     SharedFolder fleet = new SharedFolder(folder);
     for (int i : IntStream.rangeClosed(1, 300).toArray()) {
       Retention list = new Retention(i, "", 1, List.of());
-      assertThat(fleet.removal(fleet.write(list))).isEqualTo(list);
-      fleet.tidy(list);
+      assertThat(fleet.readRemovals(fleet.write(list))).isEqualTo(list);
+      fleet.removeOldRemovalLists(list);
     }
     try (var files = Files.list(folder.resolve("removals"))) {
       assertThat(files.count()).isEqualTo(100);
--- a/testbed/src/test/java/tidebank/coordinator/LeaseFixturesTest.java
+++ b/testbed/src/test/java/tidebank/coordinator/LeaseFixturesTest.java
@@ -31,6 +31,10 @@
 import tidebank.lease.LeaseCommand.Kind;
 import tidebank.lease.LeaseConfig;
 import tidebank.lease.LeaseTable;
+import tidebank.lease.LeaseTableState;
+import tidebank.lease.Member;
+import tidebank.lease.OperatorSession;
+import tidebank.lease.TaskLease;
 
 /**
  * Commands, results, state, log records and snapshots as an earlier release wrote them: read, and
@@ -164,9 +168,9 @@
 
     Applied(List<LogRecord> records) {
       for (LogRecord record : records) {
-        LeaseTable.State before = book.state();
+        LeaseTableState before = book.state();
         answers.add(book.apply(record.term(), record.leaderClock(), record.command()));
-        history.applied(before, book.state(), record.timestampMs());
+        history.recordChanges(before, book.state(), record.timestampMs());
       }
     }
 
@@ -175,7 +179,7 @@
     }
   }
 
-  private static byte[] snapshotOfVersion1(LeaseTable.State state) {
+  private static byte[] snapshotOfVersion1(LeaseTableState state) {
     byte[] json = LeaseCodec.write(state);
     CRC32C crc = new CRC32C();
     crc.update(json);
@@ -208,8 +212,7 @@
     Files.write(SOURCES.resolve("results.jsonl"), jsonLines(applied.answers));
     Files.write(SOURCES.resolve("state.json"), LeaseCodec.write(applied.book.state()));
     Files.write(SOURCES.resolve("history.json"), LeaseCodec.write(applied.history.all()));
-    Files.write(
-        SOURCES.resolve("snapshot-version-2.bin"), LeaseStateMachine.packed(applied.kept()));
+    Files.write(SOURCES.resolve("snapshot-version-2.bin"), SnapshotFormat.encode(applied.kept()));
     Files.write(
         SOURCES.resolve("snapshot-version-1.bin"), snapshotOfVersion1(applied.book.state()));
   }
@@ -277,13 +280,13 @@
 
   @Test
   void theStateIsReadAndWrittenToTheSameBytes() throws IOException {
-    LeaseTable.State state = readAndWriteAgain("state.json", LeaseTable.State.class).get(0);
+    LeaseTableState state = readAndWriteAgain("state.json", LeaseTableState.class).get(0);
     assertThat(state.term()).isEqualTo(1);
     assertThat(state.leaderClock()).isEqualTo(190_000);
     assertThat(state.tokenFloor()).isZero();
-    assertThat(state.members().stream().map(LeaseTable.Member::name).toList())
+    assertThat(state.members().stream().map(Member::name).toList())
         .containsExactly("g0", "g1", "g2", "g3");
-    LeaseTable.Member member = state.members().get(2);
+    Member member = state.members().get(2);
     assertThat(member.draining()).isTrue();
     assertThat(member.retired()).isFalse();
     assertThat(member.session()).isEqualTo("session of g2");
@@ -293,10 +296,10 @@
     assertThat(member.lastSequence()).isEqualTo(1);
     assertThat(member.lastResult().error()).isNull();
     assertThat(state.members().get(3).retired()).isTrue();
-    LeaseTable.TaskLease report = state.tasks().get(1);
+    TaskLease report = state.tasks().get(1);
     assertThat(report)
         .isEqualTo(
-            new LeaseTable.TaskLease(
+            new TaskLease(
                 "report",
                 1,
                 "g0",
@@ -308,7 +311,7 @@
                 1,
                 "report-1-by-1.json"));
     assertThat(state.tasks().get(2).stickyMember()).isEqualTo("g1");
-    assertThat(state.operators().stream().map(LeaseTable.Operator::session).toList())
+    assertThat(state.operators().stream().map(OperatorSession::session).toList())
         .containsExactly("plan of s0", "operator-2", "operator");
     assertThat(state.operators().get(1).lastResult().error().code()).isEqualTo("TB-1001");
   }
@@ -365,8 +368,8 @@
   @Test
   void aSnapshotIsReadAndWrittenToTheSameBytes() throws Exception {
     byte[] bytes = fixture("snapshot-version-2.bin");
-    SnapshotContent kept = LeaseStateMachine.unpacked("s", bytes);
-    assertThat(LeaseStateMachine.packed(kept)).isEqualTo(bytes);
+    SnapshotContent kept = SnapshotFormat.decode("s", bytes);
+    assertThat(SnapshotFormat.encode(kept)).isEqualTo(bytes);
     assertThat(LeaseCodec.write(kept.state())).isEqualTo(fixture("state.json"));
     assertThat(LeaseCodec.write(new TreeMap<>(kept.auditLog()))).isEqualTo(fixture("history.json"));
   }
@@ -374,10 +377,10 @@
   @Test
   void aSnapshotOfTheVersionBeforeIsReadAndWrittenAsThisOneWithoutHistory() throws Exception {
     byte[] bytes = fixture("snapshot-version-1.bin");
-    SnapshotContent kept = LeaseStateMachine.unpacked("s", bytes);
+    SnapshotContent kept = SnapshotFormat.decode("s", bytes);
     assertThat(kept.auditLog()).isEmpty();
     assertThat(snapshotOfVersion1(kept.state())).isEqualTo(bytes);
-    byte[] written = LeaseStateMachine.packed(kept);
+    byte[] written = SnapshotFormat.encode(kept);
     assertThat(ByteBuffer.wrap(written).getInt()).isEqualTo(2);
     String state = new String(fixture("state.json"), StandardCharsets.UTF_8);
     assertThat(
--- a/testbed/src/test/java/tidebank/coordinator/SnapshotTest.java
+++ b/testbed/src/test/java/tidebank/coordinator/SnapshotTest.java
@@ -17,6 +17,7 @@
 import tidebank.lease.LeaseCommand.Kind;
 import tidebank.lease.LeaseConfig;
 import tidebank.lease.LeaseTable;
+import tidebank.lease.LeaseTableState;
 
 /**
  * A snapshot whole, cut, spoilt and of an older version; and what became of duties, which stands in
@@ -30,12 +31,12 @@
   private int number;
 
   private void apply(long at, Kind kind, String who, String duty, long token) {
-    LeaseTable.State before = book.state();
+    LeaseTableState before = book.state();
     LeaseCommand.Plan plan =
         kind == Kind.PLAN ? new LeaseCommand.Plan(TERMS, List.of("report")) : null;
     book.apply(
         1, at * 1000, new LeaseCommand(kind, "of " + who, ++number, who, duty, token, 0, "", plan));
-    history.applied(before, book.state(), at);
+    history.recordChanges(before, book.state(), at);
   }
 
   private void some() {
@@ -70,7 +71,7 @@
       apply(3000 + i, Kind.MOVE, i % 2 == 0 ? "" : "g1", "report", 0);
     }
     assertThat(history.all().get("report"))
-        .hasSize(LeaseAuditLog.KEPT)
+        .hasSize(LeaseAuditLog.MAX_ENTRIES_PER_TASK)
         .last()
         .isEqualTo(new AuditEntry(3099, 2, "g1", "moved to"));
   }
@@ -79,16 +80,16 @@
   void aSnapshotCutAtAnyByteOrWithAnyBitTurnedIsDamagedAndAWholeOneIsNot() throws Exception {
     some();
     SnapshotContent kept = new SnapshotContent(book.state(), history.all());
-    byte[] whole = LeaseStateMachine.packed(kept);
-    assertThat(LeaseStateMachine.unpacked("s", whole)).isEqualTo(kept);
+    byte[] whole = SnapshotFormat.encode(kept);
+    assertThat(SnapshotFormat.decode("s", whole)).isEqualTo(kept);
     for (int length = 0; length < whole.length; length++) {
       byte[] cut = Arrays.copyOf(whole, length);
-      assertThatThrownBy(() -> LeaseStateMachine.unpacked("s", cut))
+      assertThatThrownBy(() -> SnapshotFormat.decode("s", cut))
           .as("cut to " + length)
           .isInstanceOf(TidebankException.CorruptSnapshot.class);
       byte[] turned = whole.clone();
       turned[length] ^= (byte) (1 << length % 8);
-      assertThatThrownBy(() -> LeaseStateMachine.unpacked("s", turned))
+      assertThatThrownBy(() -> SnapshotFormat.decode("s", turned))
           .as("turned at " + length)
           .isInstanceOf(TidebankException.CorruptSnapshot.class);
     }
@@ -102,7 +103,7 @@
     crc.update(json);
     byte[] old =
         ByteBuffer.allocate(12 + json.length).putInt(1).putLong(crc.getValue()).put(json).array();
-    assertThat(LeaseStateMachine.unpacked("s", old))
+    assertThat(SnapshotFormat.decode("s", old))
         .isEqualTo(new SnapshotContent(book.state(), Map.of()));
   }
 }
--- a/testbed/src/test/java/tidebank/fleet/SharedFolderFixturesTest.java
+++ b/testbed/src/test/java/tidebank/fleet/SharedFolderFixturesTest.java
@@ -44,9 +44,10 @@
     MemberCounters first = new MemberCounters("start-1", 1, counters(10, 1));
     FleetReport report = FleetReport.NONE.next("", 3, List.of("g0", "g1"), Map.of("g0", first));
     assertThat(fleet.write(report)).isEqualTo(FIRST_REPORT);
-    fleet.tell("g0", new MemberCounters("start-1", 2, counters(17, 1)));
-    fleet.tell("g1", new MemberCounters("start-2", 1, counters(4, 0)));
-    FleetReport next = report.next(FIRST_REPORT, 4, List.of("g0", "g1", "g2"), fleet.told());
+    fleet.writeCounters("g0", new MemberCounters("start-1", 2, counters(17, 1)));
+    fleet.writeCounters("g1", new MemberCounters("start-2", 1, counters(4, 0)));
+    FleetReport next =
+        report.next(FIRST_REPORT, 4, List.of("g0", "g1", "g2"), fleet.readCounters());
     assertThat(fleet.write(next)).isEqualTo(SECOND_REPORT);
     Bounds bounds = new Bounds(1000, 100);
     Retention list =
@@ -109,7 +110,7 @@
 
   @Test
   void countersAreReadAndWrittenToTheSameBytes() throws IOException {
-    Map<String, MemberCounters> told = stored().told();
+    Map<String, MemberCounters> told = stored().readCounters();
     assertThat(told)
         .isEqualTo(
             Map.of(
@@ -118,7 +119,7 @@
     Path again = Files.createDirectory(folder.resolve("again"));
     SharedFolder fleet = new SharedFolder(again);
     for (Map.Entry<String, MemberCounters> member : told.entrySet()) {
-      fleet.tell(member.getKey(), member.getValue());
+      fleet.writeCounters(member.getKey(), member.getValue());
     }
     SortedMap<String, String> stored = files(FIXTURES);
     stored.keySet().removeIf(name -> !name.startsWith("told/"));
@@ -129,18 +130,18 @@
   @Test
   void reportsAreReadAndWrittenToTheSameBytes() throws IOException {
     SharedFolder fleet = stored();
-    FleetReport report = fleet.read(SECOND_REPORT);
+    FleetReport report = fleet.readReport(SECOND_REPORT);
     assertThat(report.number()).isEqualTo(2);
     assertThat(report.previous()).isEqualTo(FIRST_REPORT);
     assertThat(report.fencingToken()).isEqualTo(4);
     assertThat(report.window()).isEqualTo(counters(11, 0));
     assertThat(report.silentMembers()).containsExactly("g2");
     assertThat(report.members().get("g0").sequence()).isEqualTo(2);
-    assertThat(fleet.read("")).isEqualTo(FleetReport.NONE);
+    assertThat(fleet.readReport("")).isEqualTo(FleetReport.NONE);
     Path again = Files.createDirectory(folder.resolve("again"));
     SharedFolder copy = new SharedFolder(again);
     for (String name : List.of(FIRST_REPORT, SECOND_REPORT)) {
-      assertThat(copy.write(fleet.read(name))).isEqualTo(name);
+      assertThat(copy.write(fleet.readReport(name))).isEqualTo(name);
       assertThat(files(again).get("reports/" + name))
           .isEqualTo(files(FIXTURES).get("reports/" + name));
     }
@@ -149,15 +150,15 @@
   @Test
   void removalListsAreReadAndWrittenToTheSameBytes() throws IOException {
     SharedFolder fleet = stored();
-    assertThat(fleet.removal(SECOND_LIST))
+    assertThat(fleet.readRemovals(SECOND_LIST))
         .isEqualTo(
             new Retention(
                 2, FIRST_LIST, 6, List.of("reports/report-1-by-3.json", "captures/g0/2.tbc")));
-    assertThat(fleet.removal("")).isEqualTo(Retention.NONE);
+    assertThat(fleet.readRemovals("")).isEqualTo(Retention.NONE);
     Path again = Files.createDirectory(folder.resolve("again"));
     SharedFolder copy = new SharedFolder(again);
     for (String name : List.of(FIRST_LIST, SECOND_LIST)) {
-      assertThat(copy.write(fleet.removal(name))).isEqualTo(name);
+      assertThat(copy.write(fleet.readRemovals(name))).isEqualTo(name);
       assertThat(files(again).get("removals/" + name))
           .isEqualTo(files(FIXTURES).get("removals/" + name));
     }
--- a/testbed/src/test/java/tidebank/lease/LeaseModel.java
+++ b/testbed/src/test/java/tidebank/lease/LeaseModel.java
@@ -10,177 +10,177 @@
 import tidebank.testbed.explore.Explorer;
 
 /**
- * Three members, two duties, stewards whose log is taken for granted (a library's), and a network
- * that loses, repeats and reorders whatever it likes: what was sent once may come at any time, any
- * number of times. A member that is not moved is paused. Clocks run 5% fast or slow, and begin
- * anywhere. The rules are the product's own classes.
+ * Three members, two tasks, coordinators whose log is taken for granted (a library's), and a
+ * network that loses, repeats and reorders any message: what was sent once may arrive at any time,
+ * any number of times. A member that takes no step is paused. Clocks run 5% fast or slow, and begin
+ * anywhere. The rules are the product's own classes, with one rule left out or none.
  */
 final class LeaseModel implements Explorer.Model<LeaseModel.World> {
-  static final int MEMBERS = 3;
-  static final List<String> DUTIES = List.of("probe", "report");
-  private static final long TICK = 1_000_000;
-  static final LeaseConfig TERMS = new LeaseConfig(3 * TICK, 0.05, 8, 64);
+  private static final int MEMBERS = 3;
+  private static final List<String> TASKS = List.of("probe", "report");
+  private static final long TICK_US = 1_000_000;
+  private static final LeaseConfig CONFIG = new LeaseConfig(3 * TICK_US, 0.05, 8, 64);
 
   /** How fast the clocks of the members and of the leaders by term run. */
   private static final double[] MEMBER_RATES = {0.95, 1.05, 1};
 
   private static final double[] LEADER_RATES = {1.05, 0.95};
-  private static final long[] LEADER_STARTS = {50 * TICK, 90 * TICK};
-
-  /** One rule left out. */
-  enum Flaw {
-    NONE,
-    LEASE_COUNTED_FROM_THE_ANSWER,
-    LEASE_COUNTED_FROM_THE_LAST_REPEAT,
-    DRIFT_LEFT_OUT,
-    DEADLINE_NOT_CHECKED,
-    TOKEN_DOES_NOT_GROW,
-    NEW_LEADER_FORGETS,
-    NEW_LEADER_KEEPS_OLD_TIMES,
-    TAKEN_OVER_TOO_EARLY,
-    REPEATED_COMMAND_TAKES_EFFECT_AGAIN,
-    ANY_ANSWER_TAKEN_FOR_THE_AWAITED,
-    RELEASED_BUT_STILL_ACTING,
-    TOKEN_NOT_COMPARED
-  }
+  private static final long[] LEADER_STARTS = {50 * TICK_US, 90 * TICK_US};
 
-  /** All there is at a moment; what was sent stays on its way for good. */
+  /**
+   * All there is at a moment.
+   *
+   * @param delayedCommands commands that may arrive at any time
+   * @param delayedResults results that may arrive at any time
+   * @param lost messages that did not arrive at once
+   * @param disturbances restarts and moves
+   * @param outcomes what commands were answered, as an observer notes it down
+   * @param violation what is wrong, or null
+   */
   record World(
       int tick,
       int term,
-      LeaseTable.State book,
+      LeaseTableState table,
       List<LeaseHolder> holders,
-      List<LeaseCommand> commands,
-      List<Sent> answers,
+      List<LeaseCommand> delayedCommands,
+      List<DelayedResult> delayedResults,
       int lost,
-      int disturbed,
-      TreeMap<String, String> ghosts,
-      String wrong) {}
-
-  record Sent(int to, String session, long number, CommandResult answer) {}
-
-  private final Flaw flaw;
-  private final int losses;
-  private final boolean disturbed;
-
-  /**
-   * With one rule left out or none.
-   *
-   * @param losses commands or answers that do not come through at once
-   * @param disturbed whether there may be one restart or move
-   */
-  LeaseModel(Flaw flaw, int losses, boolean disturbed) {
-    this.flaw = flaw;
-    this.losses = losses;
-    this.disturbed = disturbed;
-  }
-
-  private final class Book extends LeaseTable {
-    private long at;
-
-    Book(State state) {
-      super(state);
+      int disturbances,
+      TreeMap<String, String> outcomes,
+      String violation) {
+    World with(int newTick, int newTerm) {
+      return new World(
+          newTick,
+          newTerm,
+          table,
+          holders,
+          delayedCommands,
+          delayedResults,
+          lost,
+          disturbances,
+          outcomes,
+          violation);
     }
 
-    @Override
-    public CommandResult apply(long in, long clock, LeaseCommand command) {
-      at = clock;
-      return super.apply(in, clock, command);
+    World withHolder(int index, LeaseHolder holder) {
+      List<LeaseHolder> changed = new ArrayList<>(holders);
+      changed.set(index, holder);
+      return new World(
+          tick,
+          term,
+          table,
+          changed,
+          delayedCommands,
+          delayedResults,
+          lost,
+          disturbances,
+          outcomes,
+          violation);
     }
 
-    @Override
-    protected void newLeader(long in, long clock) {
-      if (flaw != Flaw.NEW_LEADER_KEEPS_OLD_TIMES) {
-        super.newLeader(in, clock);
-      }
+    World disturbed() {
+      return new World(
+          tick,
+          term,
+          table,
+          holders,
+          delayedCommands,
+          delayedResults,
+          lost,
+          disturbances + 1,
+          outcomes,
+          violation);
     }
 
-    @Override
-    protected boolean over(TaskLease duty) {
-      return super.over(duty) || flaw == Flaw.TAKEN_OVER_TOO_EARLY && at >= duty.expiresAt() - TICK;
+    World delaying(LeaseCommand command) {
+      return new World(
+          tick,
+          term,
+          table,
+          holders,
+          plus(delayedCommands, command),
+          delayedResults,
+          lost + 1,
+          disturbances,
+          outcomes,
+          violation);
     }
 
-    @Override
-    protected boolean repeated(long number, long last) {
-      return flaw != Flaw.REPEATED_COMMAND_TAKES_EFFECT_AGAIN && super.repeated(number, last);
+    World delaying(DelayedResult result) {
+      return new World(
+          tick,
+          term,
+          table,
+          holders,
+          delayedCommands,
+          plus(delayedResults, result),
+          lost + 1,
+          disturbances,
+          outcomes,
+          violation);
     }
 
-    @Override
-    protected long nextToken(TaskLease duty) {
-      return flaw == Flaw.TOKEN_DOES_NOT_GROW ? 1 : super.nextToken(duty);
+    World applied(
+        LeaseTableState newTable, TreeMap<String, String> newOutcomes, String newViolation) {
+      return new World(
+          tick,
+          term,
+          newTable,
+          holders,
+          delayedCommands,
+          delayedResults,
+          lost,
+          disturbances,
+          newOutcomes,
+          newViolation);
     }
 
-    @Override
-    protected boolean current(TaskLease duty, LeaseCommand command) {
-      return flaw == Flaw.TOKEN_NOT_COMPARED || super.current(duty, command);
+    private static <T> List<T> plus(List<T> list, T one) {
+      List<T> longer = new ArrayList<>(list);
+      longer.add(one);
+      return longer;
     }
   }
 
-  private final class Member extends LeaseHolder {
-    Member(String name, String session) {
-      super(name, session);
-    }
+  /** A result that was sent to a member and may arrive at any time. */
+  record DelayedResult(int member, String session, long sequence, CommandResult result) {}
 
-    @Override
-    protected LeaseHolder blank(String called, String in) {
-      return new Member(called, in);
-    }
+  private record Applied(World world, CommandResult result) {}
 
-    @Override
-    protected long countsFrom(long asked, long answered) {
-      return flaw == Flaw.LEASE_COUNTED_FROM_THE_ANSWER
-          ? answered
-          : super.countsFrom(asked, answered);
-    }
+  private final PlantedFault fault;
+  private final int maxLost;
+  private final boolean disturbances;
 
-    @Override
-    protected long askedFrom(long first, long again) {
-      return flaw == Flaw.LEASE_COUNTED_FROM_THE_LAST_REPEAT
-          ? again
-          : super.askedFrom(first, again);
-    }
-
-    @Override
-    protected long lasts(LeaseConfig terms) {
-      return flaw == Flaw.DRIFT_LEFT_OUT ? terms.leaseUs() : super.lasts(terms);
-    }
-
-    @Override
-    protected boolean inTime(HeldLease one, long now, long margin) {
-      return flaw == Flaw.DEADLINE_NOT_CHECKED || super.inTime(one, now, margin);
-    }
-
-    @Override
-    protected boolean awaited(long call) {
-      return flaw == Flaw.ANY_ANSWER_TAKEN_FOR_THE_AWAITED || super.awaited(call);
-    }
-
-    @Override
-    protected void letGo(String duty) {
-      if (flaw != Flaw.RELEASED_BUT_STILL_ACTING) {
-        super.letGo(duty);
-      }
-    }
+  /**
+   * Creates a model.
+   *
+   * @param maxLost commands or results that do not arrive at once
+   * @param disturbances whether there may be one restart or move
+   */
+  LeaseModel(PlantedFault fault, int maxLost, boolean disturbances) {
+    this.fault = fault;
+    this.maxLost = maxLost;
+    this.disturbances = disturbances;
   }
 
-  // ---- the model
-
   private static long memberClock(World world, int member) {
-    return (10 + member) * TICK + Math.round(world.tick * TICK * MEMBER_RATES[member]);
+    return (10 + member) * TICK_US + Math.round(world.tick * TICK_US * MEMBER_RATES[member]);
   }
 
   private static long leaderClock(World world) {
     return LEADER_STARTS[world.term - 1]
-        + Math.round(world.tick * TICK * LEADER_RATES[world.term - 1]);
+        + Math.round(world.tick * TICK_US * LEADER_RATES[world.term - 1]);
   }
 
+  // ---- steps
+
   @Override
   public World start() {
     World world =
         new World(
             0,
             1,
-            new LeaseTable(TERMS).state(),
+            new LeaseTable(CONFIG).state(),
             List.of(),
             List.of(),
             List.of(),
@@ -188,384 +188,253 @@
             0,
             new TreeMap<>(),
             null);
-    Book book = new Book(world.book);
-    book.apply(
+    LeaseTable table = fault.table(world.table);
+    LeaseCommand.Plan plan = new LeaseCommand.Plan(CONFIG, TASKS);
+    table.apply(
         1,
         leaderClock(world),
-        new LeaseCommand(
-            LeaseCommand.Kind.PLAN,
-            "steward",
-            1,
-            "",
-            "",
-            0,
-            0,
-            "",
-            new LeaseCommand.Plan(TERMS, DUTIES)));
+        new LeaseCommand(LeaseCommand.Kind.PLAN, "leader", 1, "", "", 0, 0, "", plan));
     List<LeaseHolder> holders = new ArrayList<>();
     for (int i = 0; i < MEMBERS; i++) {
-      LeaseHolder holder = new Member("m" + i, "s" + i);
+      LeaseHolder holder = fault.holder("m" + i, "s" + i);
       LeaseCommand join = holder.nextCommand(memberClock(world, i));
-      holder.handleResult(
-          join.sequence(), book.apply(1, leaderClock(world), join), memberClock(world, i));
+      CommandResult joined = table.apply(1, leaderClock(world), join);
+      holder.handleResult(join.sequence(), joined, memberClock(world, i));
       holders.add(holder);
     }
     return new World(
         0,
         1,
-        book.state(),
+        table.state(),
         holders,
         List.of(),
         List.of(),
         0,
-        disturbed ? 0 : 1,
+        disturbances ? 0 : 1,
         new TreeMap<>(),
         null);
   }
 
   @Override
   public void moves(World world, BiConsumer<String, World> next) {
-    if (world.wrong != null) {
+    if (world.violation != null) {
       return;
     }
-    next.accept(
-        "a second passes",
-        new World(
-            world.tick + 1,
-            world.term,
-            world.book,
-            world.holders,
-            world.commands,
-            world.answers,
-            world.lost,
-            world.disturbed,
-            world.ghosts,
-            null));
+    next.accept("a second passes", world.with(world.tick + 1, world.term));
     if (world.term < LEADER_STARTS.length) {
-      next.accept(
-          "another steward leads",
-          new World(
-              world.tick,
-              world.term + 1,
-              world.book,
-              world.holders,
-              world.commands,
-              world.answers,
-              world.lost,
-              world.disturbed,
-              world.ghosts,
-              null));
+      next.accept("another coordinator leads", world.with(world.tick, world.term + 1));
     }
-    if (world.disturbed == 0) {
-      World moved =
-          taken(
-                  world,
-                  new LeaseCommand(
-                      LeaseCommand.Kind.MOVE, "operator", 1, "m1", DUTIES.get(0), 0, 0, "", null),
-                  null)
-              .world;
-      next.accept(
-          "an operator moves probe to m1",
-          new World(
-              world.tick,
-              world.term,
-              moved.book,
-              moved.holders,
-              moved.commands,
-              moved.answers,
-              moved.lost,
-              1,
-              moved.ghosts,
-              moved.wrong));
+    if (world.disturbances == 0) {
+      LeaseCommand move =
+          new LeaseCommand(
+              LeaseCommand.Kind.MOVE, "operator", 1, "m1", TASKS.get(0), 0, 0, "", null);
+      next.accept("an operator moves probe to m1", apply(world, move).world.disturbed());
     }
     for (int i = 0; i < MEMBERS; i++) {
-      asks(world, i, next);
-      if (world.disturbed == 0) {
-        List<LeaseHolder> holders = new ArrayList<>(world.holders);
-        holders.set(i, new Member("m" + i, "s" + i + "'"));
-        next.accept(
-            "m" + i + " is killed and starts again",
-            new World(
-                world.tick,
-                world.term,
-                world.book,
-                holders,
-                world.commands,
-                world.answers,
-                world.lost,
-                1,
-                world.ghosts,
-                null));
-      }
+      memberSteps(world, i, next);
     }
-    for (LeaseCommand command : world.commands) {
-      next.accept("late: " + text(command) + " comes", taken(world, command, null).world);
+    for (LeaseCommand command : world.delayedCommands) {
+      next.accept("late: " + describe(command) + " arrives", apply(world, command).world);
     }
-    for (Sent sent : world.answers) {
-      List<LeaseHolder> holders = new ArrayList<>(world.holders);
-      LeaseHolder holder = holders.get(sent.to).copy();
-      if (holder.toString().startsWith("m" + sent.to + sent.session)) {
-        holder.handleResult(sent.number, sent.answer, memberClock(world, sent.to));
-        holders.set(sent.to, holder);
-        next.accept(
-            "late: m" + sent.to + " hears the answer to " + sent.number,
-            new World(
-                world.tick,
-                world.term,
-                world.book,
-                holders,
-                world.commands,
-                world.answers,
-                world.lost,
-                world.disturbed,
-                world.ghosts,
-                null));
-      }
+    for (DelayedResult delayed : world.delayedResults) {
+      resultArrives(world, delayed, next);
     }
   }
 
-  /**
-   * What member i asks next, and the ways it may go: answered, answer on its way, command on its
-   * way.
-   */
-  private void asks(World world, int i, BiConsumer<String, World> next) {
-    for (boolean publish : new boolean[] {false, true}) {
-      LeaseHolder asking = world.holders.get(i).copy();
-      long clock = memberClock(world, i);
-      LeaseCommand command = null;
-      if (!publish) {
-        command = asking.nextCommand(clock);
-      } else if (asking.tokenIfHeld(DUTIES.get(0), clock, 0) > 0) {
-        long revision = world.book.tasks().get(0).revision();
-        LeaseCommand before = asking.copy().nextCommand(clock);
-        command = asking.publish(DUTIES.get(0), revision, "by m" + i, clock);
-        command = command == null || command.equals(before) ? null : command;
-      }
-      if (command == null) {
-        continue;
-      }
-      List<LeaseHolder> holders = new ArrayList<>(world.holders);
-      Taken taken = taken(world, command, null);
-      LeaseHolder answered = asking.copy();
-      answered.handleResult(command.sequence(), taken.answer, clock);
-      holders.set(i, answered);
-      next.accept("m" + i + ": " + text(command) + ", answered", with(taken.world, holders));
-      if (world.lost < losses) {
-        List<LeaseHolder> waiting = new ArrayList<>(world.holders);
-        waiting.set(i, asking);
-        Sent sent = new Sent(i, command.session(), command.sequence(), taken.answer);
-        World lost = taken(world, command, sent).world;
-        next.accept(
-            "m" + i + ": " + text(command) + ", answer on its way",
-            new World(
-                lost.tick,
-                lost.term,
-                lost.book,
-                waiting,
-                lost.commands,
-                lost.answers,
-                world.lost + 1,
-                lost.disturbed,
-                lost.ghosts,
-                lost.wrong));
-        List<LeaseCommand> commands = new ArrayList<>(world.commands);
-        commands.add(command);
-        next.accept(
-            "m" + i + ": " + text(command) + ", on its way",
-            new World(
-                world.tick,
-                world.term,
-                world.book,
-                waiting,
-                commands,
-                world.answers,
-                world.lost + 1,
-                world.disturbed,
-                world.ghosts,
-                null));
-      }
+  private void memberSteps(World world, int member, BiConsumer<String, World> next) {
+    LeaseHolder asking = world.holders.get(member).copy();
+    sends(world, member, asking, asking.nextCommand(memberClock(world, member)), next);
+    LeaseHolder publishing = world.holders.get(member).copy();
+    sends(world, member, publishing, publishCommand(world, member, publishing), next);
+    if (world.disturbances == 0) {
+      LeaseHolder restarted = fault.holder("m" + member, "s" + member + "'");
+      next.accept(
+          "m" + member + " is killed and starts again",
+          world.withHolder(member, restarted).disturbed());
     }
   }
 
-  private static World with(World world, List<LeaseHolder> holders) {
-    return new World(
-        world.tick,
-        world.term,
-        world.book,
-        holders,
-        world.commands,
-        world.answers,
-        world.lost,
-        world.disturbed,
-        world.ghosts,
-        world.wrong);
+  /** Returns what a member publishes of its own accord, or null. */
+  private static LeaseCommand publishCommand(World world, int member, LeaseHolder holder) {
+    long clock = memberClock(world, member);
+    if (holder.tokenIfHeld(TASKS.get(0), clock, 0) == 0) {
+      return null;
+    }
+    LeaseCommand pending = holder.copy().nextCommand(clock);
+    long revision = world.table.tasks().get(0).revision();
+    LeaseCommand publish = holder.publish(TASKS.get(0), revision, "by m" + member, clock);
+    return publish == null || publish.equals(pending) ? null : publish;
   }
 
-  /** Calls that may come again; no others are worth noting down. */
-  private static TreeMap<String, String> mayRepeat(World world) {
-    TreeMap<String, String> ghosts = new TreeMap<>(world.ghosts);
-    ghosts
-        .keySet()
-        .removeIf(
-            call ->
-                world.commands.stream().noneMatch(command -> call.equals(call(command)))
-                    && world.answers.stream()
-                        .noneMatch(sent -> call.equals(call(sent.session, sent.number))));
-    return ghosts;
+  /** A member sends a command: it is answered, its result is delayed, or it is delayed itself. */
+  private void sends(
+      World world,
+      int member,
+      LeaseHolder sender,
+      LeaseCommand command,
+      BiConsumer<String, World> next) {
+    if (command == null) {
+      return;
+    }
+    Applied applied = apply(world, command);
+    LeaseHolder answered = sender.copy();
+    answered.handleResult(command.sequence(), applied.result, memberClock(world, member));
+    String step = "m" + member + ": " + describe(command);
+    next.accept(step + ", answered", applied.world.withHolder(member, answered));
+    if (world.lost < maxLost) {
+      DelayedResult delayed =
+          new DelayedResult(member, command.session(), command.sequence(), applied.result);
+      next.accept(
+          step + ", result delayed", applied.world.withHolder(member, sender).delaying(delayed));
+      next.accept(step + ", delayed", world.withHolder(member, sender).delaying(command));
+    }
   }
 
-  private static String call(LeaseCommand command) {
-    return call(command.session(), command.sequence());
+  private void resultArrives(World world, DelayedResult delayed, BiConsumer<String, World> next) {
+    LeaseHolder holder = world.holders.get(delayed.member).copy();
+    boolean sameStart = holder.toString().startsWith("m" + delayed.member + delayed.session);
+    if (sameStart) {
+      holder.handleResult(delayed.sequence, delayed.result, memberClock(world, delayed.member));
+      next.accept(
+          "late: m" + delayed.member + " receives the result of " + delayed.sequence,
+          world.withHolder(delayed.member, holder));
+    }
   }
 
-  private static String call(String session, long number) {
-    return "call " + session + " " + number;
+  /** The coordinators apply a command; an observer at the resource compares before and after. */
+  private Applied apply(World world, LeaseCommand command) {
+    LeaseTable table = fault.table(world.table);
+    CommandResult result = table.apply(world.term, leaderClock(world), command);
+    LeaseTableState after = table.state();
+    TreeMap<String, String> outcomes = new TreeMap<>(world.outcomes);
+    String violation = fencingViolation(world.table, after, command);
+    if (!isSuperseded(result)) {
+      String outcome = result.error() + " " + result.revision();
+      String first = outcomes.putIfAbsent(callOf(command), outcome);
+      if (first != null && !first.equals(outcome)) {
+        violation = callOf(command) + " was answered differently when repeated";
+      }
+    }
+    return new Applied(world.applied(after, outcomes, violation), result);
   }
 
-  private static String text(LeaseCommand command) {
-    return command.kind()
-        + (command.task().isEmpty() ? "" : " " + command.task())
-        + " ("
-        + command.session()
-        + " "
-        + command.sequence()
-        + ")";
+  /** A command after its session's next, or outside of its session, has no effect. */
+  private static boolean isSuperseded(CommandResult result) {
+    TidebankException.Details error = result.error();
+    return error != null
+        && (error.is(TidebankException.StaleSequenceNumber.class)
+            || error.is(TidebankException.MemberUnknown.class)
+            || error.is(TidebankException.NameTaken.class));
   }
 
-  private record Taken(World world, CommandResult answer) {}
-
-  /** The stewards take a command. Beside it, what an observer at the resource notes down. */
-  private Taken taken(World world, LeaseCommand command, Sent sent) {
-    Book book =
-        new Book(
-            flaw == Flaw.NEW_LEADER_FORGETS && world.term > world.book.term()
-                ? forgotten(world.book)
-                : world.book);
-    CommandResult answer = book.apply(world.term, leaderClock(world), command);
-    LeaseTable.State after = book.state();
-    TreeMap<String, String> ghosts = new TreeMap<>(world.ghosts);
-    String wrong = null;
-    for (int i = 0; i < DUTIES.size(); i++) {
-      LeaseTable.TaskLease was = world.book.tasks().get(i);
-      LeaseTable.TaskLease is = after.tasks().get(i);
+  // ---- what must hold
+
+  private static String fencingViolation(
+      LeaseTableState before, LeaseTableState after, LeaseCommand command) {
+    String violation = null;
+    for (int i = 0; i < TASKS.size(); i++) {
+      TaskLease was = before.tasks().get(i);
+      TaskLease is = after.tasks().get(i);
+      boolean otherHolder = !is.session().isEmpty() && !is.session().equals(was.session());
       if (is.fencingToken() < was.fencingToken()
-          || !is.session().isEmpty()
-              && !is.session().equals(was.session())
-              && is.fencingToken() == was.fencingToken()) {
-        wrong = is.task() + " was granted by token " + is.fencingToken() + " again";
+          || otherHolder && is.fencingToken() == was.fencingToken()) {
+        violation = is.task() + " was granted by token " + is.fencingToken() + " again";
       }
       if (is.revision() > was.revision()
           && (command.fencingToken() != was.fencingToken()
               || !command.session().equals(was.session()))) {
-        wrong = is.task() + " was published under the old token " + command.fencingToken();
+        violation = is.task() + " was published under the old token " + command.fencingToken();
       }
     }
-    String call = call(command);
-    String outcome = answer.error() + " " + answer.revision();
-    // One that came after its session's next, or outside of its session, is refused as such,
-    // without effect.
-    boolean past =
-        answer.error() != null
-            && (answer.error().is(TidebankException.StaleSequenceNumber.class)
-                || answer.error().is(TidebankException.MemberUnknown.class)
-                || answer.error().is(TidebankException.NameTaken.class));
-    if (!past && !outcome.equals(ghosts.getOrDefault(call, outcome))) {
-      wrong = call + " was answered differently when repeated";
-    }
-    if (!past) {
-      ghosts.putIfAbsent(call, outcome);
-    }
-    List<Sent> answers = new ArrayList<>(world.answers);
-    if (sent != null) {
-      answers.add(sent);
-    }
-    return new Taken(
-        new World(
-            world.tick,
-            world.term,
-            after,
-            world.holders,
-            world.commands,
-            answers,
-            world.lost,
-            world.disturbed,
-            ghosts,
-            wrong),
-        answer);
-  }
-
-  /** The state with every lease over. */
-  private static LeaseTable.State forgotten(LeaseTable.State state) {
-    return new LeaseTable.State(
-        state.config(),
-        state.term(),
-        state.leaderClock(),
-        state.tokenFloor(),
-        state.members(),
-        state.tasks().stream()
-            .map(
-                duty ->
-                    new LeaseTable.TaskLease(
-                        duty.task(),
-                        duty.fencingToken(),
-                        duty.holder(),
-                        duty.session(),
-                        0,
-                        duty.assignedMember(),
-                        duty.stickyMember(),
-                        duty.revision(),
-                        duty.publishingToken(),
-                        duty.value()))
-            .toList(),
-        state.operators());
+    return violation;
   }
 
   @Override
   public String broken(World world) {
-    if (world.wrong != null) {
-      return world.wrong;
+    if (world.violation != null) {
+      return world.violation;
     }
-    for (int duty = 0; duty < DUTIES.size(); duty++) {
-      String name = DUTIES.get(duty);
-      List<String> acting = new ArrayList<>();
-      for (int i = 0; i < MEMBERS; i++) {
-        long token = world.holders.get(i).tokenIfHeld(name, memberClock(world, i), 0);
-        if (token > 0) {
-          acting.add("m" + i + " by token " + token);
-          if (token != world.book.tasks().get(duty).fencingToken()) {
-            return name
-                + ": "
-                + acting
-                + " while token "
-                + world.book.tasks().get(duty).fencingToken()
-                + " is granted";
-          }
-        }
-      }
-      if (acting.size() > 1) {
-        return name + " has two owners: " + acting;
+    for (TaskLease lease : world.table.tasks()) {
+      String violation = holderViolation(world, lease);
+      if (violation != null) {
+        return violation;
       }
     }
     return null;
   }
 
+  private static String holderViolation(World world, TaskLease lease) {
+    List<String> acting = new ArrayList<>();
+    for (int i = 0; i < MEMBERS; i++) {
+      long fencingToken = world.holders.get(i).tokenIfHeld(lease.task(), memberClock(world, i), 0);
+      if (fencingToken > 0) {
+        acting.add("m" + i + " by token " + fencingToken);
+        if (fencingToken != lease.fencingToken()) {
+          return lease.task()
+              + ": "
+              + acting
+              + " while token "
+              + lease.fencingToken()
+              + " is granted";
+        }
+      }
+    }
+    return acting.size() > 1 ? lease.task() + " has two holders: " + acting : null;
+  }
+
+  // ---- comparing worlds
+
   @Override
   public String key(World world) {
     return world.tick
         + " "
         + world.term
-        + world.book
+        + world.table
         + world.holders
-        + world.commands
-        + world.answers.stream()
-            .map(sent -> sent.session + sent.number + sent.answer)
+        + world.delayedCommands
+        + world.delayedResults.stream()
+            .map(delayed -> delayed.session + delayed.sequence + delayed.result)
             .collect(Collectors.joining(","))
         + world.lost
-        + world.disturbed
-        + mayRepeat(world);
+        + world.disturbances
+        + outcomesThatMayRepeat(world);
+  }
+
+  /** Outcomes of calls that may come again; no others tell two worlds apart. */
+  private static TreeMap<String, String> outcomesThatMayRepeat(World world) {
+    TreeMap<String, String> outcomes = new TreeMap<>(world.outcomes);
+    outcomes
+        .keySet()
+        .removeIf(
+            call ->
+                world.delayedCommands.stream().noneMatch(command -> call.equals(callOf(command)))
+                    && world.delayedResults.stream()
+                        .noneMatch(
+                            delayed -> call.equals(callOf(delayed.session, delayed.sequence))));
+    return outcomes;
+  }
+
+  private static String callOf(LeaseCommand command) {
+    return callOf(command.session(), command.sequence());
+  }
+
+  private static String callOf(String session, long sequence) {
+    return "call " + session + " " + sequence;
+  }
+
+  private static String describe(LeaseCommand command) {
+    return command.kind()
+        + (command.task().isEmpty() ? "" : " " + command.task())
+        + " ("
+        + command.session()
+        + " "
+        + command.sequence()
+        + ")";
   }
 
-  static List<Flaw> flaws() {
-    return Arrays.stream(Flaw.values()).filter(flaw -> flaw != Flaw.NONE).toList();
+  static List<PlantedFault> faults() {
+    return Arrays.stream(PlantedFault.values())
+        .filter(fault -> fault != PlantedFault.NONE)
+        .toList();
   }
 }
--- a/testbed/src/test/java/tidebank/lease/LeaseTableTest.java
+++ b/testbed/src/test/java/tidebank/lease/LeaseTableTest.java
@@ -9,7 +9,6 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import tidebank.lease.LeaseCommand.Kind;
-import tidebank.lease.LeaseTable.TaskLease;
 
 /** What members, operators and new leaders make of the stewards' state. Times are in ms here. */
 class LeaseTableTest {
--- a/testbed/src/test/java/tidebank/testbed/bench/CoordinatorBench.java
+++ b/testbed/src/test/java/tidebank/testbed/bench/CoordinatorBench.java
@@ -11,7 +11,8 @@
 import tidebank.coordinator.CoordinatorClient;
 import tidebank.lease.LeaseCommand;
 import tidebank.lease.LeaseCommand.Kind;
-import tidebank.lease.LeaseTable;
+import tidebank.lease.LeaseTableState;
+import tidebank.lease.TaskLease;
 import tidebank.testbed.fleet.CoordinatorProcesses;
 import tidebank.testbed.fleet.RouterProcesses;
 import tidebank.testbed.replay.RouterProcess;
@@ -97,7 +98,7 @@
             RouterProcesses.start(folder, "g" + i, stewards.addresses(), 60_000, List.of()));
       }
       for (int round = 0; round < LOSSES; round++) {
-        LeaseTable.TaskLease duty = owned(client, 0);
+        TaskLease duty = owned(client, 0);
         int owner = Integer.parseInt(duty.holder().substring(1, 2));
         Thread.sleep(500 + 137 * round);
         long from = System.nanoTime();
@@ -128,10 +129,10 @@
         loss, LOSSES, gaps[LOSSES / 2] / 1_000_000, gaps[LOSSES - 1] / 1_000_000);
   }
 
-  private static LeaseTable.TaskLease owned(CoordinatorClient client, long after) throws Exception {
+  private static TaskLease owned(CoordinatorClient client, long after) throws Exception {
     while (true) {
-      LeaseTable.State state = client.state();
-      for (LeaseTable.TaskLease duty : state.tasks()) {
+      LeaseTableState state = client.state();
+      for (TaskLease duty : state.tasks()) {
         if (duty.fencingToken() > after
             && !duty.holder().isEmpty()
             && duty.expiresAt() > state.leaderClock()) {
--- a/testbed/src/test/java/tidebank/testbed/chaos/StoredRunTest.java
+++ b/testbed/src/test/java/tidebank/testbed/chaos/StoredRunTest.java
@@ -15,7 +15,10 @@
 import tidebank.lease.CommandResult;
 import tidebank.lease.LeaseCommand;
 import tidebank.lease.LeaseConfig;
-import tidebank.lease.LeaseTable;
+import tidebank.lease.LeaseTableState;
+import tidebank.lease.Member;
+import tidebank.lease.OperatorSession;
+import tidebank.lease.TaskLease;
 
 /**
  * The files of a run as an earlier build stored them: what is read from them, and that they are
@@ -86,20 +89,18 @@
         "TB-1004", "the token is old", TidebankException.Retry.LATER, "Nothing needs doing.");
   }
 
-  private static LeaseTable.State state() {
+  private static LeaseTableState state() {
     CommandResult answer = new CommandResult(null, List.of(), List.of(), TERMS, 0);
-    return new LeaseTable.State(
+    return new LeaseTableState(
         TERMS,
         2,
         1_500_000,
         9,
+        List.of(new Member("g0", "session-g0", 2_000_000, 1_700_000, 1, false, true, 12, answer)),
         List.of(
-            new LeaseTable.Member(
-                "g0", "session-g0", 2_000_000, 1_700_000, 1, false, true, 12, answer)),
-        List.of(
-            new LeaseTable.TaskLease(
+            new TaskLease(
                 "report", 3, "g0", "session-g0", 2_100_000, "g1", "g0", 4, 3, "report-1.json")),
-        List.of(new LeaseTable.Operator("session-op", 2, answer)));
+        List.of(new OperatorSession("session-op", 2, answer)));
   }
 
   private void write(Path to) throws Exception {
--- a/testbed/src/test/java/tidebank/testbed/fleet/CoordinatorProcessesTest.java
+++ b/testbed/src/test/java/tidebank/testbed/fleet/CoordinatorProcessesTest.java
@@ -15,6 +15,7 @@
 import java.net.http.HttpRequest.BodyPublishers;
 import java.net.http.HttpResponse;
 import java.net.http.HttpResponse.BodyHandlers;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Duration;
@@ -27,11 +28,12 @@
 import org.junit.jupiter.api.io.TempDir;
 import tidebank.coordinator.CoordinatorClient;
 import tidebank.errors.TidebankException;
+import tidebank.fleet.LeaseCodec;
 import tidebank.lease.CommandResult;
 import tidebank.lease.LeaseCommand;
 import tidebank.lease.LeaseCommand.Kind;
 import tidebank.lease.LeaseHolder;
-import tidebank.lease.LeaseTable;
+import tidebank.lease.TaskLease;
 
 /** Stewards as processes, killed, stopped and woken, emptied and damaged between calls. */
 @Timeout(120)
@@ -81,8 +83,7 @@
     return new CoordinatorClient(stewards.addresses(), PATIENCE_MS);
   }
 
-  private static LeaseTable.TaskLease duty(CoordinatorClient client, String name)
-      throws IOException {
+  private static TaskLease duty(CoordinatorClient client, String name) throws IOException {
     return client.state().tasks().stream()
         .filter(duty -> duty.task().equals(name))
         .findFirst()
@@ -259,7 +260,7 @@
                       stewards.addresses().get(old),
                       "POST",
                       "/fleet/command",
-                      new ObjectMapper().writeValueAsString(late)),
+                      new String(LeaseCodec.write(late), StandardCharsets.UTF_8)),
               answer -> answer.statusCode() != 503);
       assertThat(said.body()).containsAnyOf("TB-1101", "TB-1004");
       assertThat(
@@ -374,7 +375,7 @@
             (one, raft, address) -> address)) {
       stewards.start(0, List.of(), line -> {}, 100 * 1024);
       CoordinatorClient client = new CoordinatorClient(stewards.addresses(), 5000);
-      until(() -> stewards.process(0).lastLines(), lines -> lines.contains("leads"));
+      until(() -> stewards.process(0).lastLines(), lines -> lines.contains("became leader"));
       client.state();
       long answered = 0;
       try {
--- a/testbed/src/test/java/tidebank/testbed/fleet/TasksTest.java
+++ b/testbed/src/test/java/tidebank/testbed/fleet/TasksTest.java
@@ -4,7 +4,6 @@
 import static tidebank.testbed.fleet.Until.PATIENCE_MS;
 import static tidebank.testbed.fleet.Until.until;
 
-import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.URI;
@@ -23,8 +22,9 @@
 import org.junit.jupiter.api.io.TempDir;
 import tidebank.coordinator.CoordinatorClient;
 import tidebank.fleet.FleetReport;
+import tidebank.fleet.LeaseCodec;
 import tidebank.lease.LeaseCommand.Kind;
-import tidebank.lease.LeaseTable;
+import tidebank.lease.TaskLease;
 import tidebank.testbed.replay.RouterProcess;
 
 /**
@@ -66,7 +66,7 @@
     return RouterProcesses.start(folder, name, asks, 250, flags);
   }
 
-  private LeaseTable.TaskLease report() throws Exception {
+  private TaskLease report() throws Exception {
     return until(client::state, state -> !state.tasks().isEmpty()).tasks().get(0);
   }
 
@@ -116,10 +116,8 @@
   }
 
   private FleetReport read(String name) throws IOException {
-    return new ObjectMapper()
-        .readValue(
-            RouterProcesses.shared(folder).resolve("reports").resolve(name).toFile(),
-            FleetReport.class);
+    Path file = RouterProcesses.shared(folder).resolve("reports").resolve(name);
+    return LeaseCodec.read(Files.readAllBytes(file), FleetReport.class);
   }
 
   private void allCounted() throws Exception {
@@ -173,7 +171,7 @@
     long token = report().fencingToken();
     gatherers.get(owner).terminate();
     assertThat(gatherers.get(owner).waitFor(10_000)).isZero();
-    LeaseTable.TaskLease next = until(this::report, duty -> duty.publishingToken() > token);
+    TaskLease next = until(this::report, duty -> duty.publishingToken() > token);
     assertThat(next.holder()).isNotEqualTo("g" + owner);
     int silent = 3 - owner - owner();
     gatherers.get(silent).stop();
--- a/testbed/src/test/java/tidebank/threads/AgentMailboxThreadsTest.java
+++ b/testbed/src/test/java/tidebank/threads/AgentMailboxThreadsTest.java
@@ -22,37 +22,37 @@
 
     @Operation(nonParallelGroup = "agent")
     public boolean ask() {
-      return handover.ask();
+      return handover.requestCounters();
     }
 
     @Operation(nonParallelGroup = "loop")
     public void tell(long scans) {
-      handover.tell(counters(scans));
+      handover.deliverCounters(counters(scans));
     }
 
     @Operation(nonParallelGroup = "agent")
     public String take() {
-      return String.valueOf(handover.take());
+      return String.valueOf(handover.takeCounters());
     }
 
     @Operation
     public void news() {
-      handover.news();
+      handover.notifyAssignment();
     }
 
     @Operation(nonParallelGroup = "agent")
     public boolean takeNews() {
-      return handover.takeNews();
+      return handover.takeAssignmentNotice();
     }
 
     @Operation
     public void leave() {
-      handover.leave();
+      handover.requestLeave();
     }
 
     @Operation
     public boolean leaving() {
-      return handover.leaving();
+      return handover.leaveRequested();
     }
   }
 
