--- a/cli/src/main/java/tidebank/cli/ChaosCommands.java
+++ b/cli/src/main/java/tidebank/cli/ChaosCommands.java
@@ -333,15 +333,15 @@
           CoordinatorLoad.Result one = CoordinatorLoad.run(folder, count, many, commands, seconds);
           out.printf(
               "%8d  %6d  %8d  %10d  %8.0f  %9.2f  %6.2f  %9d  %10d  %7d%n",
-              one.stewards(),
+              one.coordinators(),
               one.agents(),
-              one.asked(),
-              one.failed(),
-              one.perS(),
+              one.commands(),
+              one.retries(),
+              one.commandsPerSecond(),
               one.p50Us() / 1e3,
               one.p99Us() / 1e3,
-              one.leaderKb() >> 10,
-              one.mostKb() >> 10,
+              one.leaderMemoryKb() >> 10,
+              one.largestMemoryKb() >> 10,
               one.diskBytes() >> 10);
           out.flush();
           Run.delete(folder);
--- a/router/src/main/java/tidebank/fleet/LeaseCodec.java
+++ b/router/src/main/java/tidebank/fleet/LeaseCodec.java
@@ -7,7 +7,7 @@
 import tidebank.errors.TidebankException;
 import tidebank.lease.LeaseCommand;
 
-/** Commands, answers and state as JSON, on the wire and in the log. */
+/** Commands, results, state and stored files as JSON, on the wire and in the log. */
 public final class LeaseCodec {
   private static final ObjectMapper MAPPER =
       LeaseJson.configure(
@@ -15,6 +15,7 @@
 
   private LeaseCodec() {}
 
+  /** Returns a value as JSON. */
   public static byte[] write(Object value) {
     try {
       return MAPPER.writeValueAsBytes(value);
@@ -23,19 +24,25 @@
     }
   }
 
+  /**
+   * Reads a value.
+   *
+   * @throws IOException if it is no JSON of that type
+   */
   public static <T> T read(byte[] bytes, Class<T> type) throws IOException {
     return MAPPER.readValue(bytes, type);
   }
 
   /**
-   * A command from outside: any text is possible, and no field may be missing that its kind needs.
+   * Reads a command from outside: any text is possible, and no field may be missing that its kind
+   * needs.
    */
   public static LeaseCommand readCommand(byte[] body) throws TidebankException.MalformedRequest {
     LeaseCommand command;
     try {
       command = read(body, LeaseCommand.class);
     } catch (JsonProcessingException fault) {
-      throw new TidebankException.MalformedRequest(fault.getOriginalMessage().split("\n")[0]);
+      throw new TidebankException.MalformedRequest(fault.getOriginalMessage().split("\n", 0)[0]);
     } catch (IOException fault) {
       throw new TidebankException.MalformedRequest(fault.getMessage());
     }
--- a/router/src/main/java/tidebank/fleet/SharedFolder.java
+++ b/router/src/main/java/tidebank/fleet/SharedFolder.java
@@ -136,7 +136,7 @@
 
   /** Returns the number in the name of a report or removal list; of any other file the greatest. */
   private static long numberInName(Path file) {
-    String[] words = file.getFileName().toString().split("-");
+    String[] words = file.getFileName().toString().split("-", 0);
     return words.length == 4 && words[1].matches("\\d{1,18}")
         ? Long.parseLong(words[1])
         : Long.MAX_VALUE;
--- a/router/src/main/java/tidebank/lease/LeaseHolder.java
+++ b/router/src/main/java/tidebank/lease/LeaseHolder.java
@@ -97,7 +97,7 @@
 
   private LeaseCommand newCommand(long now) {
     left |= leaving && !joined;
-    if (left || !joined && now < nextJoinAt) {
+    if (left || (!joined && now < nextJoinAt)) {
       return null;
     }
     if (!joined) {
@@ -198,7 +198,7 @@
     for (Grant grant : result.leases()) {
       boolean renewed =
           command.kind() == Kind.RENEW
-              || command.kind() == Kind.CLAIM && command.task().equals(grant.task());
+              || (command.kind() == Kind.CLAIM && command.task().equals(grant.task()));
       HeldLease before = leases.get(grant.task());
       if (renewed) {
         long expiresAt = leaseStart(pendingSentAt, now) + leaseDurationUs(result.config());
--- a/router/src/main/java/tidebank/lease/MemberTable.java
+++ b/router/src/main/java/tidebank/lease/MemberTable.java
@@ -81,9 +81,9 @@
     }
     // A member that keeps coming and going gets tasks ever later; a long absence is forgiven.
     long absentUs = leaderClock - before.expiresAt();
-    boolean cameBackSoon = absentUs < config.leaseUs() << MAX_HOLD_OFF_DOUBLINGS;
+    boolean cameBackSoon = absentUs < (config.leaseUs() << MAX_HOLD_OFF_DOUBLINGS);
     int flapCount = cameBackSoon ? Math.min(MAX_HOLD_OFF_DOUBLINGS, before.flapCount() + 1) : 0;
-    long holdOffUs = flapCount == 0 ? 0 : config.leaseUs() << flapCount - 1;
+    long holdOffUs = flapCount == 0 ? 0 : config.leaseUs() << (flapCount - 1);
     put(
         joined(
             command, leaderClock, config, flapCount, leaderClock + holdOffUs, before.draining()));
--- a/testbed/src/main/java/tidebank/testbed/chaos/ClusterObserver.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/ClusterObserver.java
@@ -11,7 +11,9 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import tidebank.fleet.LeaseCodec;
-import tidebank.lease.LeaseTable;
+import tidebank.lease.LeaseTableState;
+import tidebank.lease.Member;
+import tidebank.lease.TaskLease;
 
 /**
  * Polls the coordinators' state past all proxies, records it in the history and checks what is
@@ -32,9 +34,9 @@
    * @param round number of the round
    * @param queriesCounted in all published reports
    */
-  record Observation(LeaseTable.State state, int leader, long round, long queriesCounted) {
+  record Observation(LeaseTableState state, int leader, long round, long queriesCounted) {
     /** Returns the lease of the report task, or null. */
-    LeaseTable.TaskLease report() {
+    TaskLease report() {
       return LeaseRules.findTask(state, "report");
     }
 
@@ -52,11 +54,11 @@
       return text.toString();
     }
 
-    private String describe(LeaseTable.Member member) {
+    private String describe(Member member) {
       return member.name() + (member.expiresAt() > state.leaderClock() ? " alive" : " silent");
     }
 
-    private String describe(LeaseTable.TaskLease lease) {
+    private String describe(TaskLease lease) {
       return lease.task()
           + " by "
           + lease.fencingToken()
@@ -124,7 +126,7 @@
       int coordinator = (first + i) % coordinators.size();
       Set<String> removed = sharedFolder.removedFiles();
       long calledAt = history.now();
-      LeaseTable.State state = readState(coordinators.get(coordinator));
+      LeaseTableState state = readState(coordinators.get(coordinator));
       if (state != null) {
         history.stateRead("observer", calledAt, state);
         check(state, removed);
@@ -138,19 +140,19 @@
             observation.state(), NO_LEADER, observation.round() + 1, observation.queriesCounted());
   }
 
-  private void check(LeaseTable.State state, Set<String> removed) {
-    LeaseTable.TaskLease report = LeaseRules.findTask(state, "report");
+  private void check(LeaseTableState state, Set<String> removed) {
+    TaskLease report = LeaseRules.findTask(state, "report");
     if (report != null) {
       reports.check(report);
     }
-    LeaseTable.TaskLease retention = LeaseRules.findTask(state, "retention");
+    TaskLease retention = LeaseRules.findTask(state, "retention");
     if (retention != null) {
       sharedFolder.check(retention, removed);
     }
   }
 
   /** Returns the state as a coordinator tells it; null if it does not answer or does not lead. */
-  private LeaseTable.State readState(String address) throws InterruptedException {
+  private LeaseTableState readState(String address) throws InterruptedException {
     HttpRequest request =
         HttpRequest.newBuilder(URI.create("http://" + address + "/fleet/state"))
             .timeout(CALL_TIMEOUT)
@@ -158,7 +160,7 @@
     try {
       HttpResponse<byte[]> response = http.send(request, BodyHandlers.ofByteArray());
       return response.statusCode() == HTTP_OK
-          ? LeaseCodec.read(response.body(), LeaseTable.State.class)
+          ? LeaseCodec.read(response.body(), LeaseTableState.class)
           : null;
     } catch (IOException noAnswer) {
       return null;
--- a/testbed/src/main/java/tidebank/testbed/chaos/History.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/History.java
@@ -10,7 +10,7 @@
 import java.util.function.Predicate;
 import tidebank.lease.CommandResult;
 import tidebank.lease.LeaseCommand;
-import tidebank.lease.LeaseTable;
+import tidebank.lease.LeaseTableState;
 
 /**
  * What went over the links of a cluster and what was done to its processes, as seen from outside of
@@ -62,7 +62,7 @@
       String from,
       @JsonProperty("call") long calledAt,
       @JsonProperty("back") long returnedAt,
-      LeaseTable.State state) {}
+      LeaseTableState state) {}
 
   /**
    * Something that was done or seen, for people. Stored as JSON under the names given here.
@@ -119,7 +119,7 @@
   }
 
   /** Records that a process read the coordinators' state. */
-  public synchronized void stateRead(String from, long calledAt, LeaseTable.State state) {
+  public synchronized void stateRead(String from, long calledAt, LeaseTableState state) {
     reads.add(new RecordedRead(from, calledAt, now(), state));
   }
 
--- a/testbed/src/main/java/tidebank/testbed/chaos/LeaseRules.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/LeaseRules.java
@@ -9,7 +9,8 @@
 import tidebank.lease.LeaseCommand;
 import tidebank.lease.LeaseCommand.Kind;
 import tidebank.lease.LeaseConfig;
-import tidebank.lease.LeaseTable;
+import tidebank.lease.LeaseTableState;
+import tidebank.lease.TaskLease;
 import tidebank.testbed.chaos.History.RecordedCommand;
 import tidebank.testbed.chaos.History.RecordedRead;
 
@@ -88,7 +89,7 @@
       }
     }
     for (RecordedRead read : reads) {
-      LeaseTable.TaskLease lease = findTask(read.state(), task);
+      TaskLease lease = findTask(read.state(), task);
       if (lease != null) {
         operations.add(readOperation(read, lease));
       }
@@ -97,7 +98,7 @@
   }
 
   private static LinearizabilityChecker.Operation<TaskState> readOperation(
-      RecordedRead read, LeaseTable.TaskLease lease) {
+      RecordedRead read, TaskLease lease) {
     TaskState state =
         new TaskState(lease.fencingToken(), lease.session(), lease.revision(), lease.value());
     return new LinearizabilityChecker.Operation<>(
@@ -326,7 +327,7 @@
   }
 
   /** Returns a task in a state; null if the state is null or has no such task. */
-  static LeaseTable.TaskLease findTask(LeaseTable.State state, String task) {
+  static TaskLease findTask(LeaseTableState state, String task) {
     return state == null
         ? null
         : state.tasks().stream()
--- a/testbed/src/main/java/tidebank/testbed/chaos/ProcessSelector.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/ProcessSelector.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.stream.Stream;
-import tidebank.lease.LeaseTable;
+import tidebank.lease.TaskLease;
 
 /**
  * Resolves the names in a script to processes: roles such as {@code owner} to those that have them
@@ -52,10 +52,8 @@
   }
 
   private Optional<String> holderOf(String task) {
-    LeaseTable.TaskLease lease = LeaseRules.findTask(observer.observation().state(), task);
-    return Optional.ofNullable(lease)
-        .map(LeaseTable.TaskLease::holder)
-        .filter(holder -> !holder.isEmpty());
+    TaskLease lease = LeaseRules.findTask(observer.observation().state(), task);
+    return Optional.ofNullable(lease).map(TaskLease::holder).filter(holder -> !holder.isEmpty());
   }
 
   private String leader() {
--- a/testbed/src/main/java/tidebank/testbed/chaos/PublishedReports.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/PublishedReports.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import tidebank.fleet.FleetReport;
 import tidebank.fleet.LeaseCodec;
-import tidebank.lease.LeaseTable;
+import tidebank.lease.TaskLease;
 
 /**
  * Checks the chain of published reports from outside of the cluster: each report follows the one
@@ -32,7 +32,7 @@
   }
 
   /** Checks all reports that were published since the last call. */
-  void check(LeaseTable.TaskLease lease) {
+  void check(TaskLease lease) {
     Deque<FleetReport> newReports = readNewReports(lease.value());
     newReports.forEach(this::check);
     if (!newReports.isEmpty() && lease.publishingToken() != lastToken) {
--- a/testbed/src/main/java/tidebank/testbed/chaos/ScriptRunner.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/ScriptRunner.java
@@ -14,7 +14,7 @@
 import java.util.function.Consumer;
 import tidebank.coordinator.CoordinatorClient;
 import tidebank.lease.LeaseConfig;
-import tidebank.lease.LeaseTable;
+import tidebank.lease.TaskLease;
 import tidebank.testbed.chaos.Script.Step;
 
 /**
@@ -244,7 +244,7 @@
     return cluster.queriesSent() - cluster.unreportedQueries();
   }
 
-  private LeaseTable.TaskLease report() {
+  private TaskLease report() {
     return observer.observation().report();
   }
 
--- a/testbed/src/main/java/tidebank/testbed/chaos/SharedFolderCheck.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/SharedFolderCheck.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import tidebank.fleet.LeaseCodec;
 import tidebank.fleet.Retention;
-import tidebank.lease.LeaseTable;
+import tidebank.lease.TaskLease;
 
 /**
  * Checks what the retention task removes from the shared folder: no file that was not in a
@@ -72,7 +72,7 @@
    * @param lease of the retention task, read after the removals were seen
    * @param removed as {@link #removedFiles} returned them
    */
-  synchronized void check(LeaseTable.TaskLease lease, Set<String> removed) {
+  synchronized void check(TaskLease lease, Set<String> removed) {
     readNewLists(lease.value());
     for (String name : removed) {
       boolean allowed = listed.contains(name) && !kept.contains(name);
--- a/testbed/src/main/java/tidebank/testbed/chaos/StepConditions.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/StepConditions.java
@@ -3,7 +3,8 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.ToIntFunction;
-import tidebank.lease.LeaseTable;
+import tidebank.lease.LeaseTableState;
+import tidebank.lease.TaskLease;
 import tidebank.testbed.chaos.Script.Step;
 
 /**
@@ -50,7 +51,7 @@
   /** Sets the mark from which the next condition counts. */
   void setMark() {
     ClusterObserver.Observation observation = observer.observation();
-    LeaseTable.TaskLease report = observation.report();
+    TaskLease report = observation.report();
     mark =
         new Mark(
             report == null ? 0 : report.revision(),
@@ -78,7 +79,7 @@
   /** Returns whether the condition of a step is met. */
   boolean isMet(Step step) {
     ClusterObserver.Observation observation = observer.observation();
-    LeaseTable.TaskLease report = observation.report();
+    TaskLease report = observation.report();
     return switch (step.condition()) {
       case NOTHING -> true;
       case PUBLICATIONS -> report.revision() >= mark.revision() + step.count();
@@ -116,7 +117,7 @@
   }
 
   private long aliveMembers() {
-    LeaseTable.State state = observer.observation().state();
+    LeaseTableState state = observer.observation().state();
     return state == null || observer.observation().leader() < 0
         ? 0
         : state.members().stream()
@@ -125,7 +126,7 @@
   }
 
   private boolean allTasksHeld() {
-    LeaseTable.State state = observer.observation().state();
+    LeaseTableState state = observer.observation().state();
     return state != null
         && observer.observation().leader() >= 0
         && !state.tasks().isEmpty()
--- a/testbed/src/main/java/tidebank/testbed/chaos/TestCluster.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/TestCluster.java
@@ -154,7 +154,13 @@
     } else {
       RouterProcess member =
           RouterProcesses.start(
-              folder, name, coordinators.told(), REPORT_INTERVAL_MS, List.of(), launcher, output);
+              folder,
+              name,
+              coordinators.advertisedAddresses(),
+              REPORT_INTERVAL_MS,
+              List.of(),
+              launcher,
+              output);
       RouterProcess before = members.put(name, member);
       if (before != null) {
         before.close();
@@ -172,7 +178,7 @@
     return processes.keySet().stream().filter(name -> name.startsWith("g")).sorted().toList();
   }
 
-  /** Where the stewards are reached past all proxy. */
+  /** Where the coordinators are reached past all proxies. */
   List<String> coordinatorAddresses() {
     return coordinators.addresses();
   }
@@ -182,11 +188,11 @@
   }
 
   Path disk(String coordinator) {
-    return coordinators.disk(Integer.parseInt(coordinator.substring(1)));
+    return coordinators.dataDirectory(Integer.parseInt(coordinator.substring(1)));
   }
 
   Path shared() {
-    return RouterProcesses.shared(folder);
+    return RouterProcesses.sharedFolder(folder);
   }
 
   void stop(String name) throws IOException {
--- a/testbed/src/main/java/tidebank/testbed/chaos/TrafficRecorder.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/TrafficRecorder.java
@@ -17,7 +17,7 @@
 import tidebank.fleet.LeaseCodec;
 import tidebank.lease.CommandResult;
 import tidebank.lease.LeaseCommand;
-import tidebank.lease.LeaseTable;
+import tidebank.lease.LeaseTableState;
 
 /**
  * Decodes the traffic of one connection to a coordinator and records commands, results and reads in
@@ -90,7 +90,7 @@
 
   private void record(PendingCall call, byte[] body) throws IOException {
     if (call.readsState()) {
-      history.stateRead(from, call.calledAt(), LeaseCodec.read(body, LeaseTable.State.class));
+      history.stateRead(from, call.calledAt(), LeaseCodec.read(body, LeaseTableState.class));
     } else if (call.command() != null) {
       CommandResult result = LeaseCodec.read(body, CommandResult.class);
       // A result without a configuration was not decided by a leader.
--- a/testbed/src/main/java/tidebank/testbed/fleet/CoordinatorLoad.java
+++ b/testbed/src/main/java/tidebank/testbed/fleet/CoordinatorLoad.java
@@ -23,166 +23,183 @@
 import tidebank.lease.LeaseCommand;
 
 /**
- * What stewards bear: agents that each join, and then renew as fast as they are answered, one call
- * at a time. Each steward is a process; the agents are this one.
+ * Measures what coordinators bear: agents that each join, and then renew as fast as they are
+ * answered, one request at a time. Each coordinator is a process; the agents are this one.
  */
 public final class CoordinatorLoad {
-  private static final Duration ONE = Duration.ofSeconds(10);
-  private static final long PATIENCE_MS = 30_000;
+  private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(10);
+  private static final long START_TIMEOUT_MS = 30_000;
+  private static final long MAX_LATENCY_US = 60_000_000;
+  private static final String SETTINGS =
+      "[duties]\nnames = [\"report\"]\n[lease]\nms = 30000\n[limits]\nmembers = 5000\n";
 
   /**
-   * What came of it.
+   * What was measured.
    *
-   * @param asked commands answered
-   * @param failed calls that came to nothing, each made again
-   * @param perS commands a second
-   * @param p50Us median time of an answer, p99Us its 99th percentile, in microseconds
-   * @param leaderKb resident memory of the leading steward, mostKb of the largest, in KB
-   * @param diskBytes of all that the leading steward keeps
+   * @param coordinators how many coordinators there were
+   * @param agents how many agents there were
+   * @param commands commands answered
+   * @param retries requests without an answer, each made again
+   * @param commandsPerSecond commands answered a second
+   * @param p50Us median time of an answer, in microseconds
+   * @param p99Us 99th percentile of the time of an answer, in microseconds
+   * @param leaderMemoryKb resident memory of the leader, in KB
+   * @param largestMemoryKb resident memory of the largest coordinator, in KB
+   * @param diskBytes size of the leader's data directory
    */
   public record Result(
-      int stewards,
+      int coordinators,
       int agents,
-      long asked,
-      long failed,
-      double perS,
+      long commands,
+      long retries,
+      double commandsPerSecond,
       long p50Us,
       long p99Us,
-      long leaderKb,
-      long mostKb,
+      long leaderMemoryKb,
+      long largestMemoryKb,
       long diskBytes) {}
 
   private final HttpClient http =
-      HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(ONE).build();
-  private final ConcurrentHistogram took = new ConcurrentHistogram(60_000_000, 3);
+      HttpClient.newBuilder()
+          .version(HttpClient.Version.HTTP_1_1)
+          .connectTimeout(REQUEST_TIMEOUT)
+          .build();
+  private final ConcurrentHistogram latencyUs = new ConcurrentHistogram(MAX_LATENCY_US, 3);
   private final AtomicLong answered = new AtomicLong();
-  private final AtomicLong failed = new AtomicLong();
+  private final AtomicLong retries = new AtomicLong();
   private volatile URI leader;
-  private volatile boolean over;
+  private volatile boolean ended;
 
   private CoordinatorLoad() {}
 
   /**
-   * Runs it on a fleet of its own.
+   * Runs it on coordinators of its own.
    *
-   * @param most commands after which it ends, or seconds, whichever is first
+   * @param maxCommands commands after which it ends
+   * @param maxSeconds seconds after which it ends, if that is earlier
    */
-  public static Result run(Path folder, int stewards, int agents, long most, long seconds)
+  public static Result run(
+      Path folder, int coordinators, int agents, long maxCommands, long maxSeconds)
       throws IOException {
-    try (CoordinatorProcesses fleet =
-        new CoordinatorProcesses(
-            folder,
-            stewards,
-            "[duties]\nnames = [\"report\"]\n[lease]\nms = 30000\n[limits]\nmembers = 5000\n")) {
-      return new CoordinatorLoad().on(fleet, agents, most, seconds);
+    try (CoordinatorProcesses processes =
+        new CoordinatorProcesses(folder, coordinators, SETTINGS)) {
+      return new CoordinatorLoad().measure(processes, agents, maxCommands, maxSeconds);
     }
   }
 
-  private Result on(CoordinatorProcesses fleet, int agents, long most, long seconds)
+  private Result measure(
+      CoordinatorProcesses coordinators, int agents, long maxCommands, long maxSeconds)
       throws IOException {
-    new CoordinatorClient(fleet.addresses(), PATIENCE_MS).state();
-    find(fleet);
-    List<CompletableFuture<Void>> ends = new ArrayList<>();
-    long began = System.nanoTime();
+    new CoordinatorClient(coordinators.addresses(), START_TIMEOUT_MS).state();
+    findLeader(coordinators);
+    List<CompletableFuture<Void>> agentEnds = new ArrayList<>();
+    long startedAt = System.nanoTime();
     for (int i = 0; i < agents; i++) {
       CompletableFuture<Void> end = new CompletableFuture<>();
-      ends.add(end);
-      ask("a" + i, 1, end);
+      agentEnds.add(end);
+      sendNext("a" + i, 1, end);
     }
-    long until = began + TimeUnit.SECONDS.toNanos(seconds);
-    while (System.nanoTime() < until && answered.get() < most) {
+    awaitCommands(maxCommands, startedAt + TimeUnit.SECONDS.toNanos(maxSeconds));
+    long commands = answered.get();
+    double commandsPerSecond = commands * 1e9 / (System.nanoTime() - startedAt);
+    ended = true;
+    CompletableFuture.allOf(agentEnds.toArray(CompletableFuture[]::new))
+        .orTimeout(REQUEST_TIMEOUT.toSeconds(), TimeUnit.SECONDS)
+        .exceptionally(late -> null)
+        .join();
+    int leaderIndex = coordinators.addresses().indexOf(leader.getAuthority());
+    return new Result(
+        coordinators.count(),
+        agents,
+        commands,
+        retries.get(),
+        commandsPerSecond,
+        latencyUs.getValueAtPercentile(50),
+        latencyUs.getValueAtPercentile(99),
+        residentKb(coordinators.process(leaderIndex).pid()),
+        largestResidentKb(coordinators),
+        sizeOf(coordinators.dataDirectory(leaderIndex)));
+  }
+
+  private void awaitCommands(long maxCommands, long deadline) throws IOException {
+    while (System.nanoTime() < deadline && answered.get() < maxCommands) {
       try {
         Thread.sleep(10);
-      } catch (InterruptedException fault) {
+      } catch (InterruptedException interrupted) {
         Thread.currentThread().interrupt();
         throw new IOException("interrupted");
       }
     }
-    long asked = answered.get();
-    double perS = asked * 1e9 / (System.nanoTime() - began);
-    over = true;
-    CompletableFuture.allOf(ends.toArray(CompletableFuture[]::new))
-        .orTimeout(ONE.toSeconds(), TimeUnit.SECONDS)
-        .exceptionally(late -> null)
-        .join();
-    int leading = fleet.addresses().indexOf(leader.getAuthority());
-    long largest = 0;
-    for (int i = 0; i < fleet.count(); i++) {
-      largest = Math.max(largest, resident(fleet.process(i).pid()));
-    }
-    return new Result(
-        fleet.count(),
-        agents,
-        asked,
-        failed.get(),
-        perS,
-        took.getValueAtPercentile(50),
-        took.getValueAtPercentile(99),
-        resident(fleet.process(leading).pid()),
-        largest,
-        size(fleet.disk(leading)));
   }
 
-  /** Who leads, as the stewards say. */
-  private void find(CoordinatorProcesses fleet) throws IOException {
-    for (String address : fleet.addresses()) {
+  private void findLeader(CoordinatorProcesses coordinators) throws IOException {
+    for (String address : coordinators.addresses()) {
       try {
         HttpResponse<byte[]> response =
             http.send(
                 HttpRequest.newBuilder(URI.create("http://" + address + "/fleet/state"))
-                    .timeout(ONE)
+                    .timeout(REQUEST_TIMEOUT)
                     .build(),
                 BodyHandlers.ofByteArray());
         if (response.statusCode() == 200) {
           leader = URI.create("http://" + address + "/fleet/command");
           return;
         }
-      } catch (InterruptedException fault) {
+      } catch (InterruptedException interrupted) {
         Thread.currentThread().interrupt();
         throw new IOException("interrupted");
       }
     }
-    throw new IOException("no steward leads");
+    throw new IOException("no coordinator leads");
   }
 
-  private void ask(String name, long number, CompletableFuture<Void> end) {
-    if (over) {
+  private void sendNext(String agent, long sequence, CompletableFuture<Void> end) {
+    if (ended) {
       end.complete(null);
       return;
     }
-    LeaseCommand command =
-        LeaseCommand.of(
-            number == 1 ? LeaseCommand.Kind.JOIN : LeaseCommand.Kind.RENEW, name, number, name);
-    long before = System.nanoTime();
+    LeaseCommand.Kind kind = sequence == 1 ? LeaseCommand.Kind.JOIN : LeaseCommand.Kind.RENEW;
+    byte[] body = LeaseCodec.write(LeaseCommand.of(kind, agent, sequence, agent));
+    long sentAt = System.nanoTime();
     http.sendAsync(
             HttpRequest.newBuilder(leader)
-                .timeout(ONE)
-                .POST(BodyPublishers.ofByteArray(LeaseCodec.write(command)))
+                .timeout(REQUEST_TIMEOUT)
+                .POST(BodyPublishers.ofByteArray(body))
                 .build(),
             BodyHandlers.ofByteArray())
         .whenComplete(
-            (response, fault) -> {
-              boolean good = fault == null && response.statusCode() == 200 && done(response.body());
-              if (good) {
-                took.recordValue(Math.min(60_000_000, (System.nanoTime() - before) / 1000));
+            (response, failed) -> {
+              boolean accepted =
+                  failed == null && response.statusCode() == 200 && isAccepted(response.body());
+              if (accepted) {
+                latencyUs.recordValue(
+                    Math.min(MAX_LATENCY_US, (System.nanoTime() - sentAt) / 1000));
                 answered.incrementAndGet();
               } else {
-                failed.incrementAndGet();
+                retries.incrementAndGet();
               }
-              ask(name, good ? number + 1 : number, end);
+              sendNext(agent, accepted ? sequence + 1 : sequence, end);
             });
   }
 
-  private static boolean done(byte[] body) {
+  private static boolean isAccepted(byte[] body) {
     try {
       return LeaseCodec.read(body, CommandResult.class).error() == null;
-    } catch (IOException fault) {
+    } catch (IOException exception) {
       return false;
     }
   }
 
-  /** Resident memory of a process in KB, by the system's tables (Linux). */
-  private static long resident(long pid) throws IOException {
+  private static long largestResidentKb(CoordinatorProcesses coordinators) throws IOException {
+    long largest = 0;
+    for (int i = 0; i < coordinators.count(); i++) {
+      largest = Math.max(largest, residentKb(coordinators.process(i).pid()));
+    }
+    return largest;
+  }
+
+  /** Returns a process's resident memory in KB, from /proc (Linux). */
+  private static long residentKb(long pid) throws IOException {
     return Files.readAllLines(Path.of("/proc/" + pid + "/status")).stream()
         .filter(line -> line.startsWith("VmRSS"))
         .mapToLong(line -> Long.parseLong(line.replaceAll("\\D", "")))
@@ -190,7 +207,7 @@
         .orElse(0);
   }
 
-  private static long size(Path folder) throws IOException {
+  private static long sizeOf(Path folder) throws IOException {
     try (Stream<Path> files = Files.walk(folder)) {
       return files.mapToLong(file -> file.toFile().isFile() ? file.toFile().length() : 0).sum();
     }
--- a/testbed/src/main/java/tidebank/testbed/fleet/CoordinatorProcesses.java
+++ b/testbed/src/main/java/tidebank/testbed/fleet/CoordinatorProcesses.java
@@ -13,71 +13,77 @@
 import tidebank.testbed.process.ChildProcess;
 
 /**
- * Stewards in processes of their own, as operators start them, on loopback ports of the system's
- * choice.
+ * Coordinators in processes of their own, as operators start them, on loopback ports of the
+ * system's choice.
  */
 public final class CoordinatorProcesses implements AutoCloseable {
-  private static final List<String> FLAGS =
+  private static final List<String> JVM_FLAGS =
       List.of(
           "-XX:+UseSerialGC",
           "-XX:TieredStopAtLevel=1",
           "-Xmx64m",
           "-XX:MaxDirectMemorySize=64m",
           "-XX:-UsePerfData");
+  private static final String MAIN_CLASS = "tidebank.coordinator.CoordinatorMain";
 
-  /** What stands before a steward's own address, so that all who call it come through there. */
-  public interface Doors {
-    /** The address that others are told. */
-    String before(int steward, boolean raft, String address) throws IOException;
+  /** Puts a proxy before each coordinator's own addresses. */
+  public interface AddressMapping {
+    /** Returns the address that others are given in place of a coordinator's own. */
+    String advertised(int coordinator, boolean isRaft, String ownAddress) throws IOException;
   }
 
   private final Path folder;
   private final String settings;
-  private final List<String> raft = new ArrayList<>();
-  private final List<String> http = new ArrayList<>();
-  private final List<String> toldRaft = new ArrayList<>();
-  private final List<String> toldHttp = new ArrayList<>();
+  private final List<String> raftAddresses = new ArrayList<>();
+  private final List<String> httpAddresses = new ArrayList<>();
+  private final List<String> advertisedRaft = new ArrayList<>();
+  private final List<String> advertisedHttp = new ArrayList<>();
   private final List<ChildProcess> processes = new ArrayList<>();
 
   /**
-   * Starts them.
+   * Starts coordinators.
    *
    * @param folder for their files, logs and snapshots
    * @param count one, three or five
    * @param settings further tables of their file
    */
   public CoordinatorProcesses(Path folder, int count, String settings) throws IOException {
-    this(folder, count, settings, (steward, isRaft, address) -> address);
+    this(folder, count, settings, (coordinator, isRaft, address) -> address);
     for (int i = 0; i < count; i++) {
       start(i);
     }
   }
 
-  /** Only gets their addresses; each is started by {@link #start}. */
-  public CoordinatorProcesses(Path folder, int count, String settings, Doors doors)
+  /** Only chooses their addresses; each is started by {@link #start}. */
+  public CoordinatorProcesses(Path folder, int count, String settings, AddressMapping mapping)
       throws IOException {
     this.folder = folder;
     this.settings = settings;
-    // An address of our own in the loopback range: a call that goes out meanwhile can't be given
-    // one of these ports.
-    long pid = ProcessHandle.current().pid();
-    String host =
-        "127." + (64 + (pid >> 16 & 63)) + "." + (pid >> 8 & 255) + "." + Math.max(1, pid & 254);
-    for (String port : ports(host, 2 * count)) {
-      (raft.size() < count ? raft : http).add(host + ":" + port);
+    String host = ownLoopbackHost();
+    for (String port : freePorts(host, 2 * count)) {
+      (raftAddresses.size() < count ? raftAddresses : httpAddresses).add(host + ":" + port);
     }
     for (int i = 0; i < count; i++) {
       processes.add(null);
-      toldRaft.add(doors.before(i, true, raft.get(i)));
-      toldHttp.add(doors.before(i, false, http.get(i)));
+      advertisedRaft.add(mapping.advertised(i, true, raftAddresses.get(i)));
+      advertisedHttp.add(mapping.advertised(i, false, httpAddresses.get(i)));
     }
   }
 
   /**
-   * Ports that were free a moment ago: each steward's file names them all, so that they can't be
-   * chosen at its start.
+   * Returns an address of this process's own in the loopback range: an outgoing connection cannot
+   * be given one of its ports meanwhile.
+   */
+  private static String ownLoopbackHost() {
+    long pid = ProcessHandle.current().pid();
+    return "127." + (64 + (pid >> 16 & 63)) + "." + (pid >> 8 & 255) + "." + Math.max(1, pid & 254);
+  }
+
+  /**
+   * Returns ports that were free a moment ago: each coordinator's file names them all, so that they
+   * cannot be chosen at its start.
    */
-  private static List<String> ports(String host, int count) throws IOException {
+  private static List<String> freePorts(String host, int count) throws IOException {
     List<ServerSocket> sockets = new ArrayList<>();
     List<String> ports = new ArrayList<>();
     try {
@@ -93,68 +99,77 @@
     return ports;
   }
 
-  /** Starts one, or starts it again with what is on its disk. */
-  public void start(int steward) throws IOException {
-    start(steward, List.of(), line -> {});
+  /** Starts one coordinator, or starts it again with what is in its data directory. */
+  public void start(int coordinator) throws IOException {
+    start(coordinator, List.of(), line -> {});
   }
 
   /**
-   * The same in another way.
+   * Starts one coordinator.
    *
-   * @param launcher a main class and its flags before the steward's own, or none
-   * @param told hears each line of its output
+   * @param launcher a main class and its flags before the coordinator's own, or none
+   * @param output receives each line of its output
    */
-  public void start(int steward, List<String> launcher, Consumer<String> told) throws IOException {
-    start(steward, launcher, told, Long.MAX_VALUE);
+  public void start(int coordinator, List<String> launcher, Consumer<String> output)
+      throws IOException {
+    start(coordinator, launcher, output, Long.MAX_VALUE);
   }
 
-  /** The same with files that can't grow beyond so many bytes. */
-  public void start(int steward, List<String> launcher, Consumer<String> told, long fileBytes)
+  /**
+   * Starts one coordinator whose files cannot grow beyond a size.
+   *
+   * @param launcher a main class and its flags before the coordinator's own, or none
+   * @param output receives each line of its output
+   * @param maxFileBytes the greatest size of a file that it writes
+   */
+  public void start(
+      int coordinator, List<String> launcher, Consumer<String> output, long maxFileBytes)
       throws IOException {
-    StringBuilder file =
-        new StringBuilder("name = \"s" + steward + "\"\nfolder = \"" + disk(steward) + "\"\n");
-    for (int i = 0; i < raft.size(); i++) {
-      file.append("[[peers]]\nname = \"s")
-          .append(i)
-          .append("\"\nraft = \"")
-          .append(toldRaft.get(i))
-          .append("\"\nhttp = \"")
-          .append(toldHttp.get(i))
-          .append("\"\n");
-    }
-    file.append("[listen]\nraft = \"")
-        .append(raft.get(steward))
-        .append("\"\nhttp = \"")
-        .append(http.get(steward))
-        .append("\"\n");
-    Path config = Files.writeString(folder.resolve("s" + steward + ".toml"), file + settings);
-    List<String> arguments = new ArrayList<>(FLAGS);
+    String name = "s" + coordinator;
+    Path config = Files.writeString(folder.resolve(name + ".toml"), configFile(coordinator));
+    List<String> arguments = new ArrayList<>(JVM_FLAGS);
     arguments.addAll(List.of("-cp", System.getProperty("java.class.path")));
     arguments.addAll(launcher);
-    arguments.addAll(
-        List.of("tidebank.coordinator.CoordinatorMain", "--config", config.toString()));
+    arguments.addAll(List.of(MAIN_CLASS, "--config", config.toString()));
     processes.set(
-        steward, ChildProcess.java("s" + steward, arguments, Map.of(), told, () -> {}, fileBytes));
+        coordinator, ChildProcess.java(name, arguments, Map.of(), output, () -> {}, maxFileBytes));
+  }
+
+  private String configFile(int coordinator) {
+    StringBuilder file =
+        new StringBuilder("name = \"s" + coordinator + "\"\n")
+            .append("folder = \"" + dataDirectory(coordinator) + "\"\n");
+    for (int i = 0; i < raftAddresses.size(); i++) {
+      file.append("[[peers]]\nname = \"s" + i + "\"\n")
+          .append("raft = \"" + advertisedRaft.get(i) + "\"\n")
+          .append("http = \"" + advertisedHttp.get(i) + "\"\n");
+    }
+    file.append("[listen]\nraft = \"" + raftAddresses.get(coordinator) + "\"\n")
+        .append("http = \"" + httpAddresses.get(coordinator) + "\"\n");
+    return file + settings;
   }
 
-  public Path disk(int steward) {
-    return folder.resolve("disk-s" + steward);
+  /** Returns where one keeps its log and snapshots. */
+  public Path dataDirectory(int coordinator) {
+    return folder.resolve("disk-s" + coordinator);
   }
 
-  public ChildProcess process(int steward) {
-    return processes.get(steward);
+  /** Returns the process that was started last. */
+  public ChildProcess process(int coordinator) {
+    return processes.get(coordinator);
   }
 
-  /** Where each listens itself, whatever stands before it. */
+  /** Returns where each listens for HTTP itself, whatever proxy stands before it. */
   public List<String> addresses() {
-    return List.copyOf(http);
+    return List.copyOf(httpAddresses);
   }
 
-  /** Where members reach them. */
-  public List<String> told() {
-    return List.copyOf(toldHttp);
+  /** Returns where members and operators reach each. */
+  public List<String> advertisedAddresses() {
+    return List.copyOf(advertisedHttp);
   }
 
+  /** Returns how many coordinators there are. */
   public int count() {
     return processes.size();
   }
--- a/testbed/src/main/java/tidebank/testbed/fleet/RouterProcesses.java
+++ b/testbed/src/main/java/tidebank/testbed/fleet/RouterProcesses.java
@@ -8,11 +8,11 @@
 import tidebank.testbed.replay.RouterProcess;
 
 /**
- * Gatherers in processes of their own that know of no shard server, and so throttle and count what
- * they are sent.
+ * Routers in processes of their own that know of no shard server, and so reject and count the
+ * queries they are sent.
  */
 public final class RouterProcesses {
-  private static final String FILE =
+  private static final String CONFIG =
       "{'name':'%s','listen':'127.0.0.1:0','discovery':'127.0.0.1:1','seed':'8c1f30d27a5be964',"
           + "'settings':{'discovery':'ask','services':["
           + "{'name':'checkout','semantics':'read_like','onTimeMs':1000,'deadlineMs':3000}],"
@@ -21,55 +21,59 @@
   private RouterProcesses() {}
 
   /**
-   * Starts one.
+   * Starts a router.
    *
-   * @param folder for its file, and for what all of them share
-   * @param stewards whose duties it takes; with none it takes none
-   * @param everyMs how often it tells its counters
-   * @param jvm further flags of its process
+   * @param folder for its file, and for the folder that all of them share
+   * @param coordinators whose fleet it is a member of; none for a router without a fleet
+   * @param intervalMs how often it writes its counters, in milliseconds
+   * @param jvmFlags further flags of its process
    */
   public static RouterProcess start(
-      Path folder, String name, List<String> stewards, long everyMs, List<String> jvm)
+      Path folder, String name, List<String> coordinators, long intervalMs, List<String> jvmFlags)
       throws IOException {
-    return start(folder, name, stewards, everyMs, jvm, List.of(), line -> {});
+    return start(folder, name, coordinators, intervalMs, jvmFlags, List.of(), line -> {});
   }
 
   /**
-   * The same in another way.
+   * Starts a router by a launcher.
    *
-   * @param launcher a main class and its flags before the gatherer's own, or none
-   * @param told hears each line of its output
+   * @param folder for its file, and for the folder that all of them share
+   * @param coordinators whose fleet it is a member of; none for a router without a fleet
+   * @param intervalMs how often it writes its counters, in milliseconds
+   * @param jvmFlags further flags of its process
+   * @param launcher a main class and its flags before the router's own, or none
+   * @param output receives each line of its output
    */
   public static RouterProcess start(
       Path folder,
       String name,
-      List<String> stewards,
-      long everyMs,
-      List<String> jvm,
+      List<String> coordinators,
+      long intervalMs,
+      List<String> jvmFlags,
       List<String> launcher,
-      Consumer<String> told)
+      Consumer<String> output)
       throws IOException {
-    Path own =
+    Path operatorFile =
         Files.writeString(
             folder.resolve(name + ".toml"),
             "[fleet]\nstewards = [\""
-                + String.join("\", \"", stewards)
+                + String.join("\", \"", coordinators)
                 + "\"]\nfolder = \""
-                + shared(folder)
+                + sharedFolder(folder)
                 + "\"\nevery_ms = "
-                + everyMs
+                + intervalMs
                 + "\n");
     return RouterProcess.start(
         name,
-        FILE.formatted(name).replace('\'', '"'),
-        stewards.isEmpty() ? null : own,
-        jvm,
+        CONFIG.formatted(name).replace('\'', '"'),
+        coordinators.isEmpty() ? null : operatorFile,
+        jvmFlags,
         launcher,
-        told);
+        output);
   }
 
-  /** The fleet's folder. */
-  public static Path shared(Path folder) {
+  /** Returns the folder that all routers of a fleet share. */
+  public static Path sharedFolder(Path folder) {
     return folder.resolve("shared");
   }
 }
--- a/testbed/src/main/java/tidebank/testbed/scale/RecordingShardPort.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/RecordingShardPort.java
@@ -1,6 +1,7 @@
 package tidebank.testbed.scale;
 
 import java.util.List;
+import tidebank.lease.Member;
 import tidebank.runtime.AttemptRequest;
 import tidebank.runtime.BackendPort;
 
--- a/testbed/src/test/java/tidebank/coordinator/CoordinatorFixturesTest.java
+++ b/testbed/src/test/java/tidebank/coordinator/CoordinatorFixturesTest.java
@@ -312,7 +312,7 @@
                 + "\"value\":\"report-1-by-1.json\""));
     accepted(stewards, command("JOIN", "b", 1, ",\"name\":\"g1\""));
     int renewals = 0;
-    while (!hasSnapshot(stewards.disk(0))) {
+    while (!hasSnapshot(stewards.dataDirectory(0))) {
       assertThat(++renewals).isLessThan(1000);
       accepted(stewards, command("RENEW", "b", 1 + renewals, ",\"name\":\"g1\""));
     }
@@ -368,7 +368,7 @@
       Files.writeString(SOURCES.resolve("data-directory-history.json"), history(stewards));
       stewards.process(0).kill();
       stewards.process(0).waitFor(5000);
-      pack(stewards.disk(0), SOURCES.resolve("data-directory.zip"));
+      pack(stewards.dataDirectory(0), SOURCES.resolve("data-directory.zip"));
     }
   }
 
@@ -376,8 +376,8 @@
   void aCoordinatorStartsOnTheStoredDataDirectoryWithAllThatWasDecided() throws Exception {
     try (CoordinatorProcesses stewards =
         new CoordinatorProcesses(folder, 1, SETTINGS, (steward, raft, address) -> address)) {
-      unpack(fixture("data-directory.zip"), stewards.disk(0));
-      assertThat(hasSnapshot(stewards.disk(0))).isTrue();
+      unpack(fixture("data-directory.zip"), stewards.dataDirectory(0));
+      assertThat(hasSnapshot(stewards.dataDirectory(0))).isTrue();
       stewards.start(0);
       untilItServes(stewards);
       assertThat(storedState(stewards))
@@ -395,7 +395,7 @@
   void onTheStoredDataDirectoryARepeatedCommandGetsItsFirstAnswer() throws Exception {
     try (CoordinatorProcesses stewards =
         new CoordinatorProcesses(folder, 1, SETTINGS, (steward, raft, address) -> address)) {
-      unpack(fixture("data-directory.zip"), stewards.disk(0));
+      unpack(fixture("data-directory.zip"), stewards.dataDirectory(0));
       stewards.start(0);
       untilItServes(stewards);
       JsonNode before =
--- a/testbed/src/test/java/tidebank/testbed/chaos/LeaseRulesTest.java
+++ b/testbed/src/test/java/tidebank/testbed/chaos/LeaseRulesTest.java
@@ -12,7 +12,8 @@
 import tidebank.lease.LeaseCommand;
 import tidebank.lease.LeaseCommand.Kind;
 import tidebank.lease.LeaseConfig;
-import tidebank.lease.LeaseTable;
+import tidebank.lease.LeaseTableState;
+import tidebank.lease.TaskLease;
 import tidebank.testbed.chaos.History.RecordedCommand;
 
 /**
@@ -180,9 +181,9 @@
   @Test
   void whatAReaderIsToldMustHaveBeenSoThen() {
     good();
-    LeaseTable.TaskLease cell = new LeaseTable.TaskLease(DUTY, 1, "a", "a", 0, "a", "", 1, 1, "a0");
-    LeaseTable.State state =
-        new LeaseTable.State(TERMS, 1, 0, 0, List.of(), List.of(cell), List.of());
+    TaskLease cell = new TaskLease(DUTY, 1, "a", "a", 0, "a", "", 1, 1, "a0");
+    LeaseTableState state =
+        new LeaseTableState(TERMS, 1, 0, 0, List.of(), List.of(cell), List.of());
     assertThat(
             LinearizabilityChecker.check(
                     LeaseRules.operations(
--- a/testbed/src/test/java/tidebank/testbed/chaos/SharedFolderCheckTest.java
+++ b/testbed/src/test/java/tidebank/testbed/chaos/SharedFolderCheckTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import tidebank.fleet.LeaseCodec;
 import tidebank.fleet.Retention;
-import tidebank.lease.LeaseTable;
+import tidebank.lease.TaskLease;
 
 /** Removals that a list had named before, and ones that none had. */
 class SharedFolderCheckTest {
@@ -28,17 +28,16 @@
     Files.createDirectories(folder.resolve("removals"));
   }
 
-  private LeaseTable.TaskLease published(String... names) throws Exception {
+  private TaskLease published(String... names) throws Exception {
     Files.write(
         folder.resolve("removals/removal-1-by-1.json"),
         LeaseCodec.write(new Retention(1, "", 1, List.of(names))));
-    return new LeaseTable.TaskLease(
-        "retention", 1, "g0", "x", 0, "g0", "", 1, 1, "removal-1-by-1.json");
+    return new TaskLease("retention", 1, "g0", "x", 0, "g0", "", 1, 1, "removal-1-by-1.json");
   }
 
   @Test
   void whatAPublishedListNamesMayGo() throws Exception {
-    LeaseTable.TaskLease duty = published(OLD);
+    TaskLease duty = published(OLD);
     assertThat(stored.removedFiles()).isEmpty();
     Files.delete(folder.resolve(OLD));
     stored.check(duty, stored.removedFiles());
@@ -50,7 +49,7 @@
   void whatGoesBeforeItsListIsPublishedIsFound() throws Exception {
     Files.delete(folder.resolve(OLD));
     Set<String> gone = stored.removedFiles();
-    stored.check(new LeaseTable.TaskLease("retention", 1, "g0", "x", 0, "g0", "", 0, 0, ""), gone);
+    stored.check(new TaskLease("retention", 1, "g0", "x", 0, "g0", "", 0, 0, ""), gone);
     stored.check(published(OLD), gone);
     assertThat(stored.violations())
         .containsExactly(OLD + " was removed, and no published list names it");
@@ -58,7 +57,7 @@
 
   @Test
   void whatAListNamesThatIsNotTooOldIsFound() throws Exception {
-    LeaseTable.TaskLease duty = published(YOUNG);
+    TaskLease duty = published(YOUNG);
     Files.delete(folder.resolve(YOUNG));
     stored.check(duty, stored.removedFiles());
     assertThat(stored.violations()).containsExactly(YOUNG + " was removed, and was not too old");
--- a/testbed/src/test/java/tidebank/testbed/fleet/CoordinatorProcessesTest.java
+++ b/testbed/src/test/java/tidebank/testbed/fleet/CoordinatorProcessesTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
-import static tidebank.testbed.fleet.Until.PATIENCE_MS;
-import static tidebank.testbed.fleet.Until.until;
+import static tidebank.testbed.fleet.Polling.TIMEOUT_MS;
+import static tidebank.testbed.fleet.Polling.until;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -80,7 +80,7 @@
   }
 
   private static CoordinatorClient client(CoordinatorProcesses stewards) {
-    return new CoordinatorClient(stewards.addresses(), PATIENCE_MS);
+    return new CoordinatorClient(stewards.addresses(), TIMEOUT_MS);
   }
 
   private static TaskLease duty(CoordinatorClient client, String name) throws IOException {
@@ -242,7 +242,7 @@
                   stewards.addresses().stream()
                       .filter(address -> !address.equals(stewards.addresses().get(old)))
                       .toList(),
-                  PATIENCE_MS));
+                  TIMEOUT_MS));
       long taken = next.own("report");
       assertThat(taken).isGreaterThan(token);
       // By its own clock the first owner knew that its time was over, though nobody could tell it
@@ -288,7 +288,8 @@
       int down = (leader(stewards) + 1) % 3;
       stewards.process(down).kill();
       stewards.process(down).waitFor(5000);
-      for (Path snapshot : until(() -> snapshots(stewards.disk(down)), found -> !found.isEmpty())) {
+      for (Path snapshot :
+          until(() -> snapshots(stewards.dataDirectory(down)), found -> !found.isEmpty())) {
         byte[] whole = Files.readAllBytes(snapshot);
         Files.write(snapshot, Arrays.copyOf(whole, whole.length / 2));
       }
@@ -299,13 +300,13 @@
       assertThat(stewards.process(down).lastLines()).contains("TB-1107").contains("what to do: ");
       // As it was told: the folder out of the way, an empty one, with all others running, and the
       // leader once anew.
-      Files.move(stewards.disk(down), folder.resolve("put-away"));
+      Files.move(stewards.dataDirectory(down), folder.resolve("put-away"));
       stewards.start(down);
       int leader = leader(stewards);
       stewards.process(leader).terminate();
       assertThat(stewards.process(leader).waitFor(10_000)).isZero();
       stewards.start(leader);
-      until(() -> snapshots(stewards.disk(down)), found -> !found.isEmpty());
+      until(() -> snapshots(stewards.dataDirectory(down)), found -> !found.isEmpty());
       leader(stewards);
       stewards.process(3 - leader - down).kill();
       // It is one of the two that are left, and they need each other.
--- a/testbed/src/test/java/tidebank/testbed/fleet/Until.java
+++ b/testbed/src/test/java/tidebank/testbed/fleet/Polling.java
@@ -6,13 +6,13 @@
 import java.util.function.Predicate;
 
 /** Waits for a condition, never for a time; bounded. */
-final class Until {
-  static final long PATIENCE_MS = 20_000;
+final class Polling {
+  static final long TIMEOUT_MS = 20_000;
 
-  private Until() {}
+  private Polling() {}
 
   static <T> T until(Callable<T> what, Predicate<T> wanted) throws Exception {
-    long end = System.nanoTime() + PATIENCE_MS * 1_000_000;
+    long end = System.nanoTime() + TIMEOUT_MS * 1_000_000;
     while (true) {
       T now = what.call();
       if (wanted.test(now)) {
--- a/testbed/src/test/java/tidebank/testbed/fleet/TasksTest.java
+++ b/testbed/src/test/java/tidebank/testbed/fleet/TasksTest.java
@@ -1,8 +1,8 @@
 package tidebank.testbed.fleet;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static tidebank.testbed.fleet.Until.PATIENCE_MS;
-import static tidebank.testbed.fleet.Until.until;
+import static tidebank.testbed.fleet.Polling.TIMEOUT_MS;
+import static tidebank.testbed.fleet.Polling.until;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -48,7 +48,7 @@
             folder,
             1,
             "[duties]\nnames = [\"report\"]\n[lease]\nms = 1000\n[election]\nms = 200\n");
-    client = new CoordinatorClient(stewards.addresses(), PATIENCE_MS);
+    client = new CoordinatorClient(stewards.addresses(), TIMEOUT_MS);
     for (int i = 0; i < 3; i++) {
       gatherers.add(gatherer("g" + i, stewards.addresses(), List.of()));
     }
@@ -116,7 +116,7 @@
   }
 
   private FleetReport read(String name) throws IOException {
-    Path file = RouterProcesses.shared(folder).resolve("reports").resolve(name);
+    Path file = RouterProcesses.sharedFolder(folder).resolve("reports").resolve(name);
     return LeaseCodec.read(Files.readAllBytes(file), FleetReport.class);
   }
 
