--- a/router/src/main/java/tidebank/frontend/ClientConnection.java
+++ b/router/src/main/java/tidebank/frontend/ClientConnection.java
@@ -19,62 +19,69 @@
 import java.util.ArrayDeque;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tidebank.runtime.TimerQueue;
+import tidebank.runtime.QueryRequest;
 
 /**
- * One client's connection. Requests that come before earlier ones are answered are answered in
- * their order.
+ * One client's connection. Requests that come before earlier ones have their response are answered
+ * in their order. Confined to the event loop.
  */
-final class ClientConnection extends ChannelInboundHandlerAdapter {
+final class ClientConnection extends ChannelInboundHandlerAdapter
+    implements ConnectionTimers.Listener {
   private static final Logger LOG = LoggerFactory.getLogger(ClientConnection.class);
 
   /**
-   * A close over bytes that were not read resets the connection, and the answer under way on it
-   * goes with that.
+   * Closing a socket with bytes that were not read resets the connection, and the client may lose
+   * the response that is on its way.
    */
-  private static final ChannelFutureListener HALF_CLOSE =
+  private static final ChannelFutureListener SHUTDOWN_OUTPUT =
       done -> ((DuplexChannel) done.channel()).shutdownOutput();
 
-  private final ClientServer side;
-  private final boolean surplus;
-  private final ArrayDeque<HttpExchange> exchanges = new ArrayDeque<>();
-
-  /** A first or next request that does not come whole. */
-  private final TimerQueue.Timer requestTimer = TimerQueue.timer(this::requestTimedOut);
+  /** No request has begun; times are far above. */
+  private static final long NONE = 0;
 
-  /** Answers that the client does not read. */
-  private final TimerQueue.Timer unreadTimer =
-      TimerQueue.timer(() -> timedOut("front.closed-unread", "answers not read"));
-
-  /** A client that stays past its last answer. */
-  private final TimerQueue.Timer lingerTimer =
-      TimerQueue.timer(() -> timedOut("front.closed-lingering", "stayed past its last answer"));
+  private enum State {
+    /** Requests are read. */
+    OPEN,
+    /** What is read is dropped; responses that are due are still written. */
+    DRAINING,
+    /** The final response is written, and the client is to end its side. */
+    LINGERING,
+    /** The client has disconnected, or the connection was closed. */
+    CLOSED
+  }
 
+  private final ClientServer server;
+  private final FrontendContext context;
+  private final boolean overBudget;
+  private final ArrayDeque<HttpExchange> exchanges = new ArrayDeque<>();
+  private final ConnectionTimers timers;
+  private State state = State.OPEN;
   private Channel channel;
+  private RequestTrace trace;
   private long connectedAt;
 
-  /** The pass that accepted it, and since when its first bytes may have waited then. */
+  /** The pass of the event loop that accepted the connection. */
   private long acceptedInPass;
 
+  /** Since when the connection may have waited to be accepted, with its first bytes. */
   private long acceptedSince;
-  private long headAt;
-  private long restsSince;
-  private boolean asked;
-  private boolean ending;
 
-  private RequestTrace trace;
+  /** When the request that is not complete began, or {@link #NONE}. */
+  private long requestBeganAt = NONE;
 
-  /**
-   * Its last answer is written; what still comes is read and dropped until the client ends or its
-   * time is up.
-   */
-  private boolean lingering;
+  private boolean requestReceived;
+  private long idleSince;
 
-  ClientConnection(ClientServer side, boolean surplus) {
-    this.side = side;
-    this.surplus = surplus;
+  /** {@code overBudget}: its first request is refused, whatever it is. */
+  ClientConnection(ClientServer server, FrontendContext context, boolean overBudget) {
+    this.server = server;
+    this.context = context;
+    this.overBudget = overBudget;
+    this.timers = new ConnectionTimers(context, this);
   }
 
+  // ---- state
+
   ByteBufAllocator allocator() {
     return channel.alloc();
   }
@@ -83,182 +90,176 @@
     return trace;
   }
 
+  /** Returns whether no request has begun, or waits for its response. */
   boolean isIdle() {
-    return exchanges.isEmpty() && headAt == 0;
+    return exchanges.isEmpty() && !hasIncompleteRequest();
   }
 
-  boolean lingers() {
-    return lingering;
+  /** Returns whether a request has begun that is not complete. */
+  boolean hasIncompleteRequest() {
+    return requestBeganAt != NONE;
   }
 
-  long restsSince() {
-    return restsSince;
+  /** Returns whether the final response is written. */
+  boolean isLingering() {
+    return state.compareTo(State.LINGERING) >= 0;
   }
 
-  void restsFrom(long now) {
-    restsSince = now;
+  /** Returns whether an interim response may be written: no response is due before it. */
+  boolean mayContinue() {
+    return exchanges.isEmpty() && state == State.OPEN;
   }
 
   long connectedAt() {
     return connectedAt;
   }
 
-  /** At the end of the process: a request that is not whole by then gets an error for an answer. */
-  void endUnfinished() {
-    if (isUnfinished() && !ending) {
-      refuse(HttpResponseStatus.SERVICE_UNAVAILABLE, "stopping");
-    }
+  long idleSince() {
+    return idleSince;
   }
 
-  void close(String why) {
-    trace.closed(why, exchanges.size(), headAt != 0);
-    side.left(this);
-    channel.close();
+  void idleFrom(long now) {
+    idleSince = now;
   }
 
-  /** Reads what there is, also the client's end, without waiting for the next poll. */
-  void checkClient() {
-    if (channel instanceof AbstractNioChannel sockets && channel.isActive()) {
-      sockets.unsafe().read();
-    }
+  /**
+   * Returns since when bytes that are read now may have waited: a connection may have been
+   * established, and its first request sent, before the pass that accepted it.
+   */
+  private long arrivedSince() {
+    boolean justAccepted =
+        !requestReceived && context.executor().passNumber() <= acceptedInPass + 1;
+    return justAccepted ? acceptedSince : context.executor().arrivedSince();
   }
 
-  @Override
-  public void handlerAdded(ChannelHandlerContext context) {
-    channel = context.channel();
-    trace = new RequestTrace(side, channel);
-    connectedAt = side.clock.now();
-    acceptedInPass = side.driver.passNumber();
-    acceptedSince = side.acceptedSince();
-  }
+  // ---- requests
 
   @Override
-  public void channelActive(ChannelHandlerContext context) {
-    start(requestTimer);
+  public void handlerAdded(ChannelHandlerContext handler) {
+    channel = handler.channel();
+    trace = new RequestTrace(context, channel);
+    connectedAt = context.clock().now();
+    acceptedInPass = context.executor().passNumber();
+    acceptedSince = server.acceptedSince();
   }
 
-  private void start(TimerQueue.Timer timer) {
-    side.timers.schedule(timer, side.clock.now() + side.transport.requestWithinUs());
+  @Override
+  public void channelActive(ChannelHandlerContext handler) {
+    timers.startRequest();
   }
 
   /**
-   * The first bytes of a request are here: from now on its time runs. A first one has to come whole
-   * in its time since it connected.
+   * Notes that bytes of a request have come: its time limit runs from now on. The first request is
+   * to be complete within its limit since the connection was established.
    */
-  void begun() {
-    if (headAt == 0 && !ending) {
-      headAt = arrivedSince();
-      side.asked(this);
-      if (asked) {
-        start(requestTimer);
+  void requestBegan() {
+    if (!hasIncompleteRequest() && state == State.OPEN) {
+      requestBeganAt = arrivedSince();
+      server.requestBegan(this);
+      if (requestReceived) {
+        timers.startRequest();
       }
     }
   }
 
-  /** Whether a request has begun that is not whole yet. */
-  boolean isUnfinished() {
-    return headAt != 0;
-  }
-
-  /**
-   * Since when bytes that are read now may have waited: a connection may have been established, and
-   * its first request sent, before the pass that accepted it.
-   */
-  private long arrivedSince() {
-    boolean justAccepted = !asked && side.driver.passNumber() <= acceptedInPass + 1;
-    return justAccepted ? acceptedSince : side.driver.arrivedSince();
-  }
-
   @Override
-  public void channelRead(ChannelHandlerContext context, Object message) {
+  public void channelRead(ChannelHandlerContext handler, Object message) {
     try {
-      // A client has one request open at a time. Reading on past the bound, and past answers that
-      // are not read, shows its end.
-      boolean full = exchanges.size() >= side.pipelineMost() || !channel.isWritable();
-      if (!ending && surplus && message instanceof HttpRequest) {
-        side.counters.add("front.refused-connections");
-        refuse(HttpResponseStatus.SERVICE_UNAVAILABLE, "too many connections");
-      } else if (!ending && full && message instanceof HttpRequest) {
-        side.counters.add("front.refused-at-once");
-        refuse(HttpResponseStatus.SERVICE_UNAVAILABLE, "too many requests at once");
-      } else if (!ending && message instanceof FullHttpRequest request) {
-        begun();
-        side.timers.cancel(requestTimer);
-        long at = headAt;
-        headAt = 0;
-        took(request, at);
+      if (state == State.OPEN) {
+        read(message);
       }
     } finally {
       ReferenceCountUtil.release(message);
     }
   }
 
-  private void took(FullHttpRequest request, long at) {
-    HttpExchange exchange = new HttpExchange(this);
-    exchanges.add(exchange);
-    trace.read();
-    ending = !HttpUtil.isKeepAlive(request);
-    long wholeAt = arrivedSince();
-    if (!asked) {
-      asked = true;
-      side.asked(this);
+  private void read(Object message) {
+    // A client has one request open at a time. Reading on past the limit, and past responses that
+    // the client does not read, shows when it disconnects.
+    boolean full =
+        exchanges.size() >= context.config().budgets().pipelineMost() || !channel.isWritable();
+    if (overBudget && message instanceof HttpRequest) {
+      context.counters().add("front.refused-connections");
+      refuse(HttpResponseStatus.SERVICE_UNAVAILABLE, "too many connections");
+    } else if (full && message instanceof HttpRequest) {
+      context.counters().add("front.refused-at-once");
+      refuse(HttpResponseStatus.SERVICE_UNAVAILABLE, "too many requests at once");
+    } else if (message instanceof FullHttpRequest request) {
+      requestBegan();
+      timers.cancelRequest();
+      long beganAt = requestBeganAt;
+      requestBeganAt = NONE;
+      handle(request, beganAt);
+    }
+  }
+
+  private void handle(FullHttpRequest request, long beganAt) {
+    HttpExchange exchange = addExchange();
+    trace.requestRead();
+    if (!HttpUtil.isKeepAlive(request)) {
+      drain();
+    }
+    long completeAt = arrivedSince();
+    if (!requestReceived) {
+      requestReceived = true;
+      server.requestBegan(this);
     }
     try {
-      side.router.route(this, exchange, request, at, wholeAt);
+      server.router().route(this, exchange, request, beganAt, completeAt);
     } catch (RuntimeException | VirtualMachineError fault) {
-      side.counters.add("front.failed");
-      LOG.error("a request failed", fault);
-      if (exchange.response == null) {
+      context.counters().add("front.failed");
+      LOG.error("request failed", fault);
+      if (!exchange.hasResponse()) {
         exchange.respond(HttpResponseStatus.INTERNAL_SERVER_ERROR, "failed");
       }
     }
   }
 
-  /** Whether an interim response would stand in its place: no response is due before it. */
-  boolean mayContinue() {
-    return exchanges.isEmpty() && !ending;
+  private HttpExchange addExchange() {
+    HttpExchange exchange = new HttpExchange(this);
+    exchanges.add(exchange);
+    return exchange;
+  }
+
+  private void drain() {
+    if (state == State.OPEN) {
+      state = State.DRAINING;
+    }
   }
 
-  /** A body beyond the bound. */
-  void oversized() {
-    side.counters.add("front.rejected");
+  // ---- responses
+
+  /** Refuses a request whose body is over the limit. */
+  void bodyTooLarge() {
+    context.counters().add("front.rejected");
     refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
   }
 
-  /**
-   * What is no request of this protocol ends its connection: whoever goes on like that holds no
-   * place here.
-   */
+  /** Refuses a request that violates the protocol; the connection ends with the response. */
   void reject(HttpExchange exchange, HttpResponseStatus status, String text) {
-    ending = true;
+    drain();
     exchange.respond(status, text);
   }
 
-  /** Answers a request whose body is not kept: what still comes of it is read and dropped. */
+  /** Responds to a request whose body is not kept: what still comes of it is read and dropped. */
   private void refuse(HttpResponseStatus status, String text) {
-    HttpExchange exchange = new HttpExchange(this);
-    exchanges.add(exchange);
-    ending = true;
-    headAt = 0;
-    side.timers.cancel(requestTimer);
+    HttpExchange exchange = addExchange();
+    drain();
+    requestBeganAt = NONE;
+    timers.cancelRequest();
     exchange.respond(status, text);
   }
 
-  /** Writes the responses that are there, as far as none before them is still missing. */
-  void flush() {
+  /** Writes the responses that are there, up to the first that is missing. */
+  void writeResponses() {
     boolean wrote = false;
-    while (!exchanges.isEmpty() && exchanges.peek().response != null) {
-      FullHttpResponse response = exchanges.poll().response;
-      boolean last = exchanges.isEmpty() && endsHere();
+    while (!exchanges.isEmpty() && exchanges.peek().hasResponse()) {
+      FullHttpResponse response = exchanges.poll().response();
+      boolean last = exchanges.isEmpty() && endsWithThisResponse();
       HttpUtil.setKeepAlive(response, !last);
       wrote = true;
       if (last) {
-        ending = true;
-        lingering = true;
-        side.timers.cancel(requestTimer);
-        start(lingerTimer);
-        side.rests(this);
-        channel.writeAndFlush(response).addListener(HALF_CLOSE);
+        writeFinalResponse(response);
         return;
       }
       channel.write(response, channel.voidPromise());
@@ -266,101 +267,140 @@
     if (wrote) {
       channel.flush();
       if (isIdle()) {
-        side.rests(this);
+        server.becameIdle(this);
       }
     }
   }
 
-  /** At a shutdown a request that is read in part still gets its own answer. */
-  private boolean endsHere() {
-    return surplus || ending || side.ended() && !isUnfinished();
+  private void writeFinalResponse(FullHttpResponse response) {
+    state = State.LINGERING;
+    timers.cancelRequest();
+    timers.startLinger();
+    server.becameIdle(this);
+    channel.writeAndFlush(response).addListener(SHUTDOWN_OUTPUT);
   }
 
-  /** An answer that is not read has its time as a request has. */
+  /** At a shutdown a request that has begun still gets its own response. */
+  private boolean endsWithThisResponse() {
+    return overBudget
+        || state != State.OPEN
+        || server.hasStoppedAccepting() && !hasIncompleteRequest();
+  }
+
+  /** At the deadline of a shutdown: responds to a request that is not complete with an error. */
+  void refuseIncompleteRequest() {
+    if (hasIncompleteRequest() && state == State.OPEN) {
+      refuse(HttpResponseStatus.SERVICE_UNAVAILABLE, "stopping");
+    }
+  }
+
+  // ---- time limits
+
   @Override
-  public void channelWritabilityChanged(ChannelHandlerContext context) {
+  public void channelWritabilityChanged(ChannelHandlerContext handler) {
     if (channel.isWritable()) {
-      side.timers.cancel(unreadTimer);
+      timers.cancelUnreadResponses();
     } else {
-      start(unreadTimer);
+      timers.startUnreadResponses();
     }
   }
 
   /**
-   * The client has ended its side. This comes in the pass in which that is read, before the turn
-   * that would still send for it; the end of the channel is only told after that turn.
+   * Responds with an error behind the responses that are due before it. A client that never began a
+   * request has no response to get.
    */
   @Override
-  public void userEventTriggered(ChannelHandlerContext context, Object event) {
+  public void requestTimedOut() {
+    checkClient();
+    if (state != State.OPEN) {
+      return;
+    }
+    if (!hasIncompleteRequest() && !requestReceived) {
+      context.counters().add("front.closed-silent");
+      close("no_request");
+    } else if (hasIncompleteRequest()) {
+      context.counters().add("front.request-timeouts");
+      refuse(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not come whole");
+    }
+  }
+
+  @Override
+  public void responsesNotRead() {
+    context.counters().add("front.closed-unread");
+    close("responses_not_read");
+  }
+
+  @Override
+  public void lingeredTooLong() {
+    context.counters().add("front.closed-lingering");
+    close("linger_timeout");
+  }
+
+  // ---- end
+
+  /** Closes the connection; {@code reason} is for the log. */
+  void close(String reason) {
+    trace.closed(reason, exchanges.size(), hasIncompleteRequest());
+    server.disconnected(this);
+    channel.close();
+  }
+
+  /** Reads what there is, also the client's end, without waiting for the next poll. */
+  void checkClient() {
+    if (channel instanceof AbstractNioChannel sockets && channel.isActive()) {
+      sockets.unsafe().read();
+    }
+  }
+
+  /**
+   * The client has ended its side. This comes in the pass in which that is read, before the
+   * decision round that would still send for it; {@link #channelInactive} comes only after that.
+   */
+  @Override
+  public void userEventTriggered(ChannelHandlerContext handler, Object event) {
     if (event instanceof ChannelInputShutdownEvent) {
-      left();
+      clientDisconnected();
       channel.close();
     } else {
-      context.fireUserEventTriggered(event);
+      handler.fireUserEventTriggered(event);
     }
   }
 
   @Override
-  public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+  public void exceptionCaught(ChannelHandlerContext handler, Throwable cause) {
     if (cause instanceof IOException || cause instanceof PrematureChannelClosureException) {
-      left();
-      context.close();
+      clientDisconnected();
+      handler.close();
       return;
     }
-    // A fault of ours: what this connection still waits for is answered, then it ends.
-    side.counters.recordFault("front.failed", String.valueOf(cause));
-    if (!ending) {
+    // A fault of the router: what this connection still waits for is answered, then it ends.
+    context.counters().recordFault("front.failed", String.valueOf(cause));
+    if (state == State.OPEN) {
       refuse(HttpResponseStatus.INTERNAL_SERVER_ERROR, "failed");
     }
   }
 
   @Override
-  public void channelInactive(ChannelHandlerContext context) {
-    left();
+  public void channelInactive(ChannelHandlerContext handler) {
+    clientDisconnected();
   }
 
-  /** The client is gone, and what it asked for is wanted no longer. */
-  private void left() {
-    side.timers.cancel(requestTimer);
-    side.timers.cancel(unreadTimer);
-    side.timers.cancel(lingerTimer);
-    if (!(ending && lingering)) {
-      trace.ended(exchanges.size(), headAt != 0);
-    }
-    side.left(this);
-    for (HttpExchange exchange : exchanges) {
-      if (exchange.scan != null) {
-        trace.left(exchange.scan);
-        side.driver.clientDisconnected(exchange.scan.id());
-      }
-      if (exchange.response != null) {
-        exchange.response.release();
-      }
-    }
-    exchanges.clear();
-    ending = true;
-    lingering = true;
+  /** Ends a query of this connection whose client is gone. */
+  void clientDisconnectedFrom(QueryRequest query) {
+    trace.disconnected(query);
+    context.executor().clientDisconnected(query.id());
   }
 
-  /**
-   * A request did not come whole in its time. Those before it are owed their answers first, in
-   * their order; its own is an error. A client that never began one has no answer to get.
-   */
-  private void requestTimedOut() {
-    checkClient();
-    if (ending) {
-      return;
+  private void clientDisconnected() {
+    timers.cancelAll();
+    if (!isLingering()) {
+      trace.disconnected(exchanges.size(), hasIncompleteRequest());
     }
-    if (headAt == 0 && !asked) {
-      timedOut("front.closed-silent", "nothing asked");
-    } else if (headAt != 0) {
-      side.counters.add("front.request-timeouts");
-      refuse(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not come whole");
+    server.disconnected(this);
+    for (HttpExchange exchange : exchanges) {
+      exchange.clientDisconnected();
     }
-  }
-
-  private void timedOut(String counter, String why) {
-    side.counters.add(counter);
-    close(why);
+    exchanges.clear();
+    state = State.CLOSED;
   }
 }
--- a/router/src/main/java/tidebank/frontend/ClientServer.java
+++ b/router/src/main/java/tidebank/frontend/ClientServer.java
@@ -1,20 +1,9 @@
 package tidebank.frontend;
 
 import io.netty.bootstrap.ServerBootstrap;
-import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
-import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.ChannelInitializer;
-import io.netty.channel.ChannelPipeline;
-import io.netty.handler.codec.http.HttpMessage;
-import io.netty.handler.codec.http.HttpObjectAggregator;
-import io.netty.handler.codec.http.HttpResponseEncoder;
-import io.netty.handler.codec.http.HttpUtil;
-import java.util.LinkedHashSet;
-import java.util.List;
-import java.util.Set;
 import java.util.function.BooleanSupplier;
 import tidebank.config.RouterConfig;
 import tidebank.metrics.Counters;
@@ -22,248 +11,150 @@
 import tidebank.runtime.PolicyExecutor;
 import tidebank.runtime.TimerQueue;
 
-/** Listens for clients and keeps their connections within their budget. */
+/**
+ * The HTTP server for clients: listens, accepts connections within their budget, and closes them at
+ * a shutdown. Confined to the event loop but for {@link #listen}.
+ */
 public final class ClientServer {
-  final PolicyExecutor driver;
-  final Clock clock;
-  final TimerQueue timers;
-  final Counters counters;
-  final QueryRequestParser reader;
-  final RequestRouter router;
-  final RouterConfig.Transport transport;
-  private final RouterConfig config;
-  private final BooleanSupplier ready;
-  private final Set<ClientConnection> connections = new LinkedHashSet<>();
-
-  /** Those that have not asked for anything yet, the oldest first: the first to give way. */
-  private final Set<ClientConnection> unasked = new LinkedHashSet<>();
-
-  /**
-   * Those between two requests, or past their last answer, the one that has rested longest first.
-   */
-  private final Set<ClientConnection> resting = new LinkedHashSet<>();
-
+  private final FrontendContext context;
+  private final RequestRouter router;
+  private final ConnectionBudget budget;
   private final Listener listener;
+  private final BooleanSupplier ready;
   private boolean draining;
-  private boolean ended;
+  private boolean stoppedAccepting;
 
+  /** Creates a server that does not listen yet; {@code ready} says whether it can serve. */
   public ClientServer(
       RouterConfig config,
-      PolicyExecutor driver,
+      PolicyExecutor executor,
       Clock clock,
       TimerQueue timers,
       Counters counters,
       BooleanSupplier ready) {
-    this.config = config;
-    this.driver = driver;
-    this.clock = clock;
-    this.timers = timers;
-    this.counters = counters;
+    this.context = new FrontendContext(config, executor, clock, timers, counters);
     this.ready = ready;
-    this.reader = new QueryRequestParser(config.settings());
-    this.router = new RequestRouter(this);
-    this.transport = config.transport();
+    this.router = new RequestRouter(context, this::isReady);
+    this.budget = new ConnectionBudget(context);
     this.listener = new Listener(clock, timers, counters);
   }
 
   /** Binds the listening socket. */
   public ChannelFuture listen(ServerBootstrap template) {
-    ChannelInitializer<Channel> connections =
+    ChannelInitializer<Channel> initializer =
         new ChannelInitializer<>() {
           @Override
           protected void initChannel(Channel channel) {
-            accepted(channel);
+            accept(channel);
           }
         };
-    return listener.bind(template, config.listen(), connections);
+    return listener.bind(template, context.config().listen(), initializer);
   }
 
-  private void accepted(Channel channel) {
-    boolean surplus = !hasRoom();
-    ClientConnection connection = new ClientConnection(this, surplus);
-    connections.add(connection);
-    unasked.add(connection);
-    StrictRequestDecoder decoder = new StrictRequestDecoder();
-    channel.pipeline().addLast(begins(connection, decoder), decoder, new HttpResponseEncoder());
-    if (!surplus) {
-      channel.pipeline().addLast(bodies(connection));
-    }
-    channel.pipeline().addLast(connection);
-    listener.full(connections.size() >= config.budgets().clientsMost());
+  private void accept(Channel channel) {
+    boolean overBudget = !budget.makeRoom();
+    ClientConnection connection = new ClientConnection(this, context, overBudget);
+    budget.add(connection);
+    ClientPipeline.build(channel, connection, context.config().transport().bodyMost(), overBudget);
+    listener.setExhausted(budget.isExhausted());
   }
 
-  /** Tells a connection that a request begins, also one behind another's end. */
-  private static ChannelInboundHandlerAdapter begins(
-      ClientConnection connection, StrictRequestDecoder decoder) {
-    return new ChannelInboundHandlerAdapter() {
-      @Override
-      public void channelRead(ChannelHandlerContext context, Object message) {
-        if (!StrictRequestDecoder.isBlank((ByteBuf) message)) {
-          connection.begun();
-        }
-        context.fireChannelRead(message);
-        if (decoder.isAmidRequest()) {
-          connection.begun();
-        }
-      }
-    };
-  }
+  // ---- what connections report
 
-  /**
-   * Bodies up to their bound. An expectation is met or passed over: a refusal of Netty's own would
-   * overtake responses that are due before it, and the body behind it would be read as a request.
-   */
-  private HttpObjectAggregator bodies(ClientConnection connection) {
-    return new HttpObjectAggregator(config.transport().bodyMost()) {
-      @Override
-      protected Object newContinueResponse(HttpMessage start, int most, ChannelPipeline pipeline) {
-        boolean met =
-            HttpUtil.is100ContinueExpected(start)
-                && !isContentLengthInvalid(start, most)
-                && connection.mayContinue();
-        return met ? super.newContinueResponse(start, most, pipeline) : null;
-      }
-
-      @Override
-      protected void handleOversizedMessage(ChannelHandlerContext context, HttpMessage message) {
-        connection.oversized();
-      }
-    };
+  RequestRouter router() {
+    return router;
   }
 
-  /**
-   * Whether the budget has room for one more, which at most one other connection is closed for.
-   * What makes room may itself have been beyond the budget, and then leaves none.
-   */
-  private boolean hasRoom() {
-    while (connections.size() >= config.budgets().clients()) {
-      ClientConnection candidate = leastWanted();
-      if (candidate == null) {
-        return false;
-      }
-      if (closeIfIdle(candidate, "front.closed-for-room", "room for a new one")) {
-        return connections.size() < config.budgets().clients();
-      }
-    }
-    return true;
+  /** A request has begun on a connection. */
+  void requestBegan(ClientConnection connection) {
+    budget.requestBegan(connection);
   }
 
-  /**
-   * The oldest connection that never asked, if its first request would be here by now, else the one
-   * that rests longest, as it is the likeliest not to ask again; null if there is none.
-   */
-  private ClientConnection leastWanted() {
-    ClientConnection silent = unasked.isEmpty() ? null : unasked.iterator().next();
-    boolean late =
-        silent != null && clock.now() - silent.connectedAt() >= transport.connectTimeoutUs();
-    return late || resting.isEmpty() ? silent : resting.iterator().next();
+  /** A connection has no request that waits for its response. */
+  void becameIdle(ClientConnection connection) {
+    budget.becameIdle(connection);
   }
 
-  /**
-   * Closes a connection without a request, unless one, or the client's end, is there unread.
-   * Returns whether it closed it; if not it is no candidate any more.
-   */
-  private boolean closeIfIdle(ClientConnection connection, String counter, String why) {
-    connection.checkClient();
-    if (!connections.contains(connection) || !connection.isIdle()) {
-      asked(connection);
-      return false;
-    }
-    counters.add(counter);
-    connection.close(why);
-    return true;
-  }
-
-  void asked(ClientConnection connection) {
-    unasked.remove(connection);
-    resting.remove(connection);
+  /** A connection is closed, by either side. */
+  void disconnected(ClientConnection connection) {
+    budget.remove(connection);
+    listener.setExhausted(budget.isExhausted());
   }
 
-  /**
-   * It is between two requests. If many are, the longest so gives back its share of what clients
-   * may hold, but not so soon that its client may be asking on.
-   */
-  void rests(ClientConnection connection) {
-    connection.restsFrom(clock.now());
-    resting.add(connection);
-    ClientConnection longest = resting.iterator().next();
-    if (resting.size() > config.budgets().resting()
-        && clock.now() - longest.restsSince() >= transport.restLeastUs()) {
-      closeIfIdle(longest, "front.closed-rested", "rested longest of many");
-    }
+  /** Returns since when a connection that is accepted now, and bytes on it, may have waited. */
+  long acceptedSince() {
+    return listener.acceptedSince(context.executor().arrivedSince());
   }
 
-  void left(ClientConnection connection) {
-    connections.remove(connection);
-    asked(connection);
-    listener.full(connections.size() >= config.budgets().clientsMost());
-  }
+  // ---- life cycle
 
-  /** Whether it can serve and is not ending. */
-  public boolean ready() {
+  /** Returns whether it can serve and is not shutting down. */
+  public boolean isReady() {
     return !draining && ready.getAsBoolean();
   }
 
-  /** Since when a connection that is accepted now, and what lies on it, may have waited. */
-  long acceptedSince() {
-    return listener.acceptedSince(driver.arrivedSince());
-  }
-
-  int pipelineMost() {
-    return config.budgets().pipelineMost();
-  }
-
-  boolean ended() {
-    return ended;
+  /** Reports not ready from now on, so that new clients go elsewhere; all are still served. */
+  public void beginDraining() {
+    draining = true;
   }
 
-  /** Not ready from now on: new clients go elsewhere, those that are here are served on. */
-  public void drain() {
-    draining = true;
+  /** Returns whether a connection ends with its next response. */
+  boolean hasStoppedAccepting() {
+    return stoppedAccepting;
   }
 
-  /** No new connections; those without a request end, the others with their answers. */
-  public void end() {
+  /** Accepts no more connections. Those without a request close, others with their responses. */
+  public void stopAccepting() {
     acceptBacklog();
-    ended = true;
+    stoppedAccepting = true;
     listener.close();
-    for (ClientConnection connection : List.copyOf(connections)) {
-      closeIfIdle(connection, "front.closed-at-end", "shutdown, no request");
+    for (ClientConnection connection : budget.snapshot()) {
+      budget.closeIfIdle(connection, "front.closed-at-end", "shutdown_idle");
     }
   }
 
   /**
-   * Accepts what the system has accepted already: a closed listener resets it with its requests.
+   * Accepts what the system has accepted already: closing the listening socket would reset those
+   * connections with their requests.
    */
   private void acceptBacklog() {
     int before;
     do {
-      before = connections.size();
+      before = budget.size();
       listener.acceptNow();
-    } while (connections.size() > before && connections.size() < config.budgets().clientsMost());
+    } while (budget.size() > before && !budget.isExhausted());
   }
 
-  /**
-   * Closes those that have had their last answer since before this moment; all that are left at the
-   * end of time.
-   */
-  public void close(long since) {
-    boolean all = since == Long.MAX_VALUE;
-    for (ClientConnection connection : List.copyOf(connections)) {
-      if (connection.lingers() && (all || connection.restsSince() <= since)) {
-        // A close over bytes that were not read resets the connection, and the answer with it.
-        connection.checkClient();
-        connection.close("shutdown, last answer given");
-      } else if (all && connection.isUnfinished()) {
-        connection.endUnfinished();
-      } else if (all) {
-        connection.close("shutdown, time over");
+  /** Closes the connections that have had their final response since before this moment. */
+  public void closeConnectionsRespondedBefore(long moment) {
+    for (ClientConnection connection : budget.snapshot()) {
+      if (connection.isLingering() && connection.idleSince() <= moment) {
+        closeLingering(connection);
+      }
+    }
+  }
+
+  /** Closes all connections; a request that is not complete still gets an error response. */
+  public void closeAllConnections() {
+    for (ClientConnection connection : budget.snapshot()) {
+      if (connection.isLingering()) {
+        closeLingering(connection);
+      } else if (connection.hasIncompleteRequest()) {
+        connection.refuseIncompleteRequest();
+      } else {
+        connection.close("shutdown_deadline");
       }
     }
   }
 
-  /** How many connections are left. */
-  public int open() {
-    return connections.size();
+  private static void closeLingering(ClientConnection connection) {
+    // Closing over bytes that were not read would reset the connection, and the response with it.
+    connection.checkClient();
+    connection.close("shutdown_responded");
+  }
+
+  /** Returns how many connections are open. */
+  public int connectionCount() {
+    return budget.size();
   }
 }
--- a/router/src/main/java/tidebank/frontend/HttpExchange.java
+++ b/router/src/main/java/tidebank/frontend/HttpExchange.java
@@ -24,38 +24,64 @@
 final class HttpExchange implements ResponseCallback {
   private static final Logger LOG = LoggerFactory.getLogger(HttpExchange.class);
   private static final JsonFactory JSON = new JsonFactory();
+  private static final double US_PER_S = 1e6;
 
   private final ClientConnection connection;
 
-  /** The scan that was taken from it and is not answered yet, or null. */
-  QueryRequest scan;
+  /** The query that was accepted from the request and has no response yet, or null. */
+  private QueryRequest query;
 
-  FullHttpResponse response;
+  private FullHttpResponse response;
 
   HttpExchange(ClientConnection connection) {
     this.connection = connection;
   }
 
+  /** Notes that the request was accepted as a query. */
+  void accepted(QueryRequest accepted) {
+    query = accepted;
+    connection.trace().queryReceived(accepted);
+  }
+
+  boolean hasResponse() {
+    return response != null;
+  }
+
+  /** Returns the response, or null while there is none. Writing it releases it. */
+  FullHttpResponse response() {
+    return response;
+  }
+
+  /** Ends its query, if one is pending, and releases a response that was not written. */
+  void clientDisconnected() {
+    if (query != null) {
+      connection.clientDisconnectedFrom(query);
+    }
+    if (response != null) {
+      response.release();
+    }
+  }
+
   @Override
-  public void onResponse(boolean whole, List<Value> values) {
+  public void onResponse(boolean complete, List<Value> values) {
     ByteBuf body;
     try {
-      body = body(whole, values);
+      body = write(complete, values);
     } catch (IOException | RuntimeException | VirtualMachineError fault) {
-      LOG.error("an answer could not be written", fault);
+      LOG.error("response not written", fault);
       respond(HttpResponseStatus.INTERNAL_SERVER_ERROR, "the answer could not be written");
       return;
     }
-    finish(
+    respond(
         new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, body),
         "application/json");
   }
 
-  private ByteBuf body(boolean whole, List<Value> values) throws IOException {
+  private ByteBuf write(boolean complete, List<Value> values) throws IOException {
     ByteBuf body = connection.allocator().directBuffer();
     try (JsonGenerator out = JSON.createGenerator((OutputStream) new ByteBufOutputStream(body))) {
       out.writeStartObject();
-      out.writeBooleanField("total", whole);
+      out.writeBooleanField("total", complete);
       out.writeArrayFieldStart("answers");
       for (Value value : values) {
         out.writeStartObject();
@@ -75,8 +101,16 @@
   }
 
   @Override
-  public void onThrottled(long holdOffUs) {
-    respond(HttpResponseStatus.SERVICE_UNAVAILABLE, "throttled", holdOffUs);
+  public void onThrottled(long retryAfterUs) {
+    FullHttpResponse throttled = textResponse(HttpResponseStatus.SERVICE_UNAVAILABLE, "throttled");
+    if (retryAfterUs > 0) {
+      throttled
+          .headers()
+          .set(
+              HttpHeaderNames.RETRY_AFTER,
+              String.format(Locale.ROOT, "%.3f", retryAfterUs / US_PER_S));
+    }
+    respond(throttled, "text/plain");
   }
 
   @Override
@@ -89,28 +123,24 @@
     connection.checkClient();
   }
 
+  /** Responds with a line of text. */
   void respond(HttpResponseStatus status, String text) {
-    respond(status, text, 0);
+    respond(textResponse(status, text), "text/plain");
   }
 
-  void respond(HttpResponseStatus status, String text, long holdOffUs) {
+  private static FullHttpResponse textResponse(HttpResponseStatus status, String text) {
     ByteBuf body = Unpooled.copiedBuffer(text + '\n', StandardCharsets.US_ASCII);
-    FullHttpResponse made = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
-    if (holdOffUs > 0) {
-      made.headers()
-          .set(HttpHeaderNames.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", holdOffUs / 1e6));
-    }
-    finish(made, "text/plain");
+    return new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
   }
 
-  private void finish(FullHttpResponse made, String type) {
-    made.headers().set(HttpHeaderNames.CONTENT_TYPE, type);
-    made.headers().set(HttpHeaderNames.CONTENT_LENGTH, made.content().readableBytes());
-    if (scan != null) {
-      connection.trace().answered(scan, made.status().code());
+  private void respond(FullHttpResponse ready, String contentType) {
+    ready.headers().set(HttpHeaderNames.CONTENT_TYPE, contentType);
+    ready.headers().set(HttpHeaderNames.CONTENT_LENGTH, ready.content().readableBytes());
+    if (query != null) {
+      connection.trace().responded(query, ready.status().code());
     }
-    scan = null;
-    response = made;
-    connection.flush();
+    query = null;
+    response = ready;
+    connection.writeResponses();
   }
 }
--- a/router/src/main/java/tidebank/frontend/Listener.java
+++ b/router/src/main/java/tidebank/frontend/Listener.java
@@ -13,32 +13,35 @@
 import tidebank.runtime.TimerQueue;
 
 /**
- * The listening socket. It accepts unless its owner has no room, or the system could not accept a
- * moment ago: then it tries again soon, in growing steps. It knows since when connections may have
- * waited to be accepted, as their clients' time has run since then.
+ * The listening socket. It accepts unless the budget of connections is exhausted, or the system
+ * failed to accept a moment ago: then it retries with a growing backoff. It estimates since when
+ * connections may have waited to be accepted, as their clients' time has run since then.
  */
 final class Listener extends ChannelInboundHandlerAdapter {
-  private static final long BACKOFF_LEAST_US = 1_000;
-  private static final long BACKOFF_MOST_US = 50_000;
+  private static final long MIN_BACKOFF_US = 1_000;
+  private static final long MAX_BACKOFF_US = 50_000;
 
-  /** Netty accepts as many in one pass; fewer tell that nobody waits any more. */
-  private static final int ACCEPTED_IN_A_PASS = 16;
+  /** How many Netty accepts in one pass at most; fewer tell that none waits any more. */
+  private static final int MAX_ACCEPTED_PER_PASS = 16;
 
   private static final long NEVER = Long.MAX_VALUE;
 
   private final Clock clock;
   private final TimerQueue timers;
   private final Counters counters;
-  private final TimerQueue.Timer retry = TimerQueue.timer(this::retry);
+  private final TimerQueue.Timer retryTimer = TimerQueue.timer(this::retry);
   private Channel channel;
-  private boolean full;
-  private long backoffUs = BACKOFF_LEAST_US;
+  private boolean exhausted;
+  private long backoffUs = MIN_BACKOFF_US;
   private boolean backingOff;
+
+  /** Since when connections may wait as none were accepted, or {@link #NEVER}. */
   private long stoppedAt = NEVER;
+
   private int acceptedInPass;
 
-  /** The latest pass accepted all who waited, unless a fault of it is still to be told. */
-  private boolean drained;
+  /** Whether the latest pass accepted all that waited; an accept failure may still be reported. */
+  private boolean backlogEmpty;
 
   Listener(Clock clock, TimerQueue timers, Counters counters) {
     this.clock = clock;
@@ -46,48 +49,48 @@
     this.counters = counters;
   }
 
-  /** Binds the socket; each connection is set up by {@code connections}. */
+  /** Binds the socket; {@code initializer} sets up each connection. */
   ChannelFuture bind(
-      ServerBootstrap template, InetSocketAddress address, ChannelHandler connections) {
-    ChannelFuture binding = template.handler(this).childHandler(connections).bind(address);
+      ServerBootstrap template, InetSocketAddress address, ChannelHandler initializer) {
+    ChannelFuture binding = template.handler(this).childHandler(initializer).bind(address);
     channel = binding.channel();
     return binding;
   }
 
-  /** Whether the owner has no room for another connection. */
-  void full(boolean isFull) {
-    if (isFull != full) {
-      full = isFull;
-      update();
+  /** Sets whether the budget has no room for another connection. */
+  void setExhausted(boolean isExhausted) {
+    if (isExhausted != exhausted) {
+      exhausted = isExhausted;
+      updateAutoRead();
     }
   }
 
-  /** The earliest moment at which a connection that is accepted now may have been established. */
+  /** Returns when a connection that is accepted now may have been established at the earliest. */
   long acceptedSince(long passSince) {
-    if (drained) {
-      drained = false;
+    if (backlogEmpty) {
+      backlogEmpty = false;
       stoppedAt = NEVER;
     }
     return Math.min(passSince, stoppedAt);
   }
 
-  /** Accepts up to so many that wait, in one pass of the caller. */
+  /** Accepts connections that wait, as many as Netty accepts in one pass. */
   void acceptNow() {
     ((AbstractNioChannel) channel).unsafe().read();
   }
 
   void close() {
-    timers.cancel(retry);
+    timers.cancel(retryTimer);
     channel.close();
   }
 
   private boolean accepts() {
-    return !full && !backingOff;
+    return !exhausted && !backingOff;
   }
 
-  private void update() {
+  private void updateAutoRead() {
     if (!accepts()) {
-      drained = false;
+      backlogEmpty = false;
       stoppedAt = Math.min(stoppedAt, clock.now());
     }
     if (channel.isOpen()) {
@@ -97,33 +100,33 @@
 
   private void retry() {
     backingOff = false;
-    update();
+    updateAutoRead();
   }
 
   @Override
   public void channelRead(ChannelHandlerContext context, Object message) {
     acceptedInPass++;
-    backoffUs = BACKOFF_LEAST_US;
+    backoffUs = MIN_BACKOFF_US;
     context.fireChannelRead(message);
   }
 
   @Override
   public void channelReadComplete(ChannelHandlerContext context) {
-    drained = accepts() && acceptedInPass < ACCEPTED_IN_A_PASS;
+    backlogEmpty = accepts() && acceptedInPass < MAX_ACCEPTED_PER_PASS;
     acceptedInPass = 0;
     context.fireChannelReadComplete();
   }
 
   /**
-   * The system could not accept: no descriptor or buffer was left, for a moment or for longer. It
-   * goes no further, as Netty's own answer is to accept nothing for a second.
+   * The system could not accept, as no descriptor or buffer was left. The exception is handled here
+   * only, as Netty's own answer is to accept nothing for a second.
    */
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
     counters.recordFault("front.accept-failed", String.valueOf(cause));
     backingOff = true;
-    update();
-    timers.schedule(retry, clock.now() + backoffUs);
-    backoffUs = Math.min(BACKOFF_MOST_US, 2 * backoffUs);
+    updateAutoRead();
+    timers.schedule(retryTimer, clock.now() + backoffUs);
+    backoffUs = Math.min(MAX_BACKOFF_US, 2 * backoffUs);
   }
 }
--- a/router/src/main/java/tidebank/frontend/RequestRouter.java
+++ b/router/src/main/java/tidebank/frontend/RequestRouter.java
@@ -4,33 +4,39 @@
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpResponseStatus;
-import tidebank.frontend.QueryRequestParser.InvalidRequestException;
+import java.util.function.BooleanSupplier;
 import tidebank.runtime.QueryRequest;
 
-/** Answers whole requests by their path, or hands their scans to the turn. */
+/** Responds to complete requests by their path, or hands their queries to the executor. */
 final class RequestRouter {
   private static final String HEALTH = "/health/";
+  private static final String LIVE = "live";
+  private static final String READY = "ready";
 
-  private final ClientServer side;
+  private final FrontendContext context;
+  private final QueryRequestParser parser;
+  private final BooleanSupplier ready;
 
-  RequestRouter(ClientServer side) {
-    this.side = side;
+  RequestRouter(FrontendContext context, BooleanSupplier ready) {
+    this.context = context;
+    this.parser = new QueryRequestParser(context.config().settings());
+    this.ready = ready;
   }
 
   /**
-   * Answers a request or takes its scan. Its first byte came at {@code headAt} and its last one at
-   * {@code wholeAt}, in microseconds.
+   * Responds to a request or accepts its query. Its first byte came at {@code beganAt} and its last
+   * one at {@code completeAt}, in microseconds.
    */
   void route(
       ClientConnection connection,
       HttpExchange exchange,
       FullHttpRequest request,
-      long headAt,
-      long wholeAt) {
-    // A transfer coding that is left here is none that Netty has read.
+      long beganAt,
+      long completeAt) {
+    // Netty removes the transfer coding that it has decoded; one that is left is unknown.
     if (request.decoderResult().isFailure()
         || request.headers().contains(HttpHeaderNames.TRANSFER_ENCODING)) {
-      side.counters.add("front.malformed");
+      context.counters().add("front.malformed");
       connection.reject(exchange, HttpResponseStatus.BAD_REQUEST, "no valid HTTP");
       return;
     }
@@ -40,43 +46,43 @@
     } else if (!request.method().equals(HttpMethod.POST)) {
       connection.reject(exchange, HttpResponseStatus.METHOD_NOT_ALLOWED, "scans come by POST");
     } else {
-      scan(connection, exchange, request, path, headAt, wholeAt);
+      query(connection, exchange, request, path, beganAt, completeAt);
     }
   }
 
   private void health(HttpExchange exchange, String check) {
-    if (check.equals("live") || check.equals("ready") && side.ready()) {
+    if (check.equals(LIVE) || check.equals(READY) && ready.getAsBoolean()) {
       exchange.respond(HttpResponseStatus.OK, "ok");
-    } else if (check.equals("ready")) {
+    } else if (check.equals(READY)) {
       exchange.respond(HttpResponseStatus.SERVICE_UNAVAILABLE, "not ready");
     } else {
       exchange.respond(HttpResponseStatus.NOT_FOUND, "unknown path");
     }
   }
 
-  private void scan(
+  private void query(
       ClientConnection connection,
       HttpExchange exchange,
       FullHttpRequest request,
       String path,
-      long headAt,
-      long wholeAt) {
-    QueryRequest scan;
+      long beganAt,
+      long completeAt) {
+    String queryClass = path.substring(1).split("/", 2)[0];
+    QueryRequest query;
     try {
-      scan = side.reader.read(request, path.substring(1).split("/", 2)[0], headAt, wholeAt);
+      query = parser.parse(request, queryClass, beganAt, completeAt);
     } catch (InvalidRequestException fault) {
-      side.counters.add("front.rejected");
-      connection.reject(exchange, HttpResponseStatus.valueOf(fault.status), fault.getMessage());
+      context.counters().add("front.rejected");
+      connection.reject(exchange, fault.status(), fault.getMessage());
       return;
     }
-    if (side.driver.isPending(scan)) {
-      side.counters.add("front.rejected");
+    if (context.executor().isPending(query)) {
+      context.counters().add("front.rejected");
       connection.reject(exchange, HttpResponseStatus.BAD_REQUEST, "X-Correlation-Id is in use");
-    } else if (side.driver.queryReceived(scan, exchange)) {
-      exchange.scan = scan;
-      connection.trace().taken(scan);
+    } else if (context.executor().queryReceived(query, exchange)) {
+      exchange.accepted(query);
     } else {
-      side.counters.add("front.refused-full");
+      context.counters().add("front.refused-full");
       exchange.respond(HttpResponseStatus.SERVICE_UNAVAILABLE, "as much is held as may be");
     }
   }
--- a/router/src/main/java/tidebank/frontend/RequestTrace.java
+++ b/router/src/main/java/tidebank/frontend/RequestTrace.java
@@ -7,99 +7,101 @@
 import tidebank.runtime.QueryRequest;
 
 /**
- * The log of one client connection: its requests by their ids, with the times that tell why one
- * ended as it did, and why the connection was closed. What is usual is logged at debug level; a
- * request that ended behind its client's time at info level. All of it is counted.
+ * Logs and counts what became of the requests of one connection, with the times that explain it.
+ * The usual is logged at debug level, a request that missed its deadline at info level.
  */
 final class RequestTrace {
   private static final Logger LOG = LoggerFactory.getLogger(RequestTrace.class);
 
-  private final ClientServer side;
+  private final FrontendContext context;
   private final Channel channel;
   private final long connectedAt;
-  private long readAt;
+  private long lastReadAt;
   private int requests;
 
-  RequestTrace(ClientServer side, Channel channel) {
-    this.side = side;
+  RequestTrace(FrontendContext context, Channel channel) {
+    this.context = context;
     this.channel = channel;
-    this.connectedAt = side.clock.now();
+    this.connectedAt = context.clock().now();
   }
 
-  /** A request was read whole, whatever it asks for. */
-  void read() {
-    readAt = side.clock.now();
+  /** A complete request was read, whatever it asks for. */
+  void requestRead() {
+    lastReadAt = context.clock().now();
     requests++;
   }
 
-  /** A scan was taken from a request. */
-  void taken(QueryRequest scan) {
-    side.counters.add("scans.taken");
+  /** A request was accepted as a query. */
+  void queryReceived(QueryRequest query) {
+    context.counters().add("scans.taken");
     if (LOG.isDebugEnabled()) {
-      LOG.debug("request taken: {}", timesOf(scan, side.clock.now()));
+      LOG.debug("query received: {}", describe(query, context.clock().now()));
     }
   }
 
-  /** The final answer of a scan is to be written; one behind the client's time is lost on it. */
-  void answered(QueryRequest scan, int status) {
-    long now = side.clock.now();
-    if (now >= scan.deadline()) {
-      side.counters.add("front.answered-late");
-      LOG.info("answer {} behind its client's time: {}", status, timesOf(scan, now));
+  /** The final response of a query is to be written. */
+  void responded(QueryRequest query, int status) {
+    long now = context.clock().now();
+    if (now >= query.deadline()) {
+      context.counters().add("front.answered-late");
+      LOG.info("response after the deadline: status={} {}", status, describe(query, now));
     } else if (LOG.isDebugEnabled()) {
-      LOG.debug("answer {}: {}", status, timesOf(scan, now));
+      LOG.debug("response: status={} {}", status, describe(query, now));
     }
   }
 
-  /** A client left without its answer: early by its own will, or behind its time by our fault. */
-  void left(QueryRequest scan) {
-    long now = side.clock.now();
-    if (now >= scan.deadline()) {
-      side.counters.add("front.left-unanswered");
-      LOG.info("client left without an answer in its time: {}", timesOf(scan, now));
+  /** A client disconnected without its response: by its own will, or after its deadline. */
+  void disconnected(QueryRequest query) {
+    long now = context.clock().now();
+    if (now >= query.deadline()) {
+      context.counters().add("front.left-unanswered");
+      LOG.info("client disconnected after the deadline: {}", describe(query, now));
     } else {
-      side.counters.add("front.left-early");
+      context.counters().add("front.left-early");
       if (LOG.isDebugEnabled()) {
-        LOG.debug("client left early: {}", timesOf(scan, now));
+        LOG.debug("client disconnected before the response: {}", describe(query, now));
       }
     }
   }
 
   /** The connection is closed by this side. */
-  void closed(String why, int waiting, boolean unfinished) {
+  void closed(String reason, int pendingRequests, boolean incompleteRequest) {
     if (LOG.isDebugEnabled()) {
-      LOG.debug("client connection closed, {}: {}", why, stateOf(waiting, unfinished));
+      LOG.debug(
+          "client connection closed: reason={} {}",
+          reason,
+          describeConnection(pendingRequests, incompleteRequest));
     }
   }
 
-  /** The client ended the connection; worth a line where something was under way or never came. */
-  void ended(int waiting, boolean unfinished) {
-    if (LOG.isDebugEnabled() && (waiting > 0 || unfinished || requests == 0)) {
-      LOG.debug("client ended its connection: {}", stateOf(waiting, unfinished));
+  /** The client ended the connection; logged if a request was under way or none ever came. */
+  void disconnected(int pendingRequests, boolean incompleteRequest) {
+    if (LOG.isDebugEnabled() && (pendingRequests > 0 || incompleteRequest || requests == 0)) {
+      LOG.debug("client disconnected: {}", describeConnection(pendingRequests, incompleteRequest));
     }
   }
 
-  private String stateOf(int waiting, boolean unfinished) {
+  private String describeConnection(int pendingRequests, boolean incompleteRequest) {
     return String.format(
         Locale.ROOT,
-        "peer=%s age_ms=%d requests=%d waiting=%d unfinished=%b",
+        "peer=%s age_ms=%d requests=%d pending_requests=%d incomplete_request=%b",
         channel.remoteAddress(),
-        (side.clock.now() - connectedAt) / 1000,
+        (context.clock().now() - connectedAt) / 1000,
         requests,
-        waiting,
-        unfinished);
+        pendingRequests,
+        incompleteRequest);
   }
 
-  private String timesOf(QueryRequest scan, long now) {
+  private String describe(QueryRequest query, long now) {
     return String.format(
         Locale.ROOT,
-        "id=%s age_ms=%d left_ms=%d connection_age_ms=%d read_ms_ago=%d requests=%d %s",
-        scan.id(),
-        (now - scan.receivedAt()) / 1000,
-        (scan.deadline() - now) / 1000,
+        "query=%s %s age_ms=%d remaining_ms=%d connection_age_ms=%d read_ms_ago=%d requests=%d",
+        query.id(),
+        context.executor().describe(query.id()),
+        (now - query.receivedAt()) / 1000,
+        (query.deadline() - now) / 1000,
         (now - connectedAt) / 1000,
-        (now - readAt) / 1000,
-        requests,
-        side.driver.attemptCount(scan.id()));
+        (now - lastReadAt) / 1000,
+        requests);
   }
 }
--- a/router/src/main/java/tidebank/frontend/StrictRequestDecoder.java
+++ b/router/src/main/java/tidebank/frontend/StrictRequestDecoder.java
@@ -8,20 +8,21 @@
 import java.util.List;
 
 /**
- * Netty's decoder, which by itself reads a request of two lengths by one of them: another may hide
- * behind it. It tells in addition whether a request has begun that is not whole.
+ * Netty's request decoder, stricter and with one more question answered. By itself Netty's reads a
+ * request of two lengths by one of them, and another request may hide behind it; this one rejects
+ * it. {@link #isWithinRequest} says whether an incomplete request has begun.
  */
 final class StrictRequestDecoder extends HttpRequestDecoder {
-  private boolean amidBody;
+  private boolean withinBody;
 
   /** RFC 9112, 2.2: empty lines before a request are no part of it. */
   static boolean isBlank(ByteBuf bytes) {
-    return bytes.forEachByte(letter -> letter == '\r' || letter == '\n') < 0;
+    return bytes.forEachByte(octet -> octet == '\r' || octet == '\n') < 0;
   }
 
-  /** Whether part of a request was read and its end was not. */
-  boolean isAmidRequest() {
-    return amidBody || !isBlank(internalBuffer());
+  /** Returns whether part of a request was read and its end was not. */
+  boolean isWithinRequest() {
+    return withinBody || !isBlank(internalBuffer());
   }
 
   @Override
@@ -29,8 +30,8 @@
       throws Exception {
     super.decode(context, in, out);
     for (Object decoded : out) {
-      amidBody =
-          (amidBody || decoded instanceof HttpMessage) && !(decoded instanceof LastHttpContent);
+      withinBody =
+          (withinBody || decoded instanceof HttpMessage) && !(decoded instanceof LastHttpContent);
     }
   }
 
--- /dev/null
+++ b/router/src/main/java/tidebank/runtime/ActionExecutor.java
@@ -0,0 +1,147 @@
+package tidebank.runtime;
+
+import java.util.function.Consumer;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import tidebank.metrics.Counters;
+import tidebank.model.Action;
+import tidebank.model.Event;
+
+/**
+ * Executes the actions of the decisions: sends and cancels attempts, responds to queries, sets
+ * timers. Decides nothing. Confined to the event loop.
+ */
+final class ActionExecutor {
+  private static final Logger LOG = LoggerFactory.getLogger(ActionExecutor.class);
+
+  private final PendingQueries queries;
+  private final Clock clock;
+  private final TimerQueue timers;
+  private final Counters counters;
+  private final Consumer<Event> events;
+  private BackendPort backend;
+  private DiscoveryPort discovery;
+
+  /** {@code events} gets what the actions bring about, such as a timer that fires. */
+  ActionExecutor(
+      PendingQueries queries,
+      Clock clock,
+      TimerQueue timers,
+      Counters counters,
+      Consumer<Event> events) {
+    this.queries = queries;
+    this.clock = clock;
+    this.timers = timers;
+    this.counters = counters;
+    this.events = events;
+  }
+
+  void connect(BackendPort backend, DiscoveryPort discovery) {
+    this.backend = backend;
+    this.discovery = discovery;
+  }
+
+  /** Executes one action; attempts go out with {@link #flush}. */
+  void execute(Action action) {
+    if (action instanceof Action.SendAttempt send) {
+      send(send);
+    } else if (action instanceof Action.CancelAttempt cancel) {
+      cancel(cancel);
+    } else if (action instanceof Action.Respond respond) {
+      respond(respond);
+    } else if (action instanceof Action.Throttle throttle) {
+      throttle(throttle);
+    } else if (action instanceof Action.Fail fail) {
+      fail(fail);
+    } else if (action instanceof Action.SetTimer timer) {
+      setTimer(timer);
+    } else if (action instanceof Action.WatchEndpoints watch) {
+      discovery.watch(watch.enabled());
+    } else if (action instanceof Action.RetireConnections retire) {
+      backend.retireConnections(retire.server());
+    } else if (action instanceof Action.CheckHealth check) {
+      backend.checkHealth(check.server());
+    } else if (action instanceof Action.LogNote note) {
+      LOG.info("policy note: {}", note.message());
+    }
+  }
+
+  /** Writes the attempts sent since the last call; those to one server share batches. */
+  void flush() {
+    backend.flush();
+  }
+
+  /** Fails all pending queries and cancels their attempts. */
+  void failAll() {
+    for (PendingQuery query : queries.snapshot()) {
+      ResponseCallback callback = queries.close(query);
+      for (PendingShardRequest shardRequest : query.requests()) {
+        shardRequest.cancelAll();
+      }
+      callback.onFailed();
+    }
+    flush();
+  }
+
+  private void send(Action.SendAttempt send) {
+    PendingShardRequest shardRequest = queries.findRequest(send.shardRequest());
+    // The text names a counter and is therefore kept.
+    if (!counters.checkInvariant(
+        shardRequest != null && shardRequest.query().isOpen(),
+        "only parts of an open scan are sent")) {
+      return;
+    }
+    int number = shardRequest.attempts().size();
+    long now = clock.now();
+    AttemptRequest attempt =
+        new AttemptRequest(shardRequest, number, send.server(), send.deadline(), now);
+    shardRequest.attempts().add(attempt);
+    shardRequest.query().attempted(now);
+    try {
+      attempt.accepted(backend.send(attempt));
+    } catch (RuntimeException | VirtualMachineError fault) {
+      attempt.complete();
+      throw fault;
+    }
+  }
+
+  private void cancel(Action.CancelAttempt cancel) {
+    PendingShardRequest shardRequest = queries.findRequest(cancel.shardRequest());
+    if (shardRequest != null) {
+      shardRequest.attempts().get(cancel.attempt()).cancel();
+    }
+  }
+
+  private void respond(Action.Respond respond) {
+    PendingQuery query = queries.find(respond.query());
+    if (query != null) {
+      ResponseCallback callback = queries.close(query);
+      counters.add(respond.complete() ? "scans.whole" : "scans.partial");
+      callback.onResponse(respond.complete(), query.values());
+    }
+  }
+
+  private void throttle(Action.Throttle throttle) {
+    PendingQuery query = queries.find(throttle.query());
+    if (query != null) {
+      ResponseCallback callback = queries.close(query);
+      counters.add("scans.throttled");
+      callback.onThrottled(throttle.retryAfterUs());
+    }
+  }
+
+  private void fail(Action.Fail fail) {
+    PendingQuery query = queries.find(fail.query());
+    if (query != null) {
+      ResponseCallback callback = queries.close(query);
+      counters.add("scans.abandoned");
+      callback.onFailed();
+    }
+  }
+
+  private void setTimer(Action.SetTimer timer) {
+    timers.schedule(
+        TimerQueue.timer(() -> events.accept(new Event.TimerFired(timer.token()))),
+        clock.now() + timer.delayUs());
+  }
+}
--- a/router/src/main/java/tidebank/runtime/BackendPort.java
+++ b/router/src/main/java/tidebank/runtime/BackendPort.java
@@ -4,22 +4,26 @@
 import java.util.List;
 import tidebank.model.Event;
 
-/** What the turn asks of the side that speaks to shard servers. */
+/** What the decisions want of the side that talks to shard servers. */
 public interface BackendPort {
-  /** Takes the list, or what changed in it; {@code full}: what is not named has left. */
+  /** Applies an endpoint list, or a change of it; {@code full}: servers not named are gone. */
   void updateEndpoints(List<Member> members, boolean full);
 
-  /** Takes a dispatch; it goes out with {@link #flush}. Its end is told to the turn. */
+  /**
+   * Accepts an attempt, which is written with {@link #flush}. Its outcome is reported once, through
+   * {@link PolicyExecutor#attemptCompleted}.
+   */
   AttemptRequest.Handle send(AttemptRequest request);
 
-  /** All sends of this turn are in: those to one server share calls. */
+  /** Writes the attempts accepted since the last call; those to one server share batches. */
   void flush();
 
-  /** Takes the connections that are up out of use; each closes once nothing is out on it. */
+  /** Takes the present connections to a server out of use; each closes once it is idle. */
   void retireConnections(String server);
 
+  /** Sends a health check; its outcome goes to {@link PolicyExecutor#healthCheckCompleted}. */
   void checkHealth(String server);
 
-  /** A line of the list, with the address. */
+  /** An endpoint of the list, with its address. */
   record Member(Event.Endpoint endpoint, InetSocketAddress address) {}
 }
--- a/router/src/main/java/tidebank/runtime/DiscoveryPort.java
+++ b/router/src/main/java/tidebank/runtime/DiscoveryPort.java
@@ -1,10 +1,10 @@
 package tidebank.runtime;
 
-/** What the turn asks of the side that speaks to discovery. */
+/** What the decisions want of the side that talks to discovery. */
 public interface DiscoveryPort {
   /**
-   * Begins a watch anew, or ends it. Exactly one list event answers a beginning; changes follow
-   * until it is lost.
+   * Begins a new watch of the endpoint list, or ends it. A watch begun reports exactly one list;
+   * changes follow until the watch is lost.
    */
-  void watch(boolean on);
+  void watch(boolean enabled);
 }
--- a/router/src/main/java/tidebank/runtime/EventLoopStallLogger.java
+++ b/router/src/main/java/tidebank/runtime/EventLoopStallLogger.java
@@ -5,14 +5,14 @@
 import tidebank.metrics.Counters;
 
 /**
- * Logs and counts what kept requests waiting within this process: wake-ups that came late, and
- * passes of the event loop that took long. What clients and servers did meanwhile was seen late.
+ * Logs and counts what kept requests waiting within this process: timers that fired late, and
+ * passes of the event loop that took long. What clients and servers did meanwhile was read late.
  */
 final class EventLoopStallLogger {
   private static final Logger LOG = LoggerFactory.getLogger(EventLoopStallLogger.class);
 
-  /** What is shorter is not worth a line. */
-  private static final long LEAST_US = 100_000;
+  /** Shorter stalls are not logged. */
+  private static final long MIN_LOGGED_US = 100_000;
 
   private final Counters counters;
 
@@ -20,19 +20,19 @@
     this.counters = counters;
   }
 
-  /** The earliest timer was due so long before it fired. */
+  /** Reports by how much the earliest timer fired late. */
   void wakeUp(long lateUs) {
-    if (lateUs >= LEAST_US) {
+    if (lateUs >= MIN_LOGGED_US) {
       counters.add("timers.late");
-      LOG.info("the event loop was late by {} ms", lateUs / 1000);
+      LOG.info("event loop late: late_ms={}", lateUs / 1000);
     }
   }
 
-  /** A pass of the event loop with requests held took so long. */
+  /** Reports how long a pass of the event loop took while queries were pending. */
   void pass(long tookUs) {
-    if (tookUs >= LEAST_US) {
+    if (tookUs >= MIN_LOGGED_US) {
       counters.add("passes.long");
-      LOG.info("a pass of the event loop took {} ms", tookUs / 1000);
+      LOG.info("event loop pass slow: duration_ms={}", tookUs / 1000);
     }
   }
 }
--- /dev/null
+++ b/router/src/main/java/tidebank/runtime/NettyResources.java
@@ -0,0 +1,108 @@
+package tidebank.runtime;
+
+import io.netty.bootstrap.Bootstrap;
+import io.netty.bootstrap.ServerBootstrap;
+import io.netty.buffer.ByteBufAllocator;
+import io.netty.buffer.PooledByteBufAllocator;
+import io.netty.channel.AdaptiveRecvByteBufAllocator;
+import io.netty.channel.ChannelOption;
+import io.netty.channel.EventLoop;
+import io.netty.channel.EventLoopGroup;
+import io.netty.channel.MultiThreadIoEventLoopGroup;
+import io.netty.channel.RecvByteBufAllocator;
+import io.netty.channel.WriteBufferWaterMark;
+import io.netty.channel.nio.NioIoHandler;
+import io.netty.channel.socket.nio.NioServerSocketChannel;
+import io.netty.channel.socket.nio.NioSocketChannel;
+import io.netty.util.concurrent.Future;
+import java.util.concurrent.TimeUnit;
+import tidebank.config.RouterConfig;
+
+/** The event loop of a router, its buffers, and the options of its sockets. */
+final class NettyResources {
+  private static final int PAGE_BYTES = 8192;
+
+  /** Chunks of 512 KiB: one arena of few chunks serves a router. */
+  private static final int CHUNK_ORDER = 6;
+
+  /** How often one client's connection is read in a pass at most; Netty's own default. */
+  private static final int MAX_READS_PER_PASS = 16;
+
+  private static final int QUIET_PERIOD_S = 0;
+  private static final int SHUTDOWN_TIMEOUT_S = 1;
+
+  private final RouterConfig config;
+  private final EventLoopGroup group;
+  private final ByteBufAllocator allocator;
+  private final Bootstrap outgoing;
+
+  NettyResources(RouterConfig config) {
+    this.config = config;
+    group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    allocator = new PooledByteBufAllocator(true, 0, 1, PAGE_BYTES, CHUNK_ORDER);
+    outgoing =
+        new Bootstrap()
+            .group(group)
+            .channel(NioSocketChannel.class)
+            .option(ChannelOption.ALLOCATOR, allocator)
+            .option(ChannelOption.TCP_NODELAY, true)
+            .option(ChannelOption.WRITE_BUFFER_WATER_MARK, waterMark())
+            .option(
+                ChannelOption.CONNECT_TIMEOUT_MILLIS,
+                (int) (config.transport().connectTimeoutUs() / 1000));
+  }
+
+  EventLoop loop() {
+    return group.next();
+  }
+
+  ByteBufAllocator allocator() {
+    return allocator;
+  }
+
+  /** Returns the template of connections to shard servers and discovery. */
+  Bootstrap outgoing() {
+    return outgoing;
+  }
+
+  /** Returns the template of the listening socket and of clients' connections. */
+  ServerBootstrap incoming() {
+    return new ServerBootstrap()
+        .group(group)
+        .channel(NioServerSocketChannel.class)
+        .option(ChannelOption.SO_REUSEADDR, true)
+        .option(ChannelOption.SO_BACKLOG, config.budgets().clients())
+        .childOption(ChannelOption.ALLOCATOR, allocator)
+        .childOption(ChannelOption.TCP_NODELAY, true)
+        .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
+        .childOption(ChannelOption.RECVBUF_ALLOCATOR, clientReceiveBuffers())
+        .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, waterMark());
+  }
+
+  /** Closes what is left, once the event loop has nothing to do, and ends its thread. */
+  Future<?> shutdown() {
+    return group.shutdownGracefully(QUIET_PERIOD_S, SHUTDOWN_TIMEOUT_S, TimeUnit.SECONDS);
+  }
+
+  /** Ends the thread of a router that could not be started. */
+  void shutdownNow() {
+    group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
+  }
+
+  /**
+   * Reads a client's connection on until nothing is left, so that the end of a client that has
+   * disconnected is met in the pass that reads its request, before anything is sent for it. An
+   * allocator of one's own reads once a pass unless it is told otherwise.
+   */
+  private RecvByteBufAllocator clientReceiveBuffers() {
+    RouterConfig.Budgets budgets = config.budgets();
+    return new AdaptiveRecvByteBufAllocator(
+            budgets.readLeast(), budgets.readFirst(), budgets.readMost())
+        .respectMaybeMoreData(false)
+        .maxMessagesPerRead(MAX_READS_PER_PASS);
+  }
+
+  private WriteBufferWaterMark waterMark() {
+    return new WriteBufferWaterMark(config.budgets().writeLow(), config.budgets().writeHigh());
+  }
+}
--- a/router/src/main/java/tidebank/runtime/PolicyExecutor.java
+++ b/router/src/main/java/tidebank/runtime/PolicyExecutor.java
@@ -1,61 +1,34 @@
 package tidebank.runtime;
 
 import io.netty.channel.EventLoop;
-import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.function.BiConsumer;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 import tidebank.capture.DecisionLog;
 import tidebank.metrics.Counters;
-import tidebank.model.Action;
 import tidebank.model.Event;
-import tidebank.model.Event.EndpointStatus;
 import tidebank.model.Event.ListUpdate;
 import tidebank.model.Outcome;
 import tidebank.model.Settings;
-import tidebank.policy.RoutingPolicy;
 import tidebank.runtime.BackendPort.Member;
-import tidebank.runtime.PendingQuery.PendingShardRequest;
 
 /**
- * Gathers what one pass of the event loop brings, calls the module once and carries out what it
- * wants, in order. It decides nothing. All of it runs on the event loop.
+ * Connects the clients' side, the shard servers' side and discovery with the decisions: takes in
+ * what happened, and has what the decisions want executed. Confined to the event loop.
+ *
+ * <p>The state is in {@link PendingQueries} and {@link KnownEndpoints}; {@link DecisionLoop} runs
+ * the decisions and {@link ActionExecutor} executes their actions.
  */
 public final class PolicyExecutor {
-  private static final Logger LOG = LoggerFactory.getLogger(PolicyExecutor.class);
-
-  /**
-   * PROTOCOL: nothing is sent more than 0.1 s after a client closed. For a tenth of that what was
-   * read of a client's connection is good enough to send by.
-   */
-  private static final long CLIENT_READ_US = 10_000;
-
-  private final Settings settings;
   private final Clock clock;
   private final TimerQueue timers;
-  private final EventLoop loop;
   private final Counters counters;
-  private final ReadDelayEstimator passes;
-  private final EventLoopStallLogger stalls;
-  private final Runnable run = this::run;
-  private final Map<String, PendingQuery> scans = new HashMap<>();
-  private final Map<String, PendingShardRequest> parts = new HashMap<>();
-  private final Map<String, Member> list = new HashMap<>();
-  private List<Event> events = new ArrayList<>();
-  private boolean scheduled;
-  private boolean listed;
-  private RoutingPolicy policy;
-  private long seed;
-  private BackendPort shards;
-  private DiscoveryPort discovery;
-  private Runnable whenIdle;
-  private DecisionLog log = DecisionLog.NONE;
-  private long numbers;
-  private int held;
+  private final PendingQueries queries;
+  private final KnownEndpoints endpoints = new KnownEndpoints();
+  private final ActionExecutor actions;
+  private final DecisionLoop decisions;
+  private BackendPort backend;
 
+  /** Creates an executor with decisions of this seed; {@link #connect} completes it. */
   public PolicyExecutor(
       Settings settings,
       long seed,
@@ -63,358 +36,167 @@
       TimerQueue timers,
       EventLoop loop,
       Counters counters) {
-    this.settings = settings;
-    this.seed = seed;
     this.clock = clock;
     this.timers = timers;
-    this.loop = loop;
     this.counters = counters;
-    this.policy = new RoutingPolicy(settings, seed);
-    this.passes = new ReadDelayEstimator(settings.tickUs());
-    this.stalls = new EventLoopStallLogger(counters);
+    this.queries = new PendingQueries(settings.limits().maxPending());
+    this.actions = new ActionExecutor(queries, clock, timers, counters, this::enqueue);
+    this.decisions =
+        new DecisionLoop(settings, seed, clock, loop, counters, queries, endpoints, actions);
   }
 
-  /** Has every turn told from now on, which is before the first. */
-  public void log(DecisionLog wanted) {
-    log = wanted;
-    log.policyStarted(settings, seed);
+  /** Records every decision round from now on; called before the first one. */
+  public void recordTo(DecisionLog log) {
+    decisions.recordTo(log);
   }
 
-  public void connect(BackendPort shards, DiscoveryPort discovery) {
-    this.shards = shards;
-    this.discovery = discovery;
+  /** Sets the sides that execute actions; called once, before the first event. */
+  public void connect(BackendPort backend, DiscoveryPort discovery) {
+    this.backend = backend;
+    actions.connect(backend, discovery);
   }
 
-  // ---- what happened
-
-  /** A front took a scan. False: as much is held as the settings allow; it was not taken. */
-  public boolean queryReceived(QueryRequest request, ResponseCallback reply) {
-    int more = 1 + request.ranges().size();
-    if (held > settings.limits().maxPending() - more) {
+  /**
+   * Takes a query, whose final response goes to {@code callback}. Returns false, and takes nothing,
+   * if as many queries and shard requests are pending as the settings allow.
+   */
+  public boolean queryReceived(QueryRequest request, ResponseCallback callback) {
+    if (!queries.hasCapacity(request)) {
       return false;
     }
+    // The text names a counter and is therefore kept.
     counters.checkInvariant(!isPending(request), "an id is held once");
-    PendingQuery scan = new PendingQuery(request, ++numbers, reply);
-    scan.clientReadAt = clock.now();
-    held += more;
-    scans.put(request.id(), scan);
-    parts.putAll(scan.requests);
-    tell(
+    PendingQuery query = queries.add(request, callback, clock.now());
+    enqueue(
         new Event.QueryReceived(
             request.id(),
-            scan.number,
+            query.number(),
             request.queryClass(),
             request.tenant(),
             request.receivedAt(),
             request.deadline(),
             request.clientRetry(),
             request.key()));
-    for (PendingShardRequest part : scan.requests.values()) {
-      tell(
+    for (PendingShardRequest shardRequest : query.requests()) {
+      QueryRequest.ShardRange range = shardRequest.range();
+      enqueue(
           new Event.ShardRequestReceived(
-              part.id, scan.number, part.range.shard(), part.range.weight(), part.range.key()));
+              shardRequest.id(), query.number(), range.shard(), range.weight(), range.key()));
     }
     return true;
   }
 
-  /** Whether a scan of this id is held, or a part of it is still out. */
+  /** Returns whether a query of this id is pending, or an attempt of one is still in flight. */
   public boolean isPending(QueryRequest request) {
-    return scans.containsKey(request.id())
-        || request.ranges().stream()
-            .anyMatch(range -> parts.containsKey(PendingShardRequest.id(request, range)));
+    return queries.contains(request);
   }
 
-  /** What was sent so far for a scan that is held, for the log. */
-  public String attemptCount(String id) {
-    PendingQuery scan = scans.get(id);
-    if (scan == null) {
-      return "dispatches=-";
-    }
-    int begun = scan.requests.values().stream().mapToInt(part -> part.attempts.size()).sum();
-    long ago = begun == 0 ? -1 : (clock.now() - scan.lastSentAt) / 1000;
-    return "dispatches=" + begun + " last_sent_ms_ago=" + ago;
+  /** Describes what has come of a pending query for the log, as {@code key=value} pairs. */
+  public String describe(String id) {
+    PendingQuery query = queries.find(id);
+    return query == null ? "pending_shards=0" : query.describe(clock.now());
   }
 
-  /** The client of a scan has left. */
+  /** Ends a query whose client has disconnected; it gets no response. */
   public void clientDisconnected(String id) {
-    PendingQuery scan = scans.get(id);
-    if (scan != null) {
+    PendingQuery query = queries.find(id);
+    if (query != null) {
       counters.add("scans.lapsed");
-      finish(scan);
-      tell(new Event.ClientDisconnected(id));
+      queries.close(query);
+      enqueue(new Event.ClientDisconnected(id));
     }
   }
 
   /**
-   * The first byte of a dispatch is about to be written. The poll that brought what the decision
-   * rests on may be long over, as code may be cold and the process may have been held up: if the
-   * client has left meanwhile, its scan lapses here, and with it all that is not written.
+   * Called before the first byte of an attempt is written. The poll that the decision rests on may
+   * be long past, as code may be cold and the process may have been stopped: if the client has
+   * disconnected meanwhile, its query ends here, with all that is not written.
    */
-  public void aboutToWrite(AttemptRequest request) {
-    PendingQuery scan = request.shardRequest.query;
-    if (scan.callback == null || clock.now() - scan.clientReadAt < CLIENT_READ_US) {
-      return;
-    }
-    scan.clientReadAt = clock.now();
-    scan.callback.checkClient();
-    if (scan.callback == null) {
+  public void aboutToWrite(AttemptRequest attempt) {
+    if (attempt.shardRequest().query().clientGone(clock.now())) {
       counters.add("scans.lapsed-before-writing");
     }
   }
 
-  /** A dispatch has come to its one end; {@code value} is null unless it completed. */
+  /**
+   * Takes the outcome of an attempt, once.
+   *
+   * @param value the shard's answer, or null unless the attempt completed successfully
+   * @param loadReport what the server reported of its load, by name; empty if nothing
+   */
   public void attemptCompleted(
-      AttemptRequest request, Outcome outcome, byte[] value, Map<String, Double> report) {
-    if (!counters.checkInvariant(!request.completed, "a dispatch ends once")) {
+      AttemptRequest attempt, Outcome outcome, byte[] value, Map<String, Double> loadReport) {
+    // The text names a counter and is therefore kept.
+    if (!counters.checkInvariant(!attempt.isCompleted(), "a dispatch ends once")) {
       return;
     }
-    request.completed = true;
-    PendingShardRequest part = request.shardRequest;
-    if (value != null && part.value == null && part.query.callback != null) {
-      part.value = value;
-    }
+    attempt.complete();
+    PendingShardRequest shardRequest = attempt.shardRequest();
+    shardRequest.receive(value);
     counters.add(CounterNames.attempts(outcome));
-    boolean closed = part.query.callback == null || part.value != null;
-    tell(
+    enqueue(
         new Event.AttemptCompleted(
-            part.id, request.number, outcome, clock.now() - request.createdAt, closed, report));
-    forget(part);
+            shardRequest.id(),
+            attempt.number(),
+            outcome,
+            clock.now() - attempt.createdAt(),
+            shardRequest.isClosed(),
+            loadReport));
+    queries.removeIfDone(shardRequest);
   }
 
+  /** Takes the outcome of a health check. */
   public void healthCheckCompleted(
-      String server, Outcome outcome, long tookUs, Map<String, Double> report) {
+      String server, Outcome outcome, long durationUs, Map<String, Double> loadReport) {
     counters.add(CounterNames.healthChecks(outcome));
-    tell(new Event.HealthCheckCompleted(server, outcome, tookUs, report));
+    enqueue(new Event.HealthCheckCompleted(server, outcome, durationUs, loadReport));
   }
 
-  /** A list, or what changed in it, or that the watch was lost. */
-  public void endpointListReceived(ListUpdate kind, List<Member> members) {
-    if (kind != ListUpdate.WATCH_LOST && kind != ListUpdate.DISCOVERY_MOVED) {
-      boolean full = kind != ListUpdate.DELTA;
-      listed |= kind != ListUpdate.CACHED;
-      if (full) {
-        list.clear();
-      }
-      for (Member member : members) {
-        boolean gone = member.endpoint().status() == EndpointStatus.GONE;
-        list.compute(member.endpoint().server(), (id, before) -> gone ? null : member);
-      }
-      shards.updateEndpoints(members, full);
+  /** Takes an endpoint list, a change of it, or that the watch of it was lost. */
+  public void endpointListReceived(ListUpdate update, List<Member> members) {
+    if (update != ListUpdate.WATCH_LOST && update != ListUpdate.DISCOVERY_MOVED) {
+      endpoints.apply(update, members);
+      backend.updateEndpoints(members, update != ListUpdate.DELTA);
     }
-    counters.add(CounterNames.listUpdates(kind));
-    tell(new Event.EndpointListReceived(kind, members.stream().map(Member::endpoint).toList()));
+    counters.add(CounterNames.listUpdates(update));
+    enqueue(new Event.EndpointListReceived(update, KnownEndpoints.endpoints(members)));
   }
 
-  /** All that is held, and what still comes, is to be answered before this. */
-  void shutdownRequested(long at) {
-    tell(new Event.ShutdownRequested(at));
+  /** Announces that every query, also one still to come, needs its response before this moment. */
+  void shutdownRequested(long deadline) {
+    enqueue(new Event.ShutdownRequested(deadline));
   }
 
-  /** Runs something once no scan is held and nothing waits to be decided. */
+  /** Runs something once no query is pending and no decision round is due. */
   void whenIdle(Runnable then) {
-    whenIdle = then;
-    checkIdle();
+    decisions.whenIdle(then);
   }
 
-  /** Whether any list has come since the start. */
-  boolean listed() {
-    return listed;
+  /** Returns whether discovery has sent any list since the start, also an empty one. */
+  boolean listReceived() {
+    return endpoints.wasReceived();
   }
 
-  /** Whether any list told of a shard server. */
+  /** Returns whether any shard server is known. */
   boolean knowsServers() {
-    return !list.isEmpty();
+    return !endpoints.isEmpty();
   }
 
   /**
-   * The earliest moment at which bytes that are read now may have arrived, by {@link
-   * ReadDelayEstimator} and by how much a timer is overdue: for so long the process as a whole
-   * stood still.
+   * Returns the earliest moment at which bytes that are read now may have arrived: by {@link
+   * ReadDelayEstimator}, and by how long the earliest timer is overdue, as the whole process stood
+   * still for so long.
    */
   public long arrivedSince() {
-    beginPass();
-    return Math.min(passes.arrivedSince(), clock.now() - timers.overdueUs());
+    return Math.min(decisions.arrivedSince(), clock.now() - timers.overdueUs());
   }
 
-  /** The number of the loop's present pass over what there is to read. */
+  /** Returns the number of the event loop's present pass over its sockets. */
   public long passNumber() {
-    beginPass();
-    return passes.number();
-  }
-
-  private void tell(Event event) {
-    events.add(event);
-    beginPass();
-  }
-
-  private void beginPass() {
-    if (!scheduled) {
-      scheduled = true;
-      passes.active(clock.now());
-      loop.execute(run);
-    }
-  }
-
-  // ---- the turn
-
-  private void run() {
-    scheduled = false;
-    if (!events.isEmpty()) {
-      decide();
-    }
-    long tookUs = passes.ended(clock.now());
-    if (!scans.isEmpty()) {
-      stalls.pass(tookUs);
-    }
-    checkIdle();
-  }
-
-  private void decide() {
-    List<Event> taken = events;
-    events = new ArrayList<>();
-    counters.add("turns");
-    long now = clock.now();
-    try {
-      List<Action> actions = policy.on(now, taken);
-      log.roundDecided(now, taken, actions);
-      for (Action action : actions) {
-        carryOut(action);
-      }
-      shards.flush();
-    } catch (RuntimeException | VirtualMachineError fault) {
-      LOG.error("module or turn failed; all that is held is abandoned", fault);
-      counters.add("turns.failed");
-      log.roundFailed(now, taken, fault);
-      startOver();
-    }
+    return decisions.passNumber();
   }
 
-  /**
-   * The module may be half way through a change: it starts again from the list, as after a restart.
-   */
-  private void startOver() {
-    for (PendingQuery scan : List.copyOf(scans.values())) {
-      ResponseCallback reply = scan.callback;
-      finish(scan);
-      scan.requests.values().forEach(part -> List.copyOf(part.attempts).forEach(this::cancel));
-      reply.onFailed();
-    }
-    shards.flush();
-    events.removeIf(
-        event ->
-            !(event instanceof Event.QueryReceived || event instanceof Event.ShardRequestReceived));
-    policy = new RoutingPolicy(settings, ++seed);
-    log.policyStarted(settings, seed);
-    events.add(
-        0,
-        new Event.EndpointListReceived(
-            ListUpdate.CACHED, list.values().stream().map(Member::endpoint).toList()));
-    tell(new Event.TimerFired(0));
-  }
-
-  private void carryOut(Action action) {
-    if (action instanceof Action.SendAttempt send) {
-      send(send);
-    } else if (action instanceof Action.CancelAttempt cancel) {
-      PendingShardRequest part = parts.get(cancel.shardRequest());
-      if (part != null) {
-        cancel(part.attempts.get(cancel.attempt()));
-      }
-    } else if (action instanceof Action.Respond answer) {
-      conclude(
-          answer.query(),
-          answer.complete() ? "scans.whole" : "scans.partial",
-          (reply, scan) -> reply.onResponse(answer.complete(), scan.values()));
-    } else if (action instanceof Action.Throttle throttle) {
-      conclude(
-          throttle.query(),
-          "scans.throttled",
-          (reply, scan) -> reply.onThrottled(throttle.retryAfterUs()));
-    } else if (action instanceof Action.Fail abandon) {
-      conclude(abandon.query(), "scans.abandoned", (reply, scan) -> reply.onFailed());
-    } else if (action instanceof Action.SetTimer timer) {
-      timers.schedule(
-          TimerQueue.timer(() -> tell(new Event.TimerFired(timer.token()))),
-          clock.now() + timer.delayUs());
-    } else if (action instanceof Action.WatchEndpoints follow) {
-      discovery.watch(follow.enabled());
-    } else if (action instanceof Action.RetireConnections close) {
-      shards.retireConnections(close.server());
-    } else if (action instanceof Action.CheckHealth probe) {
-      shards.checkHealth(probe.server());
-    } else if (action instanceof Action.LogNote note) {
-      LOG.info("module: " + note.message());
-    }
-  }
-
-  private void conclude(
-      String id, String counter, BiConsumer<ResponseCallback, PendingQuery> answer) {
-    PendingQuery scan = scans.get(id);
-    if (scan != null) {
-      ResponseCallback reply = scan.callback;
-      finish(scan);
-      counters.add(counter);
-      answer.accept(reply, scan);
-    }
-  }
-
-  private void send(Action.SendAttempt send) {
-    PendingShardRequest part = parts.get(send.shardRequest());
-    if (!counters.checkInvariant(
-        part != null && part.query.callback != null, "only parts of an open scan are sent")) {
-      return;
-    }
-    AttemptRequest request =
-        new AttemptRequest(
-            part,
-            part.attempts.size(),
-            send.server(),
-            part.query.request.body(),
-            send.deadline(),
-            clock.now());
-    part.attempts.add(request);
-    part.query.lastSentAt = request.createdAt;
-    try {
-      request.handle = shards.send(request);
-    } catch (RuntimeException | VirtualMachineError fault) {
-      request.completed = true;
-      throw fault;
-    }
-  }
-
-  private void cancel(AttemptRequest request) {
-    if (!request.completed) {
-      request.handle.cancel();
-    }
-  }
-
-  /** The scan has its final answer, or needs none: nothing of it may be written any more. */
-  private void finish(PendingQuery scan) {
-    scan.callback = null;
-    scans.remove(scan.request.id());
-    held -= 1 + scan.requests.size();
-    for (PendingShardRequest part : scan.requests.values()) {
-      for (AttemptRequest request : List.copyOf(part.attempts)) {
-        if (!request.completed) {
-          request.handle.dropUnsent();
-        }
-      }
-      forget(part);
-    }
-  }
-
-  private void forget(PendingShardRequest part) {
-    if (part.query.callback == null
-        && part.attempts.stream().allMatch(request -> request.completed)) {
-      parts.remove(part.id);
-    }
-  }
-
-  private void checkIdle() {
-    if (whenIdle != null && scans.isEmpty() && !scheduled) {
-      Runnable then = whenIdle;
-      whenIdle = null;
-      then.run();
-    }
+  private void enqueue(Event event) {
+    decisions.enqueue(event);
   }
 }
--- a/router/src/main/java/tidebank/runtime/QueryRequest.java
+++ b/router/src/main/java/tidebank/runtime/QueryRequest.java
@@ -3,8 +3,17 @@
 import java.util.List;
 
 /**
- * A scan as a front took it, whose last byte came at {@code receivedAt}: checked, with its key or
- * "" and the text that every part carries.
+ * A checked query of a client.
+ *
+ * @param id the client's id of it
+ * @param queryClass the name of its query class
+ * @param tenant whose quota it counts against, or ""
+ * @param receivedAt when its last byte was read, in microseconds
+ * @param deadline when its client stops waiting, in microseconds
+ * @param clientRetry whether the client has sent it before
+ * @param key the idempotency key, or ""
+ * @param body what each shard request carries; not to be modified
+ * @param ranges the shards it goes to
  */
 public record QueryRequest(
     String id,
@@ -16,6 +25,6 @@
     String key,
     byte[] body,
     List<ShardRange> ranges) {
-  /** One part: its shard, its share of the whole answer and its key, or "". */
+  /** A shard, its share of the complete response, and the key for choosing a replica, or "". */
   public record ShardRange(int shard, double weight, String key) {}
 }
--- a/router/src/main/java/tidebank/runtime/QueryRouter.java
+++ b/router/src/main/java/tidebank/runtime/QueryRouter.java
@@ -1,25 +1,12 @@
 package tidebank.runtime;
 
-import io.netty.bootstrap.Bootstrap;
-import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBufAllocator;
-import io.netty.buffer.PooledByteBufAllocator;
-import io.netty.channel.AdaptiveRecvByteBufAllocator;
 import io.netty.channel.ChannelFuture;
-import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
-import io.netty.channel.EventLoopGroup;
-import io.netty.channel.MultiThreadIoEventLoopGroup;
-import io.netty.channel.RecvByteBufAllocator;
-import io.netty.channel.WriteBufferWaterMark;
-import io.netty.channel.nio.NioIoHandler;
-import io.netty.channel.socket.nio.NioServerSocketChannel;
-import io.netty.channel.socket.nio.NioSocketChannel;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
-import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import tidebank.backend.ShardClient;
@@ -35,165 +22,126 @@
 import tidebank.model.Event.ListUpdate;
 
 /**
- * A gatherer on sockets, to be embedded: {@link #start} it, ask whether it is ready, {@link #stop}
- * it.
+ * A query router on sockets, to be embedded: {@link #start} it, ask whether it is {@link #ready},
+ * {@link #stop} it. The methods may be called from any thread; all else happens on one event loop.
+ *
+ * <p>The sequence of a stop is {@link GracefulShutdown}.
  */
 public final class QueryRouter {
   private static final Logger LOG = LoggerFactory.getLogger(QueryRouter.class);
-  private static final int PAGE = 8192;
-
-  /** Chunks of 512 KiB: one arena of few chunks serves a gatherer. */
-  private static final int CHUNK_ORDER = 6;
-
-  /** So often one client's connection is read in a pass at most; Netty's own figure. */
-  private static final int READS_A_PASS = 16;
 
   private final RouterConfig config;
-  private final long reportUs;
+  private final long countersIntervalUs;
   private final Clock clock = new Clock();
   private final Counters counters = new Counters();
-  private final EventLoopGroup group;
+  private final NettyResources netty;
   private final ByteBufAllocator allocator;
   private final EventLoop loop;
   private final TimerQueue timers;
-  private final PolicyExecutor driver;
+  private final PolicyExecutor executor;
   private final CaptureRecorder recorder;
   private final ShardClient shards;
   private final DiscoveryClient discovery;
   private final ClientServer clients;
-  private FleetAgent agent;
-  private final TimerQueue.Timer report = TimerQueue.timer(this::report);
+  private final GracefulShutdown shutdown;
+  private final TimerQueue.Timer countersTimer = TimerQueue.timer(this::logCounters);
   private final CompletableFuture<Void> stopped = new CompletableFuture<>();
+  private FleetAgent agent;
   private InetSocketAddress address;
-  private boolean stopping;
-  private volatile long endBy;
-  private long lingerUs;
-  private boolean closed;
 
-  private QueryRouter(RouterConfig config, OperatorConfig own) {
+  private QueryRouter(RouterConfig config, OperatorConfig operatorConfig) {
     this.config = config;
-    reportUs = own.countersEveryUs();
-    group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    loop = group.next();
+    countersIntervalUs = operatorConfig.countersEveryUs();
+    netty = new NettyResources(config);
+    allocator = netty.allocator();
+    loop = netty.loop();
     timers = new TimerQueue(loop, clock, counters);
-    driver = new PolicyExecutor(config.settings(), config.seed(), clock, timers, loop, counters);
-    allocator = new PooledByteBufAllocator(true, 0, 1, PAGE, CHUNK_ORDER);
-    Bootstrap out =
-        new Bootstrap()
-            .group(group)
-            .channel(NioSocketChannel.class)
-            .option(ChannelOption.ALLOCATOR, allocator)
-            .option(ChannelOption.TCP_NODELAY, true)
-            .option(ChannelOption.WRITE_BUFFER_WATER_MARK, waterMark())
-            .option(
-                ChannelOption.CONNECT_TIMEOUT_MILLIS,
-                (int) (config.transport().connectTimeoutUs() / 1000));
-    shards = new ShardClient(config, out, driver, clock, timers, counters);
-    discovery = new DiscoveryClient(config, out, driver, clock, timers, counters);
-    driver.connect(shards, discovery);
-    recorder = recorder(own);
+    executor = new PolicyExecutor(config.settings(), config.seed(), clock, timers, loop, counters);
+    shards = new ShardClient(config, netty.outgoing(), executor, clock, timers, counters);
+    discovery = new DiscoveryClient(config, netty.outgoing(), executor, clock, timers, counters);
+    executor.connect(shards, discovery);
+    recorder = openRecorder(operatorConfig);
     if (recorder != null) {
-      driver.log(recorder);
+      executor.recordTo(recorder);
     }
     Readiness readiness = new Readiness(clock.now());
     clients =
         new ClientServer(
             config,
-            driver,
+            executor,
             clock,
             timers,
             counters,
-            () -> readiness.ready(clock.now(), driver.knowsServers(), driver.listed()));
+            () -> readiness.ready(clock.now(), executor.knowsServers(), executor.listReceived()));
+    shutdown =
+        new GracefulShutdown(
+            config.settings(), clients, executor, clock, timers, this::closeSockets);
   }
 
-  /** What can't be recorded is served all the same. */
-  private CaptureRecorder recorder(OperatorConfig own) {
+  /** Opens the capture, or returns null: a router whose capture fails serves all the same. */
+  private CaptureRecorder openRecorder(OperatorConfig operatorConfig) {
+    if (operatorConfig.capture() == null) {
+      return null;
+    }
     try {
-      return own.capture() == null ? null : new CaptureRecorder(own.capture(), clock::now);
+      return new CaptureRecorder(operatorConfig.capture(), clock::now);
     } catch (IOException fault) {
-      LOG.error("serving without a capture: its folder can't be used", fault);
+      LOG.error("capture disabled, its folder cannot be used", fault);
       return null;
     }
   }
 
-  /** Starts one; when this returns it listens. */
+  /** Starts a router with the default operator configuration; see the other method. */
   public static QueryRouter start(RouterConfig config) throws IOException {
     return start(config, OperatorConfig.DEFAULT);
   }
 
-  public static QueryRouter start(RouterConfig config, OperatorConfig own) throws IOException {
-    QueryRouter gatherer = new QueryRouter(config, own);
+  /**
+   * Starts a router. It listens when this returns.
+   *
+   * @throws IOException if it cannot listen, or the configured endpoint list is malformed
+   */
+  public static QueryRouter start(RouterConfig config, OperatorConfig operatorConfig)
+      throws IOException {
+    QueryRouter router = new QueryRouter(config, operatorConfig);
     try {
-      gatherer.begin();
-      gatherer.join(own.fleet());
+      router.open();
+      router.startAgent(operatorConfig.fleet());
     } catch (IOException | RuntimeException fault) {
-      gatherer.group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
+      router.netty.shutdownNow();
       throw fault;
     }
-    return gatherer;
+    return router;
   }
 
-  /** Listening by now: what is done for the fleet never keeps it waiting. */
-  private void join(FleetAgent.Plan fleet) {
+  /** Starts the fleet agent last: what it waits for never delays the listening. */
+  private void startAgent(FleetAgent.Plan fleet) {
     if (fleet != null) {
       agent = new FleetAgent(fleet, config.name(), counters::all, loop).start();
     }
   }
 
-  private void begin() throws IOException {
-    EndpointListParser.Members known = known();
-    ServerBootstrap in =
-        new ServerBootstrap()
-            .group(group)
-            .channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_REUSEADDR, true)
-            .option(ChannelOption.SO_BACKLOG, config.budgets().clients())
-            .childOption(ChannelOption.ALLOCATOR, allocator)
-            .childOption(ChannelOption.TCP_NODELAY, true)
-            .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
-            .childOption(ChannelOption.RECVBUF_ALLOCATOR, clientBuffers())
-            .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, waterMark());
+  private void open() throws IOException {
+    EndpointListParser.Members cached = cachedEndpoints();
     loop.submit(
             () -> {
-              driver.endpointListReceived(ListUpdate.CACHED, known.members());
-              discovery.begin(known.members().isEmpty() ? -1 : known.version());
+              executor.endpointListReceived(ListUpdate.CACHED, cached.members());
+              discovery.begin(cached.members().isEmpty() ? -1 : cached.version());
             })
         .syncUninterruptibly();
-    ChannelFuture binding = clients.listen(in).awaitUninterruptibly();
+    ChannelFuture binding = clients.listen(netty.incoming()).awaitUninterruptibly();
     if (!binding.isSuccess()) {
       throw new IOException(
           "cannot listen on " + config.listen() + ": " + binding.cause().getMessage());
     }
     address = (InetSocketAddress) binding.channel().localAddress();
-    loop.execute(() -> timers.schedule(report, clock.now() + reportUs));
+    loop.execute(this::scheduleCounters);
     LOG.info(
-        "gatherer "
-            + config.name()
-            + " listens on "
-            + address
-            + ", knows "
-            + known.members().size()
-            + " shard servers");
-  }
-
-  /**
-   * How a client's connection is read: on until nothing is left, so that the end of a client that
-   * has left is met in the pass that reads its request, before anything is sent for it. An
-   * allocator of one's own reads once a pass unless it is told otherwise.
-   */
-  private RecvByteBufAllocator clientBuffers() {
-    RouterConfig.Budgets budgets = config.budgets();
-    return new AdaptiveRecvByteBufAllocator(
-            budgets.readLeast(), budgets.readFirst(), budgets.readMost())
-        .respectMaybeMoreData(false)
-        .maxMessagesPerRead(READS_A_PASS);
+        "router {} listens on {}: endpoints={}", config.name(), address, cached.members().size());
   }
 
-  private WriteBufferWaterMark waterMark() {
-    return new WriteBufferWaterMark(config.budgets().writeLow(), config.budgets().writeHigh());
-  }
-
-  private EndpointListParser.Members known() throws MalformedInputException {
+  /** Returns the endpoint list that the configuration carries, or an empty one. */
+  private EndpointListParser.Members cachedEndpoints() throws MalformedInputException {
     if (config.known() == null) {
       return new EndpointListParser.Members(0, true, List.of());
     }
@@ -204,19 +152,19 @@
     }
   }
 
-  /** Where it listens; the port is the system's choice where the configuration says 0. */
+  /** Returns where it listens, with the port that the system chose if the configured one is 0. */
   public InetSocketAddress address() {
     return address;
   }
 
-  /** Whether it can serve, as {@link Readiness} has it, and is not stopping. */
+  /** Returns whether it can serve, as {@link Readiness} decides, and is not stopping. */
   public boolean ready() {
-    return loop.submit(() -> clients.ready()).syncUninterruptibly().getNow();
+    return loop.submit(clients::isReady).syncUninterruptibly().getNow();
   }
 
   /**
-   * Begins to stop: not ready, but serving whoever still comes while there is time enough for it,
-   * then no more, and all that was taken answered. Completes when that is done.
+   * Begins a graceful shutdown: not ready from now on, it serves new requests for a while, then
+   * responds to all it has accepted. The result completes when all sockets are closed.
    */
   public CompletableFuture<Void> stop() {
     if (loop.isShuttingDown()) {
@@ -225,84 +173,53 @@
     if (agent != null) {
       agent.leave();
     }
-    loop.execute(
-        () -> {
-          if (!stopping) {
-            stopping = true;
-            long now = clock.now();
-            long lateUs = timers.latenessUs();
-            clients.drain();
-            ShutdownSchedule plan = new ShutdownSchedule(config.settings(), now, lateUs);
-            LOG.info(
-                "stopping: requests are let in for {} ms, answered within {} ms; late by {} ms",
-                (plan.stopAcceptingAt - now) / 1000,
-                (plan.deadline - now) / 1000,
-                lateUs / 1000);
-            endBy = plan.deadline;
-            lingerUs = plan.lingerUs;
-            driver.shutdownRequested(endBy);
-            timers.schedule(TimerQueue.timer(this::noMoreRequests), plan.stopAcceptingAt);
-          }
-        });
+    loop.execute(shutdown::begin);
     return stopped;
   }
 
   /**
-   * Takes over what may change while it runs, which is where discovery is; all else of a
+   * Applies what may change while it runs, which is the address of discovery. All else of a
    * configuration needs a restart.
    */
   public void reload(RouterConfig fresh) {
     loop.execute(
         () -> {
           counters.add("config.reloaded");
-          if (!closed) {
+          if (!shutdown.isComplete()) {
             discovery.moved(fresh.discovery());
           }
         });
   }
 
-  /** A configuration that was to be taken over has a fault: the old one stands. */
+  /** Reports that a new configuration is faulty; the present one stays. */
   public void reloadFailed(MalformedInputException fault) {
     loop.execute(() -> counters.add("config.faulty"));
-    LOG.warn("the configuration stays as it was: " + fault.getMessage());
-  }
-
-  private void noMoreRequests() {
-    clients.end();
-    driver.whenIdle(this::waitForClients);
+    LOG.warn("the configuration stays as it was: {}", fault.getMessage());
   }
 
-  /**
-   * Answers are on their way; their connections close once they are written and read, and at the
-   * end in any case.
-   */
-  private void waitForClients() {
-    long now = clock.now();
-    clients.close(now >= endBy ? Long.MAX_VALUE : now - lingerUs);
-    if (clients.open() > 0) {
-      timers.schedule(
-          TimerQueue.timer(() -> driver.whenIdle(this::waitForClients)),
-          clock.now() + config.settings().tickUs());
-      return;
-    }
-    closed = true;
+  /** Called by {@link GracefulShutdown} when no client is connected any more. */
+  private void closeSockets(long deadline) {
     shards.close();
     discovery.close();
-    LOG.info("stopped: " + counters);
-    group
-        .shutdownGracefully(0, 1, TimeUnit.SECONDS)
+    LOG.info("stopped: {}", counters);
+    netty
+        .shutdown()
         .addListener(
             done -> {
               if (recorder != null) {
-                // The process ends by the time it promised, whatever the disk does.
-                recorder.close((endBy - clock.now()) / 1000);
+                // The process ends by its deadline, whatever the disk does.
+                recorder.close((deadline - clock.now()) / 1000);
               }
               stopped.complete(null);
             });
   }
 
-  private void report() {
-    LOG.info("counters: " + counters);
-    timers.schedule(report, clock.now() + reportUs);
+  private void scheduleCounters() {
+    timers.schedule(countersTimer, clock.now() + countersIntervalUs);
+  }
+
+  private void logCounters() {
+    LOG.info("counters: {}", counters);
+    scheduleCounters();
   }
 }
--- a/router/src/main/java/tidebank/runtime/ReadDelayEstimator.java
+++ b/router/src/main/java/tidebank/runtime/ReadDelayEstimator.java
@@ -2,47 +2,47 @@
 
 /**
  * Estimates since when bytes may have waited to be read. The event loop polls its sockets, reads
- * what is there, and decides; bytes that arrive while it reads and decides are found by the next
- * poll only. So what one pass reads may have arrived at any time since the pass before began,
- * unless the loop rested in between: then the bytes have woken it. Times are whole microseconds.
+ * what is there, and runs a decision round; bytes that arrive meanwhile are found by the next poll
+ * only. So what one pass reads may have arrived at any time since the pass before began, unless the
+ * loop was idle in between: then the bytes have woken it. Times are in microseconds.
  */
 final class ReadDelayEstimator {
-  /** A pass that begins so soon after the one before did not wait for anything. */
-  private final long restUs;
+  /** A pass that begins within this of the end of the one before did not wait for anything. */
+  private final long idleUs;
 
-  private boolean open;
+  private boolean passActive;
   private long number;
   private long beganAt;
   private long arrivedSince;
   private long previousEndedAt = Long.MIN_VALUE / 2;
 
-  ReadDelayEstimator(long restUs) {
-    this.restUs = restUs;
+  ReadDelayEstimator(long idleUs) {
+    this.idleUs = idleUs;
   }
 
-  /** Something was read or is due in the pass that is on; the first call begins it. */
+  /** Notes that something was read or is due in the present pass; the first call begins it. */
   void active(long now) {
-    if (!open) {
-      open = true;
+    if (!passActive) {
+      passActive = true;
       number++;
-      arrivedSince = now - previousEndedAt <= restUs ? beganAt : now;
+      arrivedSince = now - previousEndedAt <= idleUs ? beganAt : now;
       beganAt = now;
     }
   }
 
-  /** All that the pass brought has been decided and carried out; returns how long that took. */
+  /** Ends the present pass and returns how long it took. */
   long ended(long now) {
-    open = false;
+    passActive = false;
     previousEndedAt = now;
     return now - beganAt;
   }
 
-  /** The earliest moment at which what the present pass reads may have arrived. */
+  /** Returns the earliest moment at which what the present pass reads may have arrived. */
   long arrivedSince() {
     return arrivedSince;
   }
 
-  /** The number of the present or latest pass, from 1. */
+  /** Returns the number of the present or latest pass, from 1. */
   long number() {
     return number;
   }
--- a/router/src/main/java/tidebank/runtime/ResponseCallback.java
+++ b/router/src/main/java/tidebank/runtime/ResponseCallback.java
@@ -2,22 +2,23 @@
 
 import java.util.List;
 
-/** How a front hears of the one final answer of a scan that it took. */
+/** Gets the one final response of a query: exactly one of the methods named on is called, once. */
 public interface ResponseCallback {
-  /** The value of a part that is in, as its shard server gave it. */
+  /** The value of a shard, as its server sent it. */
   record Value(int shard, byte[] bytes) {}
 
-  void onResponse(boolean whole, List<Value> values);
+  /** Responds with the values received; {@code complete}: none is missing. */
+  void onResponse(boolean complete, List<Value> values);
 
-  /** Trying again is harmless; {@code holdOffUs} above 0 advises when. */
-  void onThrottled(long holdOffUs);
+  /** Sheds the query: a retry is harmless. {@code retryAfterUs} above 0 advises when. */
+  void onThrottled(long retryAfterUs);
 
-  /** No promise about its effect. */
+  /** Fails the query: shard servers may have executed it or not. */
   void onFailed();
 
   /**
-   * Reads the client's connection once more, now: if the client has ended it since the last poll,
-   * the scan has lapsed when this returns.
+   * Reads the client's connection now. If the client has disconnected since the last poll, the
+   * query is closed when this returns.
    */
   void checkClient();
 }
--- a/router/src/test/java/tidebank/AcceptBacklogTest.java
+++ b/router/src/test/java/tidebank/AcceptBacklogTest.java
@@ -155,7 +155,7 @@
             "NODE_CONFIG", site.configFile().toString(), "NODE_NAME", "n7", "NODE_LISTEN", listen),
         "serve");
     String line = site.errors.readLine();
-    while (!line.contains("gatherer n7 listens on")) {
+    while (!line.contains("router n7 listens on")) {
       line = site.errors.readLine();
       assertThat(line).as("a line that it listens").isNotNull();
     }
--- a/router/src/test/java/tidebank/CrossingsTest.java
+++ b/router/src/test/java/tidebank/CrossingsTest.java
@@ -66,7 +66,7 @@
         new InetSocketAddress(
             "127.0.0.1",
             Integer.parseInt(
-                log("gatherer n7 listens on").replaceAll(".*127.0.0.1:(\\d+).*", "$1"))));
+                log("router n7 listens on").replaceAll(".*127.0.0.1:(\\d+).*", "$1"))));
   }
 
   private String log(String part) throws IOException {
@@ -320,7 +320,7 @@
       held.send(scan("once", "held", 2900, 1));
       Frame frame = server.next();
       signal("TERM");
-      log("stopping");
+      log("shutdown requested");
       signal("HUP");
       signal("TERM");
       signal("HUP");
@@ -344,7 +344,7 @@
       // By its answer the gatherer has also met what came before on the other connection.
       assertThat(rests.ready()).isEqualTo(200);
       signal("TERM");
-      log("stopping");
+      log("shutdown requested");
       // Rests until it is ended, by when no more requests are let in.
       assertThat(rests.ended()).isTrue();
       if (comes) {
@@ -370,7 +370,7 @@
       waits.send(scan("once", "b", 2900, 1));
       Frame second = server.next();
       signal("TERM");
-      log("stopping");
+      log("shutdown requested");
       first.answer("good", "x");
       assertThat(stays.read().status()).isEqualTo(200);
       second.answer("good", "y");
@@ -390,7 +390,7 @@
       assertThat(first.ready()).isEqualTo(200);
       long start = System.nanoTime();
       signal("TERM");
-      log("stopping");
+      log("shutdown requested");
       List<FakeClient> late = new ArrayList<>();
       for (int i = 0; i < 20; i++) {
         late.add(first.again().send(scan("once", "late" + i, 2900, 1)));
--- a/router/src/test/java/tidebank/FakeSite.java
+++ b/router/src/test/java/tidebank/FakeSite.java
@@ -224,7 +224,7 @@
    * and it goes on when {@code go} is.
    */
   void stallBeforeSending(CountDownLatch stands, CountDownLatch go) throws Exception {
-    PolicyExecutor driver = (PolicyExecutor) field(gatherer, "driver");
+    PolicyExecutor executor = (PolicyExecutor) field(gatherer, "executor");
     CountDownLatch set = new CountDownLatch(1);
     DecisionLog stall =
         new DecisionLog() {
@@ -249,7 +249,7 @@
           @Override
           public void roundFailed(long nowUs, List<Event> events, Throwable cause) {}
         };
-    eventLoop().execute(() -> driver.log(stall));
+    eventLoop().execute(() -> executor.recordTo(stall));
     set.await();
   }
 
--- a/router/src/test/java/tidebank/MalformedInputTest.java
+++ b/router/src/test/java/tidebank/MalformedInputTest.java
@@ -410,7 +410,7 @@
     loop.setAccessible(true);
     clients.setAccessible(true);
     ClientServer side = (ClientServer) clients.get(site.gatherer());
-    return ((ExecutorService) loop.get(site.gatherer())).submit(side::open).get();
+    return ((ExecutorService) loop.get(site.gatherer())).submit(side::connectionCount).get();
   }
 
   // ---- shard servers
--- a/router/src/test/java/tidebank/QueryRouterTest.java
+++ b/router/src/test/java/tidebank/QueryRouterTest.java
@@ -1091,7 +1091,7 @@
                 site.discovery.address()),
             "serve");
     for (String line = site.errors.readLine(); ; line = site.errors.readLine()) {
-      if (line.contains("gatherer n7 listens on")) {
+      if (line.contains("router n7 listens on")) {
         String port = line.replaceAll(".*127.0.0.1:(\\d+).*", "$1");
         assertThat(program.isAlive()).isTrue();
         return new FakeClient(new InetSocketAddress("127.0.0.1", Integer.parseInt(port)));
@@ -1111,7 +1111,7 @@
       held.send(scan("once", "held", 2900, 1));
       Frame frame = anyFrame();
       site.process.toHandle().destroy();
-      while (site.errors.readLine().indexOf("stopping") < 0) {
+      while (site.errors.readLine().indexOf("shutdown requested") < 0) {
         assertThat(site.process.isAlive()).isTrue();
       }
       site.servers.forEach(server -> server.answers = true);
@@ -1155,7 +1155,7 @@
       anyFrame();
       long start = System.nanoTime();
       site.process.toHandle().destroy();
-      while (site.errors.readLine().indexOf("stopping") < 0) {
+      while (site.errors.readLine().indexOf("shutdown requested") < 0) {
         assertThat(site.process.isAlive()).isTrue();
       }
       late.send(scan("once", "late", 6000, 1));
--- a/router/src/test/java/tidebank/RequestFragmentationTest.java
+++ b/router/src/test/java/tidebank/RequestFragmentationTest.java
@@ -151,7 +151,7 @@
   }
 
   private PieceChannel connection() throws Exception {
-    Method accepted = ClientServer.class.getDeclaredMethod("accepted", Channel.class);
+    Method accepted = ClientServer.class.getDeclaredMethod("accept", Channel.class);
     accepted.setAccessible(true);
     return onLoop(() -> new PieceChannel(clients, accepted));
   }
--- a/router/src/test/java/tidebank/runtime/SampleRequests.java
+++ b/router/src/test/java/tidebank/runtime/SampleRequests.java
@@ -11,8 +11,7 @@
     QueryRequest.ShardRange range = new QueryRequest.ShardRange(shard, 1, "");
     QueryRequest request =
         new QueryRequest(scan, "whole", "a", 0, stopAt, false, "", text, List.of(range));
-    PendingQuery held = new PendingQuery(request, 1, null);
-    return new AttemptRequest(
-        new PendingQuery.PendingShardRequest(held, range), 1, "s" + shard, text, stopAt, 0);
+    PendingQuery query = new PendingQuery(request, 1, null, 0);
+    return new AttemptRequest(new PendingShardRequest(query, range), 1, "s" + shard, stopAt, 0);
   }
 }
--- a/router/src/test/java/tidebank/runtime/ShutdownScheduleTest.java
+++ b/router/src/test/java/tidebank/runtime/ShutdownScheduleTest.java
@@ -41,9 +41,9 @@
     for (long longestMs : List.of(50L, 800L, 2000L, 3000L, 60_000L)) {
       ShutdownSchedule plan = new ShutdownSchedule(settings(longestMs), TOLD, 0);
       long sigkill = TOLD + (Math.min(longestMs, 3000) + 700) * MS;
-      assertThat(plan.stopAcceptingAt).isBetween(TOLD + 400 * MS, TOLD + 650 * MS);
-      assertThat(plan.deadline)
-          .isBetween(Math.max(plan.stopAcceptingAt - 100 * MS, TOLD), sigkill - 150 * MS);
+      assertThat(plan.stopAcceptingAt()).isBetween(TOLD + 400 * MS, TOLD + 650 * MS);
+      assertThat(plan.deadline())
+          .isBetween(Math.max(plan.stopAcceptingAt() - 100 * MS, TOLD), sigkill - 150 * MS);
     }
   }
 
@@ -52,10 +52,10 @@
     for (long lateMs : List.of(0L, 300L, 1700L, 2900L, 10_000L)) {
       long now = TOLD + lateMs * MS;
       ShutdownSchedule plan = new ShutdownSchedule(settings(2000), now, lateMs * MS);
-      assertThat(plan.stopAcceptingAt)
+      assertThat(plan.stopAcceptingAt())
           .isGreaterThanOrEqualTo(now)
           .isLessThanOrEqualTo(Math.max(now, TOLD + 650 * MS));
-      assertThat(plan.deadline)
+      assertThat(plan.deadline())
           .isGreaterThanOrEqualTo(now)
           .isLessThanOrEqualTo(Math.max(now, TOLD + 2550 * MS));
     }
