--- /dev/null
+++ b/router/src/main/java/tidebank/frontend/ClientChannelHandler.java
@@ -0,0 +1,65 @@
+package tidebank.frontend;
+
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.ChannelInboundHandlerAdapter;
+import io.netty.channel.socket.ChannelInputShutdownEvent;
+import io.netty.handler.codec.PrematureChannelClosureException;
+import io.netty.util.ReferenceCountUtil;
+import java.io.IOException;
+
+/** Passes the events of a channel to its connection. */
+final class ClientChannelHandler extends ChannelInboundHandlerAdapter {
+  private final ClientConnection connection;
+
+  ClientChannelHandler(ClientConnection connection) {
+    this.connection = connection;
+  }
+
+  @Override
+  public void channelActive(ChannelHandlerContext context) {
+    connection.established();
+  }
+
+  @Override
+  public void channelRead(ChannelHandlerContext context, Object message) {
+    try {
+      connection.read(message);
+    } finally {
+      ReferenceCountUtil.release(message);
+    }
+  }
+
+  @Override
+  public void channelWritabilityChanged(ChannelHandlerContext context) {
+    connection.writabilityChanged();
+  }
+
+  /**
+   * The client has ended its side. This comes in the pass in which that is read, before the
+   * decision round that would still send for it; {@link #channelInactive} comes only after that.
+   */
+  @Override
+  public void userEventTriggered(ChannelHandlerContext context, Object event) {
+    if (event instanceof ChannelInputShutdownEvent) {
+      connection.clientDisconnected();
+      context.channel().close();
+    } else {
+      context.fireUserEventTriggered(event);
+    }
+  }
+
+  @Override
+  public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+    if (cause instanceof IOException || cause instanceof PrematureChannelClosureException) {
+      connection.clientDisconnected();
+      context.close();
+    } else {
+      connection.failed(cause);
+    }
+  }
+
+  @Override
+  public void channelInactive(ChannelHandlerContext context) {
+    connection.clientDisconnected();
+  }
+}
--- a/router/src/main/java/tidebank/frontend/ClientConnection.java
+++ b/router/src/main/java/tidebank/frontend/ClientConnection.java
@@ -3,19 +3,13 @@
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFutureListener;
-import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.nio.AbstractNioChannel;
-import io.netty.channel.socket.ChannelInputShutdownEvent;
 import io.netty.channel.socket.DuplexChannel;
-import io.netty.handler.codec.PrematureChannelClosureException;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpUtil;
-import io.netty.util.ReferenceCountUtil;
-import java.io.IOException;
 import java.util.ArrayDeque;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -25,8 +19,7 @@
  * One client's connection. Requests that come before earlier ones have their response are answered
  * in their order. Confined to the event loop.
  */
-final class ClientConnection extends ChannelInboundHandlerAdapter
-    implements ConnectionTimers.Listener {
+final class ClientConnection implements ConnectionTimers.Listener {
   private static final Logger LOG = LoggerFactory.getLogger(ClientConnection.class);
 
   /**
@@ -36,9 +29,6 @@
   private static final ChannelFutureListener SHUTDOWN_OUTPUT =
       done -> ((DuplexChannel) done.channel()).shutdownOutput();
 
-  /** No request has begun; times are far above. */
-  private static final long NONE = 0;
-
   private enum State {
     /** Requests are read. */
     OPEN,
@@ -56,28 +46,24 @@
   private final ArrayDeque<HttpExchange> exchanges = new ArrayDeque<>();
   private final ConnectionTimers timers;
   private State state = State.OPEN;
-  private Channel channel;
-  private RequestTrace trace;
-  private long connectedAt;
-
-  /** The pass of the event loop that accepted the connection. */
-  private long acceptedInPass;
-
-  /** Since when the connection may have waited to be accepted, with its first bytes. */
-  private long acceptedSince;
+  private final Channel channel;
+  private final RequestTrace trace;
+  private final RequestArrival arrival;
+  private final long connectedAt;
 
-  /** When the request that is not complete began, or {@link #NONE}. */
-  private long requestBeganAt = NONE;
-
-  private boolean requestReceived;
   private long idleSince;
 
   /** {@code overBudget}: its first request is refused, whatever it is. */
-  ClientConnection(ClientServer server, FrontendContext context, boolean overBudget) {
+  ClientConnection(
+      ClientServer server, FrontendContext context, Channel channel, boolean overBudget) {
     this.server = server;
     this.context = context;
+    this.channel = channel;
     this.overBudget = overBudget;
     this.timers = new ConnectionTimers(context, this);
+    this.trace = new RequestTrace(context, channel);
+    this.connectedAt = context.clock().now();
+    this.arrival = new RequestArrival(context.executor(), server.acceptedSince());
   }
 
   // ---- state
@@ -97,7 +83,7 @@
 
   /** Returns whether a request has begun that is not complete. */
   boolean hasIncompleteRequest() {
-    return requestBeganAt != NONE;
+    return arrival.hasIncompleteRequest();
   }
 
   /** Returns whether the final response is written. */
@@ -122,29 +108,10 @@
     idleSince = now;
   }
 
-  /**
-   * Returns since when bytes that are read now may have waited: a connection may have been
-   * established, and its first request sent, before the pass that accepted it.
-   */
-  private long arrivedSince() {
-    boolean justAccepted =
-        !requestReceived && context.executor().passNumber() <= acceptedInPass + 1;
-    return justAccepted ? acceptedSince : context.executor().arrivedSince();
-  }
-
   // ---- requests
 
-  @Override
-  public void handlerAdded(ChannelHandlerContext handler) {
-    channel = handler.channel();
-    trace = new RequestTrace(context, channel);
-    connectedAt = context.clock().now();
-    acceptedInPass = context.executor().passNumber();
-    acceptedSince = server.acceptedSince();
-  }
-
-  @Override
-  public void channelActive(ChannelHandlerContext handler) {
+  /** The connection is established: its first request is due in time. */
+  void established() {
     timers.startRequest();
   }
 
@@ -154,26 +121,19 @@
    */
   void requestBegan() {
     if (!hasIncompleteRequest() && state == State.OPEN) {
-      requestBeganAt = arrivedSince();
+      arrival.begin();
       server.requestBegan(this);
-      if (requestReceived) {
+      if (arrival.hasReceivedRequest()) {
         timers.startRequest();
       }
     }
   }
 
-  @Override
-  public void channelRead(ChannelHandlerContext handler, Object message) {
-    try {
-      if (state == State.OPEN) {
-        read(message);
-      }
-    } finally {
-      ReferenceCountUtil.release(message);
+  /** Takes a message of the decoder; the caller releases it. */
+  void read(Object message) {
+    if (state != State.OPEN) {
+      return;
     }
-  }
-
-  private void read(Object message) {
     // A client has one request open at a time. Reading on past the limit, and past responses that
     // the client does not read, shows when it disconnects.
     boolean full =
@@ -187,9 +147,7 @@
     } else if (message instanceof FullHttpRequest request) {
       requestBegan();
       timers.cancelRequest();
-      long beganAt = requestBeganAt;
-      requestBeganAt = NONE;
-      handle(request, beganAt);
+      handle(request, arrival.end());
     }
   }
 
@@ -199,9 +157,9 @@
     if (!HttpUtil.isKeepAlive(request)) {
       drain();
     }
-    long completeAt = arrivedSince();
-    if (!requestReceived) {
-      requestReceived = true;
+    long completeAt = arrival.arrivedSince();
+    if (!arrival.hasReceivedRequest()) {
+      arrival.received();
       server.requestBegan(this);
     }
     try {
@@ -245,7 +203,7 @@
   private void refuse(HttpResponseStatus status, String text) {
     HttpExchange exchange = addExchange();
     drain();
-    requestBeganAt = NONE;
+    arrival.end();
     timers.cancelRequest();
     exchange.respond(status, text);
   }
@@ -284,7 +242,7 @@
   private boolean endsWithThisResponse() {
     return overBudget
         || state != State.OPEN
-        || server.hasStoppedAccepting() && !hasIncompleteRequest();
+        || (server.hasStoppedAccepting() && !hasIncompleteRequest());
   }
 
   /** At the deadline of a shutdown: responds to a request that is not complete with an error. */
@@ -296,8 +254,8 @@
 
   // ---- time limits
 
-  @Override
-  public void channelWritabilityChanged(ChannelHandlerContext handler) {
+  /** Limits the time for which the client leaves responses unread. */
+  void writabilityChanged() {
     if (channel.isWritable()) {
       timers.cancelUnreadResponses();
     } else {
@@ -315,7 +273,7 @@
     if (state != State.OPEN) {
       return;
     }
-    if (!hasIncompleteRequest() && !requestReceived) {
+    if (!hasIncompleteRequest() && !arrival.hasReceivedRequest()) {
       context.counters().add("front.closed-silent");
       close("no_request");
     } else if (hasIncompleteRequest()) {
@@ -352,46 +310,22 @@
     }
   }
 
-  /**
-   * The client has ended its side. This comes in the pass in which that is read, before the
-   * decision round that would still send for it; {@link #channelInactive} comes only after that.
-   */
-  @Override
-  public void userEventTriggered(ChannelHandlerContext handler, Object event) {
-    if (event instanceof ChannelInputShutdownEvent) {
-      clientDisconnected();
-      channel.close();
-    } else {
-      handler.fireUserEventTriggered(event);
-    }
-  }
-
-  @Override
-  public void exceptionCaught(ChannelHandlerContext handler, Throwable cause) {
-    if (cause instanceof IOException || cause instanceof PrematureChannelClosureException) {
-      clientDisconnected();
-      handler.close();
-      return;
-    }
-    // A fault of the router: what this connection still waits for is answered, then it ends.
+  /** Answers what this connection still waits for after a fault of the router, then ends it. */
+  void failed(Throwable cause) {
     context.counters().recordFault("front.failed", String.valueOf(cause));
     if (state == State.OPEN) {
       refuse(HttpResponseStatus.INTERNAL_SERVER_ERROR, "failed");
     }
   }
 
-  @Override
-  public void channelInactive(ChannelHandlerContext handler) {
-    clientDisconnected();
-  }
-
   /** Ends a query of this connection whose client is gone. */
   void clientDisconnectedFrom(QueryRequest query) {
     trace.disconnected(query);
     context.executor().clientDisconnected(query.id());
   }
 
-  private void clientDisconnected() {
+  /** The client has ended its side, or the connection is lost; may be called more than once. */
+  void clientDisconnected() {
     timers.cancelAll();
     if (!isLingering()) {
       trace.disconnected(exchanges.size(), hasIncompleteRequest());
--- a/router/src/main/java/tidebank/frontend/ClientPipeline.java
+++ b/router/src/main/java/tidebank/frontend/ClientPipeline.java
@@ -27,7 +27,7 @@
     if (!overBudget) {
       channel.pipeline().addLast(new BodyAggregator(connection, maxBodyBytes));
     }
-    channel.pipeline().addLast(connection);
+    channel.pipeline().addLast(new ClientChannelHandler(connection));
   }
 
   /** Tells a connection that a request begins, also one right behind the end of another. */
--- a/router/src/main/java/tidebank/frontend/ClientServer.java
+++ b/router/src/main/java/tidebank/frontend/ClientServer.java
@@ -53,7 +53,7 @@
 
   private void accept(Channel channel) {
     boolean overBudget = !budget.makeRoom();
-    ClientConnection connection = new ClientConnection(this, context, overBudget);
+    ClientConnection connection = new ClientConnection(this, context, channel, overBudget);
     budget.add(connection);
     ClientPipeline.build(channel, connection, context.config().transport().bodyMost(), overBudget);
     listener.setExhausted(budget.isExhausted());
--- a/router/src/main/java/tidebank/frontend/RequestRouter.java
+++ b/router/src/main/java/tidebank/frontend/RequestRouter.java
@@ -51,7 +51,7 @@
   }
 
   private void health(HttpExchange exchange, String check) {
-    if (check.equals(LIVE) || check.equals(READY) && ready.getAsBoolean()) {
+    if (check.equals(LIVE) || (check.equals(READY) && ready.getAsBoolean())) {
       exchange.respond(HttpResponseStatus.OK, "ok");
     } else if (check.equals(READY)) {
       exchange.respond(HttpResponseStatus.SERVICE_UNAVAILABLE, "not ready");
--- a/router/src/main/java/tidebank/runtime/Readiness.java
+++ b/router/src/main/java/tidebank/runtime/Readiness.java
@@ -18,6 +18,6 @@
 
   /** {@code listReceived}: whether discovery has sent any list, also an empty one. */
   boolean ready(long now, boolean knowsServers, boolean listReceived) {
-    return knowsServers || !listReceived && now >= readyWithoutListAt;
+    return knowsServers || (!listReceived && now >= readyWithoutListAt);
   }
 }
