--- a/router/src/main/java/tidebank/runtime/DecisionLoop.java
+++ b/router/src/main/java/tidebank/runtime/DecisionLoop.java
@@ -64,7 +64,7 @@
   /** Records every round from now on. */
   void recordTo(DecisionLog wanted) {
     log = wanted;
-    log.started(settings, seed);
+    log.policyStarted(settings, seed);
   }
 
   /** Queues an event for the round at the end of the present pass. */
@@ -118,7 +118,7 @@
     long now = clock.now();
     try {
       List<Action> wanted = policy.on(now, round);
-      log.turn(now, round, wanted);
+      log.roundDecided(now, round, wanted);
       for (Action action : wanted) {
         actions.execute(action);
       }
@@ -126,7 +126,7 @@
     } catch (RuntimeException | VirtualMachineError fault) {
       LOG.error("decision round failed, all pending queries fail: events={}", round.size(), fault);
       counters.add("turns.failed");
-      log.failed(now, round, fault);
+      log.roundFailed(now, round, fault);
       startOver();
     }
   }
@@ -141,7 +141,7 @@
         event ->
             !(event instanceof Event.QueryReceived || event instanceof Event.ShardRequestReceived));
     policy = new RoutingPolicy(settings, ++seed);
-    log.started(settings, seed);
+    log.policyStarted(settings, seed);
     events.add(0, endpoints.asCachedList());
     enqueue(new Event.TimerFired(0));
   }
