--- a/router/src/main/java/tidebank/config/RouterConfig.java
+++ b/router/src/main/java/tidebank/config/RouterConfig.java
@@ -13,8 +13,8 @@
 import tidebank.model.Settings;
 
 /**
- * All that a gatherer is started with. {@code known} is the list of shard servers as it last had
- * it, in discovery's form, or null.
+ * All that a gatherer is started with. {@code cachedList} is the list of shard servers as it last
+ * had it, in discovery's form, or null.
  */
 public record RouterConfig(
     String name,
@@ -23,7 +23,7 @@
     long seed,
     Budgets budgets,
     Transport transport,
-    JsonNode known,
+    JsonNode cachedList,
     Settings settings) {
   private static final int SOCKETS_DEFAULT = 1024;
   private static final int SOCKETS_LEAST = 128;
@@ -38,26 +38,26 @@
   private static final int BODY_MOST = 64 * KIB;
 
   /**
-   * How the descriptors are shared out. Past {@code clients} a further connection is answered with
-   * a plain refusal and closed; past {@code clientsMost} none is accepted until one has gone. Past
-   * {@code resting} connections without a request the one that has been so for longest is closed:
-   * clients hold a third of the descriptors at most, and some never ask again. The rest bounds what
-   * one connection may hold: requests not yet answered, the buffers it is read into (a body keeps
-   * them, so they are small) and, from {@code writeHigh} down to {@code writeLow}, bytes not yet
-   * written.
+   * How the descriptors are shared out. Past {@code maxServedClients} a further connection is
+   * answered with a plain refusal and closed; past {@code maxAcceptedClients} none is accepted
+   * until one has gone. Past {@code maxIdleClients} connections without a request the one that has
+   * been so for longest is closed: clients hold a third of the descriptors at most, and some never
+   * ask again. The rest bounds what one connection may hold: requests not yet answered, the buffers
+   * it is read into (a body keeps them, so they are small) and, from {@code writeHighWaterMark}
+   * down to {@code writeLowWaterMark}, bytes not yet written.
    */
   public record Budgets(
-      int clients,
-      int clientsMost,
-      int resting,
-      int servers,
-      int serverMost,
-      int pipelineMost,
-      int readLeast,
-      int readFirst,
-      int readMost,
-      int writeLow,
-      int writeHigh) {
+      int maxServedClients,
+      int maxAcceptedClients,
+      int maxIdleClients,
+      int maxServerConnections,
+      int maxConnectionsPerServer,
+      int maxPipelinedRequests,
+      int minReadBufferBytes,
+      int initialReadBufferBytes,
+      int maxReadBufferBytes,
+      int writeLowWaterMark,
+      int writeHighWaterMark) {
     /**
      * Half for clients, who hold a third at most for requests, so that silent ones find room beside
      * them, an eighth for refusals, a quarter for shard servers; the rest stays free.
@@ -84,10 +84,10 @@
       long connectTimeoutUs,
       long keepaliveUs,
       int maxStreams,
-      boolean probeForLoad,
-      int bodyMost,
-      long requestWithinUs,
-      long restLeastUs) {
+      boolean loadReportOnHealthCheck,
+      int maxBodyBytes,
+      long requestTimeoutUs,
+      long minIdleUs) {
     static Transport of(JsonNode settings) throws MalformedInputException {
       JsonNode limits = settings.path("limits");
       return new Transport(
--- a/router/src/main/java/tidebank/config/Toml.java
+++ b/router/src/main/java/tidebank/config/Toml.java
@@ -240,7 +240,7 @@
           key, absent, false, "a text", value -> value.isTextual() ? value.textValue() : null);
     }
 
-    public String needText(String key) {
+    public String requiredText(String key) {
       return typed(key, "", true, "a text", value -> value.isTextual() ? value.textValue() : null);
     }
 
@@ -253,7 +253,7 @@
           value -> value.isBoolean() ? value.booleanValue() : null);
     }
 
-    public long whole(String key, long absent, long least, long most) {
+    public long integer(String key, long absent, long least, long most) {
       return typed(
           key,
           absent,
--- a/router/src/main/java/tidebank/discovery/DiscoveryClient.java
+++ b/router/src/main/java/tidebank/discovery/DiscoveryClient.java
@@ -25,7 +25,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import tidebank.config.RouterConfig;
-import tidebank.discovery.EndpointListParser.Members;
+import tidebank.discovery.EndpointListParser.EndpointList;
 import tidebank.metrics.Counters;
 import tidebank.model.Event.ListUpdate;
 import tidebank.model.SeededRandom;
@@ -102,12 +102,12 @@
    * From the list of this version that the gatherer was started with; by itself where the settings
    * promise that.
    */
-  public void begin(long known) {
+  public void start(long known) {
     version = known;
-    begin();
+    start();
   }
 
-  private void begin() {
+  private void start() {
     if (unasked) {
       watch(true);
     }
@@ -127,7 +127,7 @@
    * Discovery is at another address, whose versions may count anew; a watch on the old one is of no
    * use.
    */
-  public void moved(InetSocketAddress to) {
+  public void changeAddress(InetSocketAddress to) {
     if (to.equals(address)) {
       return;
     }
@@ -136,7 +136,7 @@
     version = -1;
     close();
     driver.endpointListReceived(ListUpdate.DISCOVERY_MOVED, List.of());
-    begin();
+    start();
   }
 
   /** Ends the watch without a word. */
@@ -190,7 +190,7 @@
       lost("status " + response.status().code());
       return;
     }
-    Members list;
+    EndpointList list;
     try (InputStream in = new ByteBufInputStream(response.content())) {
       list = EndpointListParser.read(mapper.readTree(in));
     } catch (IOException fault) {
@@ -198,20 +198,20 @@
       astray("a list that can't be read");
       return;
     }
-    if (!list.whole() && list.version() < version) {
+    if (!list.complete() && list.version() < version) {
       astray("changes of version " + list.version() + " after " + version);
       return;
     }
-    if (!list.whole() && version < 0) {
+    if (!list.complete() && version < 0) {
       astray("changes where the whole list was asked for");
       return;
     }
     boolean news = list.version() != version;
     version = list.version();
-    if (!confirmed || list.whole() || !list.members().isEmpty()) {
+    if (!confirmed || list.complete() || !list.members().isEmpty()) {
       confirmed = true;
       driver.endpointListReceived(
-          list.whole() ? ListUpdate.SNAPSHOT : ListUpdate.DELTA, list.members());
+          list.complete() ? ListUpdate.SNAPSHOT : ListUpdate.DELTA, list.members());
     }
     // An answer without a length ends with its connection.
     if (!HttpUtil.isKeepAlive(response) || !link.channel.isActive()) {
@@ -256,7 +256,7 @@
                           .pipeline()
                           .addLast(
                               new HttpClientCodec(),
-                              new HttpObjectAggregator(16 * transport.bodyMost()),
+                              new HttpObjectAggregator(16 * transport.maxBodyBytes()),
                               Link.this);
                     }
                   })
--- a/router/src/main/java/tidebank/discovery/EndpointListParser.java
+++ b/router/src/main/java/tidebank/discovery/EndpointListParser.java
@@ -16,11 +16,11 @@
 /** Reads discovery's lists; a list with any fault is no list. */
 public final class EndpointListParser {
   /** A list or what changed in it, and its version. */
-  public record Members(long version, boolean whole, List<Member> members) {}
+  public record EndpointList(long version, boolean complete, List<Member> members) {}
 
   private EndpointListParser() {}
 
-  public static Members read(JsonNode list) throws MalformedInputException {
+  public static EndpointList read(JsonNode list) throws MalformedInputException {
     JsonNode whole = JsonFields.required(list, "whole");
     JsonNode hosts = JsonFields.required(list, "hosts");
     if (!whole.isBoolean() || !hosts.isArray()) {
@@ -36,7 +36,7 @@
       }
       members.add(member);
     }
-    return new Members(JsonFields.integer(list, "seq"), whole.booleanValue(), members);
+    return new EndpointList(JsonFields.integer(list, "seq"), whole.booleanValue(), members);
   }
 
   private static Member member(JsonNode host) throws MalformedInputException {
--- a/router/src/main/java/tidebank/logging/Log.java
+++ b/router/src/main/java/tidebank/logging/Log.java
@@ -26,14 +26,15 @@
  */
 public final class Log {
   /** How a line looks. */
-  public enum Form {
+  public enum Format {
     TEXT,
     JSON
   }
 
   /** From this level on, in this form, so many lines a second at most. */
-  public record Style(org.slf4j.event.Level least, Form form, int linesASecond) {
-    public static final Style DEFAULT = new Style(org.slf4j.event.Level.INFO, Form.TEXT, 50);
+  public record Settings(org.slf4j.event.Level minLevel, Format format, int maxLinesPerSecond) {
+    public static final Settings DEFAULT =
+        new Settings(org.slf4j.event.Level.INFO, Format.TEXT, 50);
   }
 
   static final String OWN = "tidebank.log.own";
@@ -41,29 +42,29 @@
   private Log() {}
 
   /** Before the first logger: this process's log is set up here, and Netty's own log ends in it. */
-  public static void own() {
+  public static void useForProcess() {
     System.setProperty(OWN, "true");
     System.setProperty("slf4j.internal.verbosity", "WARN");
     InternalLoggerFactory.setDefaultFactory(Slf4JLoggerFactory.INSTANCE);
   }
 
   /** Takes effect at once; nothing happens in a process whose log is not ours. */
-  public static void style(Style wanted) {
+  public static void configure(Settings wanted) {
     ILoggerFactory factory = LoggerFactory.getILoggerFactory();
     if (factory instanceof LoggerContext context && Boolean.getBoolean(OWN)) {
       setUp(context, wanted);
     }
   }
 
-  static void setUp(LoggerContext context, Style style) {
+  static void setUp(LoggerContext context, Settings style) {
     context.reset();
     ConsoleAppender<ILoggingEvent> appender = new ConsoleAppender<>();
     appender.setContext(context);
     appender.setTarget("System.err");
-    Bound bound = new Bound(style.linesASecond(), style.form());
+    Bound bound = new Bound(style.maxLinesPerSecond(), style.format());
     bound.start();
     appender.addFilter(bound);
-    Encoder<ILoggingEvent> encoder = encoder(style.form());
+    Encoder<ILoggingEvent> encoder = encoder(style.format());
     encoder.setContext(context);
     encoder.start();
     appender.setEncoder(encoder);
@@ -72,13 +73,13 @@
     // they inform of.
     ch.qos.logback.classic.Logger root = context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
     root.setLevel(
-        style.least().toInt() < org.slf4j.event.Level.INFO.toInt() ? Level.INFO : Level.WARN);
+        style.minLevel().toInt() < org.slf4j.event.Level.INFO.toInt() ? Level.INFO : Level.WARN);
     root.addAppender(appender);
-    context.getLogger("tidebank").setLevel(Level.convertAnSLF4JLevel(style.least()));
+    context.getLogger("tidebank").setLevel(Level.convertAnSLF4JLevel(style.minLevel()));
   }
 
-  private static Encoder<ILoggingEvent> encoder(Form form) {
-    if (form == Form.JSON) {
+  private static Encoder<ILoggingEvent> encoder(Format form) {
+    if (form == Format.JSON) {
       JsonEncoder encoder = new JsonEncoder();
       // What no reader of these lines asks for.
       encoder.setWithContext(false);
@@ -131,20 +132,20 @@
   /** Lets so many lines a second through; how many it did not is said with the next that goes. */
   private static final class Bound extends Filter<ILoggingEvent> {
     private final LogRateLimiter bound;
-    private final Form form;
+    private final Format form;
 
-    Bound(int most, Form form) {
+    Bound(int most, Format form) {
       bound = new LogRateLimiter(most);
       this.form = form;
     }
 
     @Override
     public FilterReply decide(ILoggingEvent event) {
-      long left = bound.take(event.getTimeStamp() / 1000);
+      long left = bound.tryAcquire(event.getTimeStamp() / 1000);
       if (left > 0) {
         String text = left + " log lines left out";
         System.err.println(
-            form == Form.JSON
+            form == Format.JSON
                 ? "{\"timestamp\":"
                     + event.getTimeStamp()
                     + ",\"level\":\"WARN\",\"message\":\""
--- a/router/src/main/java/tidebank/logging/LogRateLimiter.java
+++ b/router/src/main/java/tidebank/logging/LogRateLimiter.java
@@ -6,7 +6,7 @@
  * second lets more through than it may.
  */
 public final class LogRateLimiter {
-  /** What {@link #take} says of a line that is one too many. */
+  /** What {@link #tryAcquire} says of a line that is one too many. */
   public static final long DENIED = -1;
 
   private final int most;
@@ -24,7 +24,7 @@
    * @param now the second it is in; one that went back counts as another
    * @return {@link #DENIED}, or how many lines before were denied and are to be told of now
    */
-  public synchronized long take(long now) {
+  public synchronized long tryAcquire(long now) {
     if (now != second) {
       second = now;
       lines = 0;
--- a/router/src/main/java/tidebank/logging/LogSetup.java
+++ b/router/src/main/java/tidebank/logging/LogSetup.java
@@ -14,7 +14,7 @@
     if (!Boolean.getBoolean(Log.OWN)) {
       return ExecutionStatus.INVOKE_NEXT_IF_ANY;
     }
-    Log.setUp(context, Log.Style.DEFAULT);
+    Log.setUp(context, Log.Settings.DEFAULT);
     return ExecutionStatus.DO_NOT_INVOKE_NEXT_IF_ANY;
   }
 }
--- a/router/src/test/java/tidebank/CounterNamesFixtureTest.java
+++ b/router/src/test/java/tidebank/CounterNamesFixtureTest.java
@@ -131,7 +131,7 @@
   }
 
   private void listSeen(ListUpdate kind) throws Exception {
-    List<Member> known = EndpointListParser.read(config.known()).members();
+    List<Member> known = EndpointListParser.read(config.cachedList()).members();
     onLoop(
         () -> {
           driver.endpointListReceived(kind, known);
--- a/router/src/test/java/tidebank/LogLinesFixtureTest.java
+++ b/router/src/test/java/tidebank/LogLinesFixtureTest.java
@@ -27,7 +27,7 @@
   @AfterEach
   void restore() {
     System.setErr(errors);
-    Log.style(Log.Style.DEFAULT);
+    Log.configure(Log.Settings.DEFAULT);
   }
 
   private static void write(Level level, long atMs, String text, Throwable cause, Object... args) {
@@ -49,9 +49,9 @@
     logger.callAppenders(event);
   }
 
-  private String lines(Log.Form form) {
+  private String lines(Log.Format form) {
     System.setErr(new PrintStream(written, true, UTF_8));
-    Log.style(new Log.Style(Level.INFO, form, MOST));
+    Log.configure(new Log.Settings(Level.INFO, form, MOST));
     IOException cause = new IOException("it is \"full\"\nand closed");
     cause.setStackTrace(
         new StackTraceElement[] {new StackTraceElement("tidebank.X", "run", "X.java", 7)});
@@ -67,11 +67,11 @@
 
   @Test
   void textLinesAreTheStoredOnes() throws Exception {
-    StoredCases.isText("logging/lines.txt", lines(Log.Form.TEXT));
+    StoredCases.isText("logging/lines.txt", lines(Log.Format.TEXT));
   }
 
   @Test
   void jsonLinesAreTheStoredOnes() throws Exception {
-    StoredCases.isText("logging/lines.jsonl", lines(Log.Form.JSON));
+    StoredCases.isText("logging/lines.jsonl", lines(Log.Format.JSON));
   }
 }
--- a/router/src/test/java/tidebank/OperatorConfigTest.java
+++ b/router/src/test/java/tidebank/OperatorConfigTest.java
@@ -32,7 +32,7 @@
     assertThat(read("[log]\nlevel = 'debug'\nform = 'json'\n[report]\ncounters_every_s = 5\n"))
         .isEqualTo(
             new OperatorConfig(
-                new Log.Style(Level.DEBUG, Log.Form.JSON, 50), 5_000_000, null, null));
+                new Log.Settings(Level.DEBUG, Log.Format.JSON, 50), 5_000_000, null, null));
   }
 
   @Test
--- a/router/src/test/java/tidebank/PolicyExecutorTest.java
+++ b/router/src/test/java/tidebank/PolicyExecutorTest.java
@@ -82,7 +82,7 @@
   }
 
   private void list() throws Exception {
-    var known = EndpointListParser.read(config.known()).members();
+    var known = EndpointListParser.read(config.cachedList()).members();
     onLoop(
         () -> {
           driver.endpointListReceived(ListUpdate.CACHED, known);
--- a/router/src/test/java/tidebank/QueryRouterTest.java
+++ b/router/src/test/java/tidebank/QueryRouterTest.java
@@ -39,7 +39,7 @@
 
   @BeforeAll
   static void watchForLeaks() {
-    Log.style(new Log.Style(Level.WARN, Log.Form.TEXT, 50));
+    Log.configure(new Log.Settings(Level.WARN, Log.Format.TEXT, 50));
     ResourceLeakDetector.setLevel(ResourceLeakDetector.Level.PARANOID);
     ResourceLeakDetectorFactory.setResourceLeakDetectorFactory(
         new ResourceLeakDetectorFactory() {
--- a/router/src/test/java/tidebank/config/ConfigFixtureTest.java
+++ b/router/src/test/java/tidebank/config/ConfigFixtureTest.java
@@ -119,58 +119,58 @@
             .put("listen", address(config.listen()))
             .put("discovery", address(config.discovery()))
             .put("seed", Long.toHexString(config.seed()))
-            .put("known", config.known());
+            .put("known", config.cachedList());
     settings(fields, config.settings());
     RouterConfig.Budgets budgets = config.budgets();
     fields
-        .put("budget.clients", budgets.clients())
-        .put("budget.clientsMost", budgets.clientsMost())
-        .put("budget.resting", budgets.resting())
-        .put("budget.servers", budgets.servers())
-        .put("budget.serverMost", budgets.serverMost())
-        .put("budget.pipelineMost", budgets.pipelineMost())
-        .put("budget.readLeast", budgets.readLeast())
-        .put("budget.readFirst", budgets.readFirst())
-        .put("budget.readMost", budgets.readMost())
-        .put("budget.writeLow", budgets.writeLow())
-        .put("budget.writeHigh", budgets.writeHigh());
+        .put("budget.clients", budgets.maxServedClients())
+        .put("budget.clientsMost", budgets.maxAcceptedClients())
+        .put("budget.resting", budgets.maxIdleClients())
+        .put("budget.servers", budgets.maxServerConnections())
+        .put("budget.serverMost", budgets.maxConnectionsPerServer())
+        .put("budget.pipelineMost", budgets.maxPipelinedRequests())
+        .put("budget.readLeast", budgets.minReadBufferBytes())
+        .put("budget.readFirst", budgets.initialReadBufferBytes())
+        .put("budget.readMost", budgets.maxReadBufferBytes())
+        .put("budget.writeLow", budgets.writeLowWaterMark())
+        .put("budget.writeHigh", budgets.writeHighWaterMark());
     RouterConfig.Transport transport = config.transport();
     return fields
         .put("connectTimeoutUs", transport.connectTimeoutUs())
         .put("keepaliveUs", transport.keepaliveUs())
         .put("maxStreams", transport.maxStreams())
-        .put("reportOnProbe", transport.probeForLoad())
-        .put("bodyMost", transport.bodyMost())
-        .put("requestWithinUs", transport.requestWithinUs())
-        .put("restLeastUs", transport.restLeastUs())
+        .put("reportOnProbe", transport.loadReportOnHealthCheck())
+        .put("bodyMost", transport.maxBodyBytes())
+        .put("requestWithinUs", transport.requestTimeoutUs())
+        .put("restLeastUs", transport.minIdleUs())
         .lines();
   }
 
   private static String describe(OperatorConfig file) {
     Fields fields =
         new Fields()
-            .put("log.level", file.logging().least())
-            .put("log.form", file.logging().form())
-            .put("log.lines_a_second", file.logging().linesASecond())
-            .put("report.counters_every_us", file.countersEveryUs());
-    CaptureRecorder.Config capture = file.capture();
+            .put("log.level", file.logging().minLevel())
+            .put("log.form", file.logging().format())
+            .put("log.lines_a_second", file.logging().maxLinesPerSecond())
+            .put("report.counters_every_us", file.counterLogIntervalUs());
+    CaptureRecorder.Plan capture = file.capture();
     if (capture != null) {
       fields
-          .put("capture.folder", capture.directory())
-          .put("capture.wholeActions", capture.keepActions())
-          .put("capture.ring_turns", capture.queueCapacity())
+          .put("capture.folder", capture.folder())
+          .put("capture.wholeActions", capture.wholeActions())
+          .put("capture.ring_turns", capture.ringTurns())
           .put("capture.segment_bytes", capture.segmentBytes())
-          .put("capture.budget_bytes", capture.maxTotalBytes())
-          .put("capture.force", capture.syncEveryBlock());
+          .put("capture.budget_bytes", capture.budgetBytes())
+          .put("capture.force", capture.force());
     }
     FleetAgent.Plan fleet = file.fleet();
     if (fleet != null) {
       fields
-          .put("fleet.stewards", fleet.coordinators())
-          .put("fleet.folder", fleet.sharedFolder())
-          .put("fleet.every_us", fleet.intervalUs())
-          .put("fleet.keep_us", fleet.retention().ageUs())
-          .put("fleet.keep_bytes", fleet.retention().bytes());
+          .put("fleet.stewards", fleet.stewards())
+          .put("fleet.folder", fleet.folder())
+          .put("fleet.every_us", fleet.everyUs())
+          .put("fleet.keep_us", fleet.keep().ageUs())
+          .put("fleet.keep_bytes", fleet.keep().bytes());
     }
     return fields.lines();
   }
--- a/router/src/test/java/tidebank/discovery/ListFixtureTest.java
+++ b/router/src/test/java/tidebank/discovery/ListFixtureTest.java
@@ -25,12 +25,12 @@
         "discovery/lists.txt",
         input -> {
           try {
-            EndpointListParser.Members list =
+            EndpointListParser.EndpointList list =
                 EndpointListParser.read(new ObjectMapper().readTree(input));
             return "seq="
                 + list.version()
                 + " whole="
-                + list.whole()
+                + list.complete()
                 + list.members().stream()
                     .map(
                         member ->
--- a/testbed/src/main/java/tidebank/testbed/deployment/Deployment.java
+++ b/testbed/src/main/java/tidebank/testbed/deployment/Deployment.java
@@ -128,13 +128,13 @@
     Toml.Table root = file.root();
     Map<String, Type> types = new LinkedHashMap<>();
     for (Toml.Table row : root.tables("table_type")) {
-      long target = row.whole("target_ms", 1000, 1, 600_000) * MS;
+      long target = row.integer("target_ms", 1000, 1, 600_000) * MS;
       Type type =
           new Type(
-              row.needText("name"),
+              row.requiredText("name"),
               row.choice("repeat", Idempotency.NON_IDEMPOTENT, Idempotency.class),
               target,
-              row.whole("timeout_ms", 3 * target / MS, 1, 600_000) * MS,
+              row.integer("timeout_ms", 3 * target / MS, 1, 600_000) * MS,
               row.number("late_share", 0, 0, 1),
               row.number("floor", 1, 0.0001, 1),
               row.number("partial_share", 1, 0, 1),
@@ -156,33 +156,33 @@
     Deployment site =
         new Deployment(
             types.isEmpty() ? base.types : types,
-            (int) root.whole("shards", base.shards, 1, 100_000),
-            (int) root.whole("width", base.width, 1, 100),
+            (int) root.integer("shards", base.shards, 1, 100_000),
+            (int) root.integer("width", base.width, 1, 100),
             new ServerFigures(
-                (int) servers.whole("slots", base.server.slots, 1, 1024),
-                (int) servers.whole("queue", base.server.queue, 0, 100_000),
+                (int) servers.integer("slots", base.server.slots, 1, 1024),
+                (int) servers.integer("queue", base.server.queue, 0, 100_000),
                 servers.number("cold_from", base.server.coldFrom, 0.01, 1),
-                servers.whole("warm_ms", base.server.warmUs / MS, 0, 600_000) * MS),
+                servers.integer("warm_ms", base.server.warmUs / MS, 0, 600_000) * MS),
             new Limits(
-                (int) limits.whole("dispatches", base.limits.dispatchesMost, 1, 100),
+                (int) limits.integer("dispatches", base.limits.dispatchesMost, 1, 100),
                 limits.flag("second_copies", base.limits.secondCopies),
-                limits.whole("connect_timeout_ms", base.limits.connectTimeoutUs / MS, 1, 60_000)
+                limits.integer("connect_timeout_ms", base.limits.connectTimeoutUs / MS, 1, 60_000)
                     * MS,
-                limits.whole("idle_ms", base.limits.idleUs / MS, 1000, 600_000) * MS,
-                (int) limits.whole("streams", base.limits.streamsMost, 1, 10_000),
-                (int) limits.whole("held", base.limits.held, 1, 1_000_000),
+                limits.integer("idle_ms", base.limits.idleUs / MS, 1000, 600_000) * MS,
+                (int) limits.integer("streams", base.limits.streamsMost, 1, 10_000),
+                (int) limits.integer("held", base.limits.held, 1, 1_000_000),
                 limits.flag("hold_off", base.limits.holdOff)),
             new Rules(
-                rules.whole("answer_slack_ms", base.rules.answerSlackUs / MS, 0, 10_000) * MS,
-                rules.whole("drain_grace_ms", base.rules.drainGraceUs / MS, 0, 60_000) * MS,
+                rules.integer("answer_slack_ms", base.rules.answerSlackUs / MS, 0, 10_000) * MS,
+                rules.integer("drain_grace_ms", base.rules.drainGraceUs / MS, 0, 60_000) * MS,
                 rules.number("fall_multiple", base.rules.fallMultiple, 1, 100),
-                rules.whole("fall_after_ms", base.rules.fallAfterUs / MS, 1, 60_000) * MS,
+                rules.integer("fall_after_ms", base.rules.fallAfterUs / MS, 1, 60_000) * MS,
                 rules.number("free_further", base.rules.freeFurther, 0, 1e6),
                 rules.number("further_share", base.rules.furtherShare, 0, 10),
-                rules.whole("further_span_ms", base.rules.furtherSpanUs / MS, 0, 600_000) * MS),
+                rules.integer("further_span_ms", base.rules.furtherSpanUs / MS, 0, 600_000) * MS),
             new Clients(
-                (int) clients.whole("retries", base.clients.retries, 0, 20),
-                clients.whole("wait_ms", base.clients.waitUs / MS, 1, 60_000) * MS));
+                (int) clients.integer("retries", base.clients.retries, 0, 20),
+                clients.integer("wait_ms", base.clients.waitUs / MS, 1, 60_000) * MS));
     file.check();
     return site;
   }
--- a/testbed/src/main/java/tidebank/testbed/scale/Profile.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/Profile.java
@@ -44,19 +44,19 @@
     Toml.Table root = file.root();
     Toml.Table gatherers = root.table("gatherers");
     Toml.Table servers = root.table("shard_servers");
-    int changes = (int) root.whole("list_changes", 20, 2, CHANGES_MOST);
+    int changes = (int) root.integer("list_changes", 20, 2, CHANGES_MOST);
     if (changes % 2 != 0) {
       root.fault("list_changes", "found " + changes + ", wanted an even number");
     }
     Profile profile =
         new Profile(
-            root.whole("seed", 1, 0, Long.MAX_VALUE),
-            (int) root.whole("repeats", 3, 1, REPEATS_MOST),
+            root.integer("seed", 1, 0, Long.MAX_VALUE),
+            (int) root.integer("repeats", 3, 1, REPEATS_MOST),
             changes,
             sizes(gatherers, GATHERERS_MOST),
-            (int) gatherers.whole("beside_shard_servers", 200, 1, SERVERS_MOST),
+            (int) gatherers.integer("beside_shard_servers", 200, 1, SERVERS_MOST),
             sizes(servers, SERVERS_MOST),
-            (int) servers.whole("beside_gatherers", 8, 1, GATHERERS_MOST));
+            (int) servers.integer("beside_gatherers", 8, 1, GATHERERS_MOST));
     file.check();
     return profile;
   }
--- a/testbed/src/main/java/tidebank/testbed/scale/SimulatedRouter.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/SimulatedRouter.java
@@ -50,7 +50,7 @@
     loop.execute(
         () -> {
           driver.endpointListReceived(ListUpdate.CACHED, List.of());
-          discovery.begin(NO_VERSION);
+          discovery.start(NO_VERSION);
         });
   }
 
--- a/testbed/src/main/java/tidebank/testbed/trace/mapping/Mapping.java
+++ b/testbed/src/main/java/tidebank/testbed/trace/mapping/Mapping.java
@@ -66,7 +66,7 @@
     this.text = text;
     file = Toml.read(name, text);
     Toml.Table root = file.root();
-    String layoutName = root.needText("layout");
+    String layoutName = root.requiredText("layout");
     layout = Layouts.named(layoutName);
     if (layout == null && !layoutName.isEmpty()) {
       List<String> known = Layouts.all().stream().map(Layout::name).toList();
@@ -80,7 +80,7 @@
                   ? "; known are " + String.join(", ", known)
                   : "; did you mean \"" + near + "\"?"));
     }
-    depots = (int) root.whole("depots", DEPOTS_DEFAULT, 1, DEPOTS_MOST);
+    depots = (int) root.integer("depots", DEPOTS_DEFAULT, 1, DEPOTS_MOST);
     nonReplayable = Set.copyOf(root.texts("non_replayable"));
     order = root.texts("order");
     renamed = root.table("columns").freeTexts();
--- a/testbed/src/test/java/tidebank/threads/LogRateLimiterThreadsTest.java
+++ b/testbed/src/test/java/tidebank/threads/LogRateLimiterThreadsTest.java
@@ -16,12 +16,12 @@
 
     @Operation
     public long now() {
-      return bound.take(1);
+      return bound.tryAcquire(1);
     }
 
     @Operation
     public long later() {
-      return bound.take(2);
+      return bound.tryAcquire(2);
     }
   }
 
