--- a/router/src/main/java/tidebank/backend/ConnectionPool.java
+++ b/router/src/main/java/tidebank/backend/ConnectionPool.java
@@ -1,5 +1,6 @@
 package tidebank.backend;
 
+import io.netty.channel.ChannelFuture;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
@@ -9,128 +10,192 @@
 import tidebank.runtime.TimerQueue;
 
 /**
- * What is kept for one shard server: its address, its connections, this turn's calls and its drain.
+ * The connections to one shard server, the batch that collects the attempts of the current decision
+ * round, and whether the server is draining.
  */
-final class ConnectionPool extends TimerQueue.Timer {
-  final String id;
-  final ShardClient side;
-  final List<ShardConnection> connections = new ArrayList<>();
-  InetSocketAddress address;
+final class ConnectionPool {
+  private static final long NEVER = Long.MAX_VALUE;
 
-  /** The moment from which nothing may begin to be sent. */
-  long closedFrom = Long.MAX_VALUE;
+  private final String server;
+  private final ShardClient client;
+  private final BackendContext context;
+  private final List<ShardConnection> connections = new ArrayList<>();
+  private final TimerQueue.Timer drainTimer = TimerQueue.timer(this::drainGraceEnded);
 
-  boolean gone;
-  private RequestBatch gathering;
+  /** Null until the endpoint list names the server. */
+  private InetSocketAddress address;
 
-  ConnectionPool(String id, ShardClient side) {
-    this.id = id;
-    this.side = side;
+  /** From when on nothing may begin to be sent, in microseconds. */
+  private long refusesNewFrom = NEVER;
+
+  private boolean gone;
+  private RequestBatch openBatch;
+
+  ConnectionPool(String server, ShardClient client, BackendContext context) {
+    this.server = server;
+    this.client = client;
+    this.context = context;
+  }
+
+  String server() {
+    return server;
+  }
+
+  long refusesNewFrom() {
+    return refusesNewFrom;
+  }
+
+  /**
+   * Handles that the server is in service at this address. Connections to another address are
+   * retired.
+   */
+  void inService(InetSocketAddress current) {
+    refusesNewFrom = NEVER;
+    context.timers().cancel(drainTimer);
+    gone = false;
+    if (!current.equals(address)) {
+      address = current;
+      retireConnections();
+    }
   }
 
-  void closeFrom(long at) {
-    closedFrom = at;
-    side.timers.schedule(this, at);
+  /**
+   * Handles that the server is draining or gone. It gets nothing new after the grace.
+   *
+   * @param graceEndsAt when the grace of this notification ends, in microseconds; an earlier end
+   *     stands
+   */
+  void draining(long graceEndsAt, boolean isGone) {
+    refusesNewFrom = Math.min(refusesNewFrom, graceEndsAt);
+    context.timers().schedule(drainTimer, refusesNewFrom);
+    // The grace counts from when discovery wrote this, and this process may have stood still since:
+    // what is waiting must not wait for the end of the grace.
+    List.copyOf(connections).forEach(ShardConnection::dropWaiting);
+    gone = isGone;
+    client.removeIfUnused(this);
   }
 
-  void openAgain() {
-    closedFrom = Long.MAX_VALUE;
-    side.timers.cancel(this);
+  private void drainGraceEnded() {
+    for (ShardConnection connection : List.copyOf(connections)) {
+      connection.closeIfWriting();
+      connection.dropWaiting();
+    }
+  }
+
+  /** Returns whether the server has left, or was never listed, and no connection is left. */
+  boolean isUnused() {
+    return (gone || address == null) && connections.isEmpty();
   }
 
-  /** Its drain grace is over. */
-  @Override
-  protected void fire() {
-    List.copyOf(connections).forEach(ShardConnection::closedToNew);
+  int connectionCount() {
+    return connections.size();
   }
 
-  /** Takes a part into this turn's call. */
-  InFlightAttempt gather(AttemptRequest request) {
-    if (gathering == null || gathering.flights.size() >= side.bundleMost()) {
-      gathering = new RequestBatch(this);
-      side.pending(gathering);
+  /** Adds an attempt to the batch of this decision round. */
+  InFlightAttempt add(AttemptRequest request) {
+    if (openBatch == null || openBatch.attempts().size() >= client.maxBatchSize()) {
+      openBatch = new RequestBatch(this);
+      client.enqueue(openBatch);
     }
-    InFlightAttempt inFlight = new InFlightAttempt(request, gathering);
-    gathering.flights.add(inFlight);
-    side.timers.schedule(inFlight, request.deadline);
-    return inFlight;
+    InFlightAttempt attempt = new InFlightAttempt(request, openBatch);
+    openBatch.add(attempt);
+    context.timers().schedule(attempt, attempt.deadline());
+    return attempt;
   }
 
-  void gathered() {
-    gathering = null;
+  /** Ends the decision round: the next attempt starts a new batch. */
+  void closeBatch() {
+    openBatch = null;
   }
 
-  /** Gives a call to a connection with a free place, or to a new one. */
-  void place(RequestBatch call) {
-    if (call.flights.isEmpty()) {
+  /** Assigns a batch to a connection with capacity, or to a new one. */
+  void dispatch(RequestBatch batch) {
+    if (batch.isEmpty()) {
       return;
     }
-    ShardConnection connection = withRoom();
+    ShardConnection connection = connectionWithCapacity();
     if (connection == null) {
-      side.counters.recordFault("shard.no-connection-to-spare", "server " + id);
-      endAll(call, Outcome.UNREACHABLE);
-      side.forgetIfGone(this);
+      context.counters().recordFault("shard.no-connection-to-spare", "server=" + server);
+      completeAll(batch, Outcome.UNREACHABLE);
+      client.removeIfUnused(this);
       return;
     }
-    connection.take(call);
+    connection.assign(batch);
     connection.connect();
   }
 
-  void probe(byte letter) {
-    ShardConnection connection = withRoom();
+  /** Sends a health check of this frame type. */
+  void checkHealth(byte type) {
+    ShardConnection connection = connectionWithCapacity();
     if (connection == null) {
-      side.driver.healthCheckCompleted(id, Outcome.UNREACHABLE, 0, Map.of());
+      context.policy().healthCheckCompleted(server, Outcome.UNREACHABLE, 0, Map.of());
       return;
     }
-    connection.probe(letter);
+    connection.checkHealth(type);
     connection.connect();
   }
 
-  /** A connection with a free place, or a new one; null where none may be opened. */
-  private ShardConnection withRoom() {
+  /** Returns a connection with capacity, or a new one; null where none may be opened. */
+  private ShardConnection connectionWithCapacity() {
     for (ShardConnection connection : connections) {
-      if (connection.hasRoom()) {
+      if (connection.hasCapacity()) {
         return connection;
       }
     }
-    if (address == null || !side.mayOpen(this)) {
+    if (address == null || !client.mayOpenConnection(this)) {
       return null;
     }
-    ShardConnection connection = new ShardConnection(this);
+    ShardConnection connection = new ShardConnection(this, context);
     connections.add(connection);
-    side.opened++;
+    client.connectionAdded();
     return connection;
   }
 
-  void endAll(RequestBatch call, Outcome outcome) {
-    for (InFlightAttempt inFlight : List.copyOf(call.flights)) {
-      end(inFlight, outcome, null);
+  ChannelFuture connect(ShardConnection connection) {
+    return client.bootstrap(connection).connect(address);
+  }
+
+  void completeAll(RequestBatch batch, Outcome outcome) {
+    for (InFlightAttempt attempt : batch.copyOfAttempts()) {
+      complete(attempt, outcome, null);
     }
   }
 
-  void end(InFlightAttempt inFlight, Outcome outcome, byte[] value) {
-    end(inFlight, outcome, value, Map.of());
+  void complete(InFlightAttempt attempt, Outcome outcome, byte[] value) {
+    complete(attempt, outcome, value, Map.of());
   }
 
-  void end(InFlightAttempt inFlight, Outcome outcome, byte[] value, Map<String, Double> report) {
-    // A write that fails at once may end its connection, and all on it, before it returns.
-    if (inFlight.stage == InFlightAttempt.Stage.ENDED) {
+  /** Removes an attempt and reports its outcome to the policy, once. */
+  void complete(
+      InFlightAttempt attempt, Outcome outcome, byte[] value, Map<String, Double> loadReport) {
+    // A write that fails at once may close its connection, and so complete all attempts on it,
+    // before it returns.
+    if (!attempt.markCompleted()) {
       return;
     }
-    inFlight.stage = InFlightAttempt.Stage.ENDED;
-    side.timers.cancel(inFlight);
-    RequestBatch call = inFlight.call;
-    call.flights.remove(inFlight);
-    if (call.connection != null) {
-      call.connection.forget(inFlight);
+    context.timers().cancel(attempt);
+    RequestBatch batch = attempt.batch();
+    batch.remove(attempt);
+    if (batch.connection() != null) {
+      batch.connection().remove(attempt);
     }
-    side.driver.attemptCompleted(inFlight.request, outcome, value, report);
+    context.policy().attemptCompleted(attempt.request(), outcome, value, loadReport);
   }
 
-  void removed(ShardConnection connection) {
+  /** Removes a connection that has closed. */
+  void remove(ShardConnection connection) {
     if (connections.remove(connection)) {
-      side.opened--;
+      client.connectionRemoved();
     }
-    side.forgetIfGone(this);
+    client.removeIfUnused(this);
+  }
+
+  /** Lets all established connections finish their work and close. */
+  void retireConnections() {
+    List.copyOf(connections).forEach(ShardConnection::retire);
+  }
+
+  void close() {
+    List.copyOf(connections).forEach(ShardConnection::close);
   }
 }
--- a/router/src/main/java/tidebank/backend/FrameCodec.java
+++ b/router/src/main/java/tidebank/backend/FrameCodec.java
@@ -12,92 +12,129 @@
 import tidebank.config.MalformedInputException;
 import tidebank.model.Outcome;
 
-/** The frames' insides; their lengths are Netty's to write and to read. */
+/**
+ * Encodes and decodes the contents of frames. The length in front of each frame is written and read
+ * by Netty's codecs.
+ */
 final class FrameCodec {
-  static final byte CALL = 'm';
-  static final byte GIVE_UP = 'n';
-  static final byte PROBE = 'o';
-  static final byte PROBE_LOAD = 'p';
-  static final byte ANSWER = 'q';
-  static final byte UNUSABLE = 'r';
+  static final byte BATCH = 'm';
+  static final byte CANCEL = 'n';
+  static final byte HEALTH_CHECK = 'o';
+  static final byte HEALTH_CHECK_WITH_LOAD = 'p';
+  static final byte RESPONSE = 'q';
+  static final byte REJECTED_FRAME = 'r';
 
-  /** Above the text of 64 KiB of any one part: its line. */
-  static final int LINE_MOST = 1024;
+  /** The longest header line of a response; a frame may be longer than its body by this. */
+  static final int MAX_HEADER_BYTES = 1024;
+
+  private static final String UNHEALTHY = "bad";
+  private static final String NO_LOAD_REPORT = "-";
+  private static final int HEADER_FIELDS = 4;
+  private static final int INITIAL_BATCH_BYTES = 256;
+  private static final long US_PER_MS = 1000;
 
   /**
-   * An answer to a part. The value, null unless it completed, outlives the buffer that it was read
-   * into.
+   * A response to one shard request.
+   *
+   * @param requestId the shard request that it answers
+   * @param outcome how the request ended at the shard server
+   * @param loadReport the server's load by name, empty if it sent none that can be read
+   * @param value the result, copied out of the network buffer; null unless the request completed
    */
-  record Answer(String id, Outcome outcome, Map<String, Double> report, byte[] value) {}
+  record Response(
+      String requestId, Outcome outcome, Map<String, Double> loadReport, byte[] value) {}
 
   private FrameCodec() {}
 
-  /** A call of these parts, each to be waited for until its own time. */
-  static ByteBuf call(ByteBufAllocator allocator, List<InFlightAttempt> flights, long now) {
-    ByteBuf frame = allocator.directBuffer(256);
-    frame.writeByte(CALL);
-    for (InFlightAttempt inFlight : flights) {
-      long waitMs = Math.max(1, (inFlight.request.deadline - now) / 1000);
+  /**
+   * Encodes a batch.
+   *
+   * @param now the current time in microseconds; each attempt's wait is what is left from then to
+   *     its deadline, and at least 1 ms
+   */
+  static ByteBuf encodeBatch(ByteBufAllocator allocator, List<InFlightAttempt> attempts, long now) {
+    ByteBuf frame = allocator.directBuffer(INITIAL_BATCH_BYTES);
+    frame.writeByte(BATCH);
+    for (InFlightAttempt attempt : attempts) {
+      long waitMs = Math.max(1, (attempt.deadline() - now) / US_PER_MS);
+      byte[] body = attempt.body();
       ByteBufUtil.writeAscii(
           frame,
-          inFlight.request.requestId
-              + ' '
-              + inFlight.request.shard
-              + " d="
-              + waitMs
-              + ' '
-              + inFlight.request.body.length
-              + '\n');
-      frame.writeBytes(inFlight.request.body);
+          attempt.requestId() + ' ' + attempt.shard() + " d=" + waitMs + ' ' + body.length + '\n');
+      frame.writeBytes(body);
     }
     return frame;
   }
 
-  static ByteBuf giveUp(ByteBufAllocator allocator, String part) {
-    ByteBuf frame = allocator.directBuffer(1 + part.length());
-    frame.writeByte(GIVE_UP);
-    ByteBufUtil.writeAscii(frame, part);
+  static ByteBuf encodeCancel(ByteBufAllocator allocator, String requestId) {
+    ByteBuf frame = allocator.directBuffer(1 + requestId.length());
+    frame.writeByte(CANCEL);
+    ByteBufUtil.writeAscii(frame, requestId);
     return frame;
   }
 
-  static ByteBuf probe(ByteBufAllocator allocator, byte letter) {
-    return allocator.directBuffer(1).writeByte(letter);
+  /** Encodes a health check; {@code type} is one of the two health check frame types. */
+  static ByteBuf encodeHealthCheck(ByteBufAllocator allocator, byte type) {
+    return allocator.directBuffer(1).writeByte(type);
   }
 
-  /** Reads an answer frame behind its letter. */
-  static Answer answer(ByteBuf frame) throws MalformedInputException {
-    int length = frame.bytesBefore((byte) '\n');
-    if (length < 0 || length > LINE_MOST) {
-      throw new MalformedInputException("an answer without a line");
-    }
-    String line = frame.readCharSequence(length, US_ASCII).toString();
-    frame.skipBytes(1);
-    String[] words = line.split(" ", 4);
-    if (words.length != 4 || words[0].isEmpty()) {
-      throw new MalformedInputException("an answer's line '" + line + "'");
+  /**
+   * Decodes a response frame after its type byte.
+   *
+   * @throws MalformedInputException if the header line is missing or invalid, or the value is not
+   *     UTF-8
+   */
+  static Response decodeResponse(ByteBuf frame) throws MalformedInputException {
+    String header = readHeader(frame);
+    String[] fields = header.split(" ", HEADER_FIELDS);
+    if (fields.length != HEADER_FIELDS || fields[0].isEmpty()) {
+      throw new MalformedInputException("response header is invalid: '" + header + "'");
     }
-    Outcome outcome =
-        switch (words[1]) {
-          case "good" -> Outcome.COMPLETED;
-          case "bad" -> Outcome.ERROR;
-          case "later" -> Outcome.OVERLOADED;
-          default -> throw new MalformedInputException("an answer's end '" + words[1] + "'");
-        };
-    if (outcome == Outcome.COMPLETED && !ByteBufUtil.isText(frame, UTF_8)) {
-      throw new MalformedInputException("a value that is no text");
+    Outcome outcome = outcome(fields[1]);
+    boolean completed = outcome == Outcome.COMPLETED;
+    if (completed && !ByteBufUtil.isText(frame, UTF_8)) {
+      throw new MalformedInputException("response value is not UTF-8");
     }
-    return new Answer(
-        words[0],
+    return new Response(
+        fields[0],
         outcome,
-        report(words[3]),
-        outcome == Outcome.COMPLETED ? ByteBufUtil.getBytes(frame) : null);
+        parseLoadReport(fields[HEADER_FIELDS - 1]),
+        completed ? ByteBufUtil.getBytes(frame) : null);
   }
 
-  /** A load report such as {@code inflight=7,util=0.61}; one that can't be read counts as none. */
-  static Map<String, Double> report(String text) {
+  private static String readHeader(ByteBuf frame) throws MalformedInputException {
+    int length = frame.bytesBefore((byte) '\n');
+    if (length < 0 || length > MAX_HEADER_BYTES) {
+      throw new MalformedInputException("response has no header line");
+    }
+    String header = frame.readCharSequence(length, US_ASCII).toString();
+    frame.skipBytes(1);
+    return header;
+  }
+
+  private static Outcome outcome(String status) throws MalformedInputException {
+    return switch (status) {
+      case "good" -> Outcome.COMPLETED;
+      case "bad" -> Outcome.ERROR;
+      case "later" -> Outcome.OVERLOADED;
+      default -> throw new MalformedInputException("response status is unknown: '" + status + "'");
+    };
+  }
+
+  /** Returns whether the text of a health check's response says that the server is healthy. */
+  static boolean isHealthy(String text) {
+    return !text.equals(UNHEALTHY);
+  }
+
+  /**
+   * Parses a load report such as {@code inflight=7,util=0.61}. Returns an empty map if there is
+   * none or any part of it is invalid, as a load report is only a hint.
+   */
+  static Map<String, Double> parseLoadReport(String text) {
     Map<String, Double> report = new LinkedHashMap<>();
     try {
-      for (String pair : text.equals("-") || text.isEmpty() ? new String[0] : text.split(",")) {
+      boolean absent = text.equals(NO_LOAD_REPORT) || text.isEmpty();
+      for (String pair : absent ? new String[0] : text.split(",")) {
         int equals = pair.indexOf('=');
         double value = Double.parseDouble(pair.substring(equals + 1));
         if (equals <= 0 || !(value >= 0 && value <= Long.MAX_VALUE)) {
@@ -105,13 +142,15 @@
         }
         report.put(pair.substring(0, equals), value);
       }
-    } catch (NumberFormatException fault) {
+    } catch (NumberFormatException invalid) {
       return Map.of();
     }
     return report;
   }
 
-  static String text(ByteBuf rest) {
-    return rest.toString(rest.readerIndex(), Math.min(rest.readableBytes(), LINE_MOST), UTF_8);
+  /** Returns the rest of a frame as text, cut to the length of a header line. */
+  static String remainingText(ByteBuf frame) {
+    int length = Math.min(frame.readableBytes(), MAX_HEADER_BYTES);
+    return frame.toString(frame.readerIndex(), length, UTF_8);
   }
 }
--- a/router/src/main/java/tidebank/backend/FrameDecoder.java
+++ b/router/src/main/java/tidebank/backend/FrameDecoder.java
@@ -2,16 +2,16 @@
 
 import io.netty.handler.codec.LengthFieldBasedFrameDecoder;
 
-/** Netty's framing. It tells in addition what was read beyond the last whole frame. */
+/** Splits the byte stream into frames and reports whether an incomplete frame is buffered. */
 final class FrameDecoder extends LengthFieldBasedFrameDecoder {
   static final int LENGTH_BYTES = 4;
 
-  FrameDecoder(int most) {
-    super(most, 0, LENGTH_BYTES, 0, LENGTH_BYTES);
+  FrameDecoder(int maxFrameBytes) {
+    super(maxFrameBytes, 0, LENGTH_BYTES, 0, LENGTH_BYTES);
   }
 
-  /** Whether a frame has begun that is not whole. */
-  boolean begun() {
+  /** Returns whether bytes were read that do not form a complete frame yet. */
+  boolean hasIncompleteFrame() {
     return actualReadableBytes() > 0;
   }
 }
--- /dev/null
+++ b/router/src/main/java/tidebank/backend/HealthCheckQueue.java
@@ -0,0 +1,102 @@
+package tidebank.backend;
+
+import io.netty.channel.Channel;
+import java.util.ArrayDeque;
+import java.util.Map;
+import tidebank.config.MalformedInputException;
+import tidebank.model.Outcome;
+import tidebank.runtime.TimerQueue;
+
+/** The health checks that are outstanding on one connection; responses come in order. */
+final class HealthCheckQueue {
+  private record HealthCheck(byte type, long requestedAt) {}
+
+  private final ShardConnection connection;
+  private final String server;
+  private final BackendContext context;
+  private final ArrayDeque<HealthCheck> outstanding = new ArrayDeque<>();
+  private final TimerQueue.Timer timeout = TimerQueue.timer(this::timedOut);
+
+  HealthCheckQueue(ShardConnection connection, String server, BackendContext context) {
+    this.connection = connection;
+    this.server = server;
+    this.context = context;
+  }
+
+  boolean isEmpty() {
+    return outstanding.isEmpty();
+  }
+
+  void add(byte type) {
+    outstanding.add(new HealthCheck(type, context.clock().now()));
+    if (outstanding.size() == 1) {
+      scheduleTimeout();
+    }
+  }
+
+  /** Writes all health checks that were requested before the connection was established. */
+  void writeAll(Channel channel) {
+    for (HealthCheck check : outstanding) {
+      write(channel, check.type());
+    }
+  }
+
+  void write(Channel channel, byte type) {
+    channel.writeAndFlush(
+        FrameCodec.encodeHealthCheck(channel.alloc(), type), channel.voidPromise());
+  }
+
+  /**
+   * Handles a response.
+   *
+   * @throws MalformedInputException if no health check of this type is the oldest outstanding one
+   */
+  void receive(byte type, String text) throws MalformedInputException {
+    HealthCheck check = outstanding.poll();
+    if (check == null || check.type() != type) {
+      throw new MalformedInputException("response matches no health check");
+    }
+    context.timers().cancel(timeout);
+    boolean healthy = FrameCodec.isHealthy(text);
+    boolean hasLoadReport = healthy && type == FrameCodec.HEALTH_CHECK_WITH_LOAD;
+    report(
+        check,
+        healthy ? Outcome.COMPLETED : Outcome.ERROR,
+        hasLoadReport ? FrameCodec.parseLoadReport(text) : Map.of());
+    if (!outstanding.isEmpty()) {
+      scheduleTimeout();
+    }
+  }
+
+  private void scheduleTimeout() {
+    context
+        .timers()
+        .schedule(timeout, context.clock().now() + context.transport().connectTimeoutUs());
+  }
+
+  private void timedOut() {
+    HealthCheck oldest = outstanding.peek();
+    if (oldest != null) {
+      report(oldest, Outcome.TIMED_OUT, Map.of());
+      outstanding.clear();
+      connection.close();
+    }
+  }
+
+  void cancelTimeout() {
+    context.timers().cancel(timeout);
+  }
+
+  /** Reports this outcome for all outstanding health checks. */
+  void failAll(Outcome outcome) {
+    for (HealthCheck check : outstanding) {
+      report(check, outcome, Map.of());
+    }
+    outstanding.clear();
+  }
+
+  private void report(HealthCheck check, Outcome outcome, Map<String, Double> loadReport) {
+    long durationUs = context.clock().now() - check.requestedAt();
+    context.policy().healthCheckCompleted(server, outcome, durationUs, loadReport);
+  }
+}
--- a/router/src/main/java/tidebank/backend/RequestBatch.java
+++ b/router/src/main/java/tidebank/backend/RequestBatch.java
@@ -1,21 +1,55 @@
 package tidebank.backend;
 
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.List;
 
 /**
- * Parts that travel in one frame and hold one place on a connection until the last of them has
- * ended.
+ * A batch of shard requests sent in one frame. Occupies one stream slot of its connection until its
+ * last attempt completes.
  */
 final class RequestBatch {
-  final ConnectionPool server;
+  private final ConnectionPool pool;
+  private final List<InFlightAttempt> attempts = new ArrayList<>();
+  private final List<InFlightAttempt> attemptsView = Collections.unmodifiableList(attempts);
+  private ShardConnection connection;
 
-  /** The flights that have not ended. */
-  final List<InFlightAttempt> flights = new ArrayList<>();
+  RequestBatch(ConnectionPool pool) {
+    this.pool = pool;
+  }
+
+  ConnectionPool pool() {
+    return pool;
+  }
+
+  /** Returns a live view of the attempts that have not completed. */
+  List<InFlightAttempt> attempts() {
+    return attemptsView;
+  }
+
+  /** Returns a copy of {@link #attempts()}, to be iterated while attempts complete. */
+  List<InFlightAttempt> copyOfAttempts() {
+    return List.copyOf(attempts);
+  }
 
-  ShardConnection connection;
+  void add(InFlightAttempt attempt) {
+    attempts.add(attempt);
+  }
+
+  void remove(InFlightAttempt attempt) {
+    attempts.remove(attempt);
+  }
+
+  boolean isEmpty() {
+    return attempts.isEmpty();
+  }
+
+  /** Returns the connection that this batch was assigned to, or null before that. */
+  ShardConnection connection() {
+    return connection;
+  }
 
-  RequestBatch(ConnectionPool server) {
-    this.server = server;
+  void assignTo(ShardConnection assigned) {
+    connection = assigned;
   }
 }
--- a/router/src/main/java/tidebank/backend/ShardClient.java
+++ b/router/src/main/java/tidebank/backend/ShardClient.java
@@ -12,6 +12,7 @@
 import java.util.Set;
 import tidebank.config.RouterConfig;
 import tidebank.metrics.Counters;
+import tidebank.model.Event.Endpoint;
 import tidebank.model.Event.EndpointStatus;
 import tidebank.model.Outcome;
 import tidebank.runtime.AttemptRequest;
@@ -20,42 +21,46 @@
 import tidebank.runtime.PolicyExecutor;
 import tidebank.runtime.TimerQueue;
 
-/** Carries out dispatches on connections to shard servers and tells their ends. */
+/**
+ * The client of all shard servers. It carries out the attempts that the policy sends and reports
+ * their outcomes to it. Belongs to the event loop.
+ */
 public final class ShardClient implements BackendPort {
-  final PolicyExecutor driver;
-  final Clock clock;
-  final TimerQueue timers;
-  final Counters counters;
-  final RouterConfig.Transport transport;
-  final boolean mayGiveUp;
-  final long slowestUs;
-
-  /** Connections that are open or coming up. */
-  int opened;
-
+  private final BackendContext context;
   private final RouterConfig config;
   private final Bootstrap template;
-  private final Map<String, ConnectionPool> servers = new HashMap<>();
-  private final List<RequestBatch> pending = new ArrayList<>();
+  private final Map<String, ConnectionPool> pools = new HashMap<>();
+  private final List<RequestBatch> pendingBatches = new ArrayList<>();
 
+  /** Connections that are established or connecting. */
+  private int connectionCount;
+
+  /**
+   * Creates a client without connections.
+   *
+   * @param template the bootstrap of connections, to which each adds its own pipeline
+   */
   public ShardClient(
       RouterConfig config,
       Bootstrap template,
-      PolicyExecutor driver,
+      PolicyExecutor policy,
       Clock clock,
       TimerQueue timers,
       Counters counters) {
     this.config = config;
-    this.transport = config.transport();
-    this.mayGiveUp = config.settings().limits().cancellation();
-    this.slowestUs = config.settings().longestTimeoutUs();
     this.template = template;
-    this.driver = driver;
-    this.clock = clock;
-    this.timers = timers;
-    this.counters = counters;
+    this.context =
+        new BackendContext(
+            policy,
+            clock,
+            timers,
+            counters,
+            config.transport(),
+            config.settings().limits().cancellation(),
+            config.settings().longestTimeoutUs());
   }
 
+  /** Returns a bootstrap whose channels are handled by this connection. */
   Bootstrap bootstrap(ShardConnection connection) {
     return template
         .clone()
@@ -66,111 +71,114 @@
                 channel
                     .pipeline()
                     .addLast(
-                        connection.reader,
+                        connection.decoder(),
                         new LengthFieldPrepender(FrameDecoder.LENGTH_BYTES),
                         connection);
               }
             });
   }
 
-  int bundleMost() {
+  int maxBatchSize() {
     return config.settings().layout().maxBatchSize();
   }
 
-  void pending(RequestBatch call) {
-    pending.add(call);
+  /** Takes a batch that goes out with the next {@link #flush}. */
+  void enqueue(RequestBatch batch) {
+    pendingBatches.add(batch);
+  }
+
+  boolean mayOpenConnection(ConnectionPool pool) {
+    return connectionCount < config.budgets().maxServerConnections()
+        && pool.connectionCount() < config.budgets().maxConnectionsPerServer();
+  }
+
+  void connectionAdded() {
+    connectionCount++;
+  }
+
+  void connectionRemoved() {
+    connectionCount--;
   }
 
-  boolean mayOpen(ConnectionPool server) {
-    return opened < config.budgets().servers()
-        && server.connections.size() < config.budgets().serverMost();
+  private ConnectionPool pool(String server) {
+    return pools.computeIfAbsent(server, absent -> new ConnectionPool(server, this, context));
   }
 
   @Override
   public void updateEndpoints(List<Member> members, boolean full) {
-    long now = clock.now();
-    Set<String> named = new HashSet<>();
+    long now = context.clock().now();
+    Set<String> listed = new HashSet<>();
     for (Member member : members) {
-      String id = member.endpoint().server();
-      named.add(id);
-      ConnectionPool server = servers.computeIfAbsent(id, absent -> new ConnectionPool(id, this));
-      if (member.endpoint().status() == EndpointStatus.IN_SERVICE) {
-        server.openAgain();
-        server.gone = false;
-        if (!member.address().equals(server.address)) {
-          server.address = member.address();
-          retireConnections(id);
-        }
+      Endpoint endpoint = member.endpoint();
+      listed.add(endpoint.server());
+      ConnectionPool pool = pool(endpoint.server());
+      if (endpoint.status() == EndpointStatus.IN_SERVICE) {
+        pool.inService(member.address());
       } else {
-        leaves(server, now, member.endpoint().status() == EndpointStatus.GONE);
+        drain(pool, now, endpoint.status() == EndpointStatus.GONE);
       }
     }
     if (full) {
-      for (ConnectionPool server : List.copyOf(servers.values())) {
-        if (!named.contains(server.id)) {
-          leaves(server, now, true);
+      for (ConnectionPool pool : List.copyOf(pools.values())) {
+        if (!listed.contains(pool.server())) {
+          drain(pool, now, true);
         }
       }
     }
   }
 
-  private void leaves(ConnectionPool server, long now, boolean gone) {
-    server.closeFrom(Math.min(server.closedFrom, now + config.settings().rules().drainGraceUs()));
-    // The grace counts from when discovery wrote this, and we may have stood still since: what
-    // waits need not wait for it.
-    List.copyOf(server.connections).forEach(ShardConnection::dropWaiting);
-    server.gone = gone;
-    forgetIfGone(server);
+  private void drain(ConnectionPool pool, long now, boolean gone) {
+    pool.draining(now + config.settings().rules().drainGraceUs(), gone);
   }
 
-  void forgetIfGone(ConnectionPool server) {
-    if ((server.gone || server.address == null) && server.connections.isEmpty()) {
-      servers.remove(server.id, server);
+  /** Forgets a pool that has no connection and whose server has left. */
+  void removeIfUnused(ConnectionPool pool) {
+    if (pool.isUnused()) {
+      pools.remove(pool.server(), pool);
     }
   }
 
   @Override
   public AttemptRequest.Handle send(AttemptRequest request) {
-    return servers
-        .computeIfAbsent(request.server, absent -> new ConnectionPool(request.server, this))
-        .gather(request);
+    return pool(request.server).add(request);
   }
 
   @Override
   public void flush() {
-    for (RequestBatch call : pending) {
-      call.server.gathered();
+    for (RequestBatch batch : pendingBatches) {
+      batch.pool().closeBatch();
+    }
+    List<RequestBatch> batches = List.copyOf(pendingBatches);
+    pendingBatches.clear();
+    for (RequestBatch batch : batches) {
+      batch.pool().dispatch(batch);
     }
-    List<RequestBatch> placed = List.copyOf(pending);
-    pending.clear();
-    placed.forEach(call -> call.server.place(call));
   }
 
   @Override
-  public void retireConnections(String id) {
-    ConnectionPool server = servers.get(id);
-    if (server != null) {
-      for (ShardConnection connection : List.copyOf(server.connections)) {
-        connection.retire();
-      }
+  public void retireConnections(String server) {
+    ConnectionPool pool = pools.get(server);
+    if (pool != null) {
+      pool.retireConnections();
     }
   }
 
   @Override
-  public void checkHealth(String id) {
-    ConnectionPool server = servers.get(id);
-    if (server == null) {
-      driver.healthCheckCompleted(id, Outcome.UNREACHABLE, 0, Map.of());
-    } else {
-      server.probe(transport.probeForLoad() ? FrameCodec.PROBE_LOAD : FrameCodec.PROBE);
+  public void checkHealth(String server) {
+    ConnectionPool pool = pools.get(server);
+    if (pool == null) {
+      context.policy().healthCheckCompleted(server, Outcome.UNREACHABLE, 0, Map.of());
+      return;
     }
+    pool.checkHealth(
+        context.transport().loadReportOnHealthCheck()
+            ? FrameCodec.HEALTH_CHECK_WITH_LOAD
+            : FrameCodec.HEALTH_CHECK);
   }
 
-  /**
-   * Closes all connections. A server that is gone leaves the map with its last one, hence the copy.
-   */
+  /** Closes all connections. */
   public void close() {
-    List.copyOf(servers.values())
-        .forEach(server -> List.copyOf(server.connections).forEach(ShardConnection::close));
+    // A pool leaves the map with its last connection, hence the copy.
+    List.copyOf(pools.values()).forEach(ConnectionPool::close);
   }
 }
--- a/router/src/main/java/tidebank/backend/ShardConnection.java
+++ b/router/src/main/java/tidebank/backend/ShardConnection.java
@@ -6,401 +6,303 @@
 import io.netty.channel.ChannelFutureListener;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.SimpleChannelInboundHandler;
-import java.util.ArrayDeque;
+import java.io.IOException;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.HashSet;
-import java.util.LinkedHashMap;
-import java.util.List;
-import java.util.Map;
 import java.util.Set;
 import tidebank.config.MalformedInputException;
 import tidebank.model.Outcome;
 import tidebank.runtime.TimerQueue;
 
 /**
- * One connection to a shard server. At most one frame with parts is in Netty's hands before it is
- * wholly written: the others wait here, where they can still be dropped and are known never to have
- * run.
+ * One connection to a shard server: its life cycle and the dispatch of what is read from it.
+ * Writing batches, matching responses and health checks are the tasks of {@link BatchWriter},
+ * {@link ResponseMatcher} and {@link HealthCheckQueue}.
  */
 final class ShardConnection extends SimpleChannelInboundHandler<ByteBuf> {
-  private record Probe(byte letter, long askedAt) {}
-
-  private final ConnectionPool server;
-  private final ShardClient side;
-  private final ArrayDeque<RequestBatch> waiting = new ArrayDeque<>();
-  private final Set<RequestBatch> calls = new HashSet<>();
-  private final Map<String, InFlightAttempt> out = new HashMap<>();
-  private final ArrayDeque<Probe> probes = new ArrayDeque<>();
-  private final ChannelFutureListener written = this::written;
-  private final TimerQueue.Timer idle = TimerQueue.timer(this::unused);
-  private final TimerQueue.Timer probeLate = TimerQueue.timer(this::probeLate);
-  private final TimerQueue.Timer neverWhole =
-      TimerQueue.timer(() -> spoilt("a frame that never came whole"));
-  final FrameDecoder reader;
-
-  /**
-   * Parts given up here that may still be answered, and until when that is no surprise; the oldest
-   * first.
-   */
-  private final Map<String, Long> givenUp = new LinkedHashMap<>();
+  private enum State {
+    CONNECTING,
+    CONNECTED,
+    CLOSED
+  }
 
-  /** The latest answer, until what was read with it shows that its frame was as long as it said. */
-  private FrameCodec.Answer held;
+  private final ConnectionPool pool;
+  private final BackendContext context;
+  private final FrameDecoder decoder;
+  private final BatchWriter writer;
+  private final ResponseMatcher responses;
+  private final HealthCheckQueue healthChecks;
+  private final Set<RequestBatch> batches = new HashSet<>();
+  private final TimerQueue.Timer idleTimer = TimerQueue.timer(this::closeIfIdle);
+  private final TimerQueue.Timer incompleteFrameTimer =
+      TimerQueue.timer(() -> protocolError("frame was not completed in time"));
 
   private Channel channel;
-  private RequestBatch writing;
-  private boolean up;
-  private boolean closed;
+  private State state = State.CONNECTING;
+
+  /** Whether no further batch may be assigned; it closes once it is idle. */
   private boolean retired;
-  private long lastUsed;
 
-  ShardConnection(ConnectionPool server) {
-    this.server = server;
-    this.side = server.side;
-    this.reader = new FrameDecoder(side.transport.bodyMost() + FrameCodec.LINE_MOST);
+  private long lastUsedAt;
+
+  ShardConnection(ConnectionPool pool, BackendContext context) {
+    this.pool = pool;
+    this.context = context;
+    this.decoder =
+        new FrameDecoder(context.transport().maxBodyBytes() + FrameCodec.MAX_HEADER_BYTES);
+    this.writer = new BatchWriter(this, pool, context);
+    this.responses = new ResponseMatcher(pool, context);
+    this.healthChecks = new HealthCheckQueue(this, pool.server(), context);
+  }
+
+  /** Returns the decoder that belongs in front of this handler in the pipeline. */
+  FrameDecoder decoder() {
+    return decoder;
+  }
+
+  boolean isClosed() {
+    return state == State.CLOSED;
   }
 
-  /** Begins to connect, once; what is to be sent was given to it before. */
+  /** Starts to connect, once. What was assigned before is written when it is connected. */
   void connect() {
     if (channel != null) {
       return;
     }
-    ChannelFuture connecting = side.bootstrap(this).connect(server.address);
+    ChannelFuture connecting = pool.connect(this);
     channel = connecting.channel();
-    connecting.addListener(
-        (ChannelFutureListener)
-            done -> {
-              if (!done.isSuccess()) {
-                side.counters.add("shard.connect-failed");
-                ended();
-              }
-            });
+    connecting.addListener((ChannelFutureListener) this::connectCompleted);
+  }
+
+  private void connectCompleted(ChannelFuture connecting) {
+    if (!connecting.isSuccess()) {
+      context.counters().add("shard.connect-failed");
+      closed();
+    }
   }
 
   /**
-   * Whether a call can be given to it: it is not closing, has a free place, and was used of late.
+   * Returns whether a batch can be assigned: the connection is open, has a free stream slot and was
+   * used recently enough that the server has not closed it as idle.
    */
-  boolean hasRoom() {
-    return !closed
+  boolean hasCapacity() {
+    return state != State.CLOSED
         && !retired
-        && calls.size() < side.transport.maxStreams()
-        && (!up || !calls.isEmpty() || side.clock.now() < unusableFrom());
+        && batches.size() < context.transport().maxStreams()
+        && (state != State.CONNECTED
+            || !batches.isEmpty()
+            || context.clock().now() < idleDeadline());
   }
 
-  boolean isIdle() {
-    return up && calls.isEmpty() && probes.isEmpty();
+  private boolean isIdle() {
+    return state == State.CONNECTED && batches.isEmpty() && healthChecks.isEmpty();
   }
 
-  /** It gets no more calls. One that is still coming up is as new as could be wanted. */
+  /**
+   * Lets the connection finish its work and close. One that is still connecting is as new as could
+   * be wanted and stays.
+   */
   void retire() {
-    retired = up;
+    retired = state == State.CONNECTED;
     if (isIdle()) {
       close();
     }
   }
 
   /**
-   * What is written from the keep-alive on is lost, so the last use is as long before as a
-   * connection may take.
+   * Returns when the connection is too old to be used if it stays idle. A write after the
+   * keep-alive is lost, so the last use is earlier by as long as connecting may take.
    */
-  private long unusableFrom() {
-    return lastUsed + Math.max(0, side.transport.keepaliveUs() - side.transport.connectTimeoutUs());
+  private long idleDeadline() {
+    long keepaliveUs = context.transport().keepaliveUs();
+    return lastUsedAt + Math.max(0, keepaliveUs - context.transport().connectTimeoutUs());
   }
 
-  void take(RequestBatch call) {
-    side.timers.cancel(idle);
-    call.connection = this;
-    calls.add(call);
-    waiting.add(call);
-    if (up) {
-      write();
+  /** Takes a batch and writes it as soon as possible. */
+  void assign(RequestBatch batch) {
+    context.timers().cancel(idleTimer);
+    batch.assignTo(this);
+    batches.add(batch);
+    writer.enqueue(batch);
+    if (state == State.CONNECTED) {
+      writer.flush(channel);
     }
   }
 
-  /** Writes the next call, unless one is still being written. */
-  private void write() {
-    while (writing == null && !waiting.isEmpty() && !closed) {
-      RequestBatch call = waiting.poll();
-      long now = side.clock.now();
-      if (now >= server.closedFrom) {
-        side.counters.add("shard.dropped-for-drain");
-        server.endAll(call, Outcome.NOT_SENT);
-      }
-      // What lapses here leaves the call.
-      List.copyOf(call.flights).forEach(inFlight -> side.driver.aboutToWrite(inFlight.request));
-      if (call.flights.isEmpty()) {
-        continue;
-      }
-      writing = call;
-      for (InFlightAttempt inFlight : call.flights) {
-        inFlight.stage = InFlightAttempt.Stage.WRITING;
-        out.put(inFlight.request.requestId, inFlight);
-      }
-      lastUsed = now;
-      channel
-          .writeAndFlush(FrameCodec.call(channel.alloc(), call.flights, now))
-          .addListener(written);
-    }
-  }
-
-  /** The frame being written is out whole, or never will be. */
-  private void written(ChannelFuture done) {
-    RequestBatch call = writing;
-    writing = null;
-    if (call == null) {
-      return;
-    }
-    if (!done.isSuccess()) {
-      server.endAll(call, Outcome.UNREACHABLE);
-      close();
-      return;
+  /** Notes that the writer starts to write a batch. */
+  void writing(RequestBatch batch, long now) {
+    for (InFlightAttempt attempt : batch.attempts()) {
+      attempt.markWriting();
+      responses.add(attempt);
     }
-    for (InFlightAttempt inFlight : call.flights) {
-      inFlight.stage = InFlightAttempt.Stage.OUT;
-    }
-    write();
+    lastUsedAt = now;
   }
 
-  /** A frame that is stuck half way may begin or go on only by leaving the connection open. */
-  void stopWriting() {
-    if (writing != null) {
-      side.counters.add("shard.closed-while-writing");
+  /**
+   * Closes the connection if a frame is written in part: only closing keeps the server from getting
+   * the rest.
+   */
+  void closeIfWriting() {
+    if (writer.isWriting()) {
+      context.counters().add("shard.closed-while-writing");
       close();
     }
   }
 
-  /** Its server may be sent nothing new: what waits is dropped, what is stuck is cut off. */
-  void closedToNew() {
-    stopWriting();
-    dropWaiting();
-  }
-
-  /** What was not begun to be written never is. */
+  /** Drops all batches that have not begun to be written. */
   void dropWaiting() {
-    for (RequestBatch call : List.copyOf(waiting)) {
-      side.counters.add("shard.dropped-for-drain");
-      server.endAll(call, Outcome.NOT_SENT);
-    }
+    writer.dropWaiting();
   }
 
-  /** Tells the shard server that a part written to it is given up, where that is allowed. */
-  void giveUp(InFlightAttempt inFlight) {
-    long now = side.clock.now();
-    givenUp.values().removeIf(until -> until <= now);
-    givenUp.put(inFlight.request.requestId, now + side.slowestUs);
-    if (side.mayGiveUp && channel.isActive()) {
-      lastUsed = side.clock.now();
+  /** Notifies the shard server that an attempt is cancelled, where the deployment permits that. */
+  void cancel(InFlightAttempt attempt) {
+    long now = context.clock().now();
+    responses.cancelled(attempt.requestId(), now);
+    if (context.cancellation() && channel.isActive()) {
+      lastUsedAt = now;
       channel.writeAndFlush(
-          FrameCodec.giveUp(channel.alloc(), inFlight.request.requestId), channel.voidPromise());
+          FrameCodec.encodeCancel(channel.alloc(), attempt.requestId()), channel.voidPromise());
     }
   }
 
-  /** A inFlight has ended. */
-  void forget(InFlightAttempt inFlight) {
-    out.remove(inFlight.request.requestId, inFlight);
-    if (inFlight.call.flights.isEmpty()) {
-      calls.remove(inFlight.call);
-      waiting.remove(inFlight.call);
-      if (isIdle() && retired) {
-        close();
-      } else if (isIdle() && !closed) {
-        side.timers.schedule(idle, unusableFrom());
-      }
+  /** Removes an attempt that has completed. */
+  void remove(InFlightAttempt attempt) {
+    responses.remove(attempt);
+    RequestBatch batch = attempt.batch();
+    if (!batch.isEmpty()) {
+      return;
+    }
+    batches.remove(batch);
+    writer.remove(batch);
+    if (isIdle() && retired) {
+      close();
+    } else if (isIdle()) {
+      context.timers().schedule(idleTimer, idleDeadline());
     }
   }
 
-  void probe(byte letter) {
-    probes.add(new Probe(letter, side.clock.now()));
-    if (probes.size() == 1) {
-      awaitProbe();
-    }
-    if (up) {
-      channel.writeAndFlush(FrameCodec.probe(channel.alloc(), letter), channel.voidPromise());
+  /** Sends a health check now, or once connected. */
+  void checkHealth(byte type) {
+    healthChecks.add(type);
+    if (state == State.CONNECTED) {
+      healthChecks.write(channel, type);
     }
   }
 
   @Override
-  public void channelActive(ChannelHandlerContext context) {
-    channel = context.channel();
-    up = true;
-    side.counters.add("shard.connections");
-    lastUsed = side.clock.now();
-    probes.forEach(
-        probe ->
-            channel.writeAndFlush(
-                FrameCodec.probe(channel.alloc(), probe.letter()), channel.voidPromise()));
-    write();
+  public void channelActive(ChannelHandlerContext handlerContext) {
+    channel = handlerContext.channel();
+    if (state == State.CONNECTING) {
+      state = State.CONNECTED;
+    }
+    context.counters().add("shard.connections");
+    lastUsedAt = context.clock().now();
+    healthChecks.writeAll(channel);
+    writer.flush(channel);
     if (isIdle()) {
-      side.timers.schedule(idle, unusableFrom());
+      context.timers().schedule(idleTimer, idleDeadline());
     }
   }
 
   @Override
-  protected void channelRead0(ChannelHandlerContext context, ByteBuf frame)
+  protected void channelRead0(ChannelHandlerContext handlerContext, ByteBuf frame)
       throws MalformedInputException {
-    if (closed) {
+    if (state == State.CLOSED) {
       return;
     }
     if (!frame.isReadable()) {
-      throw new MalformedInputException("a frame without a letter");
+      throw new MalformedInputException("frame has no type");
     }
-    lastUsed = side.clock.now();
-    release();
-    byte letter = frame.readByte();
-    switch (letter) {
-      case FrameCodec.ANSWER -> hold(FrameCodec.answer(frame));
-      case FrameCodec.PROBE, FrameCodec.PROBE_LOAD -> probed(letter, FrameCodec.text(frame));
-      case FrameCodec.UNUSABLE ->
+    lastUsedAt = context.clock().now();
+    responses.deliverPending();
+    byte type = frame.readByte();
+    switch (type) {
+      case FrameCodec.RESPONSE -> responses.receive(FrameCodec.decodeResponse(frame));
+      case FrameCodec.HEALTH_CHECK, FrameCodec.HEALTH_CHECK_WITH_LOAD ->
+          healthChecks.receive(type, FrameCodec.remainingText(frame));
+      case FrameCodec.REJECTED_FRAME ->
           throw new MalformedInputException(
-              "a frame of ours could not be used: " + FrameCodec.text(frame));
-      default -> throw new MalformedInputException("an unknown letter " + letter);
-    }
-  }
-
-  /**
-   * While other answers are to come, one counts once the next frame, or the end of what could be
-   * read, shows that it ends where its frame says. What follows the last one can't be its fault.
-   */
-  private void hold(FrameCodec.Answer answer) throws MalformedInputException {
-    if (!out.containsKey(answer.id())) {
-      if (givenUp.remove(answer.id()) == null) {
-        throw new MalformedInputException("an answer to no part that is out here");
-      }
-      side.counters.add("shard.answers-not-awaited");
-    } else {
-      held = answer;
-      if (out.size() == 1) {
-        release();
-      }
-    }
-  }
-
-  private void release() {
-    FrameCodec.Answer answer = held;
-    held = null;
-    InFlightAttempt inFlight = answer == null ? null : out.get(answer.id());
-    if (inFlight != null) {
-      server.end(inFlight, answer.outcome(), answer.value(), answer.report());
+              "server rejected a frame: " + FrameCodec.remainingText(frame));
+      default -> throw new MalformedInputException("frame type is unknown: " + type);
     }
   }
 
   @Override
-  public void channelReadComplete(ChannelHandlerContext context) {
-    if (closed) {
+  public void channelReadComplete(ChannelHandlerContext handlerContext) {
+    if (state == State.CLOSED) {
       return;
     }
-    if (!reader.begun()) {
-      side.timers.cancel(neverWhole);
-      release();
-    } else if (isIdle() && givenUp.isEmpty()) {
-      spoilt("more than was asked for");
+    if (!decoder.hasIncompleteFrame()) {
+      context.timers().cancel(incompleteFrameTimer);
+      responses.deliverPending();
+    } else if (isIdle() && !responses.expectsLateResponses()) {
+      protocolError("data without a request");
     } else {
-      side.timers.schedule(neverWhole, side.clock.now() + side.transport.connectTimeoutUs());
-    }
-  }
-
-  private void probed(byte letter, String text) throws MalformedInputException {
-    Probe probe = probes.poll();
-    if (probe == null || probe.letter() != letter) {
-      throw new MalformedInputException("an answer to no probe");
+      long due = context.clock().now() + context.transport().connectTimeoutUs();
+      context.timers().schedule(incompleteFrameTimer, due);
     }
-    side.timers.cancel(probeLate);
-    boolean good = !text.equals("bad");
-    side.driver.healthCheckCompleted(
-        server.id,
-        good ? Outcome.COMPLETED : Outcome.ERROR,
-        side.clock.now() - probe.askedAt(),
-        good && letter == FrameCodec.PROBE_LOAD ? FrameCodec.report(text) : Map.of());
-    if (!probes.isEmpty()) {
-      awaitProbe();
-    }
-  }
-
-  private void awaitProbe() {
-    side.timers.schedule(probeLate, side.clock.now() + side.transport.connectTimeoutUs());
   }
 
   @Override
-  public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-    if (!(cause instanceof java.io.IOException) || cause instanceof MalformedInputException) {
-      spoilt(String.valueOf(cause.getCause() == null ? cause : cause.getCause()));
+  public void exceptionCaught(ChannelHandlerContext handlerContext, Throwable cause) {
+    if (!(cause instanceof IOException) || cause instanceof MalformedInputException) {
+      protocolError(String.valueOf(cause.getCause() == null ? cause : cause.getCause()));
     }
     close();
   }
 
   /**
-   * What came can't be read, nor what comes after it: whatever is out here has failed and may have
-   * run.
+   * Closes the connection because what was read is invalid, and so is whatever would follow it. The
+   * attempts that were sent have failed and may have executed.
    */
-  private void spoilt(String why) {
-    if (!closed) {
-      side.counters.recordFault("shard.spoilt", "server " + server.id + ": " + why);
-      held = null;
-      for (InFlightAttempt inFlight : List.copyOf(out.values())) {
-        if (inFlight.stage == InFlightAttempt.Stage.OUT) {
-          server.end(inFlight, Outcome.PROTOCOL_ERROR, null);
-        }
-      }
+  private void protocolError(String message) {
+    if (state != State.CLOSED) {
+      context
+          .counters()
+          .recordFault("shard.spoilt", "server=" + pool.server() + " error=" + message);
+      responses.failSent(Outcome.PROTOCOL_ERROR);
       close();
     }
   }
 
   @Override
-  public void channelInactive(ChannelHandlerContext context) {
-    ended();
+  public void channelInactive(ChannelHandlerContext handlerContext) {
+    closed();
   }
 
   void close() {
     if (channel != null) {
       channel.close();
     }
-    ended();
+    closed();
   }
 
-  /** Ends what is on it: what was written whole may have run, the rest never did. */
-  private void ended() {
-    if (closed) {
+  /**
+   * Completes whatever is left on the connection: what was sent may have executed, the rest never
+   * did.
+   */
+  private void closed() {
+    if (state == State.CLOSED) {
       return;
     }
-    closed = true;
-    side.timers.cancel(idle);
-    side.timers.cancel(probeLate);
-    side.timers.cancel(neverWhole);
-    server.removed(this);
-    for (RequestBatch call : new ArrayList<>(calls)) {
-      for (InFlightAttempt inFlight : List.copyOf(call.flights)) {
-        server.end(
-            inFlight,
-            inFlight.stage == InFlightAttempt.Stage.OUT
-                ? Outcome.CONNECTION_LOST
-                : Outcome.UNREACHABLE,
-            null);
+    boolean wasConnected = state == State.CONNECTED;
+    state = State.CLOSED;
+    context.timers().cancel(idleTimer);
+    healthChecks.cancelTimeout();
+    context.timers().cancel(incompleteFrameTimer);
+    pool.remove(this);
+    for (RequestBatch batch : new ArrayList<>(batches)) {
+      for (InFlightAttempt attempt : batch.copyOfAttempts()) {
+        Outcome outcome = attempt.isSent() ? Outcome.CONNECTION_LOST : Outcome.UNREACHABLE;
+        pool.complete(attempt, outcome, null);
       }
     }
-    for (Probe probe : probes) {
-      side.driver.healthCheckCompleted(
-          server.id,
-          up ? Outcome.CONNECTION_LOST : Outcome.UNREACHABLE,
-          side.clock.now() - probe.askedAt(),
-          Map.of());
-    }
-    probes.clear();
+    healthChecks.failAll(wasConnected ? Outcome.CONNECTION_LOST : Outcome.UNREACHABLE);
   }
 
-  private void unused() {
+  private void closeIfIdle() {
     if (isIdle()) {
-      side.counters.add("shard.closed-idle");
-      close();
-    }
-  }
-
-  private void probeLate() {
-    Probe late = probes.peek();
-    if (late != null) {
-      side.driver.healthCheckCompleted(
-          server.id, Outcome.TIMED_OUT, side.clock.now() - late.askedAt(), Map.of());
-      probes.clear();
+      context.counters().add("shard.closed-idle");
       close();
     }
   }
--- a/router/src/test/java/tidebank/backend/FramesFixtureTest.java
+++ b/router/src/test/java/tidebank/backend/FramesFixtureTest.java
@@ -20,12 +20,12 @@
 /** Frames are written and read byte for byte as they were. */
 class FramesFixtureTest {
   private static final UnpooledByteBufAllocator ALLOCATOR = UnpooledByteBufAllocator.DEFAULT;
-  private static final Map<Outcome, String> ENDS =
+  private static final Map<Outcome, String> STATUSES =
       Map.of(Outcome.COMPLETED, "good", Outcome.ERROR, "bad", Outcome.OVERLOADED, "later");
 
-  private static InFlightAttempt dispatch(String scan, int shard, String text, long stopAt) {
+  private static InFlightAttempt attempt(String scan, int shard, String text, long deadline) {
     return new InFlightAttempt(
-        SampleRequests.request(scan, shard, text.getBytes(UTF_8), stopAt), null);
+        SampleRequests.request(scan, shard, text.getBytes(UTF_8), deadline), null);
   }
 
   private static String onTheWire(ByteBuf frame) {
@@ -41,41 +41,41 @@
   }
 
   @Test
-  void writtenFramesAreTheStoredOnes() throws Exception {
+  void encodedFramesEqualTheStoredBytes() throws Exception {
     long now = 1_700_000_000_000_000L;
-    List<InFlightAttempt> one = List.of(dispatch("9b1f03aa", 3, "{\"a\":1}", now + 250_999));
+    List<InFlightAttempt> one = List.of(attempt("9b1f03aa", 3, "{\"a\":1}", now + 250_999));
     List<InFlightAttempt> several =
         List.of(
-            dispatch("9b1f03aa", 0, "{\"predicate\":\"c41e77d0\"}", now + 1_000_000),
-            dispatch("scan-2", 17, "", now + 999),
-            dispatch("scan.3", 1, "text\nof lines ä€", now - 5_000_000));
+            attempt("9b1f03aa", 0, "{\"predicate\":\"c41e77d0\"}", now + 1_000_000),
+            attempt("scan-2", 17, "", now + 999),
+            attempt("scan.3", 1, "text\nof lines ä€", now - 5_000_000));
     StoredCases.isText(
         "frames/written.txt",
         String.join(
             "\n",
-            onTheWire(FrameCodec.call(ALLOCATOR, one, now)),
-            onTheWire(FrameCodec.call(ALLOCATOR, several, now)),
-            onTheWire(FrameCodec.giveUp(ALLOCATOR, "9b1f03aa.3")),
-            onTheWire(FrameCodec.probe(ALLOCATOR, FrameCodec.PROBE)),
-            onTheWire(FrameCodec.probe(ALLOCATOR, FrameCodec.PROBE_LOAD)),
+            onTheWire(FrameCodec.encodeBatch(ALLOCATOR, one, now)),
+            onTheWire(FrameCodec.encodeBatch(ALLOCATOR, several, now)),
+            onTheWire(FrameCodec.encodeCancel(ALLOCATOR, "9b1f03aa.3")),
+            onTheWire(FrameCodec.encodeHealthCheck(ALLOCATOR, FrameCodec.HEALTH_CHECK)),
+            onTheWire(FrameCodec.encodeHealthCheck(ALLOCATOR, FrameCodec.HEALTH_CHECK_WITH_LOAD)),
             ""));
   }
 
   @Test
-  void answersAreReadAsStored() throws Exception {
+  void responsesDecodeAsStored() throws Exception {
     StoredCases.readAsStored(
         "frames/answers.txt",
         input -> {
           try {
-            FrameCodec.Answer answer = FrameCodec.answer(Unpooled.wrappedBuffer(input));
+            FrameCodec.Response response = FrameCodec.decodeResponse(Unpooled.wrappedBuffer(input));
             return "id="
-                + answer.id()
+                + response.requestId()
                 + " end="
-                + ENDS.get(answer.outcome())
+                + STATUSES.get(response.outcome())
                 + " report="
-                + new TreeMap<>(answer.report())
+                + new TreeMap<>(response.loadReport())
                 + " value="
-                + (answer.value() == null ? "none" : new String(answer.value(), UTF_8));
+                + (response.value() == null ? "none" : new String(response.value(), UTF_8));
           } catch (MalformedInputException fault) {
             return "fault: " + fault.getMessage();
           }
@@ -83,8 +83,9 @@
   }
 
   @Test
-  void loadReportsAreReadAsStored() throws Exception {
+  void loadReportsParseAsStored() throws Exception {
     StoredCases.readAsStored(
-        "frames/reports.txt", input -> FrameCodec.report(new String(input, UTF_8)).toString());
+        "frames/reports.txt",
+        input -> FrameCodec.parseLoadReport(new String(input, UTF_8)).toString());
   }
 }
