--- a/router/src/main/java/tidebank/discovery/DiscoveryClient.java
+++ b/router/src/main/java/tidebank/discovery/DiscoveryClient.java
@@ -3,21 +3,8 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufInputStream;
-import io.netty.buffer.Unpooled;
-import io.netty.channel.Channel;
-import io.netty.channel.ChannelFuture;
-import io.netty.channel.ChannelFutureListener;
-import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelInitializer;
-import io.netty.channel.SimpleChannelInboundHandler;
-import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.FullHttpResponse;
-import io.netty.handler.codec.http.HttpClientCodec;
-import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpMethod;
-import io.netty.handler.codec.http.HttpObjectAggregator;
-import io.netty.handler.codec.http.HttpUtil;
-import io.netty.handler.codec.http.HttpVersion;
+import io.netty.handler.codec.http.HttpResponseStatus;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetSocketAddress;
@@ -36,287 +23,239 @@
 import tidebank.runtime.TimerQueue;
 
 /**
- * Watches discovery on one connection: calls that wait for changes, each renewed at once. A watch
- * goes on from the version that we know, also from before a start or a loss: for a whole list all
- * instances wait in turn, a hundred at once far longer than each may. It is asked for where no
- * version is known or an answer did not fit. Any call that fails, in whatever way, ends the watch
- * and is told; when to begin again is not decided here. Where the settings promise that changes
- * come unasked, this side keeps that promise: it begins by itself, and again after each failure.
- * How long it waits for what is {@link WatchTimings}'s to say.
+ * Watches discovery by long polling on one connection: each call waits for a change and is renewed
+ * at once. A watch continues from the version that is known, also from before a start or a loss: a
+ * complete list is expensive, as all routers of a fleet would wait for theirs in turn. It is
+ * requested only if no version is known or a response did not fit.
+ *
+ * <p>Any call that fails ends the watch and is reported; when to start again is the policy's
+ * decision. Where the settings promise that changes are pushed, this client keeps that promise: it
+ * starts by itself, and again after each failure. {@link WatchTimings} decides how long it waits.
  */
 public final class DiscoveryClient implements DiscoveryPort {
   private static final Logger LOG = LoggerFactory.getLogger(DiscoveryClient.class);
   private static final String PATH = "/registry/instances";
+  private static final long NO_VERSION = -1;
+  private static final long US_PER_MS = 1000;
+
+  /** A list may be longer than any other body by this factor. */
+  private static final int LIST_BODY_FACTOR = 16;
+
+  private enum WatchState {
+    STOPPED,
+    /** Started, and no call has been answered yet. */
+    UNCONFIRMED,
+    CONFIRMED
+  }
 
   private final ObjectMapper mapper = new ObjectMapper();
+  private final DiscoveryConnection.Listener connectionListener = new ConnectionListener();
   private final RouterConfig.Transport transport;
   private final Bootstrap template;
-  private final PolicyExecutor driver;
+  private final PolicyExecutor policy;
   private final Clock clock;
   private final TimerQueue timers;
   private final Counters counters;
-  private final TimerQueue.Timer late = TimerQueue.timer(() -> lost("no answer in time"));
-  private final TimerQueue.Timer again = TimerQueue.timer(() -> watch(true));
-  private final TimerQueue.Timer renewal = TimerQueue.timer(this::call);
-  private final boolean unasked;
-  private final WatchTimings times;
-  private final SeededRandom chance;
+  private final TimerQueue.Timer responseTimeout =
+      TimerQueue.timer(() -> watchLost("response timed out"));
+  private final TimerQueue.Timer retryTimer = TimerQueue.timer(() -> watch(true));
+  private final TimerQueue.Timer renewalTimer = TimerQueue.timer(this::call);
+  private final boolean pushed;
+  private final WatchTimings timings;
+  private final SeededRandom random;
   private InetSocketAddress address;
-  private Link link;
-  private boolean following;
+  private DiscoveryConnection connection;
+  private WatchState state = WatchState.STOPPED;
 
-  /** Whether the watch that is on has been answered at all. */
-  private boolean confirmed;
-
-  /** When the latest call was made, and how long it may wait for a change; 0 for a whole list. */
+  /** When the latest call was made, in microseconds. */
   private long calledAt;
 
+  /** How long the latest call may wait for a change, in microseconds; 0 for a complete list. */
   private long waitUs;
 
+  /** The version that is known, from the current watch or from before it. */
+  private long version = NO_VERSION;
+
   /**
-   * The version that we have come to, known from before the start or from a watch that was lost;
-   * below 0: none.
+   * Creates a client that does not watch yet.
+   *
+   * @param template the bootstrap of its connections, to which each adds its own pipeline
    */
-  private long version = -1;
-
   public DiscoveryClient(
       RouterConfig config,
       Bootstrap template,
-      PolicyExecutor driver,
+      PolicyExecutor policy,
       Clock clock,
       TimerQueue timers,
       Counters counters) {
     this.transport = config.transport();
     this.address = config.discovery();
-    this.times = new WatchTimings(config.settings());
-    this.chance = new SeededRandom(config.seed());
-    this.unasked = !config.settings().limits().watchOnRequest();
+    this.timings = new WatchTimings(config.settings());
+    this.random = new SeededRandom(config.seed());
+    this.pushed = !config.settings().limits().watchOnRequest();
     this.template = template;
-    this.driver = driver;
+    this.policy = policy;
     this.clock = clock;
     this.timers = timers;
     this.counters = counters;
   }
 
   /**
-   * From the list of this version that the gatherer was started with; by itself where the settings
-   * promise that.
+   * Sets the version of the cached list that the router was started with, and starts to watch where
+   * changes are pushed.
+   *
+   * @param cachedVersion the version, or below 0 if there is no cached list
    */
-  public void start(long known) {
-    version = known;
-    start();
+  public void start(long cachedVersion) {
+    version = cachedVersion;
+    watchIfPushed();
   }
 
-  private void start() {
-    if (unasked) {
+  private void watchIfPushed() {
+    if (pushed) {
       watch(true);
     }
   }
 
   @Override
-  public void watch(boolean on) {
+  public void watch(boolean enabled) {
     close();
-    following = on;
-    confirmed = false;
-    if (on) {
+    if (enabled) {
+      state = WatchState.UNCONFIRMED;
       call();
     }
   }
 
   /**
-   * Discovery is at another address, whose versions may count anew; a watch on the old one is of no
-   * use.
+   * Moves to another address of discovery. Its versions may count anew, so the known one is
+   * forgotten, and a watch of the old address ends.
    */
-  public void changeAddress(InetSocketAddress to) {
-    if (to.equals(address)) {
+  public void changeAddress(InetSocketAddress newAddress) {
+    if (newAddress.equals(address)) {
       return;
     }
-    LOG.info("discovery is at " + to + " now");
-    address = to;
-    version = -1;
+    LOG.info("discovery address changed: address=" + newAddress);
+    address = newAddress;
+    version = NO_VERSION;
     close();
-    driver.endpointListReceived(ListUpdate.DISCOVERY_MOVED, List.of());
-    start();
+    policy.endpointListReceived(ListUpdate.DISCOVERY_MOVED, List.of());
+    watchIfPushed();
   }
 
-  /** Ends the watch without a word. */
+  /** Ends the watch without reporting it. */
   public void close() {
-    following = false;
-    timers.cancel(late);
-    timers.cancel(again);
-    timers.cancel(renewal);
-    Link old = link;
-    link = null;
-    if (old != null && old.channel != null) {
-      old.channel.close();
+    state = WatchState.STOPPED;
+    timers.cancel(responseTimeout);
+    timers.cancel(retryTimer);
+    timers.cancel(renewalTimer);
+    closeConnection();
+  }
+
+  private void closeConnection() {
+    DiscoveryConnection closing = connection;
+    connection = null;
+    if (closing != null) {
+      closing.close();
     }
   }
 
+  /** Requests the changes after the known version, or the complete list if none is known. */
   private void call() {
-    boolean watch = version >= 0;
+    boolean confirmed = state == WatchState.CONFIRMED;
+    boolean forChanges = version >= 0;
     calledAt = clock.now();
-    waitUs = watch ? times.watchTimeoutUs(confirmed) : 0;
-    timers.schedule(late, calledAt + waitUs + times.responseTimeoutUs(confirmed));
-    String path = !watch ? PATH : PATH + "?after=" + version + "&wait_ms=" + waitUs / 1000;
-    if (link == null) {
-      link = new Link(path);
-      link.connect();
+    waitUs = forChanges ? timings.watchTimeoutUs(confirmed) : 0;
+    timers.schedule(responseTimeout, calledAt + waitUs + timings.responseTimeoutUs(confirmed));
+    String path = forChanges ? PATH + "?after=" + version + "&wait_ms=" + waitUs / US_PER_MS : PATH;
+    if (connection == null) {
+      connection = new DiscoveryConnection(address, connectionListener);
+      connection.connectAndCall(template, LIST_BODY_FACTOR * transport.maxBodyBytes(), path);
     } else {
-      link.ask(path);
-    }
-  }
-
-  /** What was answered does not fit what is known, so that only the whole list helps. */
-  private void astray(String why) {
-    version = -1;
-    lost(why);
-  }
-
-  private void lost(String why) {
-    if (following) {
-      counters.add("list.calls-failed");
-      LOG.info("the watch on discovery is lost: " + why);
-      close();
-      if (unasked) {
-        timers.schedule(again, clock.now() + times.pushedBackoffUs(chance.nextDouble()));
-      } else {
-        driver.endpointListReceived(ListUpdate.WATCH_LOST, List.of());
-      }
+      connection.call(path);
     }
   }
 
-  private void answered(FullHttpResponse response) throws IOException {
-    if (response.status().code() != 200) {
-      lost("status " + response.status().code());
+  private void handle(FullHttpResponse response) {
+    if (response.status().code() != HttpResponseStatus.OK.code()) {
+      watchLost("status " + response.status().code());
       return;
     }
     EndpointList list;
     try (InputStream in = new ByteBufInputStream(response.content())) {
       list = EndpointListParser.read(mapper.readTree(in));
-    } catch (IOException fault) {
-      counters.recordFault("list.malformed", fault.getMessage());
-      astray("a list that can't be read");
+    } catch (IOException invalid) {
+      counters.recordFault("list.malformed", invalid.getMessage());
+      versionLost("list is malformed");
       return;
     }
     if (!list.complete() && list.version() < version) {
-      astray("changes of version " + list.version() + " after " + version);
+      versionLost("changes of version " + list.version() + " after " + version);
       return;
     }
     if (!list.complete() && version < 0) {
-      astray("changes where the whole list was asked for");
+      versionLost("changes in place of the complete list");
       return;
     }
-    boolean news = list.version() != version;
+    boolean changed = list.version() != version;
     version = list.version();
-    if (!confirmed || list.complete() || !list.members().isEmpty()) {
-      confirmed = true;
-      driver.endpointListReceived(
-          list.complete() ? ListUpdate.SNAPSHOT : ListUpdate.DELTA, list.members());
+    report(list);
+    if (!connection.canCallAfter(response)) {
+      closeConnection();
     }
-    // An answer without a length ends with its connection.
-    if (!HttpUtil.isKeepAlive(response) || !link.channel.isActive()) {
-      Link old = link;
-      link = null;
-      old.channel.close();
+    renew(changed);
+  }
+
+  /** Reports a list to the policy, unless it is one more confirmation that nothing changed. */
+  private void report(EndpointList list) {
+    if (state != WatchState.CONFIRMED || list.complete() || !list.members().isEmpty()) {
+      state = WatchState.CONFIRMED;
+      policy.endpointListReceived(
+          list.complete() ? ListUpdate.SNAPSHOT : ListUpdate.DELTA, list.members());
     }
-    renew(news);
   }
 
-  /**
-   * Makes the next call of the watch: at once, or after a pause where answers come without need.
-   */
-  private void renew(boolean news) {
-    timers.cancel(late);
-    long pauseUs = times.renewalDelayUs(news, clock.now() - calledAt, waitUs, chance.nextDouble());
-    if (pauseUs == 0) {
+  /** Makes the next call at once, or after a delay if responses come early without a change. */
+  private void renew(boolean changed) {
+    timers.cancel(responseTimeout);
+    long delayUs =
+        timings.renewalDelayUs(changed, clock.now() - calledAt, waitUs, random.nextDouble());
+    if (delayUs == 0) {
       call();
     } else {
-      timers.schedule(renewal, clock.now() + pauseUs);
+      timers.schedule(renewalTimer, clock.now() + delayUs);
     }
   }
 
-  /** The connection to discovery; it has one call out at a time. */
-  private final class Link extends SimpleChannelInboundHandler<FullHttpResponse> {
-    private String path;
-    private Channel channel;
-
-    Link(String path) {
-      this.path = path;
-    }
-
-    void connect() {
-      ChannelFuture connecting =
-          template
-              .clone()
-              .handler(
-                  new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel fresh) {
-                      fresh
-                          .pipeline()
-                          .addLast(
-                              new HttpClientCodec(),
-                              new HttpObjectAggregator(16 * transport.maxBodyBytes()),
-                              Link.this);
-                    }
-                  })
-              .connect(address);
-      channel = connecting.channel();
-      connecting.addListener(
-          (ChannelFutureListener)
-              done -> {
-                if (!done.isSuccess()) {
-                  failed(String.valueOf(done.cause().getMessage()));
-                }
-              });
-    }
-
-    void ask(String next) {
-      path = next;
-      DefaultFullHttpRequest request =
-          new DefaultFullHttpRequest(
-              HttpVersion.HTTP_1_1, HttpMethod.GET, path, Unpooled.EMPTY_BUFFER);
-      request
-          .headers()
-          .set(HttpHeaderNames.HOST, address.getHostString() + ':' + address.getPort());
-      channel.writeAndFlush(request, channel.voidPromise());
-    }
-
-    private void failed(String why) {
-      if (link == this) {
-        lost(why);
-      }
-    }
+  /** Handles a response that does not fit the known version: only a complete list helps. */
+  private void versionLost(String reason) {
+    version = NO_VERSION;
+    watchLost(reason);
+  }
 
-    @Override
-    public void channelActive(ChannelHandlerContext context) {
-      if (link == this) {
-        ask(path);
-      }
+  private void watchLost(String reason) {
+    if (state == WatchState.STOPPED) {
+      return;
     }
-
-    @Override
-    protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response)
-        throws IOException {
-      if (link != this) {
-        return;
-      }
-      if (response.decoderResult().isFailure()) {
-        failed("an answer that is no HTTP");
-      } else {
-        answered(response);
-      }
+    counters.add("list.calls-failed");
+    LOG.info("discovery watch lost: reason=" + reason);
+    close();
+    if (pushed) {
+      timers.schedule(retryTimer, clock.now() + timings.pushedBackoffUs(random.nextDouble()));
+    } else {
+      policy.endpointListReceived(ListUpdate.WATCH_LOST, List.of());
     }
+  }
 
+  /** Passes on the results of calls. */
+  private final class ConnectionListener implements DiscoveryConnection.Listener {
     @Override
-    public void channelInactive(ChannelHandlerContext context) {
-      failed("the connection ended");
+    public void responseReceived(FullHttpResponse response) {
+      handle(response);
     }
 
     @Override
-    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-      failed(String.valueOf(cause.getMessage()));
-      context.close();
+    public void callFailed(String reason) {
+      watchLost(reason);
     }
   }
 }
--- a/router/src/main/java/tidebank/discovery/EndpointListParser.java
+++ b/router/src/main/java/tidebank/discovery/EndpointListParser.java
@@ -13,49 +13,79 @@
 import tidebank.runtime.BackendPort.Member;
 import tidebank.runtime.Clock;
 
-/** Reads discovery's lists; a list with any fault is no list. */
+/**
+ * Parses endpoint lists in discovery's form. A list with any fault is rejected as a whole.
+ *
+ * <p>This is the only class that knows discovery's words: {@code whole}, {@code hosts}, {@code
+ * health} and so on.
+ */
 public final class EndpointListParser {
-  /** A list or what changed in it, and its version. */
+  private static final double DEFAULT_CAPACITY = 1;
+
+  /**
+   * An endpoint list, or the changes in it.
+   *
+   * @param version the version of the list that this leads to
+   * @param complete whether it names all endpoints, so that any other has left
+   * @param members the endpoints, each named once
+   */
   public record EndpointList(long version, boolean complete, List<Member> members) {}
 
   private EndpointListParser() {}
 
+  /**
+   * Parses a list.
+   *
+   * @throws MalformedInputException if a field is missing or invalid, or an endpoint is named twice
+   */
   public static EndpointList read(JsonNode list) throws MalformedInputException {
-    JsonNode whole = JsonFields.required(list, "whole");
+    JsonNode complete = JsonFields.required(list, "whole");
     JsonNode hosts = JsonFields.required(list, "hosts");
-    if (!whole.isBoolean() || !hosts.isArray()) {
-      throw new MalformedInputException("field 'whole' is no flag or 'hosts' no list");
+    if (!complete.isBoolean() || !hosts.isArray()) {
+      throw new MalformedInputException(
+          "field 'whole' is not true or false, or 'hosts' is not a list");
     }
     List<Member> members = new ArrayList<>();
-    Set<String> named = new HashSet<>();
+    Set<String> servers = new HashSet<>();
     for (JsonNode host : hosts) {
       Member member = member(host);
-      if (!named.add(member.endpoint().server())) {
-        throw new MalformedInputException(
-            "host '" + member.endpoint().server() + "' stands twice in a list");
+      String server = member.endpoint().server();
+      if (!servers.add(server)) {
+        throw new MalformedInputException("host '" + server + "' is listed twice");
       }
       members.add(member);
     }
-    return new EndpointList(JsonFields.integer(list, "seq"), whole.booleanValue(), members);
+    return new EndpointList(JsonFields.integer(list, "seq"), complete.booleanValue(), members);
   }
 
   private static Member member(JsonNode host) throws MalformedInputException {
-    String id = JsonFields.text(host, "host");
-    EndpointStatus status =
-        switch (JsonFields.text(host, "health")) {
-          case "Ready" -> EndpointStatus.IN_SERVICE;
-          case "Terminating" -> EndpointStatus.DRAINING;
-          case "Gone" -> EndpointStatus.GONE;
-          default -> throw new MalformedInputException("host '" + id + "' has an unknown health");
-        };
-    Endpoint line =
+    String server = JsonFields.text(host, "host");
+    EndpointStatus status = status(server, JsonFields.text(host, "health"));
+    Endpoint endpoint =
         new Endpoint(
-            id,
+            server,
             (int) JsonFields.integer(host, "block"),
             status,
-            Clock.ofUnixMillis(Math.max(0, Math.round(JsonFields.number(host, "born_ms", 0)))),
-            JsonFields.number(host, "share", 1));
+            startedAt(host),
+            JsonFields.number(host, "share", DEFAULT_CAPACITY));
     return new Member(
-        line, RouterConfig.address("dial of host '" + id + "'", JsonFields.text(host, "dial")));
+        endpoint,
+        RouterConfig.address("dial of host '" + server + "'", JsonFields.text(host, "dial")));
+  }
+
+  private static EndpointStatus status(String server, String health)
+      throws MalformedInputException {
+    return switch (health) {
+      case "Ready" -> EndpointStatus.IN_SERVICE;
+      case "Terminating" -> EndpointStatus.DRAINING;
+      case "Gone" -> EndpointStatus.GONE;
+      default -> throw new MalformedInputException("host '" + server + "' has an unknown health");
+    };
+  }
+
+  /** Returns when the server was started, in microseconds; 0 if that is long ago or unknown. */
+  private static long startedAt(JsonNode host) throws MalformedInputException {
+    long startedAtMs = Math.round(JsonFields.number(host, "born_ms", 0));
+    return Clock.ofUnixMillis(Math.max(0, startedAtMs));
   }
 }
