--- a/router/src/main/java/tidebank/logging/LogRateLimiter.java
+++ b/router/src/main/java/tidebank/logging/LogRateLimiter.java
@@ -1,41 +1,42 @@
 package tidebank.logging;
 
 /**
- * How many log lines a second are let through. Touched by all threads that log, Netty's among them.
- * Its law: of all lines asked for, each was let through, or denied and told of exactly once, and no
- * second lets more through than it may.
+ * Limits the log lines per second. Thread-safe, as all threads log, Netty's among them. Each line
+ * is either admitted, or denied and reported exactly once, and no second admits more lines than the
+ * limit.
  */
 public final class LogRateLimiter {
-  /** What {@link #tryAcquire} says of a line that is one too many. */
+  /** The result of {@link #tryAcquire} for a line over the limit. */
   public static final long DENIED = -1;
 
-  private final int most;
-  private long second = Long.MIN_VALUE;
-  private int lines;
-  private long left;
+  private final int maxLinesPerSecond;
+  private long currentSecond = Long.MIN_VALUE;
+  private int admittedLines;
+  private long unreportedLines;
 
-  public LogRateLimiter(int most) {
-    this.most = most;
+  /** Creates a limiter that has admitted nothing yet. */
+  public LogRateLimiter(int maxLinesPerSecond) {
+    this.maxLinesPerSecond = maxLinesPerSecond;
   }
 
   /**
-   * Asks for a line.
+   * Asks to log a line.
    *
-   * @param now the second it is in; one that went back counts as another
-   * @return {@link #DENIED}, or how many lines before were denied and are to be told of now
+   * @param second the second the line belongs to; one that went back counts as a new one
+   * @return {@link #DENIED}, or the number of denied lines that are to be reported now
    */
-  public synchronized long tryAcquire(long now) {
-    if (now != second) {
-      second = now;
-      lines = 0;
+  public synchronized long tryAcquire(long second) {
+    if (second != currentSecond) {
+      currentSecond = second;
+      admittedLines = 0;
     }
-    if (lines >= most) {
-      left++;
+    if (admittedLines >= maxLinesPerSecond) {
+      unreportedLines++;
       return DENIED;
     }
-    lines++;
-    long tell = left;
-    left = 0;
-    return tell;
+    admittedLines++;
+    long toReport = unreportedLines;
+    unreportedLines = 0;
+    return toReport;
   }
 }
--- a/router/src/main/java/tidebank/logging/LogSetup.java
+++ b/router/src/main/java/tidebank/logging/LogSetup.java
@@ -5,16 +5,16 @@
 import ch.qos.logback.core.spi.ContextAwareBase;
 
 /**
- * Found by Logback at its start. Steps aside in a process that has its log set up otherwise, such
- * as the tool box.
+ * Configures Logback at its start; found by it as a service. Leaves it to others in a process whose
+ * log is not configured by {@link Log}, such as the command line tools.
  */
 public final class LogSetup extends ContextAwareBase implements Configurator {
   @Override
   public ExecutionStatus configure(LoggerContext context) {
-    if (!Boolean.getBoolean(Log.OWN)) {
+    if (!Log.isUsedForProcess()) {
       return ExecutionStatus.INVOKE_NEXT_IF_ANY;
     }
-    Log.setUp(context, Log.Settings.DEFAULT);
+    Log.configure(context, Log.Settings.DEFAULT);
     return ExecutionStatus.DO_NOT_INVOKE_NEXT_IF_ANY;
   }
 }
--- a/router/src/main/java/tidebank/metrics/Counters.java
+++ b/router/src/main/java/tidebank/metrics/Counters.java
@@ -7,45 +7,47 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/**
- * Named counts of one gatherer, of what is odd as well as of what is usual. They belong to its
- * event loop.
- */
+/** Named counters of one router. They belong to its event loop and are not thread-safe. */
 public final class Counters {
   private static final Logger LOG = LoggerFactory.getLogger(Counters.class);
   private final Map<String, long[]> counts = new TreeMap<>();
 
-  /** Counts one; returns how many there are now. */
+  /** Adds one to a counter and returns its new value. */
   public long add(String name) {
     return ++counts.computeIfAbsent(name, absent -> new long[1])[0];
   }
 
+  /** Returns the value of a counter; 0 if it was never added to. */
   public long get(String name) {
     long[] count = counts.get(name);
     return count == null ? 0 : count[0];
   }
 
-  /** All counts as they are now. */
+  /** Returns a copy of all counters. */
   public SortedMap<String, Long> all() {
     SortedMap<String, Long> all = new TreeMap<>();
     counts.forEach((name, count) -> all.put(name, count[0]));
     return all;
   }
 
-  /** Counts a fault of a kind; only the first of its kind is worth a line. */
-  public void recordFault(String kind, String text) {
-    if (add(kind) == 1) {
-      LOG.warn(kind + ": " + text + " (later ones are only counted)");
+  /** Counts a fault. Only the first one of a counter is logged, with its details. */
+  public void recordFault(String name, String details) {
+    if (add(name) == 1) {
+      LOG.warn(name + ": " + details + " (further ones are only counted)");
     }
   }
 
   /**
-   * What must hold: asserted where assertions are on, counted elsewhere. Returns whether it does.
+   * Checks an invariant. A violation fails an assertion where assertions are enabled, and is
+   * counted as a fault where they are not.
+   *
+   * @param invariant what must hold; also the end of the counter's name
+   * @return {@code holds}
    */
-  public boolean checkInvariant(boolean holds, String what) {
-    assert holds : what;
+  public boolean checkInvariant(boolean holds, String invariant) {
+    assert holds : invariant;
     if (!holds) {
-      recordFault("invariant." + what.replace(' ', '-'), what);
+      recordFault("invariant." + invariant.replace(' ', '-'), invariant);
     }
     return holds;
   }
