--- a/router/src/main/java/tidebank/config/JsonFields.java
+++ b/router/src/main/java/tidebank/config/JsonFields.java
@@ -4,95 +4,146 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Reads fields of the wire's objects; an absent field and a null are the same. */
+/** Reads fields of JSON objects. An absent field and a null are the same. */
 public final class JsonFields {
   private static final double US_PER_MS = 1000.0;
 
+  /** The most characters of a JSON text that a message quotes. */
+  private static final int MAX_QUOTED_LENGTH = 120;
+
   private JsonFields() {}
 
+  /**
+   * Returns a field.
+   *
+   * @throws MalformedInputException if it is absent
+   */
   public static JsonNode required(JsonNode node, String field) throws MalformedInputException {
     JsonNode value = node.get(field);
-    if (value == null || value.isNull()) {
-      throw new MalformedInputException("field '" + field + "' is missing in " + brief(node));
+    if (isAbsent(value)) {
+      throw new MalformedInputException("field '" + field + "' is missing in " + quoted(node));
     }
     return value;
   }
 
+  /**
+   * Returns a text field.
+   *
+   * @throws MalformedInputException if it is absent or not a text
+   */
   public static String text(JsonNode node, String field) throws MalformedInputException {
     JsonNode value = required(node, field);
     if (!value.isTextual()) {
-      throw new MalformedInputException(
-          "field '" + field + "': found " + brief(value) + ", wanted a text");
+      throw wrongType(field, value, "a text");
     }
     return value.textValue();
   }
 
-  public static String text(JsonNode node, String field, String absent) {
+  /** Returns a text field, or the default if it is absent or not a text. */
+  public static String text(JsonNode node, String field, String defaultValue) {
     JsonNode value = node.get(field);
-    return value == null || !value.isTextual() ? absent : value.textValue();
+    return value == null || !value.isTextual() ? defaultValue : value.textValue();
   }
 
+  /**
+   * Returns a number field.
+   *
+   * @throws MalformedInputException if it is absent or not a number
+   */
   public static double number(JsonNode node, String field) throws MalformedInputException {
     JsonNode value = required(node, field);
     if (!value.isNumber()) {
-      throw new MalformedInputException(
-          "field '" + field + "': found " + brief(value) + ", wanted a number");
+      throw wrongType(field, value, "a number");
     }
     return value.doubleValue();
   }
 
-  public static double number(JsonNode node, String field, double absent)
+  /**
+   * Returns a number field, or the default if it is absent.
+   *
+   * @throws MalformedInputException if it is not a number
+   */
+  public static double number(JsonNode node, String field, double defaultValue)
       throws MalformedInputException {
-    JsonNode value = node.get(field);
-    return value == null || value.isNull() ? absent : number(node, field);
+    return isAbsent(node.get(field)) ? defaultValue : number(node, field);
   }
 
+  /**
+   * Returns a number field without its fraction.
+   *
+   * @throws MalformedInputException if it is absent or not a number
+   */
   public static long integer(JsonNode node, String field) throws MalformedInputException {
     return (long) number(node, field);
   }
 
-  public static int integer(JsonNode node, String field, int absent)
+  /**
+   * Returns a number field without its fraction, or the default if it is absent.
+   *
+   * @throws MalformedInputException if it is not a number
+   */
+  public static int integer(JsonNode node, String field, int defaultValue)
       throws MalformedInputException {
-    return (int) number(node, field, absent);
+    return (int) number(node, field, defaultValue);
   }
 
+  /**
+   * Returns a boolean field; false if it is absent.
+   *
+   * @throws MalformedInputException if it is not a boolean
+   */
   public static boolean flag(JsonNode node, String field) throws MalformedInputException {
     JsonNode value = node.get(field);
-    if (value != null && !value.isNull() && !value.isBoolean()) {
-      throw new MalformedInputException(
-          "field '" + field + "': found " + brief(value) + ", wanted true or false");
+    if (!isAbsent(value) && !value.isBoolean()) {
+      throw wrongType(field, value, "true or false");
     }
     return value != null && value.booleanValue();
   }
 
+  /** Converts milliseconds to whole microseconds. */
   public static long micros(double ms) {
     return Math.round(ms * US_PER_MS);
   }
 
+  /**
+   * Returns a field in milliseconds as whole microseconds.
+   *
+   * @throws MalformedInputException if it is absent or not a number
+   */
   public static long micros(JsonNode node, String field) throws MalformedInputException {
     return micros(number(node, field));
   }
 
-  public static long micros(JsonNode node, String field, double absentMs)
+  /**
+   * Returns a field in milliseconds as whole microseconds, or the default if it is absent.
+   *
+   * @throws MalformedInputException if it is not a number
+   */
+  public static long micros(JsonNode node, String field, double defaultMs)
       throws MalformedInputException {
-    return micros(number(node, field, absentMs));
+    return micros(number(node, field, defaultMs));
   }
 
-  /** A length of time, which is never below 0. */
-  public static long duration(JsonNode node, String field, double absentMs)
+  /**
+   * Returns a duration in milliseconds as whole microseconds, or the default if it is absent.
+   *
+   * @throws MalformedInputException if it is not a number or below 0
+   */
+  public static long duration(JsonNode node, String field, double defaultMs)
       throws MalformedInputException {
-    long span = micros(node, field, absentMs);
-    if (span < 0) {
-      throw new MalformedInputException(
-          "field '" + field + "': found " + brief(node.get(field)) + ", wanted a number from 0");
+    long duration = micros(node, field, defaultMs);
+    if (duration < 0) {
+      throw wrongType(field, node.get(field), "a number from 0");
     }
-    return span;
+    return duration;
   }
 
+  /** Converts microseconds to milliseconds. */
   public static double millis(long micros) {
     return micros / US_PER_MS;
   }
 
+  /** Returns the number fields of an object in their order; other fields are ignored. */
   public static Map<String, Double> numbers(JsonNode node) {
     Map<String, Double> values = new LinkedHashMap<>();
     if (node != null && node.isObject()) {
@@ -107,8 +158,17 @@
     return values;
   }
 
-  private static String brief(JsonNode node) {
-    String whole = node.toString();
-    return whole.length() <= 120 ? whole : whole.substring(0, 120) + "...";
+  private static boolean isAbsent(JsonNode value) {
+    return value == null || value.isNull();
+  }
+
+  private static MalformedInputException wrongType(String field, JsonNode value, String wanted) {
+    return new MalformedInputException(
+        "field '" + field + "': found " + quoted(value) + ", wanted " + wanted);
+  }
+
+  private static String quoted(JsonNode node) {
+    String text = node.toString();
+    return text.length() <= MAX_QUOTED_LENGTH ? text : text.substring(0, MAX_QUOTED_LENGTH) + "...";
   }
 }
--- a/router/src/main/java/tidebank/config/OperatorConfig.java
+++ b/router/src/main/java/tidebank/config/OperatorConfig.java
@@ -2,7 +2,6 @@
 
 import java.nio.file.Path;
 import java.util.List;
-import java.util.Locale;
 import org.slf4j.event.Level;
 import tidebank.capture.CaptureRecorder;
 import tidebank.fleet.FleetAgent;
@@ -10,89 +9,118 @@
 import tidebank.logging.Log;
 
 /**
- * The operator's own file (deploy/gatherer.toml): what a gatherer does beyond its platform's
- * configuration. All of it is off or at its default where the file or a key is absent.
+ * The operator's own file: what a router does beyond its platform's configuration. All of it is off
+ * or at its default if the file or a key is absent.
  *
  * @param logging how the process logs
  * @param counterLogIntervalUs how often the counters are logged, in microseconds
- * @param capture how everything that the module is told is recorded, or null
- * @param fleet how the gatherer takes part in its fleet's duties, or null
+ * @param capture how the inputs of decisions are recorded, or null if they are not
+ * @param fleet how the router takes part in its fleet's tasks, or null if it does not
  */
 public record OperatorConfig(
     Log.Settings logging,
     long counterLogIntervalUs,
     CaptureRecorder.Plan capture,
     FleetAgent.Plan fleet) {
+  private static final long BYTES_PER_MB = 1 << 20;
+  private static final long US_PER_MS = 1000;
+  private static final long US_PER_SECOND = 1_000_000;
+  private static final long SECONDS_PER_DAY = 86_400;
+  private static final long DEFAULT_COUNTER_LOG_INTERVAL_S = 60;
+  private static final String ADDRESS_PATTERN = "[^:]+:\\d{1,5}";
+
+  /** The configuration without a file. */
   public static final OperatorConfig DEFAULT =
-      new OperatorConfig(Log.Settings.DEFAULT, 60_000_000, null, null);
-  private static final long MB = 1 << 20;
+      new OperatorConfig(
+          Log.Settings.DEFAULT, DEFAULT_COUNTER_LOG_INTERVAL_S * US_PER_SECOND, null, null);
 
-  private enum Kept {
+  /** How much of each decision round's actions a capture holds; the words of the file. */
+  private enum RecordedActions {
     DIGEST,
     WHOLE
   }
 
-  private static CaptureRecorder.Plan capture(Toml.Table capture) {
-    String folder = capture.text("folder", "");
+  /** Levels that the file may name; the words of the file. */
+  private enum LogLevel {
+    ERROR(Level.ERROR),
+    WARN(Level.WARN),
+    INFO(Level.INFO),
+    DEBUG(Level.DEBUG);
+
+    private final Level level;
+
+    LogLevel(Level level) {
+      this.level = level;
+    }
+  }
+
+  /**
+   * Reads a file.
+   *
+   * @throws MalformedInputException if it cannot be read, or names any faulty or unknown key
+   */
+  public static OperatorConfig read(Path file) throws MalformedInputException {
+    return read(Toml.read(file));
+  }
+
+  static OperatorConfig read(Toml file) throws MalformedInputException {
+    Toml.Table root = file.root();
+    Log.Settings logging = logging(root.table("log"));
+    long counterLogIntervalS =
+        root.table("report")
+            .integer("counters_every_s", DEFAULT_COUNTER_LOG_INTERVAL_S, 1, SECONDS_PER_DAY);
+    CaptureRecorder.Plan capture = capture(root.table("capture"));
+    FleetAgent.Plan fleet = fleet(root.table("fleet"));
+    file.check();
+    return new OperatorConfig(logging, counterLogIntervalS * US_PER_SECOND, capture, fleet);
+  }
+
+  /** Reads how a process logs from the table {@code log} of its file. */
+  public static Log.Settings logging(Toml.Table table) {
+    LogLevel level = table.choice("level", LogLevel.INFO, LogLevel.class);
+    Log.Format format = table.choice("form", Log.Format.TEXT, Log.Format.class);
+    int defaultLines = Log.Settings.DEFAULT.maxLinesPerSecond();
+    int maxLinesPerSecond = (int) table.integer("lines_a_second", defaultLines, 1, 10_000);
+    return new Log.Settings(level.level, format, maxLinesPerSecond);
+  }
+
+  private static CaptureRecorder.Plan capture(Toml.Table table) {
+    String folder = table.text("folder", "");
     CaptureRecorder.Plan plan =
         new CaptureRecorder.Plan(
             Path.of(folder),
-            capture.choice("actions", Kept.DIGEST, Kept.class) == Kept.WHOLE,
-            (int) capture.integer("ring_turns", 4096, 16, 1 << 20),
-            capture.integer("segment_mb", 8, 1, 1024) * MB,
-            capture.integer("budget_mb", 200, 2, 1 << 20) * MB,
-            capture.flag("force", false));
+            table.choice("actions", RecordedActions.DIGEST, RecordedActions.class)
+                == RecordedActions.WHOLE,
+            (int) table.integer("ring_turns", 4096, 16, 1 << 20),
+            table.integer("segment_mb", 8, 1, 1024) * BYTES_PER_MB,
+            table.integer("budget_mb", 200, 2, 1 << 20) * BYTES_PER_MB,
+            table.flag("force", false));
     if (plan.budgetBytes() < 2 * plan.segmentBytes()) {
-      capture.fault("budget_mb", "is less than two segments of segment_mb");
+      table.fault("budget_mb", "is less than two segments of segment_mb");
     }
     return folder.isEmpty() ? null : plan;
   }
 
-  private static FleetAgent.Plan fleet(Toml.Table fleet) {
-    List<String> stewards = fleet.texts("stewards");
-    String folder = fleet.text("folder", "");
-    long every = fleet.integer("every_ms", 60_000, 100, 86_400_000) * 1000;
-    Retention.Bounds keep =
+  private static FleetAgent.Plan fleet(Toml.Table table) {
+    List<String> coordinators = table.texts("stewards");
+    String folder = table.text("folder", "");
+    long intervalUs = table.integer("every_ms", 60_000, 100, SECONDS_PER_DAY * 1000) * US_PER_MS;
+    Retention.Bounds retention =
         new Retention.Bounds(
-            fleet.integer("keep_days", 30, 1, 3650) * 86_400_000_000L,
-            fleet.integer("keep_mb", 1000, 1, 1 << 30) * MB);
-    for (String steward : stewards) {
-      if (!steward.matches("[^:]+:\\d{1,5}")) {
-        fleet.fault("stewards", "found " + steward + ", wanted addresses such as 127.0.0.1:7200");
+            table.integer("keep_days", 30, 1, 3650) * SECONDS_PER_DAY * US_PER_SECOND,
+            table.integer("keep_mb", 1000, 1, 1 << 30) * BYTES_PER_MB);
+    for (String coordinator : coordinators) {
+      if (!coordinator.matches(ADDRESS_PATTERN)) {
+        table.fault(
+            "stewards", "found " + coordinator + ", wanted addresses such as 127.0.0.1:7200");
       }
     }
-    if (!stewards.isEmpty() && folder.isEmpty()) {
-      fleet.fault("folder", "is missing, wanted the folder that all members share");
+    if (coordinators.isEmpty()) {
+      return null;
     }
-    return stewards.isEmpty() ? null : new FleetAgent.Plan(stewards, Path.of(folder), every, keep);
-  }
-
-  private enum LogLevel {
-    ERROR,
-    WARN,
-    INFO,
-    DEBUG
-  }
-
-  /** How a process logs, by the table {@code logging} of its file. */
-  public static Log.Settings logging(Toml.Table log) {
-    LogLevel level = log.choice("level", LogLevel.INFO, LogLevel.class);
-    return new Log.Settings(
-        Level.valueOf(level.name().toUpperCase(Locale.ROOT)),
-        log.choice("form", Log.Format.TEXT, Log.Format.class),
-        (int) log.integer("lines_a_second", Log.Settings.DEFAULT.maxLinesPerSecond(), 1, 10_000));
-  }
-
-  public static OperatorConfig read(Path file) throws MalformedInputException {
-    return read(Toml.read(file));
-  }
-
-  static OperatorConfig read(Toml file) throws MalformedInputException {
-    Log.Settings style = logging(file.root().table("log"));
-    long every = file.root().table("report").integer("counters_every_s", 60, 1, 86_400);
-    CaptureRecorder.Plan capture = capture(file.root().table("capture"));
-    FleetAgent.Plan fleet = fleet(file.root().table("fleet"));
-    file.check();
-    return new OperatorConfig(style, every * 1_000_000, capture, fleet);
+    if (folder.isEmpty()) {
+      table.fault("folder", "is missing, wanted the folder that all members share");
+    }
+    return new FleetAgent.Plan(coordinators, Path.of(folder), intervalUs, retention);
   }
 }
--- a/router/src/main/java/tidebank/config/RouterConfig.java
+++ b/router/src/main/java/tidebank/config/RouterConfig.java
@@ -13,8 +13,16 @@
 import tidebank.model.Settings;
 
 /**
- * All that a gatherer is started with. {@code cachedList} is the list of shard servers as it last
- * had it, in discovery's form, or null.
+ * What the platform starts a router with.
+ *
+ * @param name the router's name among all routers
+ * @param listen where it listens; port 0 leaves the choice to the system
+ * @param discovery the address of discovery
+ * @param seed the seed of all random decisions
+ * @param budgets how the file descriptors and buffers are shared out
+ * @param transport the settings of sockets
+ * @param cachedList the endpoint list as the router last had it, in discovery's form, or null
+ * @param settings the settings of the deployment
  */
 public record RouterConfig(
     String name,
@@ -25,26 +33,38 @@
     Transport transport,
     JsonNode cachedList,
     Settings settings) {
-  private static final int SOCKETS_DEFAULT = 1024;
-  private static final int SOCKETS_LEAST = 128;
+  private static final String CONFIG_VARIABLE = "NODE_CONFIG";
+  private static final String DISCOVERY_VARIABLE = "NODE_DISCOVERY";
+  private static final int DEFAULT_SOCKETS = 1024;
+  private static final int MIN_SOCKETS = 128;
 
-  /** What the heap that {@code run} fixes and the machine's own parts take at rest. */
-  private static final int MEMORY_LEAST_MB = 80;
+  /** What the heap of the start command and the JVM's own memory take at rest. */
+  private static final int MIN_MEMORY_MB = 80;
 
+  private static final int MAX_PORT = 65_535;
+  private static final int HEX_RADIX = 16;
   private static final long SECOND_US = 1_000_000;
   private static final int KIB = 1024;
 
   /** PROTOCOL: a body holds no more than this. */
-  private static final int BODY_MOST = 64 * KIB;
+  private static final int MAX_BODY_BYTES = 64 * KIB;
 
   /**
-   * How the descriptors are shared out. Past {@code maxServedClients} a further connection is
-   * answered with a plain refusal and closed; past {@code maxAcceptedClients} none is accepted
-   * until one has gone. Past {@code maxIdleClients} connections without a request the one that has
-   * been so for longest is closed: clients hold a third of the descriptors at most, and some never
-   * ask again. The rest bounds what one connection may hold: requests not yet answered, the buffers
-   * it is read into (a body keeps them, so they are small) and, from {@code writeHighWaterMark}
-   * down to {@code writeLowWaterMark}, bytes not yet written.
+   * How the file descriptors are shared out, and how much one connection may hold.
+   *
+   * @param maxServedClients client connections beyond this are rejected with a response and closed
+   * @param maxAcceptedClients client connections beyond this are not accepted until another closes
+   * @param maxIdleClients of client connections without a request beyond this, the one that has
+   *     been idle for longest is closed: clients hold a third of the descriptors at most, and some
+   *     never send a request
+   * @param maxServerConnections connections to all shard servers
+   * @param maxConnectionsPerServer connections to one shard server
+   * @param maxPipelinedRequests requests of one client connection that are not answered
+   * @param minReadBufferBytes the least buffer to read into; small, as a body keeps it
+   * @param initialReadBufferBytes the buffer of a connection's first read
+   * @param maxReadBufferBytes the largest buffer to read into
+   * @param writeLowWaterMark bytes not yet written below which a connection is writable again
+   * @param writeHighWaterMark bytes not yet written above which a connection is not writable
    */
   public record Budgets(
       int maxServedClients,
@@ -59,8 +79,9 @@
       int writeLowWaterMark,
       int writeHighWaterMark) {
     /**
-     * Half for clients, who hold a third at most for requests, so that silent ones find room beside
-     * them, an eighth for refusals, a quarter for shard servers; the rest stays free.
+     * Shares out descriptors: half for clients, of whom those with requests hold a third at most so
+     * that silent ones find room beside them, an eighth for rejections, a quarter for shard
+     * servers; the rest stays free.
      */
     static Budgets of(int sockets) {
       int eighth = sockets / 8;
@@ -79,7 +100,18 @@
     }
   }
 
-  /** Figures of the sockets, from the settings or from the pages. */
+  /**
+   * Settings of sockets, from the deployment's settings or from the protocol.
+   *
+   * @param connectTimeoutUs how long connecting or a health check may take, in microseconds
+   * @param keepaliveUs how long servers keep an idle connection open, in microseconds
+   * @param maxStreams batches that may be in flight on one connection to a shard server
+   * @param loadReportOnHealthCheck whether servers report their load on a health check
+   * @param maxBodyBytes the longest body
+   * @param requestTimeoutUs how long a client may take to send a request, in microseconds
+   * @param minIdleUs how long a client's connection stays open without a request at least, in
+   *     microseconds
+   */
   public record Transport(
       long connectTimeoutUs,
       long keepaliveUs,
@@ -88,42 +120,52 @@
       int maxBodyBytes,
       long requestTimeoutUs,
       long minIdleUs) {
+    private static final long MIN_CONNECT_TIMEOUT_US = 1000;
+
     static Transport of(JsonNode settings) throws MalformedInputException {
       JsonNode limits = settings.path("limits");
       return new Transport(
-          Math.max(1000, JsonFields.duration(limits, "connectTimeoutMs", 250)),
+          Math.max(MIN_CONNECT_TIMEOUT_US, JsonFields.duration(limits, "connectTimeoutMs", 250)),
           JsonFields.duration(limits, "keepaliveMs", 15_000),
           Math.max(1, JsonFields.integer(limits, "maxStreams", 100)),
           JsonFields.text(settings.path("report"), "how", "off").equals("on_probe"),
-          BODY_MOST,
-          // A client is owed an error or an end within 3 s of connecting; half a second stays free.
+          MAX_BODY_BYTES,
+          // A client gets an error or an end within 3 s of connecting; half a second stays free.
           5 * SECOND_US / 2,
           // A connection without an open request may be closed after so long.
           2 * SECOND_US);
     }
   }
 
-  /** Reads the environment and the file that NODE_CONFIG names; a variable goes before the file. */
-  public static RouterConfig read(Map<String, String> env) throws MalformedInputException {
-    return read(env, file(env));
+  /**
+   * Reads the environment and the file that NODE_CONFIG names. A variable takes precedence over the
+   * file.
+   *
+   * @throws MalformedInputException if anything is missing or invalid
+   */
+  public static RouterConfig read(Map<String, String> environment) throws MalformedInputException {
+    return read(environment, file(environment));
   }
 
   /**
-   * The same while the program runs: the environment is that of its start, so the file's discovery
-   * is newer.
+   * Reads the configuration again while the router runs. The environment is that of its start, so
+   * the file's address of discovery is newer and takes precedence.
+   *
+   * @throws MalformedInputException if anything is missing or invalid
    */
-  public static RouterConfig reread(Map<String, String> env) throws MalformedInputException {
-    JsonNode file = file(env);
-    Map<String, String> rest = new HashMap<>(env);
+  public static RouterConfig reread(Map<String, String> environment)
+      throws MalformedInputException {
+    JsonNode file = file(environment);
+    Map<String, String> remaining = new HashMap<>(environment);
     if (!file.path("discovery").asText("").isEmpty()) {
-      rest.remove("NODE_DISCOVERY");
+      remaining.remove(DISCOVERY_VARIABLE);
     }
-    return read(rest, file);
+    return read(remaining, file);
   }
 
-  private static RouterConfig read(Map<String, String> env, JsonNode file)
+  private static RouterConfig read(Map<String, String> environment, JsonNode file)
       throws MalformedInputException {
-    JsonNode settingsNode = object(file, "settings");
+    JsonNode settingsNode = settingsNode(file);
     Settings settings;
     Transport transport;
     try {
@@ -132,81 +174,92 @@
     } catch (MalformedInputException fault) {
       throw new MalformedInputException("settings: " + fault.getMessage());
     }
-    if (settings.queryClasses().isEmpty()) {
-      throw wrong("settings.services", "none", "a list of table types");
-    }
-    if (settings.layout().shards() < 1
-        || settings.layout().positions() < 1
-        || settings.layout().replicationSpan() < 1) {
-      throw wrong(
-          "settings.specifics",
-          String.valueOf(settings.layout()),
-          "slices, positions and width from 1");
-    }
-    JsonNode known = file.path("known");
+    check(settings);
+    JsonNode cachedList = file.path("known");
     return new RouterConfig(
-        text(env, "NODE_NAME", file, "name"),
-        address("NODE_LISTEN or listen", text(env, "NODE_LISTEN", file, "listen")),
-        address("NODE_DISCOVERY or discovery", text(env, "NODE_DISCOVERY", file, "discovery")),
+        text(environment, "NODE_NAME", file, "name"),
+        address("NODE_LISTEN or listen", text(environment, "NODE_LISTEN", file, "listen")),
+        address(
+            "NODE_DISCOVERY or discovery",
+            text(environment, DISCOVERY_VARIABLE, file, "discovery")),
         seed(file.path("seed")),
         budgets(file.path("limits")),
         transport,
-        known.isObject() ? known : null,
+        cachedList.isObject() ? cachedList : null,
         settings);
   }
 
-  private static JsonNode file(Map<String, String> env) throws MalformedInputException {
-    String path = env.getOrDefault("NODE_CONFIG", "");
+  private static void check(Settings settings) throws MalformedInputException {
+    if (settings.queryClasses().isEmpty()) {
+      throw wrong("settings.services", "none", "a list of table types");
+    }
+    Settings.Layout layout = settings.layout();
+    if (layout.shards() < 1 || layout.positions() < 1 || layout.replicationSpan() < 1) {
+      String found =
+          "slices="
+              + layout.shards()
+              + " positions="
+              + layout.positions()
+              + " width="
+              + layout.replicationSpan();
+      throw wrong("settings.specifics", found, "slices, positions and width from 1");
+    }
+  }
+
+  private static JsonNode file(Map<String, String> environment) throws MalformedInputException {
+    String path = environment.getOrDefault(CONFIG_VARIABLE, "");
     if (path.isEmpty()) {
-      throw wrong("NODE_CONFIG", "nothing", "the path of a JSON file");
+      throw wrong(CONFIG_VARIABLE, "nothing", "the path of a JSON file");
     }
+    JsonNode file;
     try {
-      JsonNode file = new ObjectMapper().readTree(Files.readAllBytes(Path.of(path)));
-      if (file == null || !file.isObject()) {
-        throw wrong("NODE_CONFIG", path, "a file that holds a JSON object");
-      }
-      return file;
-    } catch (JsonProcessingException fault) {
-      throw wrong(
-          "NODE_CONFIG",
-          path + ": " + fault.getOriginalMessage(),
-          "a file that holds a JSON object");
-    } catch (IOException | RuntimeException fault) {
-      if (fault instanceof MalformedInputException malformed) {
-        throw malformed;
-      }
-      throw wrong("NODE_CONFIG", path, "a file that can be read");
+      file = new ObjectMapper().readTree(Files.readAllBytes(Path.of(path)));
+    } catch (JsonProcessingException invalid) {
+      String found = path + ": " + invalid.getOriginalMessage();
+      throw wrong(CONFIG_VARIABLE, found, "a file that holds a JSON object");
+    } catch (IOException | RuntimeException unreadable) {
+      throw wrong(CONFIG_VARIABLE, path, "a file that can be read");
     }
+    if (file == null || !file.isObject()) {
+      throw wrong(CONFIG_VARIABLE, path, "a file that holds a JSON object");
+    }
+    return file;
   }
 
-  private static JsonNode object(JsonNode file, String key) throws MalformedInputException {
-    JsonNode value = file.path(key);
-    if (!value.isObject()) {
-      throw wrong(key, value.isMissingNode() ? "nothing" : value.toString(), "an object");
+  private static JsonNode settingsNode(JsonNode file) throws MalformedInputException {
+    JsonNode settings = file.path("settings");
+    if (!settings.isObject()) {
+      throw wrong("settings", textOf(settings), "an object");
     }
-    return value;
+    return settings;
   }
 
-  private static String text(Map<String, String> env, String variable, JsonNode file, String key)
+  private static String text(
+      Map<String, String> environment, String variable, JsonNode file, String key)
       throws MalformedInputException {
-    String value = env.getOrDefault(variable, "");
-    value = value.isEmpty() ? file.path(key).asText("") : value;
+    String fromEnvironment = environment.getOrDefault(variable, "");
+    String value = fromEnvironment.isEmpty() ? file.path(key).asText("") : fromEnvironment;
     if (value.isEmpty()) {
       throw wrong(variable + " or " + key, "nothing", "a text");
     }
     return value;
   }
 
-  /** An address HOST:PORT with a numeric host: there is no DNS. */
+  /**
+   * Parses an address HOST:PORT with a numeric host, as there is no DNS.
+   *
+   * @param key what a message calls the address
+   * @throws MalformedInputException if it is not of that form
+   */
   public static InetSocketAddress address(String key, String value) throws MalformedInputException {
     int colon = value.lastIndexOf(':');
     String host = colon < 0 ? "" : value.substring(0, colon);
     try {
       int port = Integer.parseInt(value.substring(colon + 1));
-      if (NetUtil.isValidIpV4Address(host) && port >= 0 && port <= 65_535) {
+      if (NetUtil.isValidIpV4Address(host) && port >= 0 && port <= MAX_PORT) {
         return new InetSocketAddress(NetUtil.createInetAddressFromIpAddressString(host), port);
       }
-    } catch (NumberFormatException fault) {
+    } catch (NumberFormatException invalidPort) {
       // Falls through to the message below.
     }
     throw wrong(key, value, "an address such as 127.0.0.1:3000");
@@ -214,25 +267,29 @@
 
   private static long seed(JsonNode value) throws MalformedInputException {
     try {
-      return Long.parseUnsignedLong(value.asText(""), 16);
-    } catch (NumberFormatException fault) {
-      throw wrong("seed", value.isMissingNode() ? "nothing" : value.toString(), "16 hex digits");
+      return Long.parseUnsignedLong(value.asText(""), HEX_RADIX);
+    } catch (NumberFormatException invalid) {
+      throw wrong("seed", textOf(value), "16 hex digits");
     }
   }
 
   private static Budgets budgets(JsonNode limits) throws MalformedInputException {
-    limit(limits, "memory_mb", MEMORY_LEAST_MB, MEMORY_LEAST_MB);
-    return Budgets.of(limit(limits, "sockets", SOCKETS_LEAST, SOCKETS_DEFAULT));
+    limit(limits, "memory_mb", MIN_MEMORY_MB, MIN_MEMORY_MB);
+    return Budgets.of(limit(limits, "sockets", MIN_SOCKETS, DEFAULT_SOCKETS));
   }
 
-  /** A limit of the day; one too small to run in is a fault. */
-  private static int limit(JsonNode limits, String key, int least, int absent)
+  /** Reads a limit of the platform; one that is too small to run in is a fault. */
+  private static int limit(JsonNode limits, String key, int min, int defaultValue)
       throws MalformedInputException {
     JsonNode value = limits.path(key);
-    if (!value.isMissingNode() && (!value.canConvertToInt() || value.intValue() < least)) {
-      throw wrong("limits." + key, value.toString(), "a whole number from " + least);
+    if (!value.isMissingNode() && (!value.canConvertToInt() || value.intValue() < min)) {
+      throw wrong("limits." + key, value.toString(), "a whole number from " + min);
     }
-    return value.asInt(absent);
+    return value.asInt(defaultValue);
+  }
+
+  private static String textOf(JsonNode value) {
+    return value.isMissingNode() ? "nothing" : value.toString();
   }
 
   private static MalformedInputException wrong(String key, String found, String wanted) {
--- a/router/src/main/java/tidebank/config/SettingsReader.java
+++ b/router/src/main/java/tidebank/config/SettingsReader.java
@@ -9,81 +9,64 @@
 import tidebank.model.Settings;
 
 /**
- * Reads an instance's settings. A figure that is absent becomes the one that permits or promises
- * nothing.
+ * Reads a router's settings from the platform's form. An absent value gets the default that permits
+ * or promises nothing.
+ *
+ * <p>This is the only class that knows the platform's words: {@code services}, {@code specifics},
+ * {@code guarantees} and so on.
  */
 public final class SettingsReader {
-  private static final double MS_NEVER = 1e12;
+  /** Longer than any router runs, in milliseconds. */
+  private static final double NEVER_MS = 1e12;
 
   private SettingsReader() {}
 
+  /**
+   * Reads the settings.
+   *
+   * @throws MalformedInputException if a value has the wrong type or is out of range
+   */
   public static Settings read(JsonNode config) throws MalformedInputException {
-    JsonNode limits = table(config, "limits");
-    JsonNode rules = table(config, "guarantees");
-    JsonNode layout = table(config, "specifics");
-    Map<String, QueryClass> types = new LinkedHashMap<>();
-    JsonNode services = table(config, "services");
-    for (int i = 0; i < services.size(); i++) {
-      QueryClass type = tableType(services.get(i), layout, i);
-      types.put(type.name(), type);
-    }
-    Map<String, Double> allowances = new LinkedHashMap<>();
-    for (JsonNode tenant : table(config, "tenants")) {
-      double perSecond = JsonFields.number(tenant, "allowancePerS", 0);
-      if (perSecond > 0) {
-        allowances.put(JsonFields.text(tenant, "name"), perSecond);
-      }
-    }
+    JsonNode layout = object(config, "specifics");
+    Map<String, QueryClass> queryClasses = queryClasses(object(config, "services"), layout);
+    Map<String, Double> quotas = quotas(object(config, "tenants"));
     return new Settings(
         Math.max(1, JsonFields.integer(config, "instances", 1)),
         JsonFields.integer(config, "rank", -1),
         Math.max(1, JsonFields.duration(config, "tickMs", 1)),
-        types,
-        allowances,
+        queryClasses,
+        quotas,
         JsonFields.number(config, "overShareWorth", 1),
-        new Settings.Layout(
-            Math.max(0, JsonFields.integer(layout, "slices", 0)),
-            Math.max(0, JsonFields.integer(layout, "positions", 0)),
-            Math.max(0, JsonFields.integer(layout, "width", 0)),
-            Math.max(1, JsonFields.integer(layout, "bundleMax", 1)),
-            JsonFields.duration(layout, "callMs", 0)),
-        new Settings.Limits(
-            Math.max(1, JsonFields.integer(limits, "maxAttempts", 1)),
-            JsonFields.flag(limits, "secondCopies"),
-            JsonFields.flag(limits, "cancel"),
-            JsonFields.flag(limits, "mayProbe"),
-            JsonFields.flag(limits, "retryAfter"),
-            JsonFields.duration(limits, "maxRetryAfterMs", 0),
-            JsonFields.integer(limits, "mostHeld", Integer.MAX_VALUE),
-            JsonFields.text(config, "discovery", "push").equals("ask")),
-        new Settings.Rules(
-            JsonFields.duration(rules, "answerSlackMs", 0),
-            JsonFields.duration(rules, "askEveryMs", MS_NEVER),
-            JsonFields.duration(rules, "stopSendingWithinMs", 0),
-            JsonFields.number(rules, "coldFrom", 0),
-            JsonFields.duration(rules, "coldMs", 0),
-            JsonFields.number(rules, "fallMultiple", 1),
-            JsonFields.duration(rules, "tipAfterMs", 0),
-            JsonFields.number(rules, "freeResends", 0),
-            JsonFields.number(rules, "extraRatio", 0),
-            JsonFields.duration(rules, "ratioSpanMs", 0)));
+        layout(layout),
+        limits(object(config, "limits"), isWatchOnRequest(config)),
+        rules(object(config, "guarantees")));
+  }
+
+  private static Map<String, QueryClass> queryClasses(JsonNode services, JsonNode layout)
+      throws MalformedInputException {
+    Map<String, QueryClass> queryClasses = new LinkedHashMap<>();
+    for (int row = 0; row < services.size(); row++) {
+      QueryClass queryClass = queryClass(services.get(row), layout, row);
+      queryClasses.put(queryClass.name(), queryClass);
+    }
+    return queryClasses;
   }
 
-  private static QueryClass tableType(JsonNode service, JsonNode layout, int row)
+  private static QueryClass queryClass(JsonNode service, JsonNode layout, int row)
       throws MalformedInputException {
     return new QueryClass(
         JsonFields.text(service, "name"),
-        repeat(JsonFields.text(service, "semantics", "")),
+        idempotency(JsonFields.text(service, "semantics", "")),
         JsonFields.duration(service, "windowMs", 0),
         JsonFields.duration(service, "onTimeMs", JsonFields.number(service, "deadlineMs", 0)),
         JsonFields.duration(service, "deadlineMs", 0),
         JsonFields.number(service, "lateWorth", 0),
-        perRow(layout, "floorByClass", row, 1),
-        perRow(layout, "classNeed", row, 1),
-        (int) perRow(layout, "secondStep", row, 0));
+        valueOfRow(layout, "floorByClass", row, 1),
+        valueOfRow(layout, "classNeed", row, 1),
+        (int) valueOfRow(layout, "secondStep", row, 0));
   }
 
-  private static Idempotency repeat(String semantics) {
+  private static Idempotency idempotency(String semantics) {
     return switch (semantics) {
       case "read_like" -> Idempotency.IDEMPOTENT;
       case "idempotency_key" -> Idempotency.WITH_KEY;
@@ -91,12 +74,64 @@
     };
   }
 
-  private static double perRow(JsonNode layout, String field, int row, double absent) {
-    JsonNode value = table(layout, field).get(row);
-    return value == null || !value.isNumber() ? absent : value.doubleValue();
+  /** Returns the value of a query class in an array, or the default if there is no number. */
+  private static double valueOfRow(JsonNode layout, String field, int row, double defaultValue) {
+    JsonNode value = object(layout, field).get(row);
+    return value == null || !value.isNumber() ? defaultValue : value.doubleValue();
+  }
+
+  private static Map<String, Double> quotas(JsonNode tenants) throws MalformedInputException {
+    Map<String, Double> quotas = new LinkedHashMap<>();
+    for (JsonNode tenant : tenants) {
+      double perSecond = JsonFields.number(tenant, "allowancePerS", 0);
+      if (perSecond > 0) {
+        quotas.put(JsonFields.text(tenant, "name"), perSecond);
+      }
+    }
+    return quotas;
+  }
+
+  private static Settings.Layout layout(JsonNode layout) throws MalformedInputException {
+    return new Settings.Layout(
+        Math.max(0, JsonFields.integer(layout, "slices", 0)),
+        Math.max(0, JsonFields.integer(layout, "positions", 0)),
+        Math.max(0, JsonFields.integer(layout, "width", 0)),
+        Math.max(1, JsonFields.integer(layout, "bundleMax", 1)),
+        JsonFields.duration(layout, "callMs", 0));
+  }
+
+  private static boolean isWatchOnRequest(JsonNode config) {
+    return JsonFields.text(config, "discovery", "push").equals("ask");
+  }
+
+  private static Settings.Limits limits(JsonNode limits, boolean watchOnRequest)
+      throws MalformedInputException {
+    return new Settings.Limits(
+        Math.max(1, JsonFields.integer(limits, "maxAttempts", 1)),
+        JsonFields.flag(limits, "secondCopies"),
+        JsonFields.flag(limits, "cancel"),
+        JsonFields.flag(limits, "mayProbe"),
+        JsonFields.flag(limits, "retryAfter"),
+        JsonFields.duration(limits, "maxRetryAfterMs", 0),
+        JsonFields.integer(limits, "mostHeld", Integer.MAX_VALUE),
+        watchOnRequest);
+  }
+
+  private static Settings.Rules rules(JsonNode rules) throws MalformedInputException {
+    return new Settings.Rules(
+        JsonFields.duration(rules, "answerSlackMs", 0),
+        JsonFields.duration(rules, "askEveryMs", NEVER_MS),
+        JsonFields.duration(rules, "stopSendingWithinMs", 0),
+        JsonFields.number(rules, "coldFrom", 0),
+        JsonFields.duration(rules, "coldMs", 0),
+        JsonFields.number(rules, "fallMultiple", 1),
+        JsonFields.duration(rules, "tipAfterMs", 0),
+        JsonFields.number(rules, "freeResends", 0),
+        JsonFields.number(rules, "extraRatio", 0),
+        JsonFields.duration(rules, "ratioSpanMs", 0));
   }
 
-  private static JsonNode table(JsonNode node, String field) {
+  private static JsonNode object(JsonNode node, String field) {
     JsonNode value = node.get(field);
     return value == null || value.isNull() ? MissingNode.getInstance() : value;
   }
--- a/router/src/main/java/tidebank/config/Toml.java
+++ b/router/src/main/java/tidebank/config/Toml.java
@@ -10,385 +10,316 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Collection;
-import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.Function;
-import java.util.regex.Matcher;
-import java.util.regex.Pattern;
 
 /**
- * A TOML file that is read by a checked description of its keys. What is wrong is gathered, not
- * thrown at the first sight: {@link #check} names every faulty, missing and unknown key with its
- * line, an unknown one with the known key that is nearest to it.
+ * A TOML file whose keys are checked. The reader asks for each key that it knows; faults are
+ * collected rather than thrown one by one, and {@link #check} reports all faulty, missing and
+ * unknown keys with their lines, an unknown one with the known key that is nearest to it.
  */
 public final class Toml {
-  private static final Pattern HEADER =
-      Pattern.compile("^\\s*\\[{1,2}\\s*([^\\]]+?)\\s*\\]{1,2}\\s*(#.*)?$");
-  private static final Pattern KEY =
-      Pattern.compile(
-          "^\\s*((?:\"[^\"]*\"|'[^']*'|[A-Za-z0-9_.-]+)(?:\\s*\\.\\s*"
-              + "(?:\"[^\"]*\"|'[^']*'|[A-Za-z0-9_-]+))*)\\s*=.*$");
-
-  /** An edit distance up to a third of the key still counts as a slip. */
-  private static final int NEAR = 3;
-
   private final String name;
-  private final Map<String, Integer> lines = new HashMap<>();
+  private final TomlLineIndex lines;
   private final List<String> faults = new ArrayList<>();
-  private final List<Table> opened = new ArrayList<>();
+  private final List<Table> openedTables = new ArrayList<>();
   private final Table root;
 
   private Toml(String name, String text) throws MalformedInputException {
     this.name = name;
-    JsonNode tree;
+    JsonNode tree = parse(name, text);
+    lines = new TomlLineIndex(text);
+    root = new Table("", tree);
+  }
+
+  private static JsonNode parse(String name, String text) throws MalformedInputException {
     try {
-      tree = new TomlMapper().readTree(text);
-    } catch (JsonProcessingException fault) {
-      JsonLocation at = fault.getLocation();
-      throw new MalformedInputException(
-          name + (at == null ? "" : ":" + at.getLineNr()) + ": " + fault.getOriginalMessage());
-    } catch (IOException | RuntimeException fault) {
-      throw new MalformedInputException(name + ": no TOML: " + fault.getMessage());
+      return new TomlMapper().readTree(text);
+    } catch (JsonProcessingException invalid) {
+      JsonLocation at = invalid.getLocation();
+      String place = at == null ? name : name + ":" + at.getLineNr();
+      throw new MalformedInputException(place + ": " + invalid.getOriginalMessage());
+    } catch (IOException | RuntimeException invalid) {
+      throw new MalformedInputException(name + ": no TOML: " + invalid.getMessage());
     }
-    index(text);
-    root = new Table("", tree);
   }
 
+  /**
+   * Reads a file.
+   *
+   * @throws MalformedInputException if it cannot be read or is not TOML
+   */
   public static Toml read(Path file) throws MalformedInputException {
     try {
       return new Toml(file.toString(), Files.readString(file));
-    } catch (IOException | RuntimeException fault) {
-      if (fault instanceof MalformedInputException malformed) {
-        throw malformed;
-      }
+    } catch (MalformedInputException malformed) {
+      throw malformed;
+    } catch (IOException | RuntimeException unreadable) {
       throw new MalformedInputException(
-          file + ": cannot be read: " + fault.getClass().getSimpleName());
+          file + ": cannot be read: " + unreadable.getClass().getSimpleName());
     }
   }
 
+  /**
+   * Reads a text.
+   *
+   * @param name what messages call the text
+   * @throws MalformedInputException if it is not TOML
+   */
   public static Toml read(String name, String text) throws MalformedInputException {
     return new Toml(name, text);
   }
 
+  /** Returns the table of the keys outside any table. */
   public Table root() {
     return root;
   }
 
-  /** A fault that the reader's caller found, at a key's line. */
-  public void fault(String key, String what) {
-    faults.add(name + ":" + line(key) + ": " + key + ": " + what);
+  /** Adds a fault that the caller found, at the line of a key. */
+  public void fault(String key, String description) {
+    faults.add(name + ":" + lines.lineOf(key) + ": " + key + ": " + description);
   }
 
-  /** Throws if anything was wrong; keys that nobody asked for count as wrong. */
+  /**
+   * Reports all faults.
+   *
+   * @throws MalformedInputException if there is any; a key that was never asked for is one
+   */
   public void check() throws MalformedInputException {
-    for (int i = 0; i < opened.size(); i++) {
-      opened.get(i).unknown();
+    for (Table table : List.copyOf(openedTables)) {
+      table.addFaultsOfUnknownKeys();
     }
     if (!faults.isEmpty()) {
       throw new MalformedInputException(String.join("\n", new LinkedHashSet<>(faults)));
     }
   }
 
-  /**
-   * Jackson reads TOML as a whole and forgets the lines, so they are noted here by a light pass
-   * over the text.
-   */
-  private void index(String text) {
-    String prefix = "";
-    Map<String, Integer> tables = new HashMap<>();
-    int number = 0;
-    String open = null;
-    for (String line : text.split("\n", -1)) {
-      number++;
-      if (open != null) {
-        open = line.contains(open) ? null : open;
-        continue;
-      }
-      Matcher header = HEADER.matcher(line);
-      Matcher key = KEY.matcher(line);
-      if (header.matches()) {
-        prefix = plain(header.group(1));
-        if (line.trim().startsWith("[[")) {
-          int count = tables.merge(prefix, 1, Integer::sum);
-          prefix = prefix + "[" + (count - 1) + "]";
-        }
-        lines.putIfAbsent(prefix, number);
-        prefix += ".";
-      } else if (key.matches()) {
-        lines.putIfAbsent(prefix + plain(key.group(1)), number);
-        for (String quotes : List.of("\"\"\"", "'''")) {
-          int at = line.indexOf(quotes);
-          if (at >= 0 && line.indexOf(quotes, at + 3) < 0) {
-            open = quotes;
-          }
-        }
-      }
-    }
-  }
-
-  private static String plain(String key) {
-    return key.replaceAll("\\s*\\.\\s*", ".").replace("\"", "").replace("'", "");
-  }
-
-  private int line(String key) {
-    for (String at = key; !at.isEmpty(); ) {
-      Integer line = lines.get(at);
-      if (line != null) {
-        return line;
-      }
-      int cut = Math.max(at.lastIndexOf('.'), at.lastIndexOf('['));
-      at = cut < 0 ? "" : at.substring(0, cut);
-    }
-    return 1;
-  }
-
-  /** The known word nearest to one that is not known, or null where none is near. */
+  /** Returns the known word nearest to an unknown one, or null if none is near. */
   public static String nearest(String word, Collection<String> known) {
-    String best = null;
-    int least = Math.max(1, word.length() / NEAR) + 1;
-    for (String candidate : known) {
-      int distance = distance(word.toLowerCase(Locale.ROOT), candidate.toLowerCase(Locale.ROOT));
-      if (distance < least) {
-        least = distance;
-        best = candidate;
-      }
-    }
-    return best;
-  }
-
-  /** Edits (a letter more, less, other, or two swapped) from one word to another. */
-  static int distance(String a, String b) {
-    int[][] edits = new int[a.length() + 1][b.length() + 1];
-    for (int i = 0; i <= a.length(); i++) {
-      for (int j = 0; j <= b.length(); j++) {
-        if (i == 0 || j == 0) {
-          edits[i][j] = i + j;
-          continue;
-        }
-        int same = a.charAt(i - 1) == b.charAt(j - 1) ? 0 : 1;
-        edits[i][j] =
-            Math.min(Math.min(edits[i - 1][j], edits[i][j - 1]) + 1, edits[i - 1][j - 1] + same);
-        if (i > 1
-            && j > 1
-            && a.charAt(i - 1) == b.charAt(j - 2)
-            && a.charAt(i - 2) == b.charAt(j - 1)) {
-          edits[i][j] = Math.min(edits[i][j], edits[i - 2][j - 2] + 1);
-        }
-      }
-    }
-    return edits[a.length()][b.length()];
+    return KeySuggestions.nearest(word, known).orElse(null);
   }
 
-  /** One table of the file. Every asked key is a known one. */
+  /**
+   * A table of the file. Each key that is asked for counts as known. A value of the wrong type or
+   * out of range is a fault, and the default is returned in its place.
+   */
   public final class Table {
     private final String path;
     private final JsonNode node;
-    private final Set<String> known = new LinkedHashSet<>();
-    private boolean anyKey;
+    private final Set<String> knownKeys = new LinkedHashSet<>();
+    private boolean anyKeyAllowed;
 
     private Table(String path, JsonNode node) {
       this.path = path;
       this.node = node;
-      opened.add(this);
+      openedTables.add(this);
     }
 
+    /** Returns the table's name with those of the tables around it; empty for the root. */
     public String path() {
       return path;
     }
 
-    private String full(String key) {
+    private String pathOf(String key) {
       return path.isEmpty() ? key : path + "." + key;
     }
 
-    private JsonNode at(String key) {
-      known.add(key);
+    private JsonNode value(String key) {
+      knownKeys.add(key);
       return node.path(key);
     }
 
+    /** Returns whether the key is present. */
     public boolean has(String key) {
-      return !at(key).isMissingNode();
+      return !value(key).isMissingNode();
     }
 
-    public void fault(String key, String what) {
-      Toml.this.fault(full(key), what);
+    /** Adds a fault that the caller found, at the line of a key of this table. */
+    public void fault(String key, String description) {
+      Toml.this.fault(pathOf(key), description);
     }
 
-    private <T> T typed(
-        String key, T absent, boolean needed, String wanted, Function<JsonNode, T> read) {
-      JsonNode value = at(key);
+    /** Returns a value that {@code reader} can read; it returns null for any other. */
+    private <T> T read(String key, T defaultValue, String wanted, Function<JsonNode, T> reader) {
+      JsonNode value = value(key);
       if (value.isMissingNode()) {
-        if (needed) {
-          fault(key, "is missing, wanted " + wanted);
-        }
-        return absent;
+        return defaultValue;
       }
-      T result = read.apply(value);
+      T result = reader.apply(value);
       if (result == null) {
-        fault(key, "found " + value + ", wanted " + wanted);
-        return absent;
+        addFaultOfType(key, value, wanted);
+        return defaultValue;
       }
       return result;
     }
 
-    public String text(String key, String absent) {
-      return typed(
-          key, absent, false, "a text", value -> value.isTextual() ? value.textValue() : null);
+    private void addFaultOfType(String key, JsonNode value, String wanted) {
+      fault(key, "found " + value + ", wanted " + wanted);
+    }
+
+    /** Returns a text, or the default if the key is absent. */
+    public String text(String key, String defaultValue) {
+      return read(
+          key, defaultValue, "a text", value -> value.isTextual() ? value.textValue() : null);
     }
 
+    /** Returns a text; it is a fault if the key is absent. */
     public String requiredText(String key) {
-      return typed(key, "", true, "a text", value -> value.isTextual() ? value.textValue() : null);
+      if (!has(key)) {
+        fault(key, "is missing, wanted a text");
+      }
+      return text(key, "");
     }
 
-    public boolean flag(String key, boolean absent) {
-      return typed(
+    /** Returns a boolean, or the default if the key is absent. */
+    public boolean flag(String key, boolean defaultValue) {
+      return read(
           key,
-          absent,
-          false,
+          defaultValue,
           "true or false",
           value -> value.isBoolean() ? value.booleanValue() : null);
     }
 
-    public long integer(String key, long absent, long least, long most) {
-      return typed(
+    /** Returns a whole number from {@code min} to {@code max}, or the default if it is absent. */
+    public long integer(String key, long defaultValue, long min, long max) {
+      String wanted = "a whole number from " + min + (max == Long.MAX_VALUE ? "" : " to " + max);
+      return read(
           key,
-          absent,
-          false,
-          "a whole number from " + least + (most == Long.MAX_VALUE ? "" : " to " + most),
+          defaultValue,
+          wanted,
           value ->
               value.canConvertToLong()
                       && value.isIntegralNumber()
-                      && value.longValue() >= least
-                      && value.longValue() <= most
+                      && value.longValue() >= min
+                      && value.longValue() <= max
                   ? value.longValue()
                   : null);
     }
 
-    public double number(String key, double absent, double least, double most) {
-      return typed(
+    /** Returns a number from {@code min} to {@code max}, or the default if it is absent. */
+    public double number(String key, double defaultValue, double min, double max) {
+      return read(
           key,
-          absent,
-          false,
-          "a number from " + least + " to " + most,
+          defaultValue,
+          "a number from " + min + " to " + max,
           value ->
-              value.isNumber() && value.doubleValue() >= least && value.doubleValue() <= most
+              value.isNumber() && value.doubleValue() >= min && value.doubleValue() <= max
                   ? value.doubleValue()
                   : null);
     }
 
-    public <E extends Enum<E>> E choice(String key, E absent, Class<E> choices) {
-      List<String> names =
-          Arrays.stream(choices.getEnumConstants())
-              .map(e -> e.name().toLowerCase(Locale.ROOT).replace('_', '-'))
-              .toList();
-      return typed(
+    /**
+     * Returns the constant that a text names in lower case, with dashes for underscores, or the
+     * default if the key is absent.
+     */
+    public <E extends Enum<E>> E choice(String key, E defaultValue, Class<E> type) {
+      E[] constants = type.getEnumConstants();
+      List<String> names = Arrays.stream(constants).map(Table::nameInFile).toList();
+      return read(
           key,
-          absent,
-          false,
+          defaultValue,
           "one of " + String.join(", ", names),
           value -> {
-            int row = value.isTextual() ? names.indexOf(value.textValue()) : -1;
-            return row < 0 ? null : choices.getEnumConstants()[row];
+            int index = value.isTextual() ? names.indexOf(value.textValue()) : -1;
+            return index < 0 ? null : constants[index];
           });
     }
 
+    private static String nameInFile(Enum<?> constant) {
+      return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
+    }
+
+    /** Returns a list of texts, empty if the key is absent. */
     public List<String> texts(String key) {
-      return typed(
-          key,
-          List.of(),
-          false,
-          "a list of texts",
-          value -> {
-            List<String> texts = new ArrayList<>();
-            for (JsonNode item : value) {
-              if (!item.isTextual()) {
-                return null;
-              }
-              texts.add(item.textValue());
-            }
-            return value.isArray() ? texts : null;
-          });
+      return list(key, "a list of texts", item -> item.isTextual() ? item.textValue() : null);
     }
 
+    /** Returns a list of numbers, empty if the key is absent. */
     public List<Double> numbers(String key) {
-      return typed(
+      return list(key, "a list of numbers", item -> item.isNumber() ? item.doubleValue() : null);
+    }
+
+    private <T> List<T> list(String key, String wanted, Function<JsonNode, T> itemReader) {
+      return read(
           key,
           List.of(),
-          false,
-          "a list of numbers",
+          wanted,
           value -> {
-            List<Double> numbers = new ArrayList<>();
+            List<T> items = new ArrayList<>();
             for (JsonNode item : value) {
-              if (!item.isNumber()) {
+              T read = itemReader.apply(item);
+              if (read == null) {
                 return null;
               }
-              numbers.add(item.doubleValue());
+              items.add(read);
             }
-            return value.isArray() ? numbers : null;
+            return value.isArray() ? items : null;
           });
     }
 
-    /** A table below this one; an absent one is empty. */
+    /** Returns a table below this one; an absent one is empty. */
     public Table table(String key) {
-      JsonNode value = at(key);
+      JsonNode value = value(key);
       if (!value.isMissingNode() && !value.isObject()) {
-        fault(key, "found " + value + ", wanted a table");
+        addFaultOfType(key, value, "a table");
       }
-      return new Table(full(key), value);
+      return new Table(pathOf(key), value);
     }
 
-    /** The tables of an array such as {@code [[row]]}. */
+    /** Returns the tables of an array such as {@code [[row]]}. */
     public List<Table> tables(String key) {
-      JsonNode value = at(key);
+      JsonNode value = value(key);
       List<Table> tables = new ArrayList<>();
       if (!value.isMissingNode() && !value.isArray()) {
-        fault(key, "found " + value + ", wanted tables [[" + full(key) + "]]");
+        addFaultOfType(key, value, "tables [[" + pathOf(key) + "]]");
       }
       for (int i = 0; value.isArray() && i < value.size(); i++) {
-        tables.add(new Table(full(key) + "[" + i + "]", value.get(i)));
+        tables.add(new Table(pathOf(key) + "[" + i + "]", value.get(i)));
       }
       return tables;
     }
 
-    /** A table whose keys are free: each with its value as text. */
+    /** Returns each key's value as a text; the table may have any keys. */
     public Map<String, String> freeTexts() {
-      anyKey = true;
+      anyKeyAllowed = true;
       Map<String, String> values = new LinkedHashMap<>();
       node.fields()
           .forEachRemaining(
               entry -> {
-                if (entry.getValue().isTextual()) {
-                  values.put(entry.getKey(), entry.getValue().textValue());
-                } else if (entry.getValue().isValueNode()) {
-                  values.put(entry.getKey(), entry.getValue().asText());
+                JsonNode value = entry.getValue();
+                if (value.isValueNode()) {
+                  values.put(entry.getKey(), value.asText());
                 } else {
-                  fault(entry.getKey(), "found " + entry.getValue() + ", wanted a text");
+                  addFaultOfType(entry.getKey(), value, "a text");
                 }
               });
       return values;
     }
 
-    private void unknown() {
-      if (anyKey || !node.isObject()) {
+    private void addFaultsOfUnknownKeys() {
+      if (anyKeyAllowed || !node.isObject()) {
         return;
       }
       node.fieldNames()
           .forEachRemaining(
               key -> {
-                if (!known.contains(key)) {
-                  String near = nearest(key, known);
-                  fault(
-                      key,
-                      "unknown key"
-                          + (near == null
-                              ? "; known are " + String.join(", ", known)
-                              : "; did you mean \"" + near + "\"?"));
+                if (!knownKeys.contains(key)) {
+                  fault(key, "unknown key" + suggestion(key));
                 }
               });
     }
+
+    private String suggestion(String key) {
+      Optional<String> near = KeySuggestions.nearest(key, knownKeys);
+      return near.isPresent()
+          ? "; did you mean \"" + near.get() + "\"?"
+          : "; known are " + String.join(", ", knownKeys);
+    }
   }
 }
--- /dev/null
+++ b/router/src/main/java/tidebank/config/TomlLineIndex.java
@@ -0,0 +1,88 @@
+package tidebank.config;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+
+/**
+ * The line numbers of a TOML file's tables and keys. The parser drops them, so they are found by a
+ * scan of the text that knows headers, keys and multi-line strings only.
+ */
+final class TomlLineIndex {
+  private static final Pattern HEADER =
+      Pattern.compile("^\\s*\\[{1,2}\\s*([^\\]]+?)\\s*\\]{1,2}\\s*(#.*)?$");
+  private static final Pattern KEY =
+      Pattern.compile(
+          "^\\s*((?:\"[^\"]*\"|'[^']*'|[A-Za-z0-9_.-]+)(?:\\s*\\.\\s*"
+              + "(?:\"[^\"]*\"|'[^']*'|[A-Za-z0-9_-]+))*)\\s*=.*$");
+  private static final List<String> MULTI_LINE_QUOTES = List.of("\"\"\"", "'''");
+
+  private final Map<String, Integer> lineByPath = new HashMap<>();
+
+  TomlLineIndex(String text) {
+    String tablePrefix = "";
+    Map<String, Integer> arrayLengths = new HashMap<>();
+    int number = 0;
+    String openQuotes = null;
+    for (String line : text.split("\n", -1)) {
+      number++;
+      if (openQuotes != null) {
+        openQuotes = line.contains(openQuotes) ? null : openQuotes;
+        continue;
+      }
+      Matcher header = HEADER.matcher(line);
+      Matcher key = KEY.matcher(line);
+      if (header.matches()) {
+        String path = tablePath(line, unquoted(header.group(1)), arrayLengths);
+        lineByPath.putIfAbsent(path, number);
+        tablePrefix = path + ".";
+      } else if (key.matches()) {
+        lineByPath.putIfAbsent(tablePrefix + unquoted(key.group(1)), number);
+        openQuotes = openQuotes(line);
+      }
+    }
+  }
+
+  /** Returns the path of a table; that of an array's table ends in its index. */
+  private static String tablePath(String line, String name, Map<String, Integer> arrayLengths) {
+    if (!line.trim().startsWith("[[")) {
+      return name;
+    }
+    int length = arrayLengths.merge(name, 1, Integer::sum);
+    return name + "[" + (length - 1) + "]";
+  }
+
+  /** Returns the quotes of a multi-line string that begins in this line and does not end in it. */
+  private static String openQuotes(String line) {
+    String open = null;
+    for (String quotes : MULTI_LINE_QUOTES) {
+      int start = line.indexOf(quotes);
+      if (start >= 0 && line.indexOf(quotes, start + quotes.length()) < 0) {
+        open = quotes;
+      }
+    }
+    return open;
+  }
+
+  private static String unquoted(String key) {
+    return key.replaceAll("\\s*\\.\\s*", ".").replace("\"", "").replace("'", "");
+  }
+
+  /** Returns the line of a key, or of the innermost table around it that has one; 1 if none has. */
+  int lineOf(String path) {
+    for (String at = path; !at.isEmpty(); at = parent(at)) {
+      Integer line = lineByPath.get(at);
+      if (line != null) {
+        return line;
+      }
+    }
+    return 1;
+  }
+
+  private static String parent(String path) {
+    int end = Math.max(path.lastIndexOf('.'), path.lastIndexOf('['));
+    return end < 0 ? "" : path.substring(0, end);
+  }
+}
