--- a/cli/src/main/java/tidebank/cli/FleetCommands.java
+++ b/cli/src/main/java/tidebank/cli/FleetCommands.java
@@ -22,6 +22,7 @@
 import picocli.CommandLine.Spec;
 import tidebank.coordinator.CoordinatorClient;
 import tidebank.coordinator.CoordinatorMain;
+import tidebank.errors.MembershipException;
 import tidebank.errors.TidebankException;
 import tidebank.fleet.LeaseJson;
 import tidebank.lease.CommandResult;
@@ -281,7 +282,7 @@
     int once() throws IOException {
       List<CoordinatorClient.AuditEntry> past = client().auditLog().get(duty);
       if (past == null) {
-        throw new TidebankException.TaskNotFound(duty);
+        throw new MembershipException.TaskNotFound(duty);
       }
       return show(
           past,
--- a/router/src/test/java/tidebank/ErrorsFixtureTest.java
+++ b/router/src/test/java/tidebank/ErrorsFixtureTest.java
@@ -7,6 +7,11 @@
 import java.util.List;
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
+import tidebank.errors.CoordinatorException;
+import tidebank.errors.ErrorCondition;
+import tidebank.errors.MembershipException;
+import tidebank.errors.StorageException;
+import tidebank.errors.TestbedException;
 import tidebank.errors.TidebankException;
 import tidebank.fixtures.StoredCases;
 import tidebank.fleet.LeaseCodec;
@@ -17,40 +22,40 @@
 class ErrorsFixtureTest {
   private static final List<TidebankException> SAMPLES =
       List.of(
-          new TidebankException.TaskNotFound("sample-duty"),
-          new TidebankException.LeaseHeldByOther("sample-duty", "n1", 1_234_567),
-          new TidebankException.TaskAssignedElsewhere("sample-duty", "n1", "n2"),
-          new TidebankException.TaskAssignedElsewhere("sample-duty", "", "n2"),
-          new TidebankException.StaleFencingToken("sample-duty", 7, 9),
-          new TidebankException.LeaseExpired("sample-duty", 7),
-          new TidebankException.NameTaken("n1", 1_234_567),
-          new TidebankException.MemberUnknown("n1"),
-          new TidebankException.MemberRetired("n1"),
-          new TidebankException.MemberLimitReached(64),
-          new TidebankException.StaleSequenceNumber("session-1", 3, 4),
-          new TidebankException.RevisionConflict("sample-duty", 3, 4),
-          new TidebankException.ValueTooLarge("value", 5000, 4096),
-          new TidebankException.InvalidName("../n1"),
-          new TidebankException.FleetFolderUnusable("/folder", "it is \"full\""),
-          new TidebankException.MemberNotFound("n1"),
-          new TidebankException.NotLeading("c1", "c2"),
-          new TidebankException.NotLeading("c1", ""),
-          new TidebankException.NoMajority("no answer"),
-          new TidebankException.LeaderChanged(3, 4),
-          new TidebankException.MalformedRequest("field 'kind' names no command"),
-          new TidebankException.PathUnknown("GET", "/nothing"),
-          new TidebankException.CoordinatorUnavailable("127.0.0.1:7200"),
-          new TidebankException.CorruptSnapshot("snapshot.1_2", "too short"),
-          new TidebankException.DataDirectoryUnusable("/folder", "read only"),
-          new TidebankException.AddressTaken("127.0.0.1:7200", "in use"),
-          new TidebankException.ScriptUnknown("x", List.of("a", "b")),
-          new TidebankException.RunUnknown("/folder"));
+          new MembershipException.TaskNotFound("sample-duty"),
+          new MembershipException.LeaseHeldByOther("sample-duty", "n1", 1_234_567),
+          new MembershipException.TaskAssignedElsewhere("sample-duty", "n1", "n2"),
+          new MembershipException.TaskAssignedElsewhere("sample-duty", "", "n2"),
+          new MembershipException.StaleFencingToken("sample-duty", 7, 9),
+          new MembershipException.LeaseExpired("sample-duty", 7),
+          new MembershipException.NameTaken("n1", 1_234_567),
+          new MembershipException.MemberUnknown("n1"),
+          new MembershipException.MemberRetired("n1"),
+          new MembershipException.MemberLimitReached(64),
+          new MembershipException.StaleSequenceNumber("session-1", 3, 4),
+          new MembershipException.RevisionConflict("sample-duty", 3, 4),
+          new MembershipException.ValueTooLarge("value", 5000, 4096),
+          new MembershipException.InvalidName("../n1"),
+          new StorageException.FleetFolderUnusable("/folder", "it is \"full\""),
+          new MembershipException.MemberNotFound("n1"),
+          new CoordinatorException.NotLeading("c1", "c2"),
+          new CoordinatorException.NotLeading("c1", ""),
+          new CoordinatorException.NoMajority("no answer"),
+          new CoordinatorException.LeaderChanged(3, 4),
+          new CoordinatorException.MalformedRequest("field 'kind' names no command"),
+          new CoordinatorException.PathUnknown("GET", "/nothing"),
+          new CoordinatorException.CoordinatorUnavailable("127.0.0.1:7200"),
+          new StorageException.CorruptSnapshot("snapshot.1_2", "too short"),
+          new StorageException.DataDirectoryUnusable("/folder", "read only"),
+          new CoordinatorException.AddressTaken("127.0.0.1:7200", "in use"),
+          new TestbedException.ScriptUnknown("x", List.of("a", "b")),
+          new TestbedException.RunUnknown("/folder"));
 
   @Test
   void thereIsASampleOfEachCondition() {
     assertThat(SAMPLES.stream().map(fault -> fault.details().code()).distinct().toList())
         .containsExactlyInAnyOrderElementsOf(
-            TidebankException.entries().stream().map(TidebankException.Entry::code).toList());
+            TidebankException.conditions().stream().map(ErrorCondition::code).toList());
   }
 
   @Test
--- a/testbed/src/test/java/tidebank/coordinator/SnapshotTest.java
+++ b/testbed/src/test/java/tidebank/coordinator/SnapshotTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import tidebank.coordinator.CoordinatorClient.AuditEntry;
 import tidebank.coordinator.LeaseStateMachine.SnapshotContent;
-import tidebank.errors.TidebankException;
+import tidebank.errors.StorageException;
 import tidebank.fleet.LeaseCodec;
 import tidebank.lease.LeaseCommand;
 import tidebank.lease.LeaseCommand.Kind;
@@ -86,12 +86,12 @@
       byte[] cut = Arrays.copyOf(whole, length);
       assertThatThrownBy(() -> SnapshotFormat.decode("s", cut))
           .as("cut to " + length)
-          .isInstanceOf(TidebankException.CorruptSnapshot.class);
+          .isInstanceOf(StorageException.CorruptSnapshot.class);
       byte[] turned = whole.clone();
       turned[length] ^= (byte) (1 << length % 8);
       assertThatThrownBy(() -> SnapshotFormat.decode("s", turned))
           .as("turned at " + length)
-          .isInstanceOf(TidebankException.CorruptSnapshot.class);
+          .isInstanceOf(StorageException.CorruptSnapshot.class);
     }
   }
 
--- a/testbed/src/test/java/tidebank/testbed/chaos/LeaseRulesTest.java
+++ b/testbed/src/test/java/tidebank/testbed/chaos/LeaseRulesTest.java
@@ -6,6 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
+import tidebank.errors.MembershipException;
 import tidebank.errors.TidebankException;
 import tidebank.lease.CommandResult;
 import tidebank.lease.CommandResult.Grant;
@@ -94,7 +95,7 @@
     renew(300, 310, "a", 1);
     claim(1300, 1310, "b", 2);
     publish(1320, 1330, "b", 2, 1);
-    refused(1400, 1410, "a", 1, 1, new TidebankException.StaleFencingToken(DUTY, 1, 2));
+    refused(1400, 1410, "a", 1, 1, new MembershipException.StaleFencingToken(DUTY, 1, 2));
     renew(1500, 1510, "a", 0);
   }
 
@@ -151,7 +152,7 @@
   @Test
   void aRefusalWithoutAReasonIsFound() {
     claim(0, 10, "a", 1);
-    refused(20, 30, "a", 1, 0, new TidebankException.StaleFencingToken(DUTY, 1, 1));
+    refused(20, 30, "a", 1, 0, new MembershipException.StaleFencingToken(DUTY, 1, 1));
     assertThat(linear()).isFalse();
   }
 
@@ -217,7 +218,7 @@
     history.commandAnswered(
         command,
         new CommandResult(
-            new TidebankException.StaleSequenceNumber("a", 1, 2).details(),
+            new MembershipException.StaleSequenceNumber("a", 1, 2).details(),
             List.of(),
             List.of(),
             TERMS,
--- a/testbed/src/test/java/tidebank/testbed/chaos/ScriptTest.java
+++ b/testbed/src/test/java/tidebank/testbed/chaos/ScriptTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import tidebank.config.MalformedInputException;
 import tidebank.config.Toml;
-import tidebank.errors.TidebankException;
+import tidebank.errors.TestbedException;
 
 /** Scripts as files and as drawn from seeds. */
 class ScriptTest {
@@ -82,7 +82,7 @@
             "did you mean \"owner\"?",
             "x.toml:12: steps[2].asif: unknown key");
     assertThatThrownBy(() -> Script.read("no-such"))
-        .isInstanceOf(TidebankException.ScriptUnknown.class)
+        .isInstanceOf(TestbedException.ScriptUnknown.class)
         .hasMessageContaining("owner-stopped");
   }
 }
--- a/testbed/src/test/java/tidebank/testbed/fleet/CoordinatorProcessesTest.java
+++ b/testbed/src/test/java/tidebank/testbed/fleet/CoordinatorProcessesTest.java
@@ -27,6 +27,8 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import tidebank.coordinator.CoordinatorClient;
+import tidebank.errors.CoordinatorException;
+import tidebank.errors.StorageException;
 import tidebank.errors.TidebankException;
 import tidebank.fleet.LeaseCodec;
 import tidebank.lease.CommandResult;
@@ -389,11 +391,11 @@
                 == null) {
           answered++;
         }
-      } catch (TidebankException.CoordinatorUnavailable ended) {
+      } catch (CoordinatorException.CoordinatorUnavailable ended) {
         // As it was to: the one steward there is can't decide any more.
       } catch (TidebankException.RequestRejected refused) {
         // A call that comes between the failed write and the exit is answered with the cause.
-        assertThat(refused.details().is(TidebankException.DataDirectoryUnusable.class))
+        assertThat(refused.details().is(StorageException.DataDirectoryUnusable.class))
             .as(refused.getMessage())
             .isTrue();
       }
@@ -426,7 +428,7 @@
         assertThat(twin.process(0).lastLines()).contains("TB-1108").contains("what to do: ");
       }
       assertThatThrownBy(() -> new CoordinatorClient(List.of("127.0.0.1:1"), 100).state())
-          .isInstanceOf(TidebankException.CoordinatorUnavailable.class);
+          .isInstanceOf(CoordinatorException.CoordinatorUnavailable.class);
     }
   }
 }
