--- a/router/src/main/java/tidebank/backend/FrameCodec.java
+++ b/router/src/main/java/tidebank/backend/FrameCodec.java
@@ -33,16 +33,40 @@
   private static final int INITIAL_BATCH_BYTES = 256;
   private static final long US_PER_MS = 1000;
 
-  /**
-   * A response to one shard request.
-   *
-   * @param requestId the shard request that it answers
-   * @param outcome how the request ended at the shard server
-   * @param loadReport the server's load by name, empty if it sent none that can be read
-   * @param value the result, copied out of the network buffer; null unless the request completed
-   */
-  record Response(
-      String requestId, Outcome outcome, Map<String, Double> loadReport, byte[] value) {}
+  /** A response to one shard request. */
+  static final class Response {
+    private final String requestId;
+    private final Outcome outcome;
+    private final Map<String, Double> loadReport;
+    private final byte[] value;
+
+    Response(String requestId, Outcome outcome, Map<String, Double> loadReport, byte[] value) {
+      this.requestId = requestId;
+      this.outcome = outcome;
+      this.loadReport = loadReport;
+      this.value = value;
+    }
+
+    /** Returns the shard request that this answers. */
+    String requestId() {
+      return requestId;
+    }
+
+    /** Returns how the request ended at the shard server. */
+    Outcome outcome() {
+      return outcome;
+    }
+
+    /** Returns the server's load by name, empty if it sent no report that can be read. */
+    Map<String, Double> loadReport() {
+      return loadReport;
+    }
+
+    /** Returns the result, copied out of the network buffer; null unless the request completed. */
+    byte[] value() {
+      return value;
+    }
+  }
 
   private FrameCodec() {}
 
--- a/router/src/main/java/tidebank/config/Toml.java
+++ b/router/src/main/java/tidebank/config/Toml.java
@@ -45,7 +45,7 @@
       JsonLocation at = invalid.getLocation();
       String place = at == null ? name : name + ":" + at.getLineNr();
       throw new MalformedInputException(place + ": " + invalid.getOriginalMessage());
-    } catch (IOException | RuntimeException invalid) {
+    } catch (RuntimeException invalid) {
       throw new MalformedInputException(name + ": no TOML: " + invalid.getMessage());
     }
   }
--- a/router/src/test/java/tidebank/DiscoveryReloadTest.java
+++ b/router/src/test/java/tidebank/DiscoveryReloadTest.java
@@ -15,26 +15,26 @@
 import tidebank.FakeSite.FakeShardServer;
 import tidebank.config.RouterConfig;
 
-/** A new configuration moves discovery while shard servers drain, and a discovery that is hasty. */
+/** Discovery moves to another address while shard servers drain, and answers without a change. */
 @Timeout(30)
 class DiscoveryReloadTest {
-  private static final int SCANS = 8;
+  private static final int QUERIES = 8;
 
-  /** What the pauses behind four early answers without news take together at the least. */
-  private static final long FOUR_PAUSES_MS = 1_875;
+  /** The least sum of the delays after four early responses without a change. */
+  private static final long FOUR_DELAYS_MS = 1_875;
 
   private final FakeSite site = new FakeSite();
-  private final FakeDiscovery next = new FakeDiscovery(site);
+  private final FakeDiscovery newDiscovery = new FakeDiscovery(site);
 
   @BeforeEach
   void start() throws Exception {
-    next.version = 7;
+    newDiscovery.version = 7;
   }
 
   @AfterEach
   void close() throws Exception {
     site.close();
-    next.close();
+    newDiscovery.close();
   }
 
   private FakeShardServer server(int number) {
@@ -47,95 +47,94 @@
             RouterConfig.read(
                 Map.of(
                     "NODE_CONFIG", site.configFile().toString(),
-                    "NODE_DISCOVERY", next.address())));
+                    "NODE_DISCOVERY", newDiscovery.address())));
   }
 
-  /** The list at the new address, which counts its versions anew, without this server. */
+  /** Returns the complete list of the new address without this server. */
   private String listWithout(FakeShardServer server) {
-    return next.list(true).replace(FakeDiscovery.line(server) + ",", "");
+    return newDiscovery.list(true).replace(FakeDiscovery.line(server) + ",", "");
   }
 
-  private void scansAreWholeWithout(FakeShardServer... left) throws Exception {
-    for (FakeShardServer server : left) {
+  private void assertQueriesCompleteWithout(FakeShardServer... excluded) throws Exception {
+    for (FakeShardServer server : excluded) {
       server.frames.clear();
     }
     try (FakeClient client = site.client()) {
-      for (int i = 0; i < SCANS; i++) {
-        String scan = scan("whole", "after" + i, 2000, 0.5, 0.25, 0.125, 0.125);
-        assertThat(client.ask(scan).status()).isEqualTo(200);
+      for (int i = 0; i < QUERIES; i++) {
+        String query = scan("whole", "after" + i, 2000, 0.5, 0.25, 0.125, 0.125);
+        assertThat(client.ask(query).status()).isEqualTo(200);
       }
     }
-    for (FakeShardServer server : left) {
+    for (FakeShardServer server : excluded) {
       assertThat(server.frames).as(server.id).isEmpty();
       assertThat(server.listener.isClosed()).isFalse();
     }
   }
 
   @Test
-  void aWholeListFromTheNewAddressEndsAServerThatItDoesNotNameThoughThatStillAnswers()
-      throws Exception {
+  void aServerMissingFromTheCompleteListOfTheNewAddressGetsNothingMore() throws Exception {
     site.start();
     site.discovery.call("after=41");
     site.discovery.change(server(0), "Terminating");
     site.discovery.call("after=42");
-    // This one drains as the address moves: the old address never tells, the new one leaves it out.
-    next.instead = http(listWithout(server(2)));
+    // This one drains while the address changes: the old one never reports it, the new one omits
+    // it.
+    newDiscovery.instead = http(listWithout(server(2)));
     reload();
-    assertThat(next.call("")).isEqualTo("/registry/instances");
-    next.instead = null;
-    next.call("after=7");
+    assertThat(newDiscovery.call("")).isEqualTo("/registry/instances");
+    newDiscovery.instead = null;
+    newDiscovery.call("after=7");
 
-    scansAreWholeWithout(server(0), server(2));
+    assertQueriesCompleteWithout(server(0), server(2));
   }
 
   @Test
-  void aDrainThatBeginsAtTheNewAddressIsHeardThere() throws Exception {
+  void aDrainReportedByTheNewAddressTakesEffect() throws Exception {
     site.start();
     site.discovery.call("after=41");
     reload();
-    next.call("after=7");
-    next.change(server(0), "Terminating");
-    next.call("after=8");
-    // What the old address still tells is of no use.
+    newDiscovery.call("after=7");
+    newDiscovery.change(server(0), "Terminating");
+    newDiscovery.call("after=8");
+    // What the old address still reports is ignored.
     site.discovery.change(server(0), "Ready");
     server(0).health = "Terminating";
 
-    scansAreWholeWithout(server(0));
+    assertQueriesCompleteWithout(server(0));
   }
 
   @Test
-  void aDrainThatTheOldAddressToldStandsWhileTheNewOneIsDown() throws Exception {
+  void aDrainReportedByTheOldAddressStandsWhileTheNewOneIsUnavailable() throws Exception {
     site.start();
     site.discovery.call("after=41");
     site.discovery.change(server(0), "Terminating");
     site.discovery.call("after=42");
-    next.instead = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
+    newDiscovery.instead = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
     reload();
-    next.call("/registry/instances");
-    next.call("/registry/instances");
+    newDiscovery.call("/registry/instances");
+    newDiscovery.call("/registry/instances");
 
-    scansAreWholeWithout(server(0));
-    next.instead = null;
-    next.call("after=7");
-    scansAreWholeWithout(server(0));
+    assertQueriesCompleteWithout(server(0));
+    newDiscovery.instead = null;
+    newDiscovery.call("after=7");
+    assertQueriesCompleteWithout(server(0));
   }
 
   @Test
-  void aDiscoveryThatAnswersEachWatchAtOnceWithTheKnownListIsAskedEverMoreSeldom()
-      throws Exception {
+  void callsBackOffWhileDiscoveryAnswersAtOnceWithoutAChange() throws Exception {
     site.discovery.instead = http(site.discovery.list(true));
     site.start();
     site.discovery.call("after=41");
-    long first = System.nanoTime();
+    long startedAtNanos = System.nanoTime();
     for (int i = 0; i < 4; i++) {
       site.discovery.call("after=41");
     }
-    long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - first);
-    assertThat(tookMs).isGreaterThanOrEqualTo(FOUR_PAUSES_MS);
-    // A change is told by the next call, and the one behind it is made at once.
+    long elapsedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAtNanos);
+    assertThat(elapsedMs).isGreaterThanOrEqualTo(FOUR_DELAYS_MS);
+    // The next call reports a change, and the one after it is made at once.
     site.discovery.instead = null;
     site.discovery.change(server(0), "Terminating");
     site.discovery.call("after=42");
-    scansAreWholeWithout(server(0));
+    assertQueriesCompleteWithout(server(0));
   }
 }
--- a/router/src/test/java/tidebank/DrainedServerGoneTest.java
+++ b/router/src/test/java/tidebank/DrainedServerGoneTest.java
@@ -16,20 +16,18 @@
 import tidebank.FakeSite.FakeShardServer;
 
 /**
- * When a server that had drained for seconds was listed as gone, all gatherers held themselves to
- * have stood still for as long: the end of its drain grace, seconds ago, was set as a timer once
- * more, and an overdue timer is how a gatherer tells a standstill. Requests that came with that
- * list were taken to be as old and turned away, and a shutdown within the next seconds was cut
- * short. Six idle gatherers logged "the event loop was late by 959 ms", "960 ms", "971 ms", "961
- * ms", "967 ms" and "964 ms" within 70 ms of the list that named the server gone; one with ten
- * requests a second "late by 5529 ms" between answers of 49 ms.
+ * A server that has drained for seconds and is then listed as gone must not look like a stall of
+ * the event loop. The end of its drain grace, seconds ago, used to be scheduled as a timer once
+ * more, and an overdue timer is how a router detects that it has stood still. Requests that came
+ * with that list were taken to be as old and were rejected, and a shutdown within the next seconds
+ * was cut short.
  */
 @Timeout(30)
 class DrainedServerGoneTest {
-  /** Longer than the drain grace of the settings and the time that the requests have. */
+  /** Longer than the drain grace of the settings and the deadline of the requests. */
   private static final long DRAINED_MS = 2000;
 
-  private static final int TIME_LEFT_MS = 900;
+  private static final int DEADLINE_MS = 900;
   private static final int CLIENTS = 10;
   private static final long STALL_MS = 100;
 
@@ -44,15 +42,15 @@
     site.close();
   }
 
-  /** What the gatherer does when it has the list that a server which drained long ago is gone. */
-  enum Then {
-    TAKES_REQUESTS,
-    IS_TOLD_TO_END
+  /** What happens when the router gets the list. */
+  enum NextEvent {
+    REQUESTS_ARRIVE,
+    SHUTDOWN_BEGINS
   }
 
   @ParameterizedTest
-  @EnumSource(Then.class)
-  void aListThatADrainedServerIsGoneIsNoStandstill(Then then) throws Exception {
+  @EnumSource(NextEvent.class)
+  void requestsAreAnsweredAfterADrainedServerIsListedAsGone(NextEvent nextEvent) throws Exception {
     site.start();
     for (int i = 0; i < CLIENTS; i++) {
       clients.add(site.client());
@@ -63,29 +61,29 @@
     site.discovery.change(drained, "Terminating");
     site.discovery.call("after=42");
     TimeUnit.MILLISECONDS.sleep(DRAINED_MS);
-    if (then == Then.TAKES_REQUESTS) {
-      CountDownLatch go = site.stallEventLoop();
+    if (nextEvent == NextEvent.REQUESTS_ARRIVE) {
+      CountDownLatch resume = site.stallEventLoop();
       site.discovery.change(drained, "Gone");
-      // The list is there first, so that it is read before the requests.
+      // The list arrives first, so that it is read before the requests.
       TimeUnit.MILLISECONDS.sleep(STALL_MS);
-      ask();
-      go.countDown();
+      sendRequests();
+      resume.countDown();
     } else {
       site.discovery.change(drained, "Gone");
       site.discovery.call("after=43");
       site.gatherer().stop();
-      // Well within the 0.6 s for which clients that are here are served on.
+      // Well within the 0.6 s for which connected clients are still served.
       TimeUnit.MILLISECONDS.sleep(STALL_MS);
-      ask();
+      sendRequests();
     }
     for (FakeClient client : clients) {
       assertThat(client.read().status()).isEqualTo(200);
     }
   }
 
-  private void ask() throws IOException {
+  private void sendRequests() throws IOException {
     for (FakeClient client : clients) {
-      client.send(scan("whole", "with" + clients.indexOf(client), TIME_LEFT_MS, 1));
+      client.send(scan("whole", "with" + clients.indexOf(client), DEADLINE_MS, 1));
     }
   }
 }
--- a/router/src/test/java/tidebank/OperatorConfigTest.java
+++ b/router/src/test/java/tidebank/OperatorConfigTest.java
@@ -12,8 +12,10 @@
 import tidebank.config.OperatorConfig;
 import tidebank.logging.Log;
 
-/** The operator's own file: read whole, every fault named by key and line. */
+/** The operator's own file: its defaults, its values, and faults by key and line. */
 class OperatorConfigTest {
+  private static final Path SHIPPED = Path.of("../deploy/gatherer.toml");
+
   @TempDir Path folder;
 
   private OperatorConfig read(String text) throws Exception {
@@ -21,14 +23,17 @@
   }
 
   @Test
-  void theShippedFileSaysTheDefaults() throws Exception {
-    assertThat(OperatorConfig.read(Path.of("../deploy/gatherer.toml")))
-        .isEqualTo(OperatorConfig.DEFAULT);
+  void theShippedFileHoldsTheDefaults() throws Exception {
+    assertThat(OperatorConfig.read(SHIPPED)).isEqualTo(OperatorConfig.DEFAULT);
+  }
+
+  @Test
+  void anEmptyFileLeavesTheDefaults() throws Exception {
     assertThat(read("")).isEqualTo(OperatorConfig.DEFAULT);
   }
 
   @Test
-  void valuesAreTakenOver() throws Exception {
+  void valuesReplaceTheDefaults() throws Exception {
     assertThat(read("[log]\nlevel = 'debug'\nform = 'json'\n[report]\ncounters_every_s = 5\n"))
         .isEqualTo(
             new OperatorConfig(
@@ -36,16 +41,19 @@
   }
 
   @Test
-  void everyFaultIsNamedWithItsLineAndASlipWithTheKeyThatWasMeant() {
-    assertThatThrownBy(
-            () ->
-                read(
-                    "[log]\n"
-                        + "level = 'loud'\n"
-                        + "lines_a_scond = 5\n\n"
-                        + "[report]\n"
-                        + "counters_every_s = 0\n"
-                        + "[reprot]\n"))
+  void eachFaultIsReportedWithItsLineAndAMisspeltKeyWithTheNearestOne() {
+    String text =
+        """
+        [log]
+        level = 'loud'
+        lines_a_scond = 5
+
+        [report]
+        counters_every_s = 0
+        [reprot]
+        """;
+
+    assertThatThrownBy(() -> read(text))
         .isInstanceOf(MalformedInputException.class)
         .hasMessageContaining(
             "g.toml:2: log.level: found \"loud\", wanted one of error, warn, info, debug")
@@ -54,7 +62,15 @@
         .hasMessageContaining(
             "g.toml:6: report.counters_every_s: found 0, wanted a whole number from 1")
         .hasMessageContaining("g.toml:7: reprot: unknown key; did you mean \"report\"?");
+  }
+
+  @Test
+  void textThatIsNoTomlIsReportedWithItsLine() {
     assertThatThrownBy(() -> read("[log]\nlevel = \n")).hasMessageContaining("g.toml:2: ");
+  }
+
+  @Test
+  void aMissingFileIsReported() {
     assertThatThrownBy(() -> OperatorConfig.read(folder.resolve("none.toml")))
         .hasMessageContaining("cannot be read");
   }
