--- a/coordinator/src/main/java/tidebank/coordinator/ConfigurationPublisher.java
+++ b/coordinator/src/main/java/tidebank/coordinator/ConfigurationPublisher.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tidebank.errors.TidebankException;
+import tidebank.errors.CoordinatorException;
 import tidebank.fleet.LeaseCodec;
 import tidebank.lease.LeaseCommand;
 import tidebank.lease.LeaseTableState;
@@ -47,7 +47,7 @@
             (result, failed) -> {
               if (failed == null
                   || HttpErrors.toTidebankException(failed)
-                      instanceof TidebankException.NotLeading) {
+                      instanceof CoordinatorException.NotLeading) {
                 return;
               }
               LOG.warn(
--- a/coordinator/src/main/java/tidebank/coordinator/CoordinatorClient.java
+++ b/coordinator/src/main/java/tidebank/coordinator/CoordinatorClient.java
@@ -19,6 +19,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.UUID;
+import tidebank.errors.CoordinatorException;
 import tidebank.errors.TidebankException;
 import tidebank.fleet.LeaseCodec;
 import tidebank.lease.CommandResult;
@@ -124,7 +125,7 @@
         return answer;
       }
       if (System.nanoTime() >= deadline) {
-        throw new TidebankException.CoordinatorUnavailable(failures.toString());
+        throw new CoordinatorException.CoordinatorUnavailable(failures.toString());
       }
       pause();
     }
--- a/coordinator/src/main/java/tidebank/coordinator/CoordinatorConfig.java
+++ b/coordinator/src/main/java/tidebank/coordinator/CoordinatorConfig.java
@@ -32,7 +32,7 @@
     Path dataDirectory,
     List<Peer> peers,
     Peer listen,
-    Log.Style logging,
+    Log.Settings logging,
     LeaseConfig leaseConfig,
     List<String> tasks,
     long electionTimeoutUs,
@@ -76,27 +76,27 @@
     Toml.Table root = file.root();
     Toml.Table lease = root.table("lease");
     Toml.Table limits = root.table("limits");
-    String name = root.needText("name");
-    String dataDirectory = root.needText("folder");
+    String name = root.requiredText("name");
+    String dataDirectory = root.requiredText("folder");
     List<Peer> peers = readPeers(file, name);
     List<String> tasks = readTasks(file);
     LeaseConfig leaseConfig =
         new LeaseConfig(
-            lease.whole("ms", 3000, 100, 600_000) * 1000,
+            lease.integer("ms", 3000, 100, 600_000) * 1000,
             lease.number("drift", 0.05, 0, 0.2),
-            (int) limits.whole("members", 1000, 1, 10_000),
-            (int) limits.whole("text", 1024, 16, 4096));
+            (int) limits.integer("members", 1000, 1, 10_000),
+            (int) limits.integer("text", 1024, 16, 4096));
     CoordinatorConfig config =
         new CoordinatorConfig(
             name,
             Path.of(dataDirectory),
             peers,
             readListen(root, name, peers),
-            OperatorConfig.style(root.table("log")),
+            OperatorConfig.logging(root.table("log")),
             leaseConfig,
             tasks,
-            root.table("election").whole("ms", 500, 50, 60_000) * 1000,
-            root.table("snapshot").whole("every", 10_000, 10, 10_000_000));
+            root.table("election").integer("ms", 500, 50, 60_000) * 1000,
+            root.table("snapshot").integer("every", 10_000, 10, 10_000_000));
     file.check();
     return config;
   }
@@ -105,7 +105,8 @@
     List<Peer> peers = new ArrayList<>();
     for (Toml.Table peer : file.root().tables("peers")) {
       peers.add(
-          new Peer(peer.needText("name"), readAddress(peer, "raft"), readAddress(peer, "http")));
+          new Peer(
+              peer.requiredText("name"), readAddress(peer, "raft"), readAddress(peer, "http")));
     }
     Set<String> names = new HashSet<>();
     peers.forEach(peer -> names.add(peer.name()));
@@ -145,7 +146,7 @@
   }
 
   private static InetSocketAddress readAddress(Toml.Table table, String key) {
-    String text = table.needText(key);
+    String text = table.requiredText(key);
     int colon = text.lastIndexOf(':');
     try {
       int port = Integer.parseInt(text.substring(colon + 1));
--- a/coordinator/src/main/java/tidebank/coordinator/CoordinatorMain.java
+++ b/coordinator/src/main/java/tidebank/coordinator/CoordinatorMain.java
@@ -39,8 +39,8 @@
   /** Runs a coordinator until SIGTERM, which ends the process with 0. */
   public static int serve(Path file) throws IOException {
     CoordinatorConfig config = CoordinatorConfig.read(file);
-    Log.own();
-    Log.style(config.logging());
+    Log.useForProcess();
+    Log.configure(config.logging());
     CoordinatorServer coordinator = CoordinatorServer.start(config);
     Runtime.getRuntime()
         .addShutdownHook(
--- a/coordinator/src/main/java/tidebank/coordinator/CoordinatorServer.java
+++ b/coordinator/src/main/java/tidebank/coordinator/CoordinatorServer.java
@@ -8,6 +8,8 @@
 import java.util.concurrent.CompletableFuture;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import tidebank.errors.CoordinatorException;
+import tidebank.errors.StorageException;
 import tidebank.errors.TidebankException;
 import tidebank.fleet.LeaseCodec;
 import tidebank.lease.LeaseCommand;
@@ -81,7 +83,7 @@
       Files.createDirectories(config.dataDirectory());
       Files.delete(Files.createTempFile(config.dataDirectory(), "write", ".try"));
     } catch (IOException exception) {
-      throw new TidebankException.DataDirectoryUnusable(
+      throw new StorageException.DataDirectoryUnusable(
           config.dataDirectory().toString(), exception.toString());
     }
   }
@@ -93,12 +95,12 @@
         return known;
       }
       if (cause instanceof BindException) {
-        return new TidebankException.AddressTaken(
+        return new CoordinatorException.AddressTaken(
             config.listen().raft().toString(), cause.getMessage());
       }
       if (cause instanceof OverlappingFileLockException
           || String.valueOf(cause.getMessage()).contains("lock")) {
-        return new TidebankException.DataDirectoryUnusable(
+        return new StorageException.DataDirectoryUnusable(
             config.dataDirectory().toString(), String.valueOf(cause.getMessage()));
       }
     }
--- a/coordinator/src/main/java/tidebank/coordinator/HttpErrors.java
+++ b/coordinator/src/main/java/tidebank/coordinator/HttpErrors.java
@@ -2,6 +2,7 @@
 
 import io.netty.handler.codec.http.HttpResponseStatus;
 import java.util.concurrent.CompletionException;
+import tidebank.errors.CoordinatorException;
 import tidebank.errors.TidebankException;
 import tidebank.fleet.LeaseCodec;
 import tidebank.lease.CommandResult;
@@ -11,13 +12,13 @@
   private HttpErrors() {}
 
   static HttpResponseStatus status(TidebankException exception) {
-    if (exception instanceof TidebankException.NotLeading) {
+    if (exception instanceof CoordinatorException.NotLeading) {
       return HttpResponseStatus.MISDIRECTED_REQUEST;
     }
-    if (exception instanceof TidebankException.MalformedRequest) {
+    if (exception instanceof CoordinatorException.MalformedRequest) {
       return HttpResponseStatus.BAD_REQUEST;
     }
-    if (exception instanceof TidebankException.PathUnknown) {
+    if (exception instanceof CoordinatorException.PathUnknown) {
       return HttpResponseStatus.NOT_FOUND;
     }
     return HttpResponseStatus.SERVICE_UNAVAILABLE;
@@ -36,6 +37,6 @@
             : thrown;
     return cause instanceof TidebankException known
         ? known
-        : new TidebankException.NoMajority(String.valueOf(cause));
+        : new CoordinatorException.NoMajority(String.valueOf(cause));
   }
 }
--- a/coordinator/src/main/java/tidebank/coordinator/HttpRequestHandler.java
+++ b/coordinator/src/main/java/tidebank/coordinator/HttpRequestHandler.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
+import tidebank.errors.CoordinatorException;
 import tidebank.errors.TidebankException;
 import tidebank.fleet.LeaseCodec;
 
@@ -25,7 +26,7 @@
   CompletableFuture<byte[]> handle(FullHttpRequest request) {
     try {
       if (!request.decoderResult().isSuccess()) {
-        throw new TidebankException.MalformedRequest("it is no HTTP/1.1");
+        throw new CoordinatorException.MalformedRequest("it is no HTTP/1.1");
       }
       return dispatch(request);
     } catch (TidebankException exception) {
@@ -53,7 +54,7 @@
         return readiness();
       }
     }
-    throw new TidebankException.PathUnknown(request.method().name(), uri);
+    throw new CoordinatorException.PathUnknown(request.method().name(), uri);
   }
 
   private CompletableFuture<byte[]> unclaimedTasks(QueryStringDecoder query)
@@ -61,7 +62,7 @@
     String member = query.parameters().getOrDefault("name", List.of("")).get(0);
     String wait = query.parameters().getOrDefault("wait_ms", List.of("0")).get(0);
     if (member.isEmpty() || !wait.matches("\\d{1,5}") || Integer.parseInt(wait) > MAX_WAIT_MS) {
-      throw new TidebankException.MalformedRequest(
+      throw new CoordinatorException.MalformedRequest(
           "'name' is to be a member's, 'wait_ms' from 0 to " + MAX_WAIT_MS);
     }
     return coordinator.awaitUnclaimedTasks(member, Integer.parseInt(wait));
@@ -71,7 +72,7 @@
     CoordinatorConfig.Peer leader =
         coordinator
             .leader()
-            .orElseThrow(() -> new TidebankException.NoMajority("no leader is known"));
+            .orElseThrow(() -> new CoordinatorException.NoMajority("no leader is known"));
     return CompletableFuture.completedFuture(LeaseCodec.write(Map.of("leader", leader.describe())));
   }
 }
--- a/coordinator/src/main/java/tidebank/coordinator/HttpServer.java
+++ b/coordinator/src/main/java/tidebank/coordinator/HttpServer.java
@@ -27,6 +27,7 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
+import tidebank.errors.CoordinatorException;
 import tidebank.errors.TidebankException;
 
 /**
@@ -77,7 +78,7 @@
             .bind(address)
             .awaitUninterruptibly();
     if (!binding.isSuccess()) {
-      throw new TidebankException.AddressTaken(
+      throw new CoordinatorException.AddressTaken(
           address.getHostString() + ':' + address.getPort(), binding.cause().getMessage());
     }
   }
--- a/coordinator/src/main/java/tidebank/coordinator/LeaseStateMachine.java
+++ b/coordinator/src/main/java/tidebank/coordinator/LeaseStateMachine.java
@@ -28,7 +28,7 @@
 import org.apache.ratis.util.MD5FileUtil;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tidebank.errors.TidebankException;
+import tidebank.errors.CoordinatorException;
 import tidebank.fleet.LeaseCodec;
 import tidebank.lease.CommandResult;
 import tidebank.lease.LeaseCommand;
@@ -191,7 +191,7 @@
 
   private static CommandResult leaderChanged(long stampedTerm, long loggedTerm) {
     return new CommandResult(
-        new TidebankException.LeaderChanged(stampedTerm, loggedTerm).details(),
+        new CoordinatorException.LeaderChanged(stampedTerm, loggedTerm).details(),
         null,
         null,
         null,
--- a/coordinator/src/main/java/tidebank/coordinator/RaftReplica.java
+++ b/coordinator/src/main/java/tidebank/coordinator/RaftReplica.java
@@ -22,6 +22,8 @@
 import org.apache.ratis.thirdparty.com.google.protobuf.ByteString;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import tidebank.errors.CoordinatorException;
+import tidebank.errors.StorageException;
 import tidebank.errors.TidebankException;
 
 /**
@@ -88,7 +90,8 @@
     } catch (TidebankException exception) {
       return CompletableFuture.failedFuture(exception);
     } catch (IOException exception) {
-      return CompletableFuture.failedFuture(new TidebankException.NoMajority(exception.toString()));
+      return CompletableFuture.failedFuture(
+          new CoordinatorException.NoMajority(exception.toString()));
     }
   }
 
@@ -106,14 +109,14 @@
   private CompletableFuture<byte[]> result(RaftClientReply reply, Throwable failed) {
     if (failed != null) {
       return CompletableFuture.failedFuture(
-          new TidebankException.NoMajority(String.valueOf(failed)));
+          new CoordinatorException.NoMajority(String.valueOf(failed)));
     }
     if (reply.getNotLeaderException() != null) {
       return CompletableFuture.failedFuture(notLeading());
     }
     if (!reply.isSuccess()) {
       return CompletableFuture.failedFuture(
-          new TidebankException.NoMajority(String.valueOf(reply.getException())));
+          new CoordinatorException.NoMajority(String.valueOf(reply.getException())));
     }
     return CompletableFuture.completedFuture(reply.getMessage().getContent().toByteArray());
   }
@@ -129,12 +132,12 @@
     } catch (TidebankException exception) {
       throw exception;
     } catch (IOException exception) {
-      throw new TidebankException.NoMajority(exception.toString());
+      throw new CoordinatorException.NoMajority(exception.toString());
     }
   }
 
   private TidebankException notLeading() {
-    return new TidebankException.NotLeading(
+    return new CoordinatorException.NotLeading(
         config.name(), leader().map(CoordinatorConfig.Peer::describe).orElse(""));
   }
 
@@ -159,7 +162,7 @@
       root = root.getCause();
     }
     TidebankException exception =
-        new TidebankException.DataDirectoryUnusable(
+        new StorageException.DataDirectoryUnusable(
             config.dataDirectory().toString(), "its log can't be written: " + root);
     if (failure.complete(exception)) {
       LOG.error(exception.details().lines().replace('\n', ' '));
--- a/coordinator/src/main/java/tidebank/coordinator/SnapshotFormat.java
+++ b/coordinator/src/main/java/tidebank/coordinator/SnapshotFormat.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.zip.CRC32C;
 import tidebank.coordinator.LeaseStateMachine.SnapshotContent;
-import tidebank.errors.TidebankException;
+import tidebank.errors.StorageException;
 import tidebank.fleet.LeaseCodec;
 import tidebank.lease.LeaseTableState;
 
@@ -43,19 +43,18 @@
    *
    * @param name the file's name, for the error
    */
-  static SnapshotContent decode(String name, byte[] bytes)
-      throws TidebankException.CorruptSnapshot {
+  static SnapshotContent decode(String name, byte[] bytes) throws StorageException.CorruptSnapshot {
     if (bytes.length < HEADER_BYTES) {
-      throw new TidebankException.CorruptSnapshot(name, "it is " + bytes.length + " bytes short");
+      throw new StorageException.CorruptSnapshot(name, "it is " + bytes.length + " bytes short");
     }
     ByteBuffer buffer = ByteBuffer.wrap(bytes);
     int version = buffer.getInt();
     if (version != VERSION && version != VERSION_WITHOUT_AUDIT_LOG) {
-      throw new TidebankException.CorruptSnapshot(
+      throw new StorageException.CorruptSnapshot(
           name, "its version is " + version + ", not " + VERSION);
     }
     if (buffer.getLong() != checksum(bytes, HEADER_BYTES)) {
-      throw new TidebankException.CorruptSnapshot(name, "its check does not fit its content");
+      throw new StorageException.CorruptSnapshot(name, "its check does not fit its content");
     }
     try {
       byte[] json = Arrays.copyOfRange(bytes, HEADER_BYTES, bytes.length);
@@ -63,7 +62,7 @@
           ? LeaseCodec.read(json, SnapshotContent.class)
           : new SnapshotContent(LeaseCodec.read(json, LeaseTableState.class), Map.of());
     } catch (IOException exception) {
-      throw new TidebankException.CorruptSnapshot(name, exception.getMessage());
+      throw new StorageException.CorruptSnapshot(name, exception.getMessage());
     }
   }
 
--- a/router/src/main/java/tidebank/Main.java
+++ b/router/src/main/java/tidebank/Main.java
@@ -17,7 +17,7 @@
 
   /** Runs the command; exits with 1 if it fails, and with 2 for a wrong command line or file. */
   public static void main(String[] args) {
-    Log.own();
+    Log.useForProcess();
     boolean hasConfig = args.length == 3 && args[0].equals("serve") && args[1].equals("--config");
     String command = args.length == 1 || hasConfig ? args[0] : "";
     try {
--- a/router/src/main/java/tidebank/config/OperatorConfig.java
+++ b/router/src/main/java/tidebank/config/OperatorConfig.java
@@ -20,7 +20,7 @@
 public record OperatorConfig(
     Log.Settings logging,
     long counterLogIntervalUs,
-    CaptureRecorder.Plan capture,
+    CaptureRecorder.Config capture,
     FleetAgent.Plan fleet) {
   private static final long BYTES_PER_MB = 1 << 20;
   private static final long US_PER_MS = 1000;
@@ -69,7 +69,7 @@
     long counterLogIntervalS =
         root.table("report")
             .integer("counters_every_s", DEFAULT_COUNTER_LOG_INTERVAL_S, 1, SECONDS_PER_DAY);
-    CaptureRecorder.Plan capture = capture(root.table("capture"));
+    CaptureRecorder.Config capture = capture(root.table("capture"));
     FleetAgent.Plan fleet = fleet(root.table("fleet"));
     file.check();
     return new OperatorConfig(logging, counterLogIntervalS * US_PER_SECOND, capture, fleet);
@@ -84,10 +84,10 @@
     return new Log.Settings(level.level, format, maxLinesPerSecond);
   }
 
-  private static CaptureRecorder.Plan capture(Toml.Table table) {
+  private static CaptureRecorder.Config capture(Toml.Table table) {
     String folder = table.text("folder", "");
-    CaptureRecorder.Plan plan =
-        new CaptureRecorder.Plan(
+    CaptureRecorder.Config config =
+        new CaptureRecorder.Config(
             Path.of(folder),
             table.choice("actions", RecordedActions.DIGEST, RecordedActions.class)
                 == RecordedActions.WHOLE,
@@ -95,10 +95,10 @@
             table.integer("segment_mb", 8, 1, 1024) * BYTES_PER_MB,
             table.integer("budget_mb", 200, 2, 1 << 20) * BYTES_PER_MB,
             table.flag("force", false));
-    if (plan.budgetBytes() < 2 * plan.segmentBytes()) {
+    if (config.maxTotalBytes() < 2 * config.segmentBytes()) {
       table.fault("budget_mb", "is less than two segments of segment_mb");
     }
-    return folder.isEmpty() ? null : plan;
+    return folder.isEmpty() ? null : config;
   }
 
   private static FleetAgent.Plan fleet(Toml.Table table) {
--- a/router/src/main/java/tidebank/fleet/FleetAgent.java
+++ b/router/src/main/java/tidebank/fleet/FleetAgent.java
@@ -9,6 +9,7 @@
 import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import tidebank.errors.StorageException;
 import tidebank.errors.TidebankException;
 
 /**
@@ -128,7 +129,7 @@
   private TidebankException toTidebankException(IOException exception) {
     return exception instanceof TidebankException known
         ? known
-        : new TidebankException.FleetFolderUnusable(
+        : new StorageException.FleetFolderUnusable(
             plan.sharedFolder().toString(), exception.toString());
   }
 
--- a/router/src/main/java/tidebank/fleet/LeaseClient.java
+++ b/router/src/main/java/tidebank/fleet/LeaseClient.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tidebank.errors.TidebankException;
+import tidebank.errors.CoordinatorException;
 import tidebank.lease.CommandResult;
 import tidebank.lease.LeaseCommand;
 import tidebank.lease.LeaseHolder;
@@ -84,7 +84,7 @@
         return answer.get();
       }
       if (mailbox.leaveRequested() && command.kind() != LeaseCommand.Kind.LEAVE) {
-        throw new TidebankException.CoordinatorUnavailable(coordinators.toString());
+        throw new CoordinatorException.CoordinatorUnavailable(coordinators.toString());
       }
       pause();
     }
--- a/router/src/main/java/tidebank/fleet/LeaseCodec.java
+++ b/router/src/main/java/tidebank/fleet/LeaseCodec.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
-import tidebank.errors.TidebankException;
+import tidebank.errors.CoordinatorException;
 import tidebank.lease.LeaseCommand;
 
 /** Commands, results, state and stored files as JSON, on the wire and in the log. */
@@ -37,17 +37,17 @@
    * Reads a command from outside: any text is possible, and no field may be missing that its kind
    * needs.
    */
-  public static LeaseCommand readCommand(byte[] body) throws TidebankException.MalformedRequest {
+  public static LeaseCommand readCommand(byte[] body) throws CoordinatorException.MalformedRequest {
     LeaseCommand command;
     try {
       command = read(body, LeaseCommand.class);
     } catch (JsonProcessingException fault) {
-      throw new TidebankException.MalformedRequest(fault.getOriginalMessage().split("\n", 0)[0]);
+      throw new CoordinatorException.MalformedRequest(fault.getOriginalMessage().split("\n", 0)[0]);
     } catch (IOException fault) {
-      throw new TidebankException.MalformedRequest(fault.getMessage());
+      throw new CoordinatorException.MalformedRequest(fault.getMessage());
     }
     if (command == null || command.kind() == null || command.kind() == LeaseCommand.Kind.PLAN) {
-      throw new TidebankException.MalformedRequest("field 'kind' names no command");
+      throw new CoordinatorException.MalformedRequest("field 'kind' names no command");
     }
     LeaseCommand whole =
         new LeaseCommand(
@@ -61,11 +61,11 @@
             text(command.value()),
             null);
     if (whole.session().isEmpty() || whole.session().length() > 128 || whole.sequence() < 1) {
-      throw new TidebankException.MalformedRequest(
+      throw new CoordinatorException.MalformedRequest(
           "field 'session' is to be a text of 1 to 128 characters, 'number' to be from 1 up");
     }
     if (whole.member().isEmpty() && command.kind() != LeaseCommand.Kind.MOVE) {
-      throw new TidebankException.MalformedRequest("field 'name' is missing");
+      throw new CoordinatorException.MalformedRequest("field 'name' is missing");
     }
     return whole;
   }
--- a/router/src/main/java/tidebank/fleet/SharedFolder.java
+++ b/router/src/main/java/tidebank/fleet/SharedFolder.java
@@ -14,7 +14,7 @@
 import java.util.stream.Stream;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tidebank.errors.TidebankException;
+import tidebank.errors.MembershipException;
 
 /**
  * The folder that all members share: members' counters, reports and removal lists. Every file is
@@ -43,7 +43,7 @@
 
   void writeCounters(String member, FleetReport.MemberCounters written) throws IOException {
     if (!MEMBER_NAME.matcher(member).matches()) {
-      throw new TidebankException.InvalidName(member);
+      throw new MembershipException.InvalidName(member);
     }
     writeAtomically(counters.resolve(member + JSON_SUFFIX), LeaseCodec.write(written));
   }
--- a/router/src/main/java/tidebank/frontend/ClientConnection.java
+++ b/router/src/main/java/tidebank/frontend/ClientConnection.java
@@ -137,7 +137,8 @@
     // A client has one request open at a time. Reading on past the limit, and past responses that
     // the client does not read, shows when it disconnects.
     boolean full =
-        exchanges.size() >= context.config().budgets().pipelineMost() || !channel.isWritable();
+        exchanges.size() >= context.config().budgets().maxPipelinedRequests()
+            || !channel.isWritable();
     if (overBudget && message instanceof HttpRequest) {
       context.counters().add("front.refused-connections");
       refuse(HttpResponseStatus.SERVICE_UNAVAILABLE, "too many connections");
--- a/router/src/main/java/tidebank/frontend/ClientServer.java
+++ b/router/src/main/java/tidebank/frontend/ClientServer.java
@@ -55,7 +55,8 @@
     boolean overBudget = !budget.makeRoom();
     ClientConnection connection = new ClientConnection(this, context, channel, overBudget);
     budget.add(connection);
-    ClientPipeline.build(channel, connection, context.config().transport().bodyMost(), overBudget);
+    ClientPipeline.build(
+        channel, connection, context.config().transport().maxBodyBytes(), overBudget);
     listener.setExhausted(budget.isExhausted());
   }
 
--- a/router/src/main/java/tidebank/frontend/ConnectionBudget.java
+++ b/router/src/main/java/tidebank/frontend/ConnectionBudget.java
@@ -42,7 +42,7 @@
 
   /** Returns whether no further connection may be accepted, not even to refuse its requests. */
   boolean isExhausted() {
-    return connections.size() >= budgets.clientsMost();
+    return connections.size() >= budgets.maxAcceptedClients();
   }
 
   /** Returns the open connections as they are now. */
@@ -65,9 +65,9 @@
     connection.idleFrom(now);
     idle.add(connection);
     ClientConnection longest = idle.iterator().next();
-    if (idle.size() > budgets.resting()
+    if (idle.size() > budgets.maxIdleClients()
         && context.clock().now() - longest.idleSince()
-            >= context.config().transport().restLeastUs()) {
+            >= context.config().transport().minIdleUs()) {
       closeIfIdle(longest, "front.closed-rested", "longest_idle");
     }
   }
@@ -77,13 +77,13 @@
    * That one may itself have been over the budget, and then there is still no room.
    */
   boolean makeRoom() {
-    while (connections.size() >= budgets.clients()) {
+    while (connections.size() >= budgets.maxServedClients()) {
       ClientConnection candidate = leastWanted();
       if (candidate == null) {
         return false;
       }
       if (closeIfIdle(candidate, "front.closed-for-room", "room_for_new_connection")) {
-        return connections.size() < budgets.clients();
+        return connections.size() < budgets.maxServedClients();
       }
     }
     return true;
--- a/router/src/main/java/tidebank/frontend/ConnectionTimers.java
+++ b/router/src/main/java/tidebank/frontend/ConnectionTimers.java
@@ -27,7 +27,7 @@
   ConnectionTimers(FrontendContext context, Listener listener) {
     this.timers = context.timers();
     this.clock = context.clock();
-    this.limitUs = context.config().transport().requestWithinUs();
+    this.limitUs = context.config().transport().requestTimeoutUs();
     this.request = TimerQueue.timer(listener::requestTimedOut);
     this.unreadResponses = TimerQueue.timer(listener::responsesNotRead);
     this.linger = TimerQueue.timer(listener::lingeredTooLong);
--- a/router/src/main/java/tidebank/lease/LeaseConfig.java
+++ b/router/src/main/java/tidebank/lease/LeaseConfig.java
@@ -1,6 +1,6 @@
 package tidebank.lease;
 
-import tidebank.errors.TidebankException;
+import tidebank.errors.MembershipException;
 
 /**
  * What leases are granted by; the coordinator and all members go by the same.
@@ -28,9 +28,9 @@
   }
 
   /** Rejects a text that is longer than a name or a published value may be. */
-  void checkTextLength(String field, String text) throws TidebankException.ValueTooLarge {
+  void checkTextLength(String field, String text) throws MembershipException.ValueTooLarge {
     if (text.length() > maxTextLength) {
-      throw new TidebankException.ValueTooLarge(field, text.length(), maxTextLength);
+      throw new MembershipException.ValueTooLarge(field, text.length(), maxTextLength);
     }
   }
 }
--- a/router/src/main/java/tidebank/lease/LeaseHolder.java
+++ b/router/src/main/java/tidebank/lease/LeaseHolder.java
@@ -4,6 +4,7 @@
 import java.util.Map;
 import java.util.SortedMap;
 import java.util.TreeMap;
+import tidebank.errors.MembershipException;
 import tidebank.errors.TidebankException;
 import tidebank.lease.CommandResult.Grant;
 import tidebank.lease.LeaseCommand.Kind;
@@ -177,8 +178,8 @@
 
   private void updateMembership(LeaseCommand command, CommandResult result) {
     TidebankException.Details error = result.error();
-    boolean retired = error != null && error.is(TidebankException.MemberRetired.class);
-    boolean unknown = error != null && error.is(TidebankException.MemberUnknown.class);
+    boolean retired = error != null && error.is(MembershipException.MemberRetired.class);
+    boolean unknown = error != null && error.is(MembershipException.MemberUnknown.class);
     joined = !retired && !unknown && (joined || error == null);
     left = retired || command.kind() == Kind.LEAVE;
     renewIntervalUs = result.config().renewIntervalUs();
--- a/router/src/main/java/tidebank/lease/LeaseTable.java
+++ b/router/src/main/java/tidebank/lease/LeaseTable.java
@@ -1,6 +1,7 @@
 package tidebank.lease;
 
 import java.util.List;
+import tidebank.errors.MembershipException;
 import tidebank.errors.TidebankException;
 
 /**
@@ -122,7 +123,7 @@
     long revision = 0;
     try {
       if (command.sequence() < lastSequence) {
-        throw new TidebankException.StaleSequenceNumber(
+        throw new MembershipException.StaleSequenceNumber(
             command.session(), command.sequence(), lastSequence);
       }
       revision = command.sentByMember() ? executeForMember(command) : executeForOperator(command);
--- a/router/src/main/java/tidebank/lease/MemberTable.java
+++ b/router/src/main/java/tidebank/lease/MemberTable.java
@@ -4,6 +4,7 @@
 import java.util.List;
 import java.util.SortedMap;
 import java.util.TreeMap;
+import tidebank.errors.MembershipException;
 import tidebank.errors.TidebankException;
 
 /** The members of a {@link LeaseTable}: joining, renewing, leaving, and operators' flags. */
@@ -35,7 +36,7 @@
   Member requireSender(LeaseCommand command) throws TidebankException {
     Member member = find(command.member());
     if (member == null || !member.joinedBy(command.session())) {
-      throw new TidebankException.MemberUnknown(command.member());
+      throw new MembershipException.MemberUnknown(command.member());
     }
     return requireNotRetired(member);
   }
@@ -44,14 +45,14 @@
   Member requireNamed(String name) throws TidebankException {
     Member member = find(name);
     if (member == null) {
-      throw new TidebankException.MemberNotFound(name);
+      throw new MembershipException.MemberNotFound(name);
     }
     return requireNotRetired(member);
   }
 
   private static Member requireNotRetired(Member member) throws TidebankException {
     if (member.retired()) {
-      throw new TidebankException.MemberRetired(member.name());
+      throw new MembershipException.MemberRetired(member.name());
     }
     return member;
   }
@@ -77,7 +78,7 @@
       return;
     }
     if (before.aliveAt(leaderClock)) {
-      throw new TidebankException.NameTaken(command.member(), before.expiresAt() - leaderClock);
+      throw new MembershipException.NameTaken(command.member(), before.expiresAt() - leaderClock);
     }
     // A member that keeps coming and going gets tasks ever later; a long absence is forgiven.
     long absentUs = leaderClock - before.expiresAt();
@@ -117,7 +118,7 @@
         members.values().stream()
             .filter(member -> !member.aliveAt(leaderClock) && !member.retired())
             .min(Comparator.comparingLong(Member::expiresAt))
-            .orElseThrow(() -> new TidebankException.MemberLimitReached(config.maxMembers()));
+            .orElseThrow(() -> new MembershipException.MemberLimitReached(config.maxMembers()));
     members.remove(longestGone.name());
   }
 
--- a/router/src/main/java/tidebank/lease/TaskLeaseTable.java
+++ b/router/src/main/java/tidebank/lease/TaskLeaseTable.java
@@ -5,6 +5,7 @@
 import java.util.Map;
 import java.util.SortedMap;
 import java.util.TreeMap;
+import tidebank.errors.MembershipException;
 import tidebank.errors.TidebankException;
 
 /**
@@ -44,11 +45,11 @@
     TaskLease lease = require(command.task());
     boolean expired = rules.isExpired(lease, leaderClock);
     if (!expired && !lease.heldBy(command.session())) {
-      throw new TidebankException.LeaseHeldByOther(
+      throw new MembershipException.LeaseHeldByOther(
           lease.task(), lease.holder(), lease.expiresAt() - leaderClock);
     }
     if (!lease.assignedMember().equals(command.member())) {
-      throw new TidebankException.TaskAssignedElsewhere(
+      throw new MembershipException.TaskAssignedElsewhere(
           lease.task(), lease.assignedMember(), command.member());
     }
     long fencingToken = expired ? rules.nextFencingToken(lease) : lease.fencingToken();
@@ -80,7 +81,7 @@
     TaskLease lease = requireCurrentHolder(command, leaderClock);
     config.checkTextLength("value", command.value());
     if (lease.revision() != command.revision()) {
-      throw new TidebankException.RevisionConflict(
+      throw new MembershipException.RevisionConflict(
           lease.task(), command.revision(), lease.revision());
     }
     TaskLease published = lease.published(command.value());
@@ -93,11 +94,11 @@
       throws TidebankException {
     TaskLease lease = require(command.task());
     if (!rules.isCurrentHolder(lease, command)) {
-      throw new TidebankException.StaleFencingToken(
+      throw new MembershipException.StaleFencingToken(
           lease.task(), command.fencingToken(), lease.fencingToken());
     }
     if (rules.isExpired(lease, leaderClock)) {
-      throw new TidebankException.LeaseExpired(lease.task(), lease.fencingToken());
+      throw new MembershipException.LeaseExpired(lease.task(), lease.fencingToken());
     }
     return lease;
   }
@@ -123,7 +124,7 @@
   TaskLease require(String task) throws TidebankException {
     TaskLease lease = leases.get(task);
     if (lease == null) {
-      throw new TidebankException.TaskNotFound(task);
+      throw new MembershipException.TaskNotFound(task);
     }
     return lease;
   }
--- a/router/src/main/java/tidebank/runtime/NettyResources.java
+++ b/router/src/main/java/tidebank/runtime/NettyResources.java
@@ -71,7 +71,7 @@
         .group(group)
         .channel(NioServerSocketChannel.class)
         .option(ChannelOption.SO_REUSEADDR, true)
-        .option(ChannelOption.SO_BACKLOG, config.budgets().clients())
+        .option(ChannelOption.SO_BACKLOG, config.budgets().maxServedClients())
         .childOption(ChannelOption.ALLOCATOR, allocator)
         .childOption(ChannelOption.TCP_NODELAY, true)
         .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
@@ -97,12 +97,15 @@
   private RecvByteBufAllocator clientReceiveBuffers() {
     RouterConfig.Budgets budgets = config.budgets();
     return new AdaptiveRecvByteBufAllocator(
-            budgets.readLeast(), budgets.readFirst(), budgets.readMost())
+            budgets.minReadBufferBytes(),
+            budgets.initialReadBufferBytes(),
+            budgets.maxReadBufferBytes())
         .respectMaybeMoreData(false)
         .maxMessagesPerRead(MAX_READS_PER_PASS);
   }
 
   private WriteBufferWaterMark waterMark() {
-    return new WriteBufferWaterMark(config.budgets().writeLow(), config.budgets().writeHigh());
+    return new WriteBufferWaterMark(
+        config.budgets().writeLowWaterMark(), config.budgets().writeHighWaterMark());
   }
 }
--- a/router/src/main/java/tidebank/runtime/QueryRouter.java
+++ b/router/src/main/java/tidebank/runtime/QueryRouter.java
@@ -51,7 +51,7 @@
 
   private QueryRouter(RouterConfig config, OperatorConfig operatorConfig) {
     this.config = config;
-    countersIntervalUs = operatorConfig.countersEveryUs();
+    countersIntervalUs = operatorConfig.counterLogIntervalUs();
     netty = new NettyResources(config);
     allocator = netty.allocator();
     loop = netty.loop();
@@ -122,11 +122,11 @@
   }
 
   private void open() throws IOException {
-    EndpointListParser.Members cached = cachedEndpoints();
+    EndpointListParser.EndpointList cached = cachedEndpoints();
     loop.submit(
             () -> {
               executor.endpointListReceived(ListUpdate.CACHED, cached.members());
-              discovery.begin(cached.members().isEmpty() ? -1 : cached.version());
+              discovery.start(cached.members().isEmpty() ? -1 : cached.version());
             })
         .syncUninterruptibly();
     ChannelFuture binding = clients.listen(netty.incoming()).awaitUninterruptibly();
@@ -141,12 +141,12 @@
   }
 
   /** Returns the endpoint list that the configuration carries, or an empty one. */
-  private EndpointListParser.Members cachedEndpoints() throws MalformedInputException {
-    if (config.known() == null) {
-      return new EndpointListParser.Members(0, true, List.of());
+  private EndpointListParser.EndpointList cachedEndpoints() throws MalformedInputException {
+    if (config.cachedList() == null) {
+      return new EndpointListParser.EndpointList(0, true, List.of());
     }
     try {
-      return EndpointListParser.read(config.known());
+      return EndpointListParser.read(config.cachedList());
     } catch (MalformedInputException fault) {
       throw new MalformedInputException("known: " + fault.getMessage());
     }
@@ -186,7 +186,7 @@
         () -> {
           counters.add("config.reloaded");
           if (!shutdown.isComplete()) {
-            discovery.moved(fresh.discovery());
+            discovery.changeAddress(fresh.discovery());
           }
         });
   }
--- a/router/src/main/java/tidebank/runtime/ServeCommand.java
+++ b/router/src/main/java/tidebank/runtime/ServeCommand.java
@@ -45,7 +45,7 @@
 
   private QueryRouter start(OperatorConfig operatorConfig) throws IOException {
     try {
-      Log.style(operatorConfig.logging());
+      Log.configure(operatorConfig.logging());
       RouterConfig config = RouterConfig.read(System.getenv());
       starting = true;
       QueryRouter router = QueryRouter.start(config, operatorConfig);
--- a/router/src/test/java/tidebank/config/ConfigFixtureTest.java
+++ b/router/src/test/java/tidebank/config/ConfigFixtureTest.java
@@ -153,24 +153,24 @@
             .put("log.form", file.logging().format())
             .put("log.lines_a_second", file.logging().maxLinesPerSecond())
             .put("report.counters_every_us", file.counterLogIntervalUs());
-    CaptureRecorder.Plan capture = file.capture();
+    CaptureRecorder.Config capture = file.capture();
     if (capture != null) {
       fields
-          .put("capture.folder", capture.folder())
-          .put("capture.wholeActions", capture.wholeActions())
-          .put("capture.ring_turns", capture.ringTurns())
+          .put("capture.folder", capture.directory())
+          .put("capture.wholeActions", capture.keepActions())
+          .put("capture.ring_turns", capture.queueCapacity())
           .put("capture.segment_bytes", capture.segmentBytes())
-          .put("capture.budget_bytes", capture.budgetBytes())
-          .put("capture.force", capture.force());
+          .put("capture.budget_bytes", capture.maxTotalBytes())
+          .put("capture.force", capture.syncEveryBlock());
     }
     FleetAgent.Plan fleet = file.fleet();
     if (fleet != null) {
       fields
-          .put("fleet.stewards", fleet.stewards())
-          .put("fleet.folder", fleet.folder())
-          .put("fleet.every_us", fleet.everyUs())
-          .put("fleet.keep_us", fleet.keep().ageUs())
-          .put("fleet.keep_bytes", fleet.keep().bytes());
+          .put("fleet.stewards", fleet.coordinators())
+          .put("fleet.folder", fleet.sharedFolder())
+          .put("fleet.every_us", fleet.intervalUs())
+          .put("fleet.keep_us", fleet.retention().ageUs())
+          .put("fleet.keep_bytes", fleet.retention().bytes());
     }
     return fields.lines();
   }
--- a/testbed/src/main/java/tidebank/testbed/chaos/LeaseRules.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/LeaseRules.java
@@ -4,6 +4,7 @@
 import java.util.List;
 import java.util.TreeSet;
 import java.util.function.UnaryOperator;
+import tidebank.errors.MembershipException;
 import tidebank.errors.TidebankException;
 import tidebank.lease.CommandResult;
 import tidebank.lease.LeaseCommand;
@@ -198,7 +199,7 @@
     if (error == null) {
       return now -> claimed(now, command, grantedToken(result, task));
     }
-    if (error.is(TidebankException.LeaseHeldByOther.class)) {
+    if (error.is(MembershipException.LeaseHeldByOther.class)) {
       return now -> now.session().equals(command.session()) || now.session().isEmpty() ? null : now;
     }
     return null;
@@ -220,7 +221,7 @@
               ? now.published(command.value())
               : null;
     }
-    if (error.is(TidebankException.RevisionConflict.class)) {
+    if (error.is(MembershipException.RevisionConflict.class)) {
       return now -> now.isHeldBy(command) && now.revision() != command.revision() ? now : null;
     }
     return rejectedEffect(command, error);
@@ -228,10 +229,10 @@
 
   private static UnaryOperator<TaskState> rejectedEffect(
       LeaseCommand command, TidebankException.Details error) {
-    if (error.is(TidebankException.StaleFencingToken.class)) {
+    if (error.is(MembershipException.StaleFencingToken.class)) {
       return now -> now.isHeldBy(command) ? null : now;
     }
-    if (error.is(TidebankException.LeaseExpired.class)) {
+    if (error.is(MembershipException.LeaseExpired.class)) {
       return now -> now.isHeldBy(command) ? now : null;
     }
     return null;
--- a/testbed/src/main/java/tidebank/testbed/chaos/RunArtifacts.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/RunArtifacts.java
@@ -6,7 +6,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
-import tidebank.errors.TidebankException;
+import tidebank.errors.TestbedException;
 import tidebank.fleet.LeaseJson;
 import tidebank.testbed.chaos.ScriptRunner.Verdict;
 
@@ -84,13 +84,13 @@
   /**
    * Reads the verdict of a run's folder.
    *
-   * @throws TidebankException.RunUnknown if there is none
+   * @throws TestbedException.RunUnknown if there is none
    * @throws IOException if it can't be read
    */
   public static Verdict verdict(Path folder) throws IOException {
     Path file = folder.resolve(VERDICT_FILE);
     if (!Files.isRegularFile(file)) {
-      throw new TidebankException.RunUnknown(folder.toString());
+      throw new TestbedException.RunUnknown(folder.toString());
     }
     return JSON.readValue(file.toFile(), Verdict.class);
   }
--- a/testbed/src/main/java/tidebank/testbed/chaos/Script.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/Script.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import tidebank.config.MalformedInputException;
 import tidebank.config.Toml;
-import tidebank.errors.TidebankException;
+import tidebank.errors.TestbedException;
 
 /**
  * A script: operations on the processes and links of a cluster, each carried out once its condition
@@ -233,7 +233,7 @@
   /**
    * Reads a built-in script by its name, or any file.
    *
-   * @throws TidebankException.ScriptUnknown if it is neither
+   * @throws TestbedException.ScriptUnknown if it is neither
    * @throws IOException if it can't be read, or is no valid script
    */
   public static Script read(String nameOrFile) throws IOException {
@@ -243,7 +243,7 @@
     }
     Path file = Path.of(nameOrFile);
     if (!Files.isRegularFile(file)) {
-      throw new TidebankException.ScriptUnknown(nameOrFile, builtInNames());
+      throw new TestbedException.ScriptUnknown(nameOrFile, builtInNames());
     }
     return read(Toml.read(file), file.getFileName().toString().replace(".toml", ""));
   }
--- a/testbed/src/main/java/tidebank/testbed/chaos/ScriptReader.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/ScriptReader.java
@@ -51,9 +51,9 @@
         new Script(
             name,
             root.text("about", ""),
-            (int) root.whole("stewards", 3, 1, 5),
-            (int) root.whole("members", 3, 1, 12),
-            root.whole("lease_ms", 1000, 200, 60_000),
+            (int) root.integer("stewards", 3, 1, 5),
+            (int) root.integer("members", 3, 1, 12),
+            root.integer("lease_ms", 1000, 200, 60_000),
             root.number("drift", 0.05, 0, 0.2),
             clockRates,
             steps);
@@ -87,17 +87,17 @@
     Step step =
         new Step(
             table.choice("await", Condition.NOTHING, Condition.class),
-            (int) table.whole("count", 1, 1, MAX_COUNT),
-            (int) table.whole("scans", 1, 1, MAX_COUNT),
+            (int) table.integer("count", 1, 1, MAX_COUNT),
+            (int) table.integer("scans", 1, 1, MAX_COUNT),
             table.text("of", "owner"),
             table.choice("do", Operation.NOTHING, Operation.class),
             table.text("who", ""),
             table.text("as", ""),
             table.text("to", ""),
             table.choice("fault", null, FaultyLink.Fault.class),
-            table.whole("ms", 0, 0, MAX_FAULT_MS),
-            table.whole("jitter_ms", 0, 0, MAX_FAULT_MS),
-            table.whole("bytes_s", Step.DEFAULT_BYTES_PER_S, 1, MAX_BYTES_PER_S),
+            table.integer("ms", 0, 0, MAX_FAULT_MS),
+            table.integer("jitter_ms", 0, 0, MAX_FAULT_MS),
+            table.integer("bytes_s", Step.DEFAULT_BYTES_PER_S, 1, MAX_BYTES_PER_S),
             table.number("clock", 1, 0.5, 2));
     boolean link = step.operation() == Operation.LINK;
     if (link && (step.fault() == null || step.linkTarget().isEmpty())) {
--- a/testbed/src/test/java/tidebank/lease/LeaseModel.java
+++ b/testbed/src/test/java/tidebank/lease/LeaseModel.java
@@ -6,6 +6,7 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 import java.util.stream.Collectors;
+import tidebank.errors.MembershipException;
 import tidebank.errors.TidebankException;
 import tidebank.testbed.explore.Explorer;
 
@@ -322,9 +323,9 @@
   private static boolean isSuperseded(CommandResult result) {
     TidebankException.Details error = result.error();
     return error != null
-        && (error.is(TidebankException.StaleSequenceNumber.class)
-            || error.is(TidebankException.MemberUnknown.class)
-            || error.is(TidebankException.NameTaken.class));
+        && (error.is(MembershipException.StaleSequenceNumber.class)
+            || error.is(MembershipException.MemberUnknown.class)
+            || error.is(MembershipException.NameTaken.class));
   }
 
   // ---- what must hold
--- a/testbed/src/test/java/tidebank/testbed/ArchitectureTest.java
+++ b/testbed/src/test/java/tidebank/testbed/ArchitectureTest.java
@@ -26,11 +26,12 @@
   /** The classes that decide. A new one is added here. */
   private static final Set<String> DECIDE =
       Set.of(
-          "tidebank.policy.RoutingPolicy",
           "tidebank.capture.BlockReader",
           "tidebank.capture.BlockWriter",
           "tidebank.capture.CaptureDecoder",
           "tidebank.capture.CaptureEncoder",
+          "tidebank.capture.CaptureFormat",
+          "tidebank.capture.UnreadableCaptureException",
           "tidebank.capture.SegmentRetention",
           "tidebank.fleet.FleetReport",
           "tidebank.fleet.Retention",
