--- a/coordinator/src/main/java/tidebank/coordinator/LeaseAuditLog.java
+++ b/coordinator/src/main/java/tidebank/coordinator/LeaseAuditLog.java
@@ -6,7 +6,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.SortedMap;
+import java.util.NavigableMap;
 import java.util.TreeMap;
 import tidebank.coordinator.CoordinatorClient.AuditEntry;
 import tidebank.lease.LeaseTableState;
@@ -19,7 +19,7 @@
 final class LeaseAuditLog {
   static final int MAX_ENTRIES_PER_TASK = 64;
 
-  private final SortedMap<String, Deque<AuditEntry>> entriesByTask = new TreeMap<>();
+  private final NavigableMap<String, Deque<AuditEntry>> entriesByTask = new TreeMap<>();
 
   /** Creates a log that goes on from stored entries. */
   LeaseAuditLog(Map<String, List<AuditEntry>> stored) {
@@ -73,8 +73,8 @@
   }
 
   /** Returns the entries of all tasks, the oldest first. */
-  SortedMap<String, List<AuditEntry>> all() {
-    SortedMap<String, List<AuditEntry>> all = new TreeMap<>();
+  NavigableMap<String, List<AuditEntry>> all() {
+    NavigableMap<String, List<AuditEntry>> all = new TreeMap<>();
     entriesByTask.forEach((task, entries) -> all.put(task, new ArrayList<>(entries)));
     return all;
   }
--- a/router/src/main/java/tidebank/backend/InFlightAttempt.java
+++ b/router/src/main/java/tidebank/backend/InFlightAttempt.java
@@ -35,20 +35,20 @@
 
   /** Returns the id of the shard request, by which the response is matched. */
   String requestId() {
-    return request.requestId;
+    return request.requestId();
   }
 
   int shard() {
-    return request.shard;
+    return request.shard();
   }
 
   byte[] body() {
-    return request.body;
+    return request.body();
   }
 
   /** Returns when the attempt is cancelled at the latest, in microseconds. */
   long deadline() {
-    return request.deadline;
+    return request.deadline();
   }
 
   void markWriting() {
--- a/router/src/main/java/tidebank/backend/ShardClient.java
+++ b/router/src/main/java/tidebank/backend/ShardClient.java
@@ -140,7 +140,7 @@
 
   @Override
   public AttemptRequest.Handle send(AttemptRequest request) {
-    return pool(request.server).add(request);
+    return pool(request.server()).add(request);
   }
 
   @Override
--- a/router/src/main/java/tidebank/runtime/AttemptRequest.java
+++ b/router/src/main/java/tidebank/runtime/AttemptRequest.java
@@ -5,16 +5,10 @@
  * its outcome once, through {@link PolicyExecutor#attemptCompleted}.
  */
 public final class AttemptRequest {
-  public final String requestId;
-  public final int shard;
-  public final String server;
-  public final byte[] body;
-
-  /** When the attempt is given up, in microseconds. */
-  public final long deadline;
-
   private final PendingShardRequest shardRequest;
   private final int number;
+  private final String server;
+  private final long deadline;
   private final long createdAt;
   private Handle handle;
   private boolean completed;
@@ -22,15 +16,37 @@
   AttemptRequest(
       PendingShardRequest shardRequest, int number, String server, long deadline, long createdAt) {
     this.shardRequest = shardRequest;
-    this.requestId = shardRequest.id();
-    this.shard = shardRequest.range().shard();
     this.number = number;
     this.server = server;
-    this.body = shardRequest.query().request().body();
     this.deadline = deadline;
     this.createdAt = createdAt;
   }
 
+  /** Returns the id of the shard request on the wire. */
+  public String requestId() {
+    return shardRequest.id();
+  }
+
+  /** Returns the shard that is asked. */
+  public int shard() {
+    return shardRequest.range().shard();
+  }
+
+  /** Returns the id of the shard server that the attempt goes to. */
+  public String server() {
+    return server;
+  }
+
+  /** Returns the body; it is the same for all shard requests of a query. Not to be modified. */
+  public byte[] body() {
+    return shardRequest.query().request().body();
+  }
+
+  /** Returns when the attempt is given up, in microseconds. */
+  public long deadline() {
+    return deadline;
+  }
+
   PendingShardRequest shardRequest() {
     return shardRequest;
   }
--- a/router/src/main/java/tidebank/runtime/NettyResources.java
+++ b/router/src/main/java/tidebank/runtime/NettyResources.java
@@ -56,10 +56,6 @@
     return group.next();
   }
 
-  ByteBufAllocator allocator() {
-    return allocator;
-  }
-
   /** Returns the template of connections to shard servers and discovery. */
   Bootstrap outgoing() {
     return outgoing;
--- a/router/src/main/java/tidebank/runtime/QueryRouter.java
+++ b/router/src/main/java/tidebank/runtime/QueryRouter.java
@@ -1,6 +1,5 @@
 package tidebank.runtime;
 
-import io.netty.buffer.ByteBufAllocator;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
@@ -35,7 +34,6 @@
   private final Clock clock = new Clock();
   private final Counters counters = new Counters();
   private final NettyResources netty;
-  private final ByteBufAllocator allocator;
   private final EventLoop loop;
   private final TimerQueue timers;
   private final PolicyExecutor executor;
@@ -53,7 +51,6 @@
     this.config = config;
     countersIntervalUs = operatorConfig.counterLogIntervalUs();
     netty = new NettyResources(config);
-    allocator = netty.allocator();
     loop = netty.loop();
     timers = new TimerQueue(loop, clock, counters);
     executor = new PolicyExecutor(config.settings(), config.seed(), clock, timers, loop, counters);
