--- a/router/src/test/java/tidebank/MalformedInputTest.java
+++ b/router/src/test/java/tidebank/MalformedInputTest.java
@@ -342,9 +342,12 @@
   }
 
   private PooledByteBufAllocatorMetric memory() throws Exception {
-    Field allocator = QueryRouter.class.getDeclaredField("allocator");
+    Field netty = QueryRouter.class.getDeclaredField("netty");
+    netty.setAccessible(true);
+    Object resources = netty.get(site.gatherer());
+    Field allocator = resources.getClass().getDeclaredField("allocator");
     allocator.setAccessible(true);
-    return ((PooledByteBufAllocator) allocator.get(site.gatherer())).metric();
+    return ((PooledByteBufAllocator) allocator.get(resources)).metric();
   }
 
   @Test
