--- a/testbed/src/test/java/tidebank/testbed/ArchitectureTest.java
+++ b/testbed/src/test/java/tidebank/testbed/ArchitectureTest.java
@@ -180,6 +180,7 @@
                     .or(
                         JavaClass.Predicates.belongToAnyOf(
                             tidebank.errors.TidebankException.class,
+                            tidebank.errors.MembershipException.class,
                             tidebank.model.SeededRandom.class))));
   }
 
