--- a/testbed/src/main/java/tidebank/testbed/deployment/Deployment.java
+++ b/testbed/src/main/java/tidebank/testbed/deployment/Deployment.java
@@ -85,6 +85,20 @@
   public record Clients(int retries, long waitUs) {}
 
   private static final long MS = 1000;
+
+  /** Words of a deployment's file for whether a request may run more than once. */
+  private enum Repeat {
+    REPLAYABLE(Idempotency.IDEMPOTENT),
+    KEYED(Idempotency.WITH_KEY),
+    NON_REPLAYABLE(Idempotency.NON_IDEMPOTENT);
+
+    private final Idempotency idempotency;
+
+    Repeat(Idempotency idempotency) {
+      this.idempotency = idempotency;
+    }
+  }
+
   private static final ObjectMapper JSON = new ObjectMapper();
 
   /**
@@ -132,7 +146,7 @@
       Type type =
           new Type(
               row.requiredText("name"),
-              row.choice("repeat", Idempotency.NON_IDEMPOTENT, Idempotency.class),
+              row.choice("repeat", Repeat.NON_REPLAYABLE, Repeat.class).idempotency,
               target,
               row.integer("timeout_ms", 3 * target / MS, 1, 600_000) * MS,
               row.number("late_share", 0, 0, 1),
