--- a/router/src/main/java/tidebank/model/Outcome.java
+++ b/router/src/main/java/tidebank/model/Outcome.java
@@ -21,14 +21,14 @@
   /** The attempt was never sent. */
   NOT_SENT(true);
 
-  private final boolean neverExecuted;
+  private final boolean provesNotExecuted;
 
   Outcome(boolean neverExecuted) {
-    this.neverExecuted = neverExecuted;
+    this.provesNotExecuted = neverExecuted;
   }
 
   /** Returns whether this outcome proves that the server did not execute the attempt. */
-  public boolean neverExecuted() {
-    return neverExecuted;
+  public boolean provesNotExecuted() {
+    return provesNotExecuted;
   }
 }
--- a/router/src/main/java/tidebank/model/SeededRandom.java
+++ b/router/src/main/java/tidebank/model/SeededRandom.java
@@ -29,7 +29,7 @@
     int bits = (int) crc(text);
     bits = (bits ^ (bits >>> 16)) * 0x85ebca6b;
     bits = (bits ^ (bits >>> 13)) * 0xc2b2ae35;
-    return plainHash(Integer.toUnsignedLong(bits ^ (bits >>> 16)));
+    return crcHash(Integer.toUnsignedLong(bits ^ (bits >>> 16)));
   }
 
   /**
@@ -37,11 +37,11 @@
    * selected with it; hashes with a more even distribution did worse in trials (see the design
    * page).
    */
-  public static double plainHash(String text) {
-    return plainHash(crc(text));
+  public static double crcHash(String text) {
+    return crcHash(crc(text));
   }
 
-  private static double plainHash(long bits) {
+  private static double crcHash(long bits) {
     return bits / (double) (1L << 32);
   }
 
--- a/router/src/main/java/tidebank/policy/ActionEmitter.java
+++ b/router/src/main/java/tidebank/policy/ActionEmitter.java
@@ -59,8 +59,8 @@
     if (endpointWatch.startIfDue(now)) {
       actions.add(new Action.WatchEndpoints(true));
     }
-    attempts.changed().forEach(this::emitAttempt);
-    attempts.changed().clear();
+    attempts.changedAttempts().forEach(this::emitAttempt);
+    attempts.changedAttempts().clear();
     long wakeAt = Math.min(workQueue.nextReviewAt(), endpointWatch.nextStartAt());
     if (timer.setIfEarlier(wakeAt, now + settings.tickUs())) {
       actions.add(new Action.SetTimer(timer.firesAt() - now, timer.token()));
@@ -77,7 +77,7 @@
       actions.add(
           new Action.SendAttempt(
               attempt.request().id(), attempt.server().id(), attempt.deadline()));
-    } else if (attempt.isUnwanted() && settings.limits().cancellation()) {
+    } else if (attempt.isAbandoned() && settings.limits().cancellation()) {
       attempt.markCancelled();
       actions.add(new Action.CancelAttempt(attempt.request().id(), attempt.number()));
     }
--- a/router/src/main/java/tidebank/policy/Attempt.java
+++ b/router/src/main/java/tidebank/policy/Attempt.java
@@ -22,7 +22,7 @@
   private final int number;
   private final ShardServer server;
   private final long sentAt;
-  private final long batch;
+  private final long batchNumber;
   private State state = State.SCHEDULED;
   private Outcome outcome;
   private long timeoutAt;
@@ -36,7 +36,7 @@
     this.number = number;
     this.server = server;
     this.sentAt = sentAt;
-    this.batch = batchNumber;
+    this.batchNumber = batchNumber;
   }
 
   ShardRequest request() {
@@ -61,8 +61,8 @@
   }
 
   /** Returns the number of the batch in which it is sent, alone or with other requests. */
-  long batch() {
-    return batch;
+  long batchNumber() {
+    return batchNumber;
   }
 
   /** Returns its outcome, or null while it is in flight. */
@@ -122,7 +122,7 @@
 
   /** Returns whether its server may have executed it or may still do so. */
   boolean mayHaveExecuted() {
-    return isInFlight() || !outcome.neverExecuted();
+    return isInFlight() || !outcome.provesNotExecuted();
   }
 
   boolean isScheduled() {
@@ -137,7 +137,7 @@
   /**
    * Returns whether it was abandoned after it was sent, and has neither been cancelled nor ended.
    */
-  boolean isUnwanted() {
+  boolean isAbandoned() {
     return state == State.ABANDONED;
   }
 
@@ -150,7 +150,7 @@
   }
 
   /** Abandons it, as its response is no longer needed; if it was not sent yet, it is discarded. */
-  void giveUp() {
+  void abandon() {
     if (state == State.SCHEDULED) {
       end(State.DISCARDED, Outcome.NOT_SENT);
     } else if (state == State.SENT) {
--- a/router/src/main/java/tidebank/policy/AttemptFeedback.java
+++ b/router/src/main/java/tidebank/policy/AttemptFeedback.java
@@ -11,7 +11,7 @@
    * How long after losing a connection with attempts in flight an ejected, unreachable server
    * counts as crashed.
    */
-  private static final long CRASH_EVIDENCE_US = 4_000_000;
+  private static final long CRASH_WINDOW_US = 4_000_000;
 
   /** The share of the latency objective from which on a response counts as slow. */
   private static final double SLOW_OBJECTIVE_SHARE = 0.5;
@@ -75,7 +75,7 @@
     attempt.markTimedOut();
     ShardServer server = attempt.server();
     server.recordTimeout(attempt.sentAt());
-    idleConnections.recordSilence(attempt, latency.responsesAreQueueing());
+    idleConnections.recordMissingResponse(attempt, latency.responsesAreQueueing());
     if (!idleConnections.isProbablyDropped(attempt)) {
       recordCongestion(server, latency.responsesAreQueueing(), now);
       server.outlierDetector().recordFailure(now);
@@ -100,12 +100,12 @@
 
   private void recordConnectionFault(Attempt attempt, long now) {
     ShardServer server = attempt.server();
-    idleConnections.recordSilence(attempt, latency.responsesAreQueueing());
+    idleConnections.recordMissingResponse(attempt, latency.responsesAreQueueing());
     server.outlierDetector().recordConnectionFault(idleConnections.isProbablyDropped(attempt), now);
     if (attempt.outcome() == Outcome.UNREACHABLE) {
       idleConnections.recordUnreachable();
       server.recordUnreachable(now);
-      if (server.isEjected() && server.lostConnectionWithin(CRASH_EVIDENCE_US, now)) {
+      if (server.isEjected() && server.lostConnectionWithin(CRASH_WINDOW_US, now)) {
         canaries.recordCrash(now);
       }
     }
@@ -117,10 +117,10 @@
   }
 
   private void recordCongestion(ShardServer server, boolean congested, long now) {
-    congestion.recordSample(server, congested, endpoints.size(), now);
+    congestion.recordSample(server, congested, endpoints.inServiceCount(), now);
   }
 
   private ConcurrencyLimit concurrencyLimit(Attempt attempt) {
-    return limits.of(attempt.request().shard());
+    return limits.forShard(attempt.request().shard());
   }
 }
--- a/router/src/main/java/tidebank/policy/AttemptPlanner.java
+++ b/router/src/main/java/tidebank/policy/AttemptPlanner.java
@@ -39,35 +39,35 @@
   /** Schedules the next attempt of a request that needs one, or fails it if none is possible. */
   void advance(ShardRequest request, long now) {
     if (request.isPending()) {
-      startFirst(request, now);
+      scheduleFirst(request, now);
     } else if (request.isSent() && hedging.needsFurtherAttempt(request, now)) {
       if (retries.isRetryable(request, now)) {
         retryOrHedge(request, now);
       } else if (!request.hasAttemptInFlight()) {
         request.fail();
       }
-      reviewSoon(request.query(), now);
+      scheduleReview(request.query(), now);
     }
   }
 
   /**
    * Schedules the first attempt of a pending request, or fails it if an attempt would be useless.
    */
-  void startFirst(ShardRequest request, long now) {
-    if (endpoints.replicas(request.shard()).isEmpty() || isTooLate(request.query(), now)) {
+  void scheduleFirst(ShardRequest request, long now) {
+    if (endpoints.replicas(request.shard()).isEmpty() || isTooLateToSend(request.query(), now)) {
       request.fail();
       return;
     }
     ShardServer server = replicas.select(request, now);
     if (server == null) {
-      reviewSoon(request.query(), now);
+      scheduleReview(request.query(), now);
     } else {
       attempts.schedule(request, server, now);
       request.markSent();
     }
   }
 
-  private boolean isTooLate(Query query, long now) {
+  private boolean isTooLateToSend(Query query, long now) {
     return now >= query.objectiveAt()
         && (congestion.isOverloaded() || query.queryClass().lateWeight() <= 0);
   }
@@ -80,23 +80,23 @@
     if (server == null) {
       return;
     }
-    if (!request.hasAttemptInFlight() || hedging.admits(request, now)) {
+    if (!request.hasAttemptInFlight() || hedging.allowsHedging(request, now)) {
       attempts.schedule(request, server, now);
     } else if (!server.isEjected()) {
-      giveUpAtEjectedServers(request);
+      abandonAtEjectedServers(request);
     }
   }
 
   /** Abandons attempts that cannot be hedged; the request is retried once they have ended. */
-  private void giveUpAtEjectedServers(ShardRequest request) {
+  private void abandonAtEjectedServers(ShardRequest request) {
     for (Attempt attempt : request.attempts()) {
       if (attempt.server().isEjected()) {
-        attempts.giveUp(attempt);
+        attempts.abandon(attempt);
       }
     }
   }
 
-  private void reviewSoon(Query query, long now) {
+  private void scheduleReview(Query query, long now) {
     long timeoutUs = latency.attemptTimeoutUs(query.queryClass());
     workQueue.reviewAt(now + timeoutUs / REVIEWS_PER_TIMEOUT, query);
   }
--- a/router/src/main/java/tidebank/policy/AttemptScheduler.java
+++ b/router/src/main/java/tidebank/policy/AttemptScheduler.java
@@ -25,8 +25,8 @@
   private final QueryWorkQueue workQueue;
   private final SeededRandom random;
   private final double idleAfterUs;
-  private final List<Attempt> changed = new ArrayList<>();
-  private long lastBatch;
+  private final List<Attempt> changedAttempts = new ArrayList<>();
+  private long lastBatchNumber;
 
   AttemptScheduler(
       Settings settings,
@@ -48,14 +48,14 @@
   /**
    * Returns the attempts that were scheduled or abandoned, in order; the caller clears the list.
    */
-  List<Attempt> changed() {
-    return changed;
+  List<Attempt> changedAttempts() {
+    return changedAttempts;
   }
 
   /** Schedules the next attempt of a request at a server. */
   void schedule(ShardRequest request, ShardServer server, long now) {
     if (server.needsBatch(settings.layout().maxBatchSize(), now)) {
-      server.openBatch(++lastBatch, now);
+      server.openBatch(++lastBatchNumber, now);
     }
     Query query = request.query();
     int number = request.attempts().size();
@@ -69,7 +69,7 @@
     }
     server.slowStart().recordSend(now);
     server.inFlight().add(attempt);
-    changed.add(attempt);
+    changedAttempts.add(attempt);
     workQueue.reviewAt(attempt.timeoutAt(), query);
   }
 
@@ -113,17 +113,17 @@
   }
 
   /** Abandons an attempt if it has not ended. */
-  void giveUp(Attempt attempt) {
-    attempt.giveUp();
-    if (attempt.isUnwanted()) {
-      changed.add(attempt);
+  void abandon(Attempt attempt) {
+    attempt.abandon();
+    if (attempt.isAbandoned()) {
+      changedAttempts.add(attempt);
     }
   }
 
   /** Fails a request unless it is answered, and abandons all its attempts. */
-  void giveUp(ShardRequest request) {
+  void abandon(ShardRequest request) {
     request.fail();
-    request.attempts().forEach(this::giveUp);
+    request.attempts().forEach(this::abandon);
     request.attempts().removeIf(Attempt::isDiscarded);
   }
 }
--- a/router/src/main/java/tidebank/policy/CanaryGuard.java
+++ b/router/src/main/java/tidebank/policy/CanaryGuard.java
@@ -13,7 +13,7 @@
   private static final int MIN_CRASHES = 2;
 
   /** Length of the window as a multiple of the shortest latency objective. */
-  private static final int WINDOW_OBJECTIVES = 16;
+  private static final int WINDOW_OBJECTIVE_MULTIPLE = 16;
 
   private final long windowUs;
   private final CongestionDetector congestion;
@@ -28,7 +28,7 @@
       LatencyTracker latency,
       DeadlineBudget deadlines,
       QueryWorkQueue workQueue) {
-    this.windowUs = WINDOW_OBJECTIVES * shortestObjectiveUs;
+    this.windowUs = WINDOW_OBJECTIVE_MULTIPLE * shortestObjectiveUs;
     this.congestion = congestion;
     this.latency = latency;
     this.deadlines = deadlines;
@@ -41,7 +41,7 @@
   }
 
   /** Returns whether a query with ranked requests has to wait for its first one, the canary. */
-  boolean holdsBack(Query query, long now) {
+  boolean isAwaitingCanary(Query query, long now) {
     List<ShardRequest> requests = query.requests();
     if (crashes.count(now, windowUs) < MIN_CRASHES
         || congestion.isOverloaded()
--- a/router/src/main/java/tidebank/policy/ConcurrencyLimit.java
+++ b/router/src/main/java/tidebank/policy/ConcurrencyLimit.java
@@ -7,12 +7,12 @@
  * responses, and decreased multiplicatively by rejections and timeouts.
  */
 final class ConcurrencyLimit {
-  private static final double INITIAL = 8;
+  private static final double INITIAL_PER_REPLICA = 8;
 
   private static final double DECREASE_FACTOR = 0.5;
-  private static final long RECENT_US = 1_000_000;
+  private static final long RECENT_DECREASE_US = 1_000_000;
 
-  private double perReplica = INITIAL;
+  private double perReplica = INITIAL_PER_REPLICA;
   private long decreasedAt = Long.MIN_VALUE / 2;
 
   /**
@@ -21,7 +21,7 @@
    * router has in flight then say nothing about the load of the replica.
    */
   static boolean isTrafficSparse(Settings settings) {
-    return settings.routers() > 2 * INITIAL;
+    return settings.routers() > 2 * INITIAL_PER_REPLICA;
   }
 
   double perReplica() {
@@ -39,6 +39,6 @@
 
   /** Returns whether the limit is below its initial value or was decreased in the last second. */
   boolean isReduced(long now) {
-    return perReplica < INITIAL || now - decreasedAt < RECENT_US;
+    return perReplica < INITIAL_PER_REPLICA || now - decreasedAt < RECENT_DECREASE_US;
   }
 }
--- a/router/src/main/java/tidebank/policy/ConcurrencyLimits.java
+++ b/router/src/main/java/tidebank/policy/ConcurrencyLimits.java
@@ -7,7 +7,7 @@
 final class ConcurrencyLimits {
   private final Map<Integer, ConcurrencyLimit> byShard = new HashMap<>();
 
-  ConcurrencyLimit of(int shard) {
+  ConcurrencyLimit forShard(int shard) {
     return byShard.computeIfAbsent(shard, absent -> new ConcurrencyLimit());
   }
 }
--- a/router/src/main/java/tidebank/policy/CongestionDetector.java
+++ b/router/src/main/java/tidebank/policy/CongestionDetector.java
@@ -37,7 +37,7 @@
   }
 
   /** Returns the level as a multiple of the overload level. */
-  double relativeToOverload() {
+  double overloadRatio() {
     return level / OVERLOAD_LEVEL;
   }
 }
--- a/router/src/main/java/tidebank/policy/DeadlineBudget.java
+++ b/router/src/main/java/tidebank/policy/DeadlineBudget.java
@@ -41,7 +41,7 @@
   }
 
   /** Returns how long before its deadline or objective a query is answered, in microseconds. */
-  long answerAdvanceUs(QueryClass queryClass) {
+  long answerMarginUs(QueryClass queryClass) {
     double maxDelayUs = queryClass.latencyObjectiveUs() * MAX_DELAY_SHARE;
     return fixedMarginUs + Math.round(Math.min(eventLoopDelayUs, maxDelayUs));
   }
--- a/router/src/main/java/tidebank/policy/EndpointTable.java
+++ b/router/src/main/java/tidebank/policy/EndpointTable.java
@@ -23,7 +23,7 @@
   private final Map<String, ShardServer> servers = new HashMap<>();
   private final Map<Integer, TreeMap<String, ShardServer>> byPosition = new HashMap<>();
   private final Map<Integer, List<ShardServer>> replicasByShard = new HashMap<>();
-  private final Set<ShardServer> leaving = new LinkedHashSet<>();
+  private final Set<ShardServer> outOfService = new LinkedHashSet<>();
   private int inService;
 
   EndpointTable(Settings settings, long shortestObjectiveUs) {
@@ -32,7 +32,7 @@
   }
 
   /** Returns the number of servers in service. */
-  int size() {
+  int inServiceCount() {
     return inService;
   }
 
@@ -51,7 +51,7 @@
       server.setCapacity(endpoint.capacity());
       update(server, endpoint.position(), endpoint.status() == EndpointStatus.IN_SERVICE);
     }
-    leaving.removeIf(
+    outOfService.removeIf(
         server ->
             server.isInService()
                 || (server.inFlight().isEmpty() && servers.remove(server.id()) != null));
@@ -75,7 +75,7 @@
       replicasByShard.clear();
       server.setInService(true);
     } else if (!nowInService) {
-      leaving.add(server);
+      outOfService.add(server);
     }
   }
 
--- a/router/src/main/java/tidebank/policy/HedgingPolicy.java
+++ b/router/src/main/java/tidebank/policy/HedgingPolicy.java
@@ -40,7 +40,7 @@
    * Returns whether hedging is permitted and likely to help: every attempt in flight is at an
    * ejected server, very late, a straggler, or on an idle connection that was probably dropped.
    */
-  boolean admits(ShardRequest request, long now) {
+  boolean allowsHedging(ShardRequest request, long now) {
     if (!permitted) {
       return false;
     }
--- a/router/src/main/java/tidebank/policy/IdleConnectionDetector.java
+++ b/router/src/main/java/tidebank/policy/IdleConnectionDetector.java
@@ -26,7 +26,7 @@
    * as the queue may be the reason then, unless the server was unreachable, which a queue can't
    * cause. A protocol error is never evidence.
    */
-  void recordSilence(Attempt attempt, boolean responsesAreQueueing) {
+  void recordMissingResponse(Attempt attempt, boolean responsesAreQueueing) {
     boolean unreachable = attempt.outcome() == Outcome.UNREACHABLE;
     if (unreachable || (!responsesAreQueueing && attempt.outcome() != Outcome.PROTOCOL_ERROR)) {
       if (attempt.usesIdleConnection()) {
--- a/router/src/main/java/tidebank/policy/LatencyTracker.java
+++ b/router/src/main/java/tidebank/policy/LatencyTracker.java
@@ -71,7 +71,7 @@
   }
 
   /** Returns the baseline: the time that a response takes almost without queueing. */
-  double quickResponseUs() {
+  double baselineResponseUs() {
     return baselineUs;
   }
 
--- a/router/src/main/java/tidebank/policy/LoadThresholds.java
+++ b/router/src/main/java/tidebank/policy/LoadThresholds.java
@@ -56,7 +56,7 @@
       weight += request.weight();
       boolean passes = passes(request, rank, top, ranked.size());
       if (request.isPending() && passes) {
-        attempts.startFirst(request, now);
+        attempts.scheduleFirst(request, now);
       } else if (request.isPending()) {
         request.skip();
       }
@@ -68,7 +68,7 @@
       return false;
     }
     for (ShardRequest request : query.requests()) {
-      if (limits.of(request.shard()).isReduced(now)) {
+      if (limits.forShard(request.shard()).isReduced(now)) {
         return false;
       }
     }
@@ -76,13 +76,13 @@
   }
 
   private int topCount(int ranks) {
-    double share = Math.min(1, Math.max(0, 2 - 2 * congestion.relativeToOverload()));
+    double share = Math.min(1, Math.max(0, 2 - 2 * congestion.overloadRatio()));
     return (int) Math.ceil(ranks * share);
   }
 
   private boolean passes(ShardRequest request, int rank, int top, int ranks) {
     List<ShardServer> replicas = endpoints.replicas(request.shard());
-    double limit = limits.of(request.shard()).perReplica() * replicas.size();
+    double limit = limits.forShard(request.shard()).perReplica() * replicas.size();
     int load = 0;
     for (ShardServer server : replicas) {
       load += server.inFlight().size();
@@ -92,7 +92,7 @@
     }
     double decrease = (rank - top + 1.0) / (ranks - top);
     double threshold = limit * (1 - decrease * (1 - IDLE_LOAD_SHARE));
-    double expectedLoad = limit * Math.min(1, congestion.relativeToOverload());
+    double expectedLoad = limit * Math.min(1, congestion.overloadRatio());
     return (sparseTraffic ? Math.max(load, expectedLoad) : load) < threshold;
   }
 }
--- a/router/src/main/java/tidebank/policy/QueryCompletion.java
+++ b/router/src/main/java/tidebank/policy/QueryCompletion.java
@@ -76,7 +76,7 @@
   void review(Query query, long now) {
     progress.measure(query);
     query.setRemainingRequests(progress.unresolved);
-    long lastAnswerAt = query.deadline() - deadlines.answerAdvanceUs(query.queryClass());
+    long lastAnswerAt = query.deadline() - deadlines.answerMarginUs(query.queryClass());
     long partialAnswerAt = partialAnswerAt(query);
     if (progress.isEmpty() && now < lastAnswerAt) {
       workQueue.reviewAt(lastAnswerAt, query);
@@ -104,7 +104,7 @@
     long reserveUs =
         query.hasSecondStage()
             ? Math.round(queryClass.latencyObjectiveUs() * SECOND_STAGE_SHARE)
-            : deadlines.answerAdvanceUs(queryClass);
+            : deadlines.answerMarginUs(queryClass);
     return query.objectiveAt() - reserveUs;
   }
 
@@ -156,7 +156,7 @@
     query.decide(verdict);
     decided.add(query);
     for (ShardRequest request : query.requests()) {
-      attempts.giveUp(request);
+      attempts.abandon(request);
     }
   }
 
--- a/router/src/main/java/tidebank/policy/ReplicaSelector.java
+++ b/router/src/main/java/tidebank/policy/ReplicaSelector.java
@@ -70,7 +70,7 @@
         .filter(server -> !request.hasAttemptInFlightAt(server) && server.slowStart().admits(now))
         .sorted(
             Comparator.comparingDouble(
-                (ShardServer server) -> -SeededRandom.plainHash(salt + server.id())))
+                (ShardServer server) -> -SeededRandom.crcHash(salt + server.id())))
         .toList();
   }
 
@@ -109,9 +109,9 @@
     double load = 0;
     long lastBatch = -1;
     for (Attempt attempt : server.inFlight()) {
-      load += attempt.batch() != lastBatch ? 1 : BATCHED_REQUEST_LOAD;
+      load += attempt.batchNumber() != lastBatch ? 1 : BATCHED_REQUEST_LOAD;
       load += attempt.isTimedOut() ? TIMED_OUT_LOAD : 0;
-      lastBatch = attempt.batch();
+      lastBatch = attempt.batchNumber();
     }
     return load;
   }
--- a/router/src/main/java/tidebank/policy/RoutingPolicy.java
+++ b/router/src/main/java/tidebank/policy/RoutingPolicy.java
@@ -105,7 +105,7 @@
     }
     if (!query.isSelected()) {
       query.rankRequests();
-      if (!canaries.holdsBack(query, now)) {
+      if (!canaries.isAwaitingCanary(query, now)) {
         select(query);
       }
     }
@@ -126,7 +126,7 @@
 
   /** Returns whether not even a quick response would be back in time. */
   private boolean isTooLateToAnswer(Query query) {
-    double neededUs = deadlines.answerAdvanceUs(query.queryClass()) + latency.quickResponseUs();
+    double neededUs = deadlines.answerMarginUs(query.queryClass()) + latency.baselineResponseUs();
     return query.deadline() - now <= neededUs;
   }
 
@@ -152,7 +152,7 @@
     emitter.emitAnswer(query);
     if (query.isAnswered() && query.hasSecondStage()) {
       query.beginSecondStage();
-      long advanceUs = deadlines.answerAdvanceUs(query.queryClass());
+      long advanceUs = deadlines.answerMarginUs(query.queryClass());
       workQueue.reviewAt(query.deadline() - advanceUs, query);
     } else {
       queries.remove(query);
@@ -215,7 +215,7 @@
     }
     if (query.isOpen() && event.outcome() == Outcome.COMPLETED) {
       request.markAnswered();
-      scheduler.giveUp(request);
+      scheduler.abandon(request);
     } else if (query.isOpen() && event.requestClosed()) {
       request.fail();
     }
--- a/router/src/main/java/tidebank/policy/ServerRestarts.java
+++ b/router/src/main/java/tidebank/policy/ServerRestarts.java
@@ -36,7 +36,7 @@
 
   /** Records that a server started at the given time. */
   void recordStart(ShardServer server, long startedAt, long now) {
-    double batchUs = Math.max(latency.quickResponseUs(), minResponseUs) + batchOverheadUs;
+    double batchUs = Math.max(latency.baselineResponseUs(), minResponseUs) + batchOverheadUs;
     server.slowStart().begin(startedAt, server.capacity(), batchUs, random, now);
   }
 }
--- a/router/src/test/java/tidebank/policy/PolicyHarness.java
+++ b/router/src/test/java/tidebank/policy/PolicyHarness.java
@@ -51,19 +51,19 @@
   private final List<Event> events = new ArrayList<>();
 
   public PolicyHarness() {
-    queryClass("complete", Idempotency.IDEMPOTENT, 1, 0.1, 0);
-    queryClass("partial", Idempotency.IDEMPOTENT, 0.5, 0.1, 0);
-    queryClass("non-idempotent", Idempotency.NON_IDEMPOTENT, 1, 0.3, 0);
-    queryClass("keyed", Idempotency.WITH_KEY, 1, 0.3, 0);
-    queryClass("strict", Idempotency.IDEMPOTENT, 1, 0, 0);
-    queryClass("two-stage", Idempotency.IDEMPOTENT, 0.6, 0.3, 2);
+    addQueryClass("complete", Idempotency.IDEMPOTENT, 1, 0.1, 0);
+    addQueryClass("partial", Idempotency.IDEMPOTENT, 0.5, 0.1, 0);
+    addQueryClass("non-idempotent", Idempotency.NON_IDEMPOTENT, 1, 0.3, 0);
+    addQueryClass("keyed", Idempotency.WITH_KEY, 1, 0.3, 0);
+    addQueryClass("strict", Idempotency.IDEMPOTENT, 1, 0, 0);
+    addQueryClass("two-stage", Idempotency.IDEMPOTENT, 0.6, 0.3, 2);
   }
 
   /**
    * Adds a query class with a latency objective of 1 s, a timeout of 3 s and an idempotency window
    * of 2 s.
    */
-  void queryClass(
+  void addQueryClass(
       String name,
       Idempotency idempotency,
       double minimumWeight,
--- a/router/src/test/java/tidebank/policy/RoutingPolicyTest.java
+++ b/router/src/test/java/tidebank/policy/RoutingPolicyTest.java
@@ -239,7 +239,7 @@
   void settingsOfZerosStillGiveOneFinalAnswer() {
     harness.layout = new Settings.Layout(0, 0, 0, 1, 0);
     harness.rules = new Settings.Rules(0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
-    harness.queryClass("complete", Idempotency.IDEMPOTENT, 0, 0, 0);
+    harness.addQueryClass("complete", Idempotency.IDEMPOTENT, 0, 0, 0);
     harness.start();
     harness.query("q", "complete", 0.5, 0.5);
     harness.advance(3000);
