--- a/coordinator/src/main/java/tidebank/coordinator/AssignmentWaiters.java
+++ b/coordinator/src/main/java/tidebank/coordinator/AssignmentWaiters.java
@@ -12,8 +12,8 @@
 import tidebank.lease.LeaseTableState;
 
 /**
- * Members that wait for a task to claim. There are as many as there are connections at most, as one
- * that waits sends no other request. Methods may be called by any thread.
+ * The pending long polls of members that wait for a task to claim. Bounded by the number of
+ * connections, since a connection has at most one request pending. Thread-safe.
  */
 final class AssignmentWaiters {
   private static final byte[] NO_TASKS = "[]".getBytes(StandardCharsets.US_ASCII);
@@ -24,17 +24,17 @@
   private final Supplier<LeaseTableState> state;
 
   /**
-   * Creates it without waiters.
+   * Creates an empty set of waiters.
    *
-   * @param state returns the state as last applied
+   * @param state supplies the last applied state
    */
   AssignmentWaiters(Supplier<LeaseTableState> state) {
     this.state = state;
   }
 
   /**
-   * Completes with a member's unclaimed tasks as a JSON list: as soon as there is one, or with an
-   * empty list when the wait is over.
+   * Waits for unclaimed tasks of a member. Completes with their names as a JSON list as soon as
+   * there is one, or with an empty list after {@code waitMs}.
    */
   CompletableFuture<byte[]> await(String member, long waitMs) {
     Waiter waiter =
@@ -43,13 +43,13 @@
             new CompletableFuture<byte[]>()
                 .completeOnTimeout(NO_TASKS, waitMs, TimeUnit.MILLISECONDS));
     waiters.add(waiter);
-    waiter.tasks().whenComplete((tasks, failed) -> waiters.remove(waiter));
-    // After the next change knows of the waiter, so that none falls in between.
+    waiter.tasks().whenComplete((tasks, failure) -> waiters.remove(waiter));
+    // Check after registering: a change applied before that has not notified this waiter.
     notifyWaiters();
     return waiter.tasks();
   }
 
-  /** Completes those who have a task to claim now; called after each command applied. */
+  /** Completes the waiters that have a task to claim now; called after each applied command. */
   void notifyWaiters() {
     if (waiters.isEmpty()) {
       return;
--- a/coordinator/src/main/java/tidebank/coordinator/ConfigurationPublisher.java
+++ b/coordinator/src/main/java/tidebank/coordinator/ConfigurationPublisher.java
@@ -12,8 +12,8 @@
 import tidebank.lease.TaskLease;
 
 /**
- * Puts the lease configuration and the tasks of this coordinator's file into force when it becomes
- * the leader, through the log.
+ * Publishes the lease configuration and the task names of this coordinator's file through the
+ * replicated log when it becomes the leader.
  */
 final class ConfigurationPublisher {
   private static final Logger LOG = LoggerFactory.getLogger(ConfigurationPublisher.class);
@@ -26,34 +26,36 @@
     this.replica = replica;
   }
 
-  /** Publishes the file's configuration where it differs from the one in force. */
-  void publishIfChanged(LeaseTableState inForce) {
-    LeaseCommand.Plan wanted =
+  /** Publishes the file's configuration if it differs from the one in the lease table. */
+  void publishIfChanged(LeaseTableState state) {
+    LeaseCommand.Plan configured =
         new LeaseCommand.Plan(config.leaseConfig(), config.tasks().stream().sorted().toList());
     LeaseCommand.Plan current =
-        new LeaseCommand.Plan(
-            inForce.config(), inForce.tasks().stream().map(TaskLease::task).toList());
-    if (!wanted.equals(current)) {
+        new LeaseCommand.Plan(state.config(), state.tasks().stream().map(TaskLease::task).toList());
+    if (!configured.equals(current)) {
       String session = "plan of " + config.name() + " " + UUID.randomUUID();
-      publish(new LeaseCommand(LeaseCommand.Kind.PLAN, session, 1, "", "", 0, 0, "", wanted));
+      publish(new LeaseCommand(LeaseCommand.Kind.PLAN, session, 1, "", "", 0, 0, "", configured));
     }
   }
 
-  /** Retries until it is in force, or another coordinator leads, whose file counts then. */
+  /**
+   * Submits the command until it is committed, or until another coordinator leads and publishes its
+   * own configuration.
+   */
   private void publish(LeaseCommand command) {
     replica
         .write(LeaseCodec.write(command))
         .whenComplete(
-            (result, failed) -> {
-              if (failed == null
-                  || HttpErrors.toTidebankException(failed)
+            (result, failure) -> {
+              if (failure == null
+                  || HttpErrors.toTidebankException(failure)
                       instanceof CoordinatorException.NotLeading) {
                 return;
               }
               LOG.warn(
-                  "configuration is not in force yet: coordinator={}, error={}",
+                  "could not publish configuration, retrying: coordinator={}, error={}",
                   config.name(),
-                  failed.getMessage());
+                  failure.getMessage());
               CompletableFuture.delayedExecutor(config.electionTimeoutUs(), TimeUnit.MICROSECONDS)
                   .execute(() -> publish(command));
             });
--- a/coordinator/src/main/java/tidebank/coordinator/CoordinatorClient.java
+++ b/coordinator/src/main/java/tidebank/coordinator/CoordinatorClient.java
@@ -27,9 +27,9 @@
 import tidebank.lease.LeaseTableState;
 
 /**
- * A blocking client for operators and tests; members have a client of their own. Tries one
- * coordinator after the other, goes where a follower points, and repeats a command, which takes
- * effect once. Used by one thread at a time.
+ * A blocking client for operators and tests; members have their own client. Tries the coordinators
+ * in turn, follows the redirects of followers to the leader, and retries. A retried command takes
+ * effect once, since it keeps its sequence number. Not thread-safe.
  */
 public final class CoordinatorClient {
   private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(5);
@@ -37,12 +37,12 @@
   private static final long NS_PER_MS = 1_000_000;
 
   /**
-   * A grant, release or move of a task.
+   * An audit log entry: a grant, release or move of a task.
    *
-   * @param timestampMs when, in milliseconds since 1970 by the leader's clock
-   * @param fencingToken the task's fencing token then
-   * @param member the member it was about, or empty
-   * @param event what happened, for people
+   * @param timestampMs time by the leader's clock, in milliseconds since 1970
+   * @param fencingToken the task's fencing token after the event
+   * @param member the member concerned, or empty
+   * @param event description of the event, such as "granted"
    */
   @JsonPropertyOrder({"wallMs", "token", "who", "what"})
   public record AuditEntry(
@@ -51,7 +51,7 @@
       @JsonProperty("who") String member,
       @JsonProperty("what") String event) {}
 
-  /** The audit log as it is sent. */
+  /** The type that Jackson reads the audit log's JSON into. */
   private static final class AuditLog extends TreeMap<String, List<AuditEntry>> {
     @Serial private static final long serialVersionUID = 1L;
   }
@@ -66,7 +66,7 @@
   /**
    * Creates a client.
    *
-   * @param addresses of all coordinators, as host:port
+   * @param addresses the addresses of all coordinators, as host:port
    * @param retryForMs how long to retry before a call fails, in milliseconds
    */
   public CoordinatorClient(List<String> addresses, long retryForMs) {
@@ -76,9 +76,9 @@
   /**
    * Creates a client.
    *
-   * @param addresses of all coordinators, as host:port
+   * @param addresses the addresses of all coordinators, as host:port
    * @param retryForMs how long to retry before a call fails, in milliseconds
-   * @param requestTimeout how long one coordinator may take to answer before the next is tried
+   * @param requestTimeout how long to wait for one coordinator before trying the next
    */
   public CoordinatorClient(List<String> addresses, long retryForMs, Duration requestTimeout) {
     this.addresses = List.copyOf(addresses);
@@ -101,16 +101,18 @@
     return LeaseCodec.read(call("/fleet/history", null), AuditLog.class);
   }
 
-  /** Sends an operator's command, in this client's own session. */
+  /** Sends an operator's command in this client's session and returns its result. */
   public CommandResult operate(LeaseCommand.Kind kind, String member, String task)
       throws IOException {
     return command(new LeaseCommand(kind, session, ++lastSequence, member, task, 0, 0, "", null));
   }
 
   /**
-   * Sends any command as it is. The result says whether it was refused.
+   * Sends a command unchanged and returns its result, which has an error if the lease table
+   * rejected the command.
    *
-   * @throws IOException if it could not be decided
+   * @throws IOException if no coordinator returned a result in time, or if the request was
+   *     malformed
    */
   public CommandResult command(LeaseCommand command) throws IOException {
     return LeaseCodec.read(call("/fleet/command", LeaseCodec.write(command)), CommandResult.class);
@@ -120,9 +122,9 @@
     long deadline = System.nanoTime() + retryForMs * NS_PER_MS;
     Map<String, String> failures = new LinkedHashMap<>();
     while (true) {
-      byte[] answer = tryEach(path, body, failures);
-      if (answer != null) {
-        return answer;
+      byte[] response = tryEach(path, body, failures);
+      if (response != null) {
+        return response;
       }
       if (System.nanoTime() >= deadline) {
         throw new CoordinatorException.CoordinatorUnavailable(failures.toString());
@@ -131,7 +133,7 @@
     }
   }
 
-  /** Tries each coordinator once and those that followers point to; null if none answered. */
+  /** Tries each coordinator and each redirect target; returns null if none succeeded. */
   private byte[] tryEach(String path, byte[] body, Map<String, String> failures)
       throws TidebankException.RequestRejected {
     Deque<String> untried = new ArrayDeque<>(addresses);
@@ -142,7 +144,7 @@
         if (response.statusCode() == 200) {
           return response.body();
         }
-        failures.put(address, failure(response));
+        failures.put(address, failureReason(response));
         response
             .headers()
             .firstValue("location")
@@ -157,8 +159,12 @@
     return null;
   }
 
-  /** Returns why a request failed; throws if no retry can help. */
-  private static String failure(HttpResponse<byte[]> response) throws IOException {
+  /**
+   * Returns why a request failed.
+   *
+   * @throws TidebankException.RequestRejected if a retry would fail again
+   */
+  private static String failureReason(HttpResponse<byte[]> response) throws IOException {
     TidebankException.Details error = LeaseCodec.read(response.body(), CommandResult.class).error();
     if (error == null) {
       return "status " + response.statusCode();
--- a/coordinator/src/main/java/tidebank/coordinator/CoordinatorConfig.java
+++ b/coordinator/src/main/java/tidebank/coordinator/CoordinatorConfig.java
@@ -14,18 +14,18 @@
 import tidebank.logging.Log;
 
 /**
- * A coordinator's configuration, as read from its file (deploy/steward.toml).
+ * A coordinator's configuration, read from its file (deploy/steward.toml).
  *
- * @param name its name, one of the peers'
- * @param dataDirectory where it keeps log and snapshots
- * @param peers all coordinators, itself among them
- * @param listen where it listens itself, which is as its peer's entry says unless a proxy stands
- *     between
- * @param logging how it logs
- * @param leaseConfig what leases are granted by
- * @param tasks the names of all singleton tasks
- * @param electionTimeoutUs how long a follower waits for its leader, in microseconds
- * @param commandsPerSnapshot commands between two snapshots
+ * @param name this coordinator's name, one of the peers' names
+ * @param dataDirectory directory of the replicated log and the snapshots
+ * @param peers all coordinators, this one included
+ * @param listen the addresses to bind; those of this coordinator's peer entry, unless it is behind
+ *     a proxy
+ * @param logging log level, format and rate limit
+ * @param leaseConfig lease duration, bound on clock drift, and limits of the lease table
+ * @param tasks names of all singleton tasks
+ * @param electionTimeoutUs shortest election timeout, in microseconds; the longest is twice that
+ * @param commandsPerSnapshot number of commands between two snapshots
  */
 public record CoordinatorConfig(
     String name,
@@ -40,11 +40,11 @@
   private static final Pattern TASK_NAME = Pattern.compile("[a-z0-9][a-z0-9/._-]{0,62}");
 
   /**
-   * A coordinator's addresses.
+   * A coordinator's name and advertised addresses.
    *
-   * @param name its name
-   * @param raft where its peers reach it
-   * @param http where members and operators reach it
+   * @param name the coordinator's name
+   * @param raft address for the other coordinators
+   * @param http address for members and operators
    */
   public record Peer(String name, InetSocketAddress raft, InetSocketAddress http) {
     /** Returns the HTTP address as host:port. */
@@ -52,25 +52,25 @@
       return http.getHostString() + ':' + http.getPort();
     }
 
-    /** Returns name and HTTP address, for people. */
+    /** Returns the name and the HTTP address, for messages. */
     String describe() {
       return name + " at " + httpAddress();
     }
   }
 
   /**
-   * Reads a file.
+   * Reads a configuration file.
    *
-   * @throws MalformedInputException with all that is wrong in it
+   * @throws MalformedInputException listing all faults found in the file
    */
   public static CoordinatorConfig read(Path file) throws MalformedInputException {
     return read(Toml.read(file));
   }
 
   /**
-   * Reads a parsed file.
+   * Reads a configuration from a parsed file.
    *
-   * @throws MalformedInputException with all that is wrong in it
+   * @throws MalformedInputException listing all faults found in the file
    */
   public static CoordinatorConfig read(Toml file) throws MalformedInputException {
     Toml.Table root = file.root();
@@ -115,9 +115,9 @@
           "peers",
           "found "
               + peers.size()
-              + " of "
+              + " peers with "
               + names.size()
-              + " names, wanted an odd number, each name once");
+              + " distinct names, wanted an odd number of peers with distinct names");
     } else if (!names.contains(ownName)) {
       file.fault(
           "name", "found " + ownName + ", wanted one of the peers: " + String.join(", ", names));
@@ -130,7 +130,10 @@
     for (String task : tasks) {
       if (!TASK_NAME.matcher(task).matches()) {
         file.fault(
-            "duties.names", "found " + task + ", wanted small letters, digits, and / . _ - within");
+            "duties.names",
+            "found "
+                + task
+                + ", wanted up to 63 of a-z, 0-9 and / . _ -, starting with a letter or digit");
       }
     }
     return tasks;
@@ -153,8 +156,8 @@
       if (colon > 0 && port > 0 && port < 1 << 16) {
         return new InetSocketAddress(text.substring(0, colon), port);
       }
-    } catch (NumberFormatException notANumber) {
-      // Reported below, as any other text that is no address.
+    } catch (NumberFormatException exception) {
+      // Reported below, like any other malformed address.
     }
     table.fault(key, "found " + text + ", wanted an address such as 127.0.0.1:7100");
     return null;
--- a/coordinator/src/main/java/tidebank/coordinator/CoordinatorMain.java
+++ b/coordinator/src/main/java/tidebank/coordinator/CoordinatorMain.java
@@ -7,8 +7,9 @@
 import tidebank.logging.Log;
 
 /**
- * The process of one coordinator: {@code --config FILE}. Exits with 0 on SIGTERM, 1 if it cannot
- * start or go on, 2 for a wrong file.
+ * The main class of a coordinator process, called with {@code --config FILE}. Exits with 0 on
+ * SIGTERM, 1 if the coordinator cannot start or can no longer serve, and 2 for wrong arguments or a
+ * malformed configuration file.
  */
 public final class CoordinatorMain {
   private static final int EXIT_FAILED = 1;
@@ -36,7 +37,12 @@
     }
   }
 
-  /** Runs a coordinator until SIGTERM, which ends the process with 0. */
+  /**
+   * Runs a coordinator until SIGTERM, which ends the process with 0, or until the coordinator can
+   * no longer serve, which ends it with 1.
+   *
+   * @throws IOException if the coordinator cannot start
+   */
   public static int serve(Path file) throws IOException {
     CoordinatorConfig config = CoordinatorConfig.read(file);
     Log.useForProcess();
@@ -49,7 +55,7 @@
                   coordinator.close();
                   Runtime.getRuntime().halt(0);
                 }));
-    // SIGTERM ends the process from the hook; this returns only where the coordinator cannot go on.
+    // On SIGTERM the hook ends the process; this completes only if the coordinator has failed.
     TidebankException failure = coordinator.failure().join();
     System.err.println(failure.details().lines());
     Runtime.getRuntime().halt(EXIT_FAILED);
--- a/coordinator/src/main/java/tidebank/coordinator/CoordinatorServer.java
+++ b/coordinator/src/main/java/tidebank/coordinator/CoordinatorServer.java
@@ -15,8 +15,8 @@
 import tidebank.lease.LeaseCommand;
 
 /**
- * One coordinator: a replica of the lease table, and HTTP in front of it. Methods may be called by
- * any thread; the futures they return fail with a {@link TidebankException}.
+ * A coordinator: a replica of the lease table and its HTTP server. Thread-safe; the returned
+ * futures fail with a {@link TidebankException}.
  */
 public final class CoordinatorServer implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(CoordinatorServer.class);
@@ -57,8 +57,11 @@
   }
 
   /**
-   * Starts a coordinator; when this returns it listens. It serves once a majority of the
-   * coordinators run.
+   * Starts a coordinator and returns once it listens. Requests succeed only while a majority of the
+   * coordinators is running.
+   *
+   * @throws IOException if the coordinator cannot start; a {@link TidebankException} if the cause
+   *     is a documented error condition
    */
   public static CoordinatorServer start(CoordinatorConfig config) throws IOException {
     checkDataDirectory(config);
@@ -68,10 +71,10 @@
       coordinator.replica.start();
     } catch (IOException | RuntimeException exception) {
       coordinator.close();
-      throw startFailure(config, exception);
+      throw toStartException(config, exception);
     }
     LOG.info(
-        "coordinator listens: coordinator={}, address={}, coordinators={}",
+        "coordinator listening: coordinator={}, address={}, coordinators={}",
         config.name(),
         config.listen().http(),
         config.peers().size());
@@ -88,8 +91,8 @@
     }
   }
 
-  /** Returns what kept it from starting, as a documented error where it is a known one. */
-  private static IOException startFailure(CoordinatorConfig config, Exception exception) {
+  /** Maps a failed start to a documented error condition if one of its causes is known. */
+  private static IOException toStartException(CoordinatorConfig config, Exception exception) {
     for (Throwable cause = exception; cause != null; cause = cause.getCause()) {
       if (cause instanceof TidebankException known) {
         return known;
@@ -109,24 +112,25 @@
 
   // ---- requests
 
-  /** Has a command decided by a majority; completes with its result as JSON. */
+  /** Commits a command to the replicated log; completes with its result as JSON. */
   CompletableFuture<byte[]> execute(LeaseCommand command) {
     return replica.write(LeaseCodec.write(command));
   }
 
-  /** Completes with the state as a majority knows it, as JSON. */
+  /** Reads the lease table with a linearizable read; completes with its state as JSON. */
   CompletableFuture<byte[]> state() {
     return replica.read(READ_STATE);
   }
 
-  /** Completes with the audit log of all tasks as a majority knows it, as JSON. */
+  /** Reads the audit log of all tasks with a linearizable read; completes with it as JSON. */
   CompletableFuture<byte[]> auditLog() {
     return replica.read(LeaseStateMachine.READ_AUDIT_LOG.toByteArray());
   }
 
   /**
-   * Completes with the tasks that are assigned to a member and that nobody holds, as a JSON list:
-   * as soon as there is one, or with an empty list when the wait is over.
+   * Long-polls for tasks that are assigned to a member and have no current lease holder. Completes
+   * with their names as a JSON list as soon as there is one, or with an empty list after {@code
+   * waitMs}; fails if this coordinator is not the leader.
    */
   CompletableFuture<byte[]> awaitUnclaimedTasks(String member, long waitMs) {
     try {
@@ -137,14 +141,17 @@
     return waiters.await(member, waitMs);
   }
 
-  /** Returns the leader, as far as is known here. */
+  /** Returns the leader, if this replica knows of one. */
   Optional<CoordinatorConfig.Peer> leader() {
     return replica.leader();
   }
 
-  // ---- end
+  // ---- shutdown
 
-  /** Completes once it cannot go on, with the reason; whoever started it is to end it then. */
+  /**
+   * Returns a future that completes with the cause once this coordinator can no longer serve. The
+   * caller then has to end the process.
+   */
   public CompletableFuture<TidebankException> failure() {
     return replica.failure();
   }
--- a/coordinator/src/main/java/tidebank/coordinator/HttpErrors.java
+++ b/coordinator/src/main/java/tidebank/coordinator/HttpErrors.java
@@ -7,7 +7,7 @@
 import tidebank.fleet.LeaseCodec;
 import tidebank.lease.CommandResult;
 
-/** Maps what kept a request from being decided to a status and a body. */
+/** Maps the exceptions of failed requests to HTTP statuses and response bodies. */
 final class HttpErrors {
   private HttpErrors() {}
 
@@ -24,12 +24,12 @@
     return HttpResponseStatus.SERVICE_UNAVAILABLE;
   }
 
-  /** Returns the error in the form of a command's result, so that callers read one form only. */
+  /** Returns the error as a command result, so that clients parse one format only. */
   static byte[] body(TidebankException exception) {
     return LeaseCodec.write(new CommandResult(exception.details(), null, null, null, 0));
   }
 
-  /** Returns a failed future's cause; an unknown one counts as a missing majority. */
+  /** Returns the cause of a failed future; an unknown cause is reported as a missing majority. */
   static TidebankException toTidebankException(Throwable thrown) {
     Throwable cause =
         thrown instanceof CompletionException && thrown.getCause() != null
--- a/coordinator/src/main/java/tidebank/coordinator/HttpRequestHandler.java
+++ b/coordinator/src/main/java/tidebank/coordinator/HttpRequestHandler.java
@@ -13,7 +13,7 @@
 
 /** Dispatches requests by method and path to the {@link CoordinatorServer}. */
 final class HttpRequestHandler {
-  /** How long a request may wait for a task; well under what ends an idle connection. */
+  /** The longest long poll; well below the idle timeout of {@link HttpServer}, which is 60 s. */
   private static final int MAX_WAIT_MS = 30_000;
 
   private final CoordinatorServer coordinator;
@@ -22,11 +22,14 @@
     this.coordinator = coordinator;
   }
 
-  /** Completes with the body of the response, or with a {@link TidebankException}. */
+  /**
+   * Handles a request; completes with the body of the response or fails with a {@link
+   * TidebankException}.
+   */
   CompletableFuture<byte[]> handle(FullHttpRequest request) {
     try {
       if (!request.decoderResult().isSuccess()) {
-        throw new CoordinatorException.MalformedRequest("it is no HTTP/1.1");
+        throw new CoordinatorException.MalformedRequest("it is not a valid HTTP/1.1 request");
       }
       return dispatch(request);
     } catch (TidebankException exception) {
@@ -63,7 +66,12 @@
     String wait = query.parameters().getOrDefault("wait_ms", List.of("0")).get(0);
     if (member.isEmpty() || !wait.matches("\\d{1,5}") || Integer.parseInt(wait) > MAX_WAIT_MS) {
       throw new CoordinatorException.MalformedRequest(
-          "'name' is to be a member's, 'wait_ms' from 0 to " + MAX_WAIT_MS);
+          "found name='"
+              + member
+              + "' and wait_ms='"
+              + wait
+              + "', wanted a member's name and 0 to "
+              + MAX_WAIT_MS);
     }
     return coordinator.awaitUnclaimedTasks(member, Integer.parseInt(wait));
   }
--- a/coordinator/src/main/java/tidebank/coordinator/HttpServer.java
+++ b/coordinator/src/main/java/tidebank/coordinator/HttpServer.java
@@ -31,16 +31,16 @@
 import tidebank.errors.TidebankException;
 
 /**
- * HTTP/1.1 with JSON, for members and operators, on one event loop. A connection has one request
- * pending at a time.
+ * The coordinator's HTTP/1.1 server, which exchanges JSON with members and operators. Runs on a
+ * single event loop and handles one request per connection at a time.
  */
 final class HttpServer implements AutoCloseable {
   private static final int MAX_BODY_BYTES = 1 << 16;
   private static final int IDLE_TIMEOUT_S = 60;
 
   /**
-   * A fleet of a thousand has two connections each, one of which waits for tasks; beyond this many
-   * a new one is closed at once.
+   * Limit of open connections; further ones are closed at once. In a fleet of 1000, each member has
+   * two connections, one of them for long polls.
    */
   private static final int MAX_CONNECTIONS = 4096;
 
@@ -50,13 +50,13 @@
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 
-  /** Owned by the one event loop. */
+  /** Accessed on the event loop only. */
   private int openConnections;
 
   /**
-   * Creates it without listening.
+   * Creates a server that does not listen yet.
    *
-   * @param leader returns the leader, for requests that came to another coordinator
+   * @param leader supplies the leader, to which requests received by a follower are redirected
    */
   HttpServer(
       InetSocketAddress address,
@@ -120,22 +120,22 @@
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
       boolean keepAlive = HttpUtil.isKeepAlive(request) && request.decoderResult().isSuccess();
-      // The next request is read once this one is answered.
+      // Stop reading until this request has been answered.
       context.channel().config().setAutoRead(false);
       handler
           .handle(request)
           .whenComplete(
-              (body, failed) ->
-                  context.executor().execute(() -> respond(context, keepAlive, body, failed)));
+              (body, failure) ->
+                  context.executor().execute(() -> respond(context, keepAlive, body, failure)));
     }
 
     private void respond(
-        ChannelHandlerContext context, boolean keepAlive, byte[] body, Throwable failed) {
-      if (failed == null) {
+        ChannelHandlerContext context, boolean keepAlive, byte[] body, Throwable failure) {
+      if (failure == null) {
         write(context, keepAlive, HttpResponseStatus.OK, body);
         return;
       }
-      TidebankException exception = HttpErrors.toTidebankException(failed);
+      TidebankException exception = HttpErrors.toTidebankException(failure);
       write(context, keepAlive, HttpErrors.status(exception), HttpErrors.body(exception));
     }
 
@@ -155,7 +155,7 @@
                         .set(HttpHeaderNames.LOCATION, "http://" + peer.httpAddress()));
       }
       HttpUtil.setKeepAlive(response, keepAlive);
-      // A client that does not read its responses is not read from.
+      // Reading resumes after the write: a client that reads no responses can send no requests.
       context
           .writeAndFlush(response)
           .addListener(
--- a/coordinator/src/main/java/tidebank/coordinator/LeaseAuditLog.java
+++ b/coordinator/src/main/java/tidebank/coordinator/LeaseAuditLog.java
@@ -13,20 +13,20 @@
 import tidebank.lease.TaskLease;
 
 /**
- * The last grants, releases and moves of each task, for operators. A function of the log alone, so
- * that all replicas have the same; the lease table knows nothing of it.
+ * The most recent grants, releases and moves of each task, for operators. Derived from the
+ * replicated log alone, so all replicas hold the same entries. The lease table does not use it.
  */
 final class LeaseAuditLog {
   static final int MAX_ENTRIES_PER_TASK = 64;
 
   private final NavigableMap<String, Deque<AuditEntry>> entriesByTask = new TreeMap<>();
 
-  /** Creates a log that goes on from stored entries. */
+  /** Creates an audit log that starts with stored entries. */
   LeaseAuditLog(Map<String, List<AuditEntry>> stored) {
     stored.forEach((task, entries) -> entriesByTask.put(task, new ArrayDeque<>(entries)));
   }
 
-  /** Records what a command changed. */
+  /** Records the differences between the states before and after a command. */
   void recordChanges(LeaseTableState before, LeaseTableState after, long timestampMs) {
     if (before.tasks().equals(after.tasks())) {
       return;
@@ -47,9 +47,9 @@
 
   private void recordLeaseChange(TaskLease before, TaskLease after, long timestampMs) {
     if (after.fencingToken() != before.fencingToken()) {
-      boolean tookOver = !before.holder().isEmpty() && before.fencingToken() != 0;
+      boolean replacesExpired = !before.holder().isEmpty() && before.fencingToken() != 0;
       String event =
-          tookOver ? "granted, as the lease of " + before.holder() + " was over" : "granted";
+          replacesExpired ? "granted, as the lease of " + before.holder() + " was over" : "granted";
       add(after, timestampMs, after.holder(), event);
     } else if (after.holder().isEmpty() && !before.holder().isEmpty()) {
       add(after, timestampMs, before.holder(), "let go");
@@ -72,7 +72,7 @@
     }
   }
 
-  /** Returns the entries of all tasks, the oldest first. */
+  /** Returns the entries of all tasks, each task's oldest entry first. */
   NavigableMap<String, List<AuditEntry>> all() {
     NavigableMap<String, List<AuditEntry>> all = new TreeMap<>();
     entriesByTask.forEach((task, entries) -> all.put(task, new ArrayList<>(entries)));
--- a/coordinator/src/main/java/tidebank/coordinator/LeaseStateMachine.java
+++ b/coordinator/src/main/java/tidebank/coordinator/LeaseStateMachine.java
@@ -37,27 +37,34 @@
 import tidebank.lease.LeaseTableState;
 
 /**
- * The lease table behind the replicated log. The leader stamps each command with its term and clock
- * before it goes into the log; all replicas apply what the log says, in its order. A stamp of
- * another term than the one the command came into the log in is no time at all, and the command has
- * no effect. Table and audit log are guarded by this object's monitor.
+ * The state machine that applies the replicated log to the lease table. The leader stamps each
+ * command with its term and clock before appending it; all replicas apply the entries in log order.
+ * A command that was stamped in one term and appended in another has no effect, since clocks of
+ * different leaders cannot be compared. The table and the audit log are guarded by this object's
+ * monitor.
  */
 final class LeaseStateMachine extends BaseStateMachine {
   private static final Logger LOG = LoggerFactory.getLogger(LeaseStateMachine.class);
 
-  /** Is notified on the library's threads, and has to return quickly. */
+  /** Receives notifications on the Raft library's threads; implementations must not block. */
   interface Listener {
-    /** This replica leads and knows all that was decided before. */
+    /** Called when this replica leads and has applied all entries committed before. */
     void leadershipAcquired();
 
-    /** The state may have changed. */
+    /** Called after an entry was applied; the state may have changed. */
     void commandApplied();
 
-    /** The log cannot be written any more. */
+    /** Called when the log can no longer be written. */
     void logFailed(Throwable cause);
   }
 
-  /** An entry of the log. */
+  /**
+   * An entry of the replicated log.
+   *
+   * @param term the term in which the leader stamped the command
+   * @param leaderClock the leader's monotonic clock, in microseconds
+   * @param timestampMs the leader's wall clock, in milliseconds since 1970
+   */
   @JsonPropertyOrder({"term", "at", "wallMs", "command"})
   record LogRecord(
       long term,
@@ -71,7 +78,7 @@
       LeaseTableState state,
       @JsonProperty("history") Map<String, List<CoordinatorClient.AuditEntry>> auditLog) {}
 
-  /** A read request for the audit log of all tasks; any other is for the state. */
+  /** The read request for the audit log of all tasks; any other content reads the state. */
   static final ByteString READ_AUDIT_LOG = ByteString.copyFromUtf8("history");
 
   private final SimpleStateMachineStorage storage = new SimpleStateMachineStorage();
@@ -159,14 +166,14 @@
   public CompletableFuture<Message> applyTransaction(TransactionContext transaction) {
     LogEntryProto entry = transaction.getLogEntry();
     try {
-      LogRecord logged =
+      LogRecord logRecord =
           LeaseCodec.read(
               entry.getStateMachineLogEntry().getLogData().toByteArray(), LogRecord.class);
-      CommandResult result = apply(entry, logged);
+      CommandResult result = apply(entry, logRecord);
       listener.commandApplied();
       return completed(result);
     } catch (IOException | RuntimeException exception) {
-      // The same on every replica, as the log is; the command has no effect.
+      // All replicas apply the same entry and fail alike, so the command has no effect anywhere.
       LOG.error(
           "could not apply log entry: term={}, index={}",
           entry.getTerm(),
@@ -177,19 +184,19 @@
     }
   }
 
-  private synchronized CommandResult apply(LogEntryProto entry, LogRecord logged) {
+  private synchronized CommandResult apply(LogEntryProto entry, LogRecord logRecord) {
     CommandResult result =
-        logged.term() == entry.getTerm()
-            ? table.apply(entry.getTerm(), logged.leaderClock(), logged.command())
-            : leaderChanged(logged.term(), entry.getTerm());
+        logRecord.term() == entry.getTerm()
+            ? table.apply(entry.getTerm(), logRecord.leaderClock(), logRecord.command())
+            : leaderChangedResult(logRecord.term(), entry.getTerm());
     LeaseTableState before = lastApplied;
     lastApplied = table.state();
-    auditLog.recordChanges(before, lastApplied, logged.timestampMs());
+    auditLog.recordChanges(before, lastApplied, logRecord.timestampMs());
     updateLastAppliedTermIndex(entry.getTerm(), entry.getIndex());
     return result;
   }
 
-  private static CommandResult leaderChanged(long stampedTerm, long loggedTerm) {
+  private static CommandResult leaderChangedResult(long stampedTerm, long loggedTerm) {
     return new CommandResult(
         new CoordinatorException.LeaderChanged(stampedTerm, loggedTerm).details(),
         null,
@@ -200,7 +207,10 @@
 
   // ---- reads
 
-  /** Returns the audit log, or the state at the leader's current time. */
+  /**
+   * Reads the audit log or the state. The state is given as of the leader's current time once a
+   * command of its term has been applied, and otherwise as of the last command.
+   */
   @Override
   public CompletableFuture<Message> query(Message request) {
     if (request.getContent().equals(READ_AUDIT_LOG)) {
@@ -216,9 +226,9 @@
     }
   }
 
-  private static CompletableFuture<Message> completed(Object reply) {
+  private static CompletableFuture<Message> completed(Object response) {
     return CompletableFuture.completedFuture(
-        Message.valueOf(ByteString.copyFrom(LeaseCodec.write(reply))));
+        Message.valueOf(ByteString.copyFrom(LeaseCodec.write(response))));
   }
 
   private long currentTerm() throws IOException {
@@ -229,19 +239,19 @@
     return System.nanoTime() / 1000;
   }
 
-  /** Returns the state as last applied here, however old. */
+  /** Returns the state after the last entry that this replica applied, which may lag the leader. */
   LeaseTableState lastAppliedState() {
     return lastApplied;
   }
 
-  // ---- the library's notifications
+  // ---- notifications from the Raft library
 
   @Override
   public void notifyLeaderReady() {
     listener.leadershipAcquired();
   }
 
-  /** The library closes its log after this and takes part in nothing any more. */
+  /** Called before the Raft library closes its log and leaves the group. */
   @Override
   public void notifyLogFailed(Throwable cause, LogEntryProto entry) {
     listener.logFailed(cause);
--- a/coordinator/src/main/java/tidebank/coordinator/RaftReplica.java
+++ b/coordinator/src/main/java/tidebank/coordinator/RaftReplica.java
@@ -27,15 +27,15 @@
 import tidebank.errors.TidebankException;
 
 /**
- * One replica of the coordinators' Raft group. Submits commands and reads to it, and knows who
- * leads. Methods may be called by any thread.
+ * A replica of the coordinators' Raft group. Submits commands and reads while it is the leader, and
+ * knows the current leader. Thread-safe.
  */
 final class RaftReplica implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(RaftReplica.class);
   private static final RaftGroupId GROUP =
       RaftGroupId.valueOf(UUID.nameUUIDFromBytes("tidebank".getBytes(StandardCharsets.UTF_8)));
 
-  /** How long a request waits for a majority, in election timeouts. */
+  /** Timeout of a request that waits for a majority, in election timeouts. */
   private static final int REQUEST_TIMEOUT_ELECTIONS = 8;
 
   private final CoordinatorConfig config;
@@ -66,12 +66,12 @@
 
   // ---- requests
 
-  /** Has a command decided by a majority; completes with the state machine's reply. */
+  /** Commits a command to the replicated log; completes with the state machine's response. */
   CompletableFuture<byte[]> write(byte[] request) {
     return submit(RaftClientRequest.writeRequestType(), request);
   }
 
-  /** Reads what a majority knows; completes with the state machine's reply. */
+  /** Sends a linearizable read; completes with the state machine's response. */
   CompletableFuture<byte[]> read(byte[] request) {
     return submit(RaftClientRequest.readRequestType(), request);
   }
@@ -83,9 +83,9 @@
     try {
       requireLeader();
       return server
-          .submitClientRequestAsync(request(type, body))
+          .submitClientRequestAsync(newRequest(type, body))
           .orTimeout(REQUEST_TIMEOUT_ELECTIONS * config.electionTimeoutUs(), TimeUnit.MICROSECONDS)
-          .handle(this::result)
+          .handle(this::toResult)
           .thenCompose(result -> result);
     } catch (TidebankException exception) {
       return CompletableFuture.failedFuture(exception);
@@ -95,7 +95,7 @@
     }
   }
 
-  private RaftClientRequest request(RaftClientRequest.Type type, byte[] body) {
+  private RaftClientRequest newRequest(RaftClientRequest.Type type, byte[] body) {
     return RaftClientRequest.newBuilder()
         .setClientId(clientId)
         .setServerId(server.getId())
@@ -106,13 +106,13 @@
         .build();
   }
 
-  private CompletableFuture<byte[]> result(RaftClientReply reply, Throwable failed) {
-    if (failed != null) {
+  private CompletableFuture<byte[]> toResult(RaftClientReply reply, Throwable failure) {
+    if (failure != null) {
       return CompletableFuture.failedFuture(
-          new CoordinatorException.NoMajority(String.valueOf(failed)));
+          new CoordinatorException.NoMajority(String.valueOf(failure)));
     }
     if (reply.getNotLeaderException() != null) {
-      return CompletableFuture.failedFuture(notLeading());
+      return CompletableFuture.failedFuture(notLeadingException());
     }
     if (!reply.isSuccess()) {
       return CompletableFuture.failedFuture(
@@ -123,11 +123,15 @@
 
   // ---- leadership
 
-  /** Fails unless this replica leads, as far as it knows. */
+  /**
+   * Checks that this replica believes itself to be the leader.
+   *
+   * @throws CoordinatorException.NotLeading if it does not
+   */
   void requireLeader() throws TidebankException {
     try {
       if (!server.getDivision(GROUP).getInfo().isLeader()) {
-        throw notLeading();
+        throw notLeadingException();
       }
     } catch (TidebankException exception) {
       throw exception;
@@ -136,12 +140,12 @@
     }
   }
 
-  private TidebankException notLeading() {
+  private TidebankException notLeadingException() {
     return new CoordinatorException.NotLeading(
         config.name(), leader().map(CoordinatorConfig.Peer::describe).orElse(""));
   }
 
-  /** Returns the leader, as far as this replica knows. */
+  /** Returns the leader, if this replica knows of one. */
   Optional<CoordinatorConfig.Peer> leader() {
     try {
       RaftPeerId leader = server.getDivision(GROUP).getInfo().getLeaderId();
@@ -155,7 +159,7 @@
 
   // ---- failure
 
-  /** Stops taking requests, as the log cannot be written any more. */
+  /** Rejects all further requests, since the log can no longer be written. */
   void fail(Throwable cause) {
     Throwable root = cause;
     while (root.getCause() != null) {
@@ -163,13 +167,13 @@
     }
     TidebankException exception =
         new StorageException.DataDirectoryUnusable(
-            config.dataDirectory().toString(), "its log can't be written: " + root);
+            config.dataDirectory().toString(), "cannot write the replicated log: " + root);
     if (failure.complete(exception)) {
       LOG.error(exception.details().lines().replace('\n', ' '));
     }
   }
 
-  /** Completes once this replica cannot go on, with the reason. */
+  /** Returns a future that completes with the cause once this replica can no longer serve. */
   CompletableFuture<TidebankException> failure() {
     return failure;
   }
@@ -179,7 +183,7 @@
     try {
       server.close();
     } catch (IOException exception) {
-      LOG.warn("could not close the log: error={}", exception.getMessage());
+      LOG.warn("could not close Raft server: error={}", exception.getMessage());
     }
   }
 }
--- a/coordinator/src/main/java/tidebank/coordinator/RaftSettings.java
+++ b/coordinator/src/main/java/tidebank/coordinator/RaftSettings.java
@@ -10,13 +10,16 @@
 import org.apache.ratis.util.SizeInBytes;
 import org.apache.ratis.util.TimeDuration;
 
-/** The Raft library's settings for one coordinator. */
+/** Builds the Raft library's properties for a coordinator. */
 final class RaftSettings {
   private static final int SEGMENT_BYTES = 1 << 20;
-  private static final int REQUEST_BYTES = 1 << 16;
+  private static final int MAX_REQUEST_BYTES = 1 << 16;
   private static final int SNAPSHOTS_RETAINED = 2;
 
-  /** How long a read waits for the leader to hear from a majority, in election timeouts. */
+  /**
+   * Timeout of a read, which waits until the leader has heard from a majority, in election
+   * timeouts.
+   */
   private static final int READ_TIMEOUT_ELECTIONS = 4;
 
   private RaftSettings() {}
@@ -43,8 +46,8 @@
     RaftServerConfigKeys.Rpc.setTimeoutMax(properties, longest);
     RaftServerConfigKeys.Rpc.setFirstElectionTimeoutMin(properties, shortest);
     RaftServerConfigKeys.Rpc.setFirstElectionTimeoutMax(properties, longest);
-    // A read is answered by a leader that has just heard from a majority: one that was stopped and
-    // woken does not pass for the leader.
+    // Linearizable: a leader answers a read only after hearing from a majority. A former leader
+    // that was suspended and resumed therefore cannot answer from outdated state.
     RaftServerConfigKeys.Read.setOption(properties, RaftServerConfigKeys.Read.Option.LINEARIZABLE);
     RaftServerConfigKeys.Read.setTimeout(
         properties, electionTimeouts(config, READ_TIMEOUT_ELECTIONS));
@@ -64,9 +67,11 @@
   private static void setLog(RaftProperties properties, CoordinatorConfig config) {
     RaftServerConfigKeys.setStorageDir(properties, List.of(config.dataDirectory().toFile()));
     RaftServerConfigKeys.Log.Appender.setBufferByteLimit(
-        properties, SizeInBytes.valueOf(REQUEST_BYTES));
+        properties, SizeInBytes.valueOf(MAX_REQUEST_BYTES));
     RaftServerConfigKeys.Log.setSegmentSizeMax(properties, SizeInBytes.valueOf(SEGMENT_BYTES));
-    RaftServerConfigKeys.Log.setPreallocatedSize(properties, SizeInBytes.valueOf(REQUEST_BYTES));
-    RaftServerConfigKeys.Log.setWriteBufferSize(properties, SizeInBytes.valueOf(2 * REQUEST_BYTES));
+    RaftServerConfigKeys.Log.setPreallocatedSize(
+        properties, SizeInBytes.valueOf(MAX_REQUEST_BYTES));
+    RaftServerConfigKeys.Log.setWriteBufferSize(
+        properties, SizeInBytes.valueOf(2 * MAX_REQUEST_BYTES));
   }
 }
--- a/coordinator/src/main/java/tidebank/coordinator/SnapshotFormat.java
+++ b/coordinator/src/main/java/tidebank/coordinator/SnapshotFormat.java
@@ -16,13 +16,13 @@
 import tidebank.lease.LeaseTableState;
 
 /**
- * The format of snapshots: the version as four bytes, the CRC-32C of the rest as eight, and the
- * content as JSON.
+ * The format of snapshots: a version in four bytes, the CRC-32C of the content in eight bytes, and
+ * the content as JSON.
  */
 final class SnapshotFormat {
   private static final int VERSION = 2;
 
-  /** The version whose content was the state alone. */
+  /** The previous version, which held the state only. */
   private static final int VERSION_WITHOUT_AUDIT_LOG = 1;
 
   private static final int HEADER_BYTES = Integer.BYTES + Long.BYTES;
@@ -39,22 +39,30 @@
   }
 
   /**
-   * Returns the content of a snapshot.
+   * Decodes a snapshot.
    *
-   * @param name the file's name, for the error
+   * @param name the file's name, for the error message
+   * @throws StorageException.CorruptSnapshot if the snapshot is truncated, damaged or of an unknown
+   *     version
    */
   static SnapshotContent decode(String name, byte[] bytes) throws StorageException.CorruptSnapshot {
     if (bytes.length < HEADER_BYTES) {
-      throw new StorageException.CorruptSnapshot(name, "it is " + bytes.length + " bytes short");
+      throw new StorageException.CorruptSnapshot(name, "it has only " + bytes.length + " bytes");
     }
     ByteBuffer buffer = ByteBuffer.wrap(bytes);
     int version = buffer.getInt();
     if (version != VERSION && version != VERSION_WITHOUT_AUDIT_LOG) {
       throw new StorageException.CorruptSnapshot(
-          name, "its version is " + version + ", not " + VERSION);
+          name,
+          "its version is "
+              + version
+              + ", expected "
+              + VERSION_WITHOUT_AUDIT_LOG
+              + " or "
+              + VERSION);
     }
     if (buffer.getLong() != checksum(bytes, HEADER_BYTES)) {
-      throw new StorageException.CorruptSnapshot(name, "its check does not fit its content");
+      throw new StorageException.CorruptSnapshot(name, "its checksum does not match its content");
     }
     try {
       byte[] json = Arrays.copyOfRange(bytes, HEADER_BYTES, bytes.length);
@@ -72,7 +80,10 @@
     return crc.getValue();
   }
 
-  /** Writes beside the file, forces, then moves: a snapshot is there complete or not at all. */
+  /**
+   * Writes a temporary file, flushes it to disk and renames it, so that a snapshot is never visible
+   * half-written.
+   */
   static void writeAtomically(Path file, byte[] bytes) throws IOException {
     Path partial = file.resolveSibling(file.getFileName() + ".part");
     try (FileChannel channel =
