--- a/testbed/src/main/java/tidebank/testbed/explore/Explorer.java
+++ b/testbed/src/main/java/tidebank/testbed/explore/Explorer.java
@@ -9,39 +9,41 @@
 import java.util.function.BiConsumer;
 
 /**
- * Visits every state that a model can come to within so many moves, nearest first, so that the
- * first broken one is reached by a shortest trace. States are told apart by 64 bits of their key:
- * of ten million, two are taken for one with a chance of under one in a hundred thousand, and then
- * a state goes unvisited.
+ * Breadth-first search of the states that a model can reach within a number of transitions. The
+ * first violation found has a shortest trace. States are distinguished by a 64-bit hash of their
+ * key: with ten million states, the chance of a collision is below 1 in 100,000, and a collision
+ * leaves a state unvisited.
  */
 public final class Explorer {
-  private static final int CHUNK = 1 << 14;
+  /** Number of states expanded in parallel at a time. */
+  private static final int CHUNK_SIZE = 1 << 14;
 
   /**
-   * What is explored.
+   * The model to explore.
    *
-   * @param <S> a state; never changed once handed over
+   * @param <S> the type of a state; states must not change after they have been returned
    */
   public interface Model<S> {
+    /** Returns the initial state. */
     S start();
 
-    /** Hands over each next state with the name of the move that leads there. */
+    /** Passes each successor of a state to {@code next}, with the name of the transition. */
     void moves(S state, BiConsumer<String, S> next);
 
-    /** What is wrong with a state, or null. */
+    /** Returns a description of the invariant that a state violates, or null. */
     String broken(S state);
 
-    /** A text that two states share only if they are the same to all that follows. */
+    /** Returns a text that is equal for two states only if they cannot be told apart later. */
     String key(S state);
   }
 
   /**
-   * What was found.
+   * The result of an exploration.
    *
-   * @param states states visited
-   * @param depth moves of the longest trace looked at
-   * @param broken what is wrong, or null
-   * @param trace the moves that lead there
+   * @param states number of distinct states visited
+   * @param depth number of transitions of the longest trace examined
+   * @param broken description of the first violation, or null
+   * @param trace names of the transitions that lead to the violation
    */
   public record Found(long states, int depth, String broken, List<String> trace) {
     @Override
@@ -50,18 +52,19 @@
           + " states to a depth of "
           + depth
           + (broken == null
-              ? ", none broken"
+              ? ", no violation"
               : "; " + broken + " after:\n  " + String.join("\n  ", trace));
     }
   }
 
   private record Node<S>(S state, Step step) {}
 
-  private record Step(String move, Step before) {
+  /** The last transition of a trace, linked to the one before it; null before the first. */
+  private record Step(String transition, Step previous) {
     List<String> trace() {
       LinkedList<String> trace = new LinkedList<>();
-      for (Step step = this; step.before != null; step = step.before) {
-        trace.addFirst(step.move);
+      for (Step step = this; step.previous != null; step = step.previous) {
+        trace.addFirst(step.transition);
       }
       return trace;
     }
@@ -69,46 +72,49 @@
 
   private Explorer() {}
 
-  public static <S> Found explore(Model<S> model, int depth) {
+  /** Explores a model to a depth, in transitions; stops at the first violation. */
+  public static <S> Found explore(Model<S> model, int maxDepth) {
     Set<Long> seen = new HashSet<>();
-    List<Node<S>> front = List.of(new Node<>(model.start(), new Step("start", null)));
-    seen.add(hash(model.key(front.get(0).state)));
-    for (int moves = 1; moves <= depth; moves++) {
+    List<Node<S>> frontier = List.of(new Node<>(model.start(), new Step("start", null)));
+    seen.add(hash(model.key(frontier.get(0).state)));
+    for (int depth = 1; depth <= maxDepth; depth++) {
       List<Node<S>> next = new ArrayList<>();
-      for (int from = 0; from < front.size(); from += CHUNK) {
-        List<Node<S>> chunk = front.subList(from, Math.min(front.size(), from + CHUNK));
-        // Made side by side, taken one after the other: what is found, and by which trace, is the
-        // same each time.
-        for (List<Reached<S>> all :
-            chunk.parallelStream().map(node -> reached(model, node)).toList()) {
-          for (Reached<S> one : all) {
-            if (seen.add(one.hash)) {
-              if (one.broken != null) {
-                return new Found(seen.size(), moves, one.broken, one.node.step.trace());
+      for (int from = 0; from < frontier.size(); from += CHUNK_SIZE) {
+        List<Node<S>> chunk = frontier.subList(from, Math.min(frontier.size(), from + CHUNK_SIZE));
+        // Expanded in parallel but merged in order, so that the result and the trace are
+        // deterministic.
+        for (List<Successor<S>> successors :
+            chunk.parallelStream().map(node -> successors(model, node)).toList()) {
+          for (Successor<S> successor : successors) {
+            if (seen.add(successor.hash)) {
+              if (successor.violation != null) {
+                return new Found(
+                    seen.size(), depth, successor.violation, successor.node.step.trace());
               }
-              next.add(one.node);
+              next.add(successor.node);
             }
           }
         }
       }
-      front = next;
+      frontier = next;
     }
-    return new Found(seen.size(), depth, null, List.of());
+    return new Found(seen.size(), maxDepth, null, List.of());
   }
 
-  private record Reached<S>(Node<S> node, long hash, String broken) {}
+  /** A successor of an expanded state, with the hash of its key and its violation, or null. */
+  private record Successor<S>(Node<S> node, long hash, String violation) {}
 
-  private static <S> List<Reached<S>> reached(Model<S> model, Node<S> node) {
-    List<Reached<S>> all = new ArrayList<>();
+  private static <S> List<Successor<S>> successors(Model<S> model, Node<S> node) {
+    List<Successor<S>> successors = new ArrayList<>();
     model.moves(
         node.state,
-        (move, state) ->
-            all.add(
-                new Reached<>(
-                    new Node<>(state, new Step(move, node.step)),
+        (transition, state) ->
+            successors.add(
+                new Successor<>(
+                    new Node<>(state, new Step(transition, node.step)),
                     hash(model.key(state)),
                     model.broken(state))));
-    return all;
+    return successors;
   }
 
   private static long hash(String key) {
--- a/testbed/src/main/java/tidebank/testbed/fleet/CoordinatorLoad.java
+++ b/testbed/src/main/java/tidebank/testbed/fleet/CoordinatorLoad.java
@@ -23,8 +23,9 @@
 import tidebank.lease.LeaseCommand;
 
 /**
- * Measures what coordinators bear: agents that each join, and then renew as fast as they are
- * answered, one request at a time. Each coordinator is a process; the agents are this one.
+ * Load test that measures the command throughput of coordinators. Each agent joins and then sends
+ * renewals as fast as they are answered, one request at a time. Each coordinator runs in its own
+ * process; all agents run in this one.
  */
 public final class CoordinatorLoad {
   private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(10);
@@ -34,18 +35,18 @@
       "[duties]\nnames = [\"report\"]\n[lease]\nms = 30000\n[limits]\nmembers = 5000\n";
 
   /**
-   * What was measured.
+   * The measurements of a run.
    *
-   * @param coordinators how many coordinators there were
-   * @param agents how many agents there were
-   * @param commands commands answered
-   * @param retries requests without an answer, each made again
-   * @param commandsPerSecond commands answered a second
-   * @param p50Us median time of an answer, in microseconds
-   * @param p99Us 99th percentile of the time of an answer, in microseconds
+   * @param coordinators number of coordinators
+   * @param agents number of agents
+   * @param commands number of commands executed successfully
+   * @param retries number of failed requests, each of which was sent again
+   * @param commandsPerSecond commands executed successfully per second
+   * @param p50Us median latency of successful commands, in microseconds
+   * @param p99Us 99th percentile of their latency, in microseconds
    * @param leaderMemoryKb resident memory of the leader, in KB
    * @param largestMemoryKb resident memory of the largest coordinator, in KB
-   * @param diskBytes size of the leader's data directory
+   * @param diskBytes size of the leader's data directory, in bytes
    */
   public record Result(
       int coordinators,
@@ -65,18 +66,19 @@
           .connectTimeout(REQUEST_TIMEOUT)
           .build();
   private final ConcurrentHistogram latencyUs = new ConcurrentHistogram(MAX_LATENCY_US, 3);
-  private final AtomicLong answered = new AtomicLong();
+  private final AtomicLong completed = new AtomicLong();
   private final AtomicLong retries = new AtomicLong();
   private volatile URI leader;
-  private volatile boolean ended;
+  private volatile boolean stopping;
 
   private CoordinatorLoad() {}
 
   /**
-   * Runs it on coordinators of its own.
+   * Starts coordinators, runs the load test on them and stops them.
    *
-   * @param maxCommands commands after which it ends
-   * @param maxSeconds seconds after which it ends, if that is earlier
+   * @param folder directory for the coordinators' files
+   * @param maxCommands number of commands after which the run ends
+   * @param maxSeconds duration after which the run ends at the latest, in seconds
    */
   public static Result run(
       Path folder, int coordinators, int agents, long maxCommands, long maxSeconds)
@@ -92,20 +94,20 @@
       throws IOException {
     new CoordinatorClient(coordinators.addresses(), START_TIMEOUT_MS).state();
     findLeader(coordinators);
-    List<CompletableFuture<Void>> agentEnds = new ArrayList<>();
+    List<CompletableFuture<Void>> agentCompletions = new ArrayList<>();
     long startedAt = System.nanoTime();
     for (int i = 0; i < agents; i++) {
-      CompletableFuture<Void> end = new CompletableFuture<>();
-      agentEnds.add(end);
-      sendNext("a" + i, 1, end);
+      CompletableFuture<Void> completion = new CompletableFuture<>();
+      agentCompletions.add(completion);
+      sendNext("a" + i, 1, completion);
     }
     awaitCommands(maxCommands, startedAt + TimeUnit.SECONDS.toNanos(maxSeconds));
-    long commands = answered.get();
+    long commands = completed.get();
     double commandsPerSecond = commands * 1e9 / (System.nanoTime() - startedAt);
-    ended = true;
-    CompletableFuture.allOf(agentEnds.toArray(CompletableFuture[]::new))
+    stopping = true;
+    CompletableFuture.allOf(agentCompletions.toArray(CompletableFuture[]::new))
         .orTimeout(REQUEST_TIMEOUT.toSeconds(), TimeUnit.SECONDS)
-        .exceptionally(late -> null)
+        .exceptionally(timeout -> null)
         .join();
     int leaderIndex = coordinators.addresses().indexOf(leader.getAuthority());
     return new Result(
@@ -122,7 +124,7 @@
   }
 
   private void awaitCommands(long maxCommands, long deadline) throws IOException {
-    while (System.nanoTime() < deadline && answered.get() < maxCommands) {
+    while (System.nanoTime() < deadline && completed.get() < maxCommands) {
       try {
         Thread.sleep(10);
       } catch (InterruptedException interrupted) {
@@ -150,12 +152,12 @@
         throw new IOException("interrupted");
       }
     }
-    throw new IOException("no coordinator leads");
+    throw new IOException("no leader among the coordinators " + coordinators.addresses());
   }
 
-  private void sendNext(String agent, long sequence, CompletableFuture<Void> end) {
-    if (ended) {
-      end.complete(null);
+  private void sendNext(String agent, long sequence, CompletableFuture<Void> completion) {
+    if (stopping) {
+      completion.complete(null);
       return;
     }
     LeaseCommand.Kind kind = sequence == 1 ? LeaseCommand.Kind.JOIN : LeaseCommand.Kind.RENEW;
@@ -168,17 +170,17 @@
                 .build(),
             BodyHandlers.ofByteArray())
         .whenComplete(
-            (response, failed) -> {
+            (response, failure) -> {
               boolean accepted =
-                  failed == null && response.statusCode() == 200 && isAccepted(response.body());
+                  failure == null && response.statusCode() == 200 && isAccepted(response.body());
               if (accepted) {
                 latencyUs.recordValue(
                     Math.min(MAX_LATENCY_US, (System.nanoTime() - sentAt) / 1000));
-                answered.incrementAndGet();
+                completed.incrementAndGet();
               } else {
                 retries.incrementAndGet();
               }
-              sendNext(agent, accepted ? sequence + 1 : sequence, end);
+              sendNext(agent, accepted ? sequence + 1 : sequence, completion);
             });
   }
 
@@ -198,7 +200,7 @@
     return largest;
   }
 
-  /** Returns a process's resident memory in KB, from /proc (Linux). */
+  /** Returns the resident memory (VmRSS) of a process in KB, from /proc; Linux only. */
   private static long residentKb(long pid) throws IOException {
     return Files.readAllLines(Path.of("/proc/" + pid + "/status")).stream()
         .filter(line -> line.startsWith("VmRSS"))
--- a/testbed/src/main/java/tidebank/testbed/fleet/CoordinatorProcesses.java
+++ b/testbed/src/main/java/tidebank/testbed/fleet/CoordinatorProcesses.java
@@ -13,8 +13,8 @@
 import tidebank.testbed.process.ChildProcess;
 
 /**
- * Coordinators in processes of their own, as operators start them, on loopback ports of the
- * system's choice.
+ * Coordinators in separate processes, started with the command line that operators use, on free
+ * loopback ports.
  */
 public final class CoordinatorProcesses implements AutoCloseable {
   private static final List<String> JVM_FLAGS =
@@ -26,9 +26,9 @@
           "-XX:-UsePerfData");
   private static final String MAIN_CLASS = "tidebank.coordinator.CoordinatorMain";
 
-  /** Puts a proxy before each coordinator's own addresses. */
+  /** Maps each coordinator's own addresses to those of a proxy in front of it. */
   public interface AddressMapping {
-    /** Returns the address that others are given in place of a coordinator's own. */
+    /** Returns the address to advertise instead of the coordinator's own address. */
     String advertised(int coordinator, boolean isRaft, String ownAddress) throws IOException;
   }
 
@@ -43,9 +43,9 @@
   /**
    * Starts coordinators.
    *
-   * @param folder for their files, logs and snapshots
-   * @param count one, three or five
-   * @param settings further tables of their file
+   * @param folder directory for their configuration files, logs and snapshots
+   * @param count number of coordinators: one, three or five
+   * @param settings further TOML tables of their configuration files
    */
   public CoordinatorProcesses(Path folder, int count, String settings) throws IOException {
     this(folder, count, settings, (coordinator, isRaft, address) -> address);
@@ -54,7 +54,14 @@
     }
   }
 
-  /** Only chooses their addresses; each is started by {@link #start}. */
+  /**
+   * Chooses addresses without starting any coordinator; {@link #start} starts each of them.
+   *
+   * @param folder directory for their configuration files, logs and snapshots
+   * @param count number of coordinators: one, three or five
+   * @param settings further TOML tables of their configuration files
+   * @param mapping returns the addresses that each coordinator advertises
+   */
   public CoordinatorProcesses(Path folder, int count, String settings, AddressMapping mapping)
       throws IOException {
     this.folder = folder;
@@ -71,8 +78,8 @@
   }
 
   /**
-   * Returns an address of this process's own in the loopback range: an outgoing connection cannot
-   * be given one of its ports meanwhile.
+   * Returns a loopback address derived from this process's id. Outgoing connections do not use it,
+   * so none can take a port on it between {@link #freePorts} and the start of a coordinator.
    */
   private static String ownLoopbackHost() {
     long pid = ProcessHandle.current().pid();
@@ -80,8 +87,8 @@
   }
 
   /**
-   * Returns ports that were free a moment ago: each coordinator's file names them all, so that they
-   * cannot be chosen at its start.
+   * Returns ports that were free when checked. Coordinators cannot choose their ports themselves,
+   * since each one's configuration file lists the ports of all.
    */
   private static List<String> freePorts(String host, int count) throws IOException {
     List<ServerSocket> sockets = new ArrayList<>();
@@ -99,16 +106,16 @@
     return ports;
   }
 
-  /** Starts one coordinator, or starts it again with what is in its data directory. */
+  /** Starts or restarts a coordinator, with the current content of its data directory. */
   public void start(int coordinator) throws IOException {
     start(coordinator, List.of(), line -> {});
   }
 
   /**
-   * Starts one coordinator.
+   * Starts a coordinator through a launcher.
    *
-   * @param launcher a main class and its flags before the coordinator's own, or none
-   * @param output receives each line of its output
+   * @param launcher main class and flags to insert before the coordinator's main class, or empty
+   * @param output receives each line of the process's output
    */
   public void start(int coordinator, List<String> launcher, Consumer<String> output)
       throws IOException {
@@ -116,11 +123,11 @@
   }
 
   /**
-   * Starts one coordinator whose files cannot grow beyond a size.
+   * Starts a coordinator with a limit on the size of the files it writes.
    *
-   * @param launcher a main class and its flags before the coordinator's own, or none
-   * @param output receives each line of its output
-   * @param maxFileBytes the greatest size of a file that it writes
+   * @param launcher main class and flags to insert before the coordinator's main class, or empty
+   * @param output receives each line of the process's output
+   * @param maxFileBytes the size limit in bytes, a multiple of 512; Long.MAX_VALUE for none
    */
   public void start(
       int coordinator, List<String> launcher, Consumer<String> output, long maxFileBytes)
@@ -149,27 +156,27 @@
     return file + settings;
   }
 
-  /** Returns where one keeps its log and snapshots. */
+  /** Returns the directory of a coordinator's replicated log and snapshots. */
   public Path dataDirectory(int coordinator) {
     return folder.resolve("disk-s" + coordinator);
   }
 
-  /** Returns the process that was started last. */
+  /** Returns the most recently started process of a coordinator. */
   public ChildProcess process(int coordinator) {
     return processes.get(coordinator);
   }
 
-  /** Returns where each listens for HTTP itself, whatever proxy stands before it. */
+  /** Returns the HTTP addresses that the coordinators bind, regardless of proxies. */
   public List<String> addresses() {
     return List.copyOf(httpAddresses);
   }
 
-  /** Returns where members and operators reach each. */
+  /** Returns the HTTP addresses advertised to members and operators. */
   public List<String> advertisedAddresses() {
     return List.copyOf(advertisedHttp);
   }
 
-  /** Returns how many coordinators there are. */
+  /** Returns the number of coordinators. */
   public int count() {
     return processes.size();
   }
--- a/testbed/src/main/java/tidebank/testbed/fleet/RouterProcesses.java
+++ b/testbed/src/main/java/tidebank/testbed/fleet/RouterProcesses.java
@@ -8,8 +8,8 @@
 import tidebank.testbed.replay.RouterProcess;
 
 /**
- * Routers in processes of their own that know of no shard server, and so reject and count the
- * queries they are sent.
+ * Starts routers in separate processes. The routers know no shard server, so they reject every
+ * query and count it.
  */
 public final class RouterProcesses {
   private static final String CONFIG =
@@ -23,10 +23,10 @@
   /**
    * Starts a router.
    *
-   * @param folder for its file, and for the folder that all of them share
-   * @param coordinators whose fleet it is a member of; none for a router without a fleet
-   * @param intervalMs how often it writes its counters, in milliseconds
-   * @param jvmFlags further flags of its process
+   * @param folder directory for its configuration file and for the shared folder
+   * @param coordinators addresses of the fleet's coordinators; empty for a router without a fleet
+   * @param intervalMs interval at which it writes its counters, in milliseconds
+   * @param jvmFlags further JVM flags
    */
   public static RouterProcess start(
       Path folder, String name, List<String> coordinators, long intervalMs, List<String> jvmFlags)
@@ -35,14 +35,14 @@
   }
 
   /**
-   * Starts a router by a launcher.
+   * Starts a router through a launcher.
    *
-   * @param folder for its file, and for the folder that all of them share
-   * @param coordinators whose fleet it is a member of; none for a router without a fleet
-   * @param intervalMs how often it writes its counters, in milliseconds
-   * @param jvmFlags further flags of its process
-   * @param launcher a main class and its flags before the router's own, or none
-   * @param output receives each line of its output
+   * @param folder directory for its configuration file and for the shared folder
+   * @param coordinators addresses of the fleet's coordinators; empty for a router without a fleet
+   * @param intervalMs interval at which it writes its counters, in milliseconds
+   * @param jvmFlags further JVM flags
+   * @param launcher main class and flags to insert before the router's main class, or empty
+   * @param output receives each line of the process's output
    */
   public static RouterProcess start(
       Path folder,
@@ -72,7 +72,7 @@
         output);
   }
 
-  /** Returns the folder that all routers of a fleet share. */
+  /** Returns the folder shared by all routers of a fleet. */
   public static Path sharedFolder(Path folder) {
     return folder.resolve("shared");
   }
--- a/testbed/src/main/java/tidebank/testbed/process/ChildProcess.java
+++ b/testbed/src/main/java/tidebank/testbed/process/ChildProcess.java
@@ -12,23 +12,29 @@
 import java.util.function.Consumer;
 
 /**
- * A Java process that ends with this one, whatever happens to it: between the two stands a shell
- * that kills the child when its own standard input ends. Signals go to the child alone, which this
- * one has started.
+ * A Java child process that does not outlive this process, even if this one is killed. A shell
+ * between the two runs a watchdog, which kills the child when the shell's standard input reaches
+ * end of file. Signals are sent to the Java process only, not to the shell.
  */
 public final class ChildProcess implements AutoCloseable {
-  /** A shell gives what it starts behind itself no standard input, hence the third descriptor. */
-  private static final String GUARD =
+  /**
+   * Runs the child and the watchdog in the background. Shells redirect the standard input of
+   * background commands, so the watchdog reads the shell's own through descriptor 3.
+   */
+  private static final String WATCHDOG_SCRIPT =
       "exec 3<&0; \"$@\" < /dev/null 3<&- & child=$!; { cat <&3 > /dev/null; kill -9 $child; } 2>"
-          + " /dev/null & guard=$!; wait $child; code=$?; kill $guard 2> /dev/null; exit $code";
+          + " /dev/null & watchdog=$!; wait $child; code=$?; kill $watchdog 2> /dev/null; exit"
+          + " $code";
 
-  private static final int LINES_KEPT = 200;
-  private static final int END_MS = 2000;
+  private static final int MAX_RETAINED_LINES = 200;
+  private static final int EXIT_TIMEOUT_MS = 2000;
 
   private final String name;
   private final Process shell;
   private final Deque<String> lines = new ArrayDeque<>();
-  private volatile boolean ended;
+
+  /** Whether the child's output has ended. */
+  private volatile boolean outputEnded;
 
   private ChildProcess(String name, Process shell) {
     this.name = name;
@@ -36,124 +42,146 @@
   }
 
   /**
-   * Starts one.
+   * Starts a Java process on the same Java runtime as this process.
    *
-   * @param arguments of the java that this process runs on
-   * @param told hears each line of its output, on a thread of its own
-   * @param end run on that thread once there is no more
+   * @param name the process's name in messages
+   * @param arguments arguments of the {@code java} command
+   * @param environment environment variables to set
+   * @param onLine receives each line of its output, on a reader thread
+   * @param onEnd called on the reader thread after the last line
+   * @throws IOException if the process cannot be started
    */
   public static ChildProcess java(
       String name,
       List<String> arguments,
       Map<String, String> environment,
-      Consumer<String> told,
-      Runnable end)
+      Consumer<String> onLine,
+      Runnable onEnd)
       throws IOException {
-    return java(name, arguments, environment, told, end, Long.MAX_VALUE);
+    return java(name, arguments, environment, onLine, onEnd, Long.MAX_VALUE);
   }
 
   /**
-   * Starts one whose files can't grow beyond a size: it meets them as it would a full disk.
+   * Starts a Java process with a limit on the size of the files it writes, to simulate a full disk.
    *
-   * @param fileBytes the most that any file of it may have; a multiple of 512
+   * @param name the process's name in messages
+   * @param arguments arguments of the {@code java} command
+   * @param environment environment variables to set
+   * @param onLine receives each line of its output, on a reader thread
+   * @param onEnd called on the reader thread after the last line
+   * @param maxFileBytes the size limit in bytes, a multiple of 512; Long.MAX_VALUE for none
+   * @throws IOException if the process cannot be started
    */
   public static ChildProcess java(
       String name,
       List<String> arguments,
       Map<String, String> environment,
-      Consumer<String> told,
-      Runnable end,
-      long fileBytes)
+      Consumer<String> onLine,
+      Runnable onEnd,
+      long maxFileBytes)
       throws IOException {
-    String bound = fileBytes == Long.MAX_VALUE ? "" : "ulimit -f " + fileBytes / 512 + "; ";
+    String sizeLimit =
+        maxFileBytes == Long.MAX_VALUE ? "" : "ulimit -f " + maxFileBytes / 512 + "; ";
     List<String> command =
         new ArrayList<>(
             List.of(
                 "/bin/sh",
                 "-c",
-                bound + GUARD,
+                sizeLimit + WATCHDOG_SCRIPT,
                 "sh",
                 Path.of(System.getProperty("java.home"), "bin", "java").toString()));
     command.addAll(arguments);
     ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
     builder.environment().keySet().removeIf(key -> key.startsWith("NODE_"));
     builder.environment().putAll(environment);
-    ChildProcess guarded = new ChildProcess(name, builder.start());
-    Thread reader = new Thread(() -> guarded.read(told, end), "log of " + name);
+    ChildProcess started = new ChildProcess(name, builder.start());
+    Thread reader = new Thread(() -> started.readOutput(onLine, onEnd), "log of " + name);
     reader.setDaemon(true);
     reader.start();
-    return guarded;
+    return started;
   }
 
-  private void read(Consumer<String> told, Runnable end) {
+  private void readOutput(Consumer<String> onLine, Runnable onEnd) {
     try (BufferedReader log = shell.inputReader()) {
       for (String line = log.readLine(); line != null; line = log.readLine()) {
         synchronized (lines) {
           lines.add(line);
-          if (lines.size() > LINES_KEPT) {
+          if (lines.size() > MAX_RETAINED_LINES) {
             lines.poll();
           }
         }
-        told.accept(line);
+        onLine.accept(line);
       }
-    } catch (IOException gone) {
-      // The process is gone; what it said last is kept.
+    } catch (IOException closed) {
+      // The process has ended; the lines read so far are retained.
     }
-    ended = true;
-    end.run();
+    outputEnded = true;
+    onEnd.run();
   }
 
+  /** Returns the process's name. */
   public String name() {
     return name;
   }
 
+  /** Returns the last lines of the process's output, at most 200. */
   public String lastLines() {
     synchronized (lines) {
       return String.join("\n", lines);
     }
   }
 
+  /** Returns whether the process runs and its output has not ended. */
   public boolean alive() {
-    return shell.isAlive() && !ended;
+    return shell.isAlive() && !outputEnded;
   }
 
-  private ProcessHandle child() {
-    // Below the shell stand the child and the guard; only the child is a java.
+  private ProcessHandle javaProcess() {
+    // The shell's children are the Java process and the watchdog, which runs no java command.
     return shell
         .toHandle()
         .children()
-        .filter(one -> one.info().command().orElse("").endsWith("java"))
+        .filter(process -> process.info().command().orElse("").endsWith("java"))
         .findFirst()
         .orElse(null);
   }
 
+  /** Returns the id of the Java process, or -1 if it does not run. */
   public long pid() {
-    ProcessHandle one = child();
-    return one == null ? -1 : one.pid();
+    ProcessHandle process = javaProcess();
+    return process == null ? -1 : process.pid();
   }
 
-  /** SIGTERM. */
+  /** Sends SIGTERM. */
   public void terminate() {
-    ProcessHandle one = child();
-    if (one != null) {
-      one.destroy();
+    ProcessHandle process = javaProcess();
+    if (process != null) {
+      process.destroy();
     }
   }
 
-  /** SIGKILL. */
+  /** Sends SIGKILL. */
   public void kill() {
-    ProcessHandle one = child();
-    if (one != null) {
-      one.destroyForcibly();
+    ProcessHandle process = javaProcess();
+    if (process != null) {
+      process.destroyForcibly();
     }
   }
 
-  /** SIGSTOP: it stands still, and neither knows nor can do anything about it. */
+  /**
+   * Sends SIGSTOP, which suspends the process; it cannot catch this signal.
+   *
+   * @throws IOException if the process has ended
+   */
   public void stop() throws IOException {
     signal("STOP");
   }
 
-  /** SIGCONT: it goes on where it stood. */
+  /**
+   * Sends SIGCONT, which resumes a suspended process.
+   *
+   * @throws IOException if the process has ended
+   */
   public void wake() throws IOException {
     signal("CONT");
   }
@@ -161,33 +189,33 @@
   private void signal(String signal) throws IOException {
     long pid = pid();
     if (pid < 0) {
-      throw new IOException(name + " has ended: " + lastLines());
+      throw new IOException(name + " has ended; last output: " + lastLines());
     }
     try {
       new ProcessBuilder("kill", "-" + signal, Long.toString(pid)).start().waitFor();
-    } catch (InterruptedException fault) {
+    } catch (InterruptedException interrupted) {
       Thread.currentThread().interrupt();
       throw new IOException("interrupted");
     }
   }
 
-  /** Its exit code, or -1 if it has not ended in this time. */
-  public int waitFor(long millis) {
+  /** Waits for the process to end; returns its exit code, or -1 after {@code timeoutMs}. */
+  public int waitFor(long timeoutMs) {
     try {
-      if (shell.waitFor(millis, TimeUnit.MILLISECONDS)) {
+      if (shell.waitFor(timeoutMs, TimeUnit.MILLISECONDS)) {
         return shell.exitValue();
       }
-    } catch (InterruptedException fault) {
+    } catch (InterruptedException interrupted) {
       Thread.currentThread().interrupt();
     }
     return -1;
   }
 
-  /** Ends it at once if it still runs. */
+  /** Kills the process if it still runs. */
   @Override
   public void close() {
     kill();
-    if (waitFor(END_MS) == -1) {
+    if (waitFor(EXIT_TIMEOUT_MS) == -1) {
       shell.destroyForcibly();
     }
   }
