--- a/cli/src/main/java/tidebank/cli/FleetCommands.java
+++ b/cli/src/main/java/tidebank/cli/FleetCommands.java
@@ -138,7 +138,7 @@
     }
 
     protected int operate(Kind kind, String name, String duty, String done) throws IOException {
-      CommandResult answer = client().operate(kind, name, duty);
+      CommandResult answer = client().sendOperatorCommand(kind, name, duty);
       if (answer.error() != null) {
         throw new TidebankException.RequestRejected(answer.error());
       }
--- a/cli/src/test/java/tidebank/cli/FleetJsonFixturesTest.java
+++ b/cli/src/test/java/tidebank/cli/FleetJsonFixturesTest.java
@@ -68,11 +68,11 @@
       while (client.state().tasks().isEmpty()) {
         Thread.onSpinWait();
       }
-      client.command(LeaseCommand.of(Kind.JOIN, "a", 1, "g0"));
-      client.command(new LeaseCommand(Kind.CLAIM, "a", 2, "g0", "report", 0, 0, "", null));
+      client.sendCommand(LeaseCommand.of(Kind.JOIN, "a", 1, "g0"));
+      client.sendCommand(new LeaseCommand(Kind.CLAIM, "a", 2, "g0", "report", 0, 0, "", null));
       // Refused, so that a member's last answer has a fault.
-      client.command(LeaseCommand.of(Kind.JOIN, "b", 1, "g1"));
-      client.command(new LeaseCommand(Kind.CLAIM, "b", 2, "g1", "report", 0, 0, "", null));
+      client.sendCommand(LeaseCommand.of(Kind.JOIN, "b", 1, "g1"));
+      client.sendCommand(new LeaseCommand(Kind.CLAIM, "b", 2, "g1", "report", 0, 0, "", null));
       for (String[] command :
           List.of(
               new String[] {"fleet", "status"},
--- a/cli/src/test/java/tidebank/cli/TidebankTest.java
+++ b/cli/src/test/java/tidebank/cli/TidebankTest.java
@@ -243,7 +243,7 @@
             folder, 1, "[duties]\nnames = [\"report\"]\n[election]\nms = 200\n")) {
       String at = stewards.addresses().get(0);
       CoordinatorClient client = new CoordinatorClient(stewards.addresses(), 20_000);
-      client.command(tidebank.lease.LeaseCommand.of(Kind.JOIN, "a", 1, "g0"));
+      client.sendCommand(tidebank.lease.LeaseCommand.of(Kind.JOIN, "a", 1, "g0"));
       while (run("fleet", "duties", "--stewards", at, "--json") != 0 || json().isEmpty()) {
         Thread.onSpinWait();
       }
--- a/coordinator/src/main/java/tidebank/coordinator/CoordinatorClient.java
+++ b/coordinator/src/main/java/tidebank/coordinator/CoordinatorClient.java
@@ -102,9 +102,10 @@
   }
 
   /** Sends an operator's command in this client's session and returns its result. */
-  public CommandResult operate(LeaseCommand.Kind kind, String member, String task)
+  public CommandResult sendOperatorCommand(LeaseCommand.Kind kind, String member, String task)
       throws IOException {
-    return command(new LeaseCommand(kind, session, ++lastSequence, member, task, 0, 0, "", null));
+    return sendCommand(
+        new LeaseCommand(kind, session, ++lastSequence, member, task, 0, 0, "", null));
   }
 
   /**
@@ -114,7 +115,7 @@
    * @throws IOException if no coordinator returned a result in time, or if the request was
    *     malformed
    */
-  public CommandResult command(LeaseCommand command) throws IOException {
+  public CommandResult sendCommand(LeaseCommand command) throws IOException {
     return LeaseCodec.read(call("/fleet/command", LeaseCodec.write(command)), CommandResult.class);
   }
 
--- a/coordinator/src/main/java/tidebank/coordinator/CoordinatorServer.java
+++ b/coordinator/src/main/java/tidebank/coordinator/CoordinatorServer.java
@@ -118,12 +118,12 @@
   }
 
   /** Reads the lease table with a linearizable read; completes with its state as JSON. */
-  CompletableFuture<byte[]> state() {
+  CompletableFuture<byte[]> readState() {
     return replica.read(READ_STATE);
   }
 
   /** Reads the audit log of all tasks with a linearizable read; completes with it as JSON. */
-  CompletableFuture<byte[]> auditLog() {
+  CompletableFuture<byte[]> readAuditLog() {
     return replica.read(LeaseStateMachine.READ_AUDIT_LOG.toByteArray());
   }
 
--- a/coordinator/src/main/java/tidebank/coordinator/HttpRequestHandler.java
+++ b/coordinator/src/main/java/tidebank/coordinator/HttpRequestHandler.java
@@ -45,10 +45,10 @@
     }
     if (request.method().equals(HttpMethod.GET)) {
       if (uri.equals("/fleet/state")) {
-        return coordinator.state();
+        return coordinator.readState();
       }
       if (uri.equals("/fleet/history")) {
-        return coordinator.auditLog();
+        return coordinator.readAuditLog();
       }
       if (uri.startsWith("/fleet/wanted?")) {
         return unclaimedTasks(new QueryStringDecoder(uri));
--- a/coordinator/src/main/java/tidebank/coordinator/LeaseAuditLog.java
+++ b/coordinator/src/main/java/tidebank/coordinator/LeaseAuditLog.java
@@ -73,7 +73,7 @@
   }
 
   /** Returns the entries of all tasks, each task's oldest entry first. */
-  NavigableMap<String, List<AuditEntry>> all() {
+  NavigableMap<String, List<AuditEntry>> entriesByTask() {
     NavigableMap<String, List<AuditEntry>> all = new TreeMap<>();
     entriesByTask.forEach((task, entries) -> all.put(task, new ArrayList<>(entries)));
     return all;
--- a/coordinator/src/main/java/tidebank/coordinator/LeaseStateMachine.java
+++ b/coordinator/src/main/java/tidebank/coordinator/LeaseStateMachine.java
@@ -133,7 +133,7 @@
     byte[] bytes;
     synchronized (this) {
       last = getLastAppliedTermIndex();
-      bytes = SnapshotFormat.encode(new SnapshotContent(table.state(), auditLog.all()));
+      bytes = SnapshotFormat.encode(new SnapshotContent(table.state(), auditLog.entriesByTask()));
     }
     Path file = storage.getSnapshotFile(last.getTerm(), last.getIndex()).toPath();
     SnapshotFormat.writeAtomically(file, bytes);
@@ -215,7 +215,7 @@
   public CompletableFuture<Message> query(Message request) {
     if (request.getContent().equals(READ_AUDIT_LOG)) {
       synchronized (this) {
-        return completed(auditLog.all());
+        return completed(auditLog.entriesByTask());
       }
     }
     LeaseTableState state = lastApplied;
--- a/testbed/src/main/java/tidebank/testbed/chaos/StepExecutor.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/StepExecutor.java
@@ -105,7 +105,8 @@
   }
 
   private void operate(Kind kind, String member) throws IOException {
-    CommandResult result = operator.operate(kind, member, kind == Kind.MOVE ? "report" : "");
+    CommandResult result =
+        operator.sendOperatorCommand(kind, member, kind == Kind.MOVE ? "report" : "");
     if (result.error() != null) {
       throw new TidebankException.RequestRejected(result.error());
     }
--- a/testbed/src/main/java/tidebank/testbed/chaos/TestCluster.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/TestCluster.java
@@ -184,7 +184,7 @@
   }
 
   boolean alive(String name) {
-    return processes.get(name).alive();
+    return processes.get(name).isAlive();
   }
 
   Path disk(String coordinator) {
@@ -196,13 +196,13 @@
   }
 
   void stop(String name) throws IOException {
-    processes.get(name).stop();
+    processes.get(name).suspend();
     stopped.add(name);
   }
 
   void resume(String name) throws IOException {
     if (stopped.remove(name) && alive(name)) {
-      processes.get(name).wake();
+      processes.get(name).resume();
     }
   }
 
--- a/testbed/src/main/java/tidebank/testbed/explore/Explorer.java
+++ b/testbed/src/main/java/tidebank/testbed/explore/StateSpaceExplorer.java
@@ -14,7 +14,7 @@
  * key: with ten million states, the chance of a collision is below 1 in 100,000, and a collision
  * leaves a state unvisited.
  */
-public final class Explorer {
+public final class StateSpaceExplorer {
   /** Number of states expanded in parallel at a time. */
   private static final int CHUNK_SIZE = 1 << 14;
 
@@ -25,35 +25,36 @@
    */
   public interface Model<S> {
     /** Returns the initial state. */
-    S start();
+    S initialState();
 
     /** Passes each successor of a state to {@code next}, with the name of the transition. */
-    void moves(S state, BiConsumer<String, S> next);
+    void forEachSuccessor(S state, BiConsumer<String, S> next);
 
     /** Returns a description of the invariant that a state violates, or null. */
-    String broken(S state);
+    String findViolation(S state);
 
     /** Returns a text that is equal for two states only if they cannot be told apart later. */
-    String key(S state);
+    String stateKey(S state);
   }
 
   /**
    * The result of an exploration.
    *
-   * @param states number of distinct states visited
+   * @param statesVisited number of distinct states visited
    * @param depth number of transitions of the longest trace examined
-   * @param broken description of the first violation, or null
+   * @param violation description of the first violation, or null
    * @param trace names of the transitions that lead to the violation
    */
-  public record Found(long states, int depth, String broken, List<String> trace) {
+  public record ExplorationResult(
+      long statesVisited, int depth, String violation, List<String> trace) {
     @Override
     public String toString() {
-      return states
+      return statesVisited
           + " states to a depth of "
           + depth
-          + (broken == null
+          + (violation == null
               ? ", no violation"
-              : "; " + broken + " after:\n  " + String.join("\n  ", trace));
+              : "; " + violation + " after:\n  " + String.join("\n  ", trace));
     }
   }
 
@@ -70,13 +71,13 @@
     }
   }
 
-  private Explorer() {}
+  private StateSpaceExplorer() {}
 
   /** Explores a model to a depth, in transitions; stops at the first violation. */
-  public static <S> Found explore(Model<S> model, int maxDepth) {
+  public static <S> ExplorationResult explore(Model<S> model, int maxDepth) {
     Set<Long> seen = new HashSet<>();
-    List<Node<S>> frontier = List.of(new Node<>(model.start(), new Step("start", null)));
-    seen.add(hash(model.key(frontier.get(0).state)));
+    List<Node<S>> frontier = List.of(new Node<>(model.initialState(), new Step("start", null)));
+    seen.add(hash(model.stateKey(frontier.get(0).state)));
     for (int depth = 1; depth <= maxDepth; depth++) {
       List<Node<S>> next = new ArrayList<>();
       for (int from = 0; from < frontier.size(); from += CHUNK_SIZE) {
@@ -88,7 +89,7 @@
           for (Successor<S> successor : successors) {
             if (seen.add(successor.hash)) {
               if (successor.violation != null) {
-                return new Found(
+                return new ExplorationResult(
                     seen.size(), depth, successor.violation, successor.node.step.trace());
               }
               next.add(successor.node);
@@ -98,7 +99,7 @@
       }
       frontier = next;
     }
-    return new Found(seen.size(), maxDepth, null, List.of());
+    return new ExplorationResult(seen.size(), maxDepth, null, List.of());
   }
 
   /** A successor of an expanded state, with the hash of its key and its violation, or null. */
@@ -106,14 +107,14 @@
 
   private static <S> List<Successor<S>> successors(Model<S> model, Node<S> node) {
     List<Successor<S>> successors = new ArrayList<>();
-    model.moves(
+    model.forEachSuccessor(
         node.state,
         (transition, state) ->
             successors.add(
                 new Successor<>(
                     new Node<>(state, new Step(transition, node.step)),
-                    hash(model.key(state)),
-                    model.broken(state))));
+                    hash(model.stateKey(state)),
+                    model.findViolation(state))));
     return successors;
   }
 
--- a/testbed/src/main/java/tidebank/testbed/fleet/CoordinatorProcesses.java
+++ b/testbed/src/main/java/tidebank/testbed/fleet/CoordinatorProcesses.java
@@ -29,7 +29,7 @@
   /** Maps each coordinator's own addresses to those of a proxy in front of it. */
   public interface AddressMapping {
     /** Returns the address to advertise instead of the coordinator's own address. */
-    String advertised(int coordinator, boolean isRaft, String ownAddress) throws IOException;
+    String advertisedAddress(int coordinator, boolean isRaft, String ownAddress) throws IOException;
   }
 
   private final Path folder;
@@ -72,8 +72,8 @@
     }
     for (int i = 0; i < count; i++) {
       processes.add(null);
-      advertisedRaft.add(mapping.advertised(i, true, raftAddresses.get(i)));
-      advertisedHttp.add(mapping.advertised(i, false, httpAddresses.get(i)));
+      advertisedRaft.add(mapping.advertisedAddress(i, true, raftAddresses.get(i)));
+      advertisedHttp.add(mapping.advertisedAddress(i, false, httpAddresses.get(i)));
     }
   }
 
@@ -139,7 +139,8 @@
     arguments.addAll(launcher);
     arguments.addAll(List.of(MAIN_CLASS, "--config", config.toString()));
     processes.set(
-        coordinator, ChildProcess.java(name, arguments, Map.of(), output, () -> {}, maxFileBytes));
+        coordinator,
+        ChildProcess.startJava(name, arguments, Map.of(), output, () -> {}, maxFileBytes));
   }
 
   private String configFile(int coordinator) {
--- a/testbed/src/main/java/tidebank/testbed/process/ChildProcess.java
+++ b/testbed/src/main/java/tidebank/testbed/process/ChildProcess.java
@@ -51,14 +51,14 @@
    * @param onEnd called on the reader thread after the last line
    * @throws IOException if the process cannot be started
    */
-  public static ChildProcess java(
+  public static ChildProcess startJava(
       String name,
       List<String> arguments,
       Map<String, String> environment,
       Consumer<String> onLine,
       Runnable onEnd)
       throws IOException {
-    return java(name, arguments, environment, onLine, onEnd, Long.MAX_VALUE);
+    return startJava(name, arguments, environment, onLine, onEnd, Long.MAX_VALUE);
   }
 
   /**
@@ -72,7 +72,7 @@
    * @param maxFileBytes the size limit in bytes, a multiple of 512; Long.MAX_VALUE for none
    * @throws IOException if the process cannot be started
    */
-  public static ChildProcess java(
+  public static ChildProcess startJava(
       String name,
       List<String> arguments,
       Map<String, String> environment,
@@ -132,7 +132,7 @@
   }
 
   /** Returns whether the process runs and its output has not ended. */
-  public boolean alive() {
+  public boolean isAlive() {
     return shell.isAlive() && !outputEnded;
   }
 
@@ -173,7 +173,7 @@
    *
    * @throws IOException if the process has ended
    */
-  public void stop() throws IOException {
+  public void suspend() throws IOException {
     signal("STOP");
   }
 
@@ -182,7 +182,7 @@
    *
    * @throws IOException if the process has ended
    */
-  public void wake() throws IOException {
+  public void resume() throws IOException {
     signal("CONT");
   }
 
--- a/testbed/src/main/java/tidebank/testbed/replay/RouterProcess.java
+++ b/testbed/src/main/java/tidebank/testbed/replay/RouterProcess.java
@@ -79,7 +79,7 @@
     }
     RouterProcess started = new RouterProcess(name, config);
     started.process =
-        ChildProcess.java(
+        ChildProcess.startJava(
             name,
             command,
             Map.of("NODE_CONFIG", config.toString()),
@@ -142,7 +142,7 @@
   public void ready() throws IOException {
     InetSocketAddress at = address();
     long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(START_S);
-    while (System.nanoTime() < until && process.alive()) {
+    while (System.nanoTime() < until && process.isAlive()) {
       try {
         HttpURLConnection call =
             (HttpURLConnection)
@@ -177,7 +177,7 @@
   }
 
   public boolean alive() {
-    return process.alive();
+    return process.isAlive();
   }
 
   /** SIGTERM; it ends what it holds. */
@@ -192,12 +192,12 @@
 
   /** SIGSTOP. */
   public void stop() throws IOException {
-    process.stop();
+    process.suspend();
   }
 
   /** SIGCONT. */
   public void wake() throws IOException {
-    process.wake();
+    process.resume();
   }
 
   /** Its exit code, or -1 if it has not ended in this time. */
--- a/testbed/src/test/java/tidebank/coordinator/LeaseFixturesTest.java
+++ b/testbed/src/test/java/tidebank/coordinator/LeaseFixturesTest.java
@@ -180,7 +180,7 @@
     }
 
     SnapshotContent content() {
-      return new SnapshotContent(table.state(), auditLog.all());
+      return new SnapshotContent(table.state(), auditLog.entriesByTask());
     }
   }
 
@@ -218,7 +218,8 @@
     Files.write(
         FIXTURE_DIRECTORY.resolve("state.json"), LeaseCodec.write(appliedLog.table.state()));
     Files.write(
-        FIXTURE_DIRECTORY.resolve("history.json"), LeaseCodec.write(appliedLog.auditLog.all()));
+        FIXTURE_DIRECTORY.resolve("history.json"),
+        LeaseCodec.write(appliedLog.auditLog.entriesByTask()));
     Files.write(
         FIXTURE_DIRECTORY.resolve("snapshot-version-2.bin"),
         SnapshotFormat.encode(appliedLog.content()));
@@ -381,7 +382,8 @@
     }
     assertThat(withoutMessages(LeaseCodec.write(appliedLog.table.state())))
         .isEqualTo(withoutMessages(fixture("state.json")));
-    assertThat(LeaseCodec.write(appliedLog.auditLog.all())).isEqualTo(fixture("history.json"));
+    assertThat(LeaseCodec.write(appliedLog.auditLog.entriesByTask()))
+        .isEqualTo(fixture("history.json"));
   }
 
   /** Guards against a changed snapshot format under the same version number. */
--- a/testbed/src/test/java/tidebank/coordinator/SnapshotTest.java
+++ b/testbed/src/test/java/tidebank/coordinator/SnapshotTest.java
@@ -54,7 +54,7 @@
   @Test
   void auditLogRecordsGrantsMovesAndReleasesInOrder() {
     applyCommands();
-    assertThat(auditLog.all())
+    assertThat(auditLog.entriesByTask())
         .isEqualTo(
             Map.of(
                 "report",
@@ -72,7 +72,7 @@
     for (int i = 0; i < 100; i++) {
       apply(3000 + i, Kind.MOVE, i % 2 == 0 ? "" : "g1", "report", 0);
     }
-    assertThat(auditLog.all().get("report"))
+    assertThat(auditLog.entriesByTask().get("report"))
         .hasSize(LeaseAuditLog.MAX_ENTRIES_PER_TASK)
         .last()
         .isEqualTo(new AuditEntry(3099, 2, "g1", "moved to"));
@@ -82,7 +82,7 @@
   @Test
   void truncatedOrBitFlippedSnapshotIsReportedAsCorrupt() throws Exception {
     applyCommands();
-    SnapshotContent content = new SnapshotContent(table.state(), auditLog.all());
+    SnapshotContent content = new SnapshotContent(table.state(), auditLog.entriesByTask());
     byte[] encoded = SnapshotFormat.encode(content);
     assertThat(SnapshotFormat.decode("s", encoded)).isEqualTo(content);
     for (int length = 0; length < encoded.length; length++) {
--- a/testbed/src/test/java/tidebank/lease/LeaseModel.java
+++ b/testbed/src/test/java/tidebank/lease/LeaseModel.java
@@ -8,7 +8,7 @@
 import java.util.stream.Collectors;
 import tidebank.errors.MembershipException;
 import tidebank.errors.TidebankException;
-import tidebank.testbed.explore.Explorer;
+import tidebank.testbed.explore.StateSpaceExplorer;
 
 /**
  * Three members, two tasks, coordinators whose log is taken for granted (a library's), and a
@@ -16,7 +16,7 @@
  * any number of times. A member that takes no step is paused. Clocks run 5% fast or slow, and begin
  * anywhere. The rules are the product's own classes, with one rule left out or none.
  */
-final class LeaseModel implements Explorer.Model<LeaseModel.World> {
+final class LeaseModel implements StateSpaceExplorer.Model<LeaseModel.World> {
   private static final int MEMBERS = 3;
   private static final List<String> TASKS = List.of("probe", "report");
   private static final long TICK_US = 1_000_000;
@@ -176,7 +176,7 @@
   // ---- steps
 
   @Override
-  public World start() {
+  public World initialState() {
     World world =
         new World(
             0,
@@ -217,7 +217,7 @@
   }
 
   @Override
-  public void moves(World world, BiConsumer<String, World> next) {
+  public void forEachSuccessor(World world, BiConsumer<String, World> next) {
     if (world.violation != null) {
       return;
     }
@@ -351,7 +351,7 @@
   }
 
   @Override
-  public String broken(World world) {
+  public String findViolation(World world) {
     if (world.violation != null) {
       return world.violation;
     }
@@ -386,7 +386,7 @@
   // ---- comparing worlds
 
   @Override
-  public String key(World world) {
+  public String stateKey(World world) {
     return world.tick
         + " "
         + world.term
--- a/testbed/src/test/java/tidebank/testbed/bench/CoordinatorBench.java
+++ b/testbed/src/test/java/tidebank/testbed/bench/CoordinatorBench.java
@@ -84,10 +84,10 @@
       ConcurrentLinkedQueue<Long> latenciesNs) {
     try {
       long sequence = 0;
-      client.command(LeaseCommand.of(Kind.JOIN, name, ++sequence, name));
+      client.sendCommand(LeaseCommand.of(Kind.JOIN, name, ++sequence, name));
       while (running.get()) {
         long sentAt = System.nanoTime();
-        client.command(LeaseCommand.of(Kind.RENEW, name, ++sequence, name));
+        client.sendCommand(LeaseCommand.of(Kind.RENEW, name, ++sequence, name));
         latenciesNs.add(System.nanoTime() - sentAt);
       }
     } catch (IOException exception) {
--- a/testbed/src/test/java/tidebank/testbed/fleet/CoordinatorProcessesTest.java
+++ b/testbed/src/test/java/tidebank/testbed/fleet/CoordinatorProcessesTest.java
@@ -69,7 +69,7 @@
       if (command == null) {
         return null;
       }
-      CommandResult result = client.command(command);
+      CommandResult result = client.sendCommand(command);
       holder.handleResult(command.sequence(), result, nowUs());
       return result;
     }
@@ -138,13 +138,13 @@
       Member member = new Member("g0", "first", client);
       long token = member.acquire("report");
       LeaseCommand publish = member.holder.publish("report", 0, "fleet-1." + token, Member.nowUs());
-      CommandResult first = client.command(publish);
+      CommandResult first = client.sendCommand(publish);
       assertThat(first.revision()).isEqualTo(1);
       coordinators.process(0).kill();
       coordinators.process(0).waitFor(5000);
       coordinators.start(0);
       // A retry, as after a lost response, has no further effect and gets the first result.
-      assertThat(client.command(publish)).isEqualTo(first);
+      assertThat(client.sendCommand(publish)).isEqualTo(first);
       assertThat(lease(client, "report").value()).isEqualTo("fleet-1." + token);
       assertThat(lease(client, "report").revision()).isEqualTo(1);
       long nextToken = new Member("g1", "other", client).acquire("report");
@@ -249,7 +249,7 @@
       Member holderMember = new Member("g0", "first", client);
       long token = holderMember.acquire("report");
       int formerLeader = awaitLeader(coordinators);
-      coordinators.process(formerLeader).stop();
+      coordinators.process(formerLeader).suspend();
       Member next =
           new Member(
               "g1",
@@ -264,7 +264,7 @@
       assertThat(nextToken).isGreaterThan(token);
       // The first holder knows from its own clock that its lease has expired.
       assertThat(holderMember.holder.tokenIfHeld("report", Member.nowUs(), 0)).isZero();
-      coordinators.process(formerLeader).wake();
+      coordinators.process(formerLeader).resume();
       // The resumed coordinator rejects the publication, whether or not it believes that it leads.
       LeaseCommand stalePublish =
           new LeaseCommand(Kind.PUBLISH, "first", 99, "g0", "report", token, 0, "too late", null);
@@ -280,7 +280,7 @@
       assertThat(response.body()).containsAnyOf("TB-1101", "TB-1004");
       assertThat(
               client
-                  .command(
+                  .sendCommand(
                       new LeaseCommand(
                           Kind.PUBLISH, "first", 100, "g0", "report", token, 0, "too late", null))
                   .error()
@@ -302,7 +302,7 @@
       Member holderMember = new Member("g0", "first", client);
       long token = holderMember.acquire("report");
       for (int i = 0; i < 60; i++) {
-        client.operate(Kind.MOVE, "", "probe/a");
+        client.sendOperatorCommand(Kind.MOVE, "", "probe/a");
       }
       int down = (awaitLeader(coordinators) + 1) % 3;
       coordinators.process(down).kill();
@@ -361,7 +361,7 @@
       CoordinatorClient client = client(coordinators);
       Member holderMember = new Member("g0", "first", client);
       holderMember.acquire("report");
-      client.command(LeaseCommand.of(Kind.JOIN, "second", 1, "g1"));
+      client.sendCommand(LeaseCommand.of(Kind.JOIN, "second", 1, "g1"));
       String address = coordinators.addresses().get(0);
       assertThat(send(address, "GET", "/fleet/wanted?name=g1&wait_ms=1", "").body())
           .isEqualTo("[]");
@@ -412,7 +412,7 @@
       try {
         while (acknowledged < 5000
             && client
-                    .command(
+                    .sendCommand(
                         LeaseCommand.of(
                             acknowledged == 0 ? Kind.JOIN : Kind.RENEW,
                             "x",
--- a/testbed/src/test/java/tidebank/testbed/fleet/TasksTest.java
+++ b/testbed/src/test/java/tidebank/testbed/fleet/TasksTest.java
@@ -217,7 +217,7 @@
     coordinators.start(0);
     pollUntil(this::publishedRevision, revision -> revision > revisionBefore);
     pollUntil(() -> client.state().members().size(), count -> count == 4);
-    client.operate(Kind.DRAIN, "g" + holderIndex(), "");
+    client.sendOperatorCommand(Kind.DRAIN, "g" + holderIndex(), "");
     long token = reportLease().fencingToken();
     pollUntil(this::reportLease, lease -> lease.publishingToken() > token);
   }
