--- a/router/src/main/java/tidebank/Main.java
+++ b/router/src/main/java/tidebank/Main.java
@@ -8,14 +8,14 @@
 import tidebank.runtime.ServeCommand;
 import tidebank.simulation.SimulatorHost;
 
-/** The command line: serves on sockets, or runs the decisions under a simulator. */
+/** The command line, which serves queries or runs the routing policy under a simulator. */
 public final class Main {
   private static final int EXIT_FAILED = 1;
   private static final int EXIT_MISUSED = 2;
 
   private Main() {}
 
-  /** Runs the command; exits with 1 if it fails, and with 2 for a wrong command line or file. */
+  /** Runs the command. Exits with 1 if it fails and with 2 for invalid arguments or settings. */
   public static void main(String[] args) {
     Log.useForProcess();
     boolean hasConfig = args.length == 3 && args[0].equals("serve") && args[1].equals("--config");
--- a/router/src/main/java/tidebank/frontend/ClientChannelHandler.java
+++ b/router/src/main/java/tidebank/frontend/ClientChannelHandler.java
@@ -7,7 +7,7 @@
 import io.netty.util.ReferenceCountUtil;
 import java.io.IOException;
 
-/** Passes the events of a channel to its connection. */
+/** Forwards the events of a channel to its {@link ClientConnection}. */
 final class ClientChannelHandler extends ChannelInboundHandlerAdapter {
   private final ClientConnection connection;
 
@@ -35,8 +35,9 @@
   }
 
   /**
-   * The client has ended its side. This comes in the pass in which that is read, before the
-   * decision round that would still send for it; {@link #channelInactive} comes only after that.
+   * Closes the connection when the client has closed its side. This event arrives in the pass that
+   * reads the end of the stream, before a decision round that would still send attempts for the
+   * client; {@link #channelInactive} is only called after that round.
    */
   @Override
   public void userEventTriggered(ChannelHandlerContext context, Object event) {
--- a/router/src/main/java/tidebank/frontend/ClientConnection.java
+++ b/router/src/main/java/tidebank/frontend/ClientConnection.java
@@ -16,15 +16,15 @@
 import tidebank.runtime.QueryRequest;
 
 /**
- * One client's connection. Requests that come before earlier ones have their response are answered
- * in their order. Confined to the event loop.
+ * A client's connection. Pipelined requests get their responses in the order of the requests.
+ * Confined to the event loop.
  */
 final class ClientConnection implements ConnectionTimers.Listener {
   private static final Logger LOG = LoggerFactory.getLogger(ClientConnection.class);
 
   /**
-   * Closing a socket with bytes that were not read resets the connection, and the client may lose
-   * the response that is on its way.
+   * Half-closes the connection after the final response. Closing a socket that has unread bytes
+   * resets the connection, and the client may lose a response in transit.
    */
   private static final ChannelFutureListener SHUTDOWN_OUTPUT =
       done -> ((DuplexChannel) done.channel()).shutdownOutput();
@@ -32,9 +32,9 @@
   private enum State {
     /** Requests are read. */
     OPEN,
-    /** What is read is dropped; responses that are due are still written. */
+    /** Input is dropped; responses to earlier requests are still written. */
     DRAINING,
-    /** The final response is written, and the client is to end its side. */
+    /** The final response was written; waits for the client to close its side. */
     LINGERING,
     /** The client has disconnected, or the connection was closed. */
     CLOSED
@@ -53,7 +53,7 @@
 
   private long idleSince;
 
-  /** {@code overBudget}: its first request is refused, whatever it is. */
+  /** Creates a connection; if {@code overBudget}, its first request is refused unseen. */
   ClientConnection(
       ClientServer server, FrontendContext context, Channel channel, boolean overBudget) {
     this.server = server;
@@ -76,22 +76,22 @@
     return trace;
   }
 
-  /** Returns whether no request has begun, or waits for its response. */
+  /** Returns whether no request is incomplete or waits for its response. */
   boolean isIdle() {
     return exchanges.isEmpty() && !hasIncompleteRequest();
   }
 
-  /** Returns whether a request has begun that is not complete. */
+  /** Returns whether a request has begun but is not complete. */
   boolean hasIncompleteRequest() {
     return arrival.hasIncompleteRequest();
   }
 
-  /** Returns whether the final response is written. */
+  /** Returns whether the final response was written or the connection is closed. */
   boolean isLingering() {
     return state.compareTo(State.LINGERING) >= 0;
   }
 
-  /** Returns whether an interim response may be written: no response is due before it. */
+  /** Returns whether 100 (Continue) may be written, as no other response is due before it. */
   boolean mayContinue() {
     return exchanges.isEmpty() && state == State.OPEN;
   }
@@ -110,14 +110,14 @@
 
   // ---- requests
 
-  /** The connection is established: its first request is due in time. */
+  /** Starts the time limit of the first request on a new connection. */
   void established() {
     timers.startRequest();
   }
 
   /**
-   * Notes that bytes of a request have come: its time limit runs from now on. The first request is
-   * to be complete within its limit since the connection was established.
+   * Records that the first bytes of a request have arrived and starts its time limit. The limit of
+   * the first request has been running since the connection was established.
    */
   void requestBegan() {
     if (!hasIncompleteRequest() && state == State.OPEN) {
@@ -129,20 +129,20 @@
     }
   }
 
-  /** Takes a message of the decoder; the caller releases it. */
+  /** Handles a message of the decoder; the caller releases it. */
   void read(Object message) {
     if (state != State.OPEN) {
       return;
     }
-    // A client has one request open at a time. Reading on past the limit, and past responses that
-    // the client does not read, shows when it disconnects.
-    boolean full =
+    // Clients have one request open at a time. Requests beyond the limit, or behind unread
+    // responses, are refused rather than left unread, because only reading detects a disconnect.
+    boolean isFull =
         exchanges.size() >= context.config().budgets().maxPipelinedRequests()
             || !channel.isWritable();
     if (overBudget && message instanceof HttpRequest) {
       context.counters().add("front.refused-connections");
       refuse(HttpResponseStatus.SERVICE_UNAVAILABLE, "too many connections");
-    } else if (full && message instanceof HttpRequest) {
+    } else if (isFull && message instanceof HttpRequest) {
       context.counters().add("front.refused-at-once");
       refuse(HttpResponseStatus.SERVICE_UNAVAILABLE, "too many requests at once");
     } else if (message instanceof FullHttpRequest request) {
@@ -160,7 +160,7 @@
     }
     long completeAt = arrival.arrivedSince();
     if (!arrival.hasReceivedRequest()) {
-      arrival.received();
+      arrival.markRequestReceived();
       server.requestBegan(this);
     }
     try {
@@ -188,19 +188,19 @@
 
   // ---- responses
 
-  /** Refuses a request whose body is over the limit. */
+  /** Refuses a request with a body over the size limit. */
   void bodyTooLarge() {
     context.counters().add("front.rejected");
     refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
   }
 
-  /** Refuses a request that violates the protocol; the connection ends with the response. */
+  /** Responds to a request that violates the protocol; the connection ends with the response. */
   void reject(HttpExchange exchange, HttpResponseStatus status, String text) {
     drain();
     exchange.respond(status, text);
   }
 
-  /** Responds to a request whose body is not kept: what still comes of it is read and dropped. */
+  /** Responds to a request before it is complete; the rest of it is read and dropped. */
   private void refuse(HttpResponseStatus status, String text) {
     HttpExchange exchange = addExchange();
     drain();
@@ -209,21 +209,21 @@
     exchange.respond(status, text);
   }
 
-  /** Writes the responses that are there, up to the first that is missing. */
+  /** Writes the available responses in order, up to the first that is missing. */
   void writeResponses() {
-    boolean wrote = false;
+    boolean hasWritten = false;
     while (!exchanges.isEmpty() && exchanges.peek().hasResponse()) {
       FullHttpResponse response = exchanges.poll().response();
-      boolean last = exchanges.isEmpty() && endsWithThisResponse();
-      HttpUtil.setKeepAlive(response, !last);
-      wrote = true;
-      if (last) {
+      boolean isFinal = exchanges.isEmpty() && endsWithThisResponse();
+      HttpUtil.setKeepAlive(response, !isFinal);
+      hasWritten = true;
+      if (isFinal) {
         writeFinalResponse(response);
         return;
       }
       channel.write(response, channel.voidPromise());
     }
-    if (wrote) {
+    if (hasWritten) {
       channel.flush();
       if (isIdle()) {
         server.becameIdle(this);
@@ -239,14 +239,17 @@
     channel.writeAndFlush(response).addListener(SHUTDOWN_OUTPUT);
   }
 
-  /** At a shutdown a request that has begun still gets its own response. */
+  /**
+   * Returns whether the next response is the final one. During a shutdown, a request that has begun
+   * still gets a response of its own.
+   */
   private boolean endsWithThisResponse() {
     return overBudget
         || state != State.OPEN
         || (server.hasStoppedAccepting() && !hasIncompleteRequest());
   }
 
-  /** At the deadline of a shutdown: responds to a request that is not complete with an error. */
+  /** Responds to an incomplete request with an error, at the deadline of a shutdown. */
   void refuseIncompleteRequest() {
     if (hasIncompleteRequest() && state == State.OPEN) {
       refuse(HttpResponseStatus.SERVICE_UNAVAILABLE, "stopping");
@@ -255,7 +258,7 @@
 
   // ---- time limits
 
-  /** Limits the time for which the client leaves responses unread. */
+  /** Starts or cancels the time limit for a client that does not read its responses. */
   void writabilityChanged() {
     if (channel.isWritable()) {
       timers.cancelUnreadResponses();
@@ -265,8 +268,8 @@
   }
 
   /**
-   * Responds with an error behind the responses that are due before it. A client that never began a
-   * request has no response to get.
+   * Responds to an incomplete request with 408, after the responses that are due before it. A
+   * connection without any request is closed without a response.
    */
   @Override
   public void requestTimedOut() {
@@ -297,21 +300,21 @@
 
   // ---- end
 
-  /** Closes the connection; {@code reason} is for the log. */
+  /** Closes the connection and logs {@code reason}. */
   void close(String reason) {
     trace.closed(reason, exchanges.size(), hasIncompleteRequest());
     server.disconnected(this);
     channel.close();
   }
 
-  /** Reads what there is, also the client's end, without waiting for the next poll. */
+  /** Reads the available input, or the end of the stream, without waiting for the next poll. */
   void checkClient() {
-    if (channel instanceof AbstractNioChannel sockets && channel.isActive()) {
-      sockets.unsafe().read();
+    if (channel instanceof AbstractNioChannel nioChannel && channel.isActive()) {
+      nioChannel.unsafe().read();
     }
   }
 
-  /** Answers what this connection still waits for after a fault of the router, then ends it. */
+  /** Responds with 500 after an internal failure; the connection ends with the response. */
   void failed(Throwable cause) {
     context.counters().recordFault("front.failed", String.valueOf(cause));
     if (state == State.OPEN) {
@@ -319,13 +322,16 @@
     }
   }
 
-  /** Ends a query of this connection whose client is gone. */
+  /** Closes a pending query of this connection, as the client has disconnected. */
   void clientDisconnectedFrom(QueryRequest query) {
     trace.disconnected(query);
     context.executor().clientDisconnected(query.id());
   }
 
-  /** The client has ended its side, or the connection is lost; may be called more than once. */
+  /**
+   * Ends the connection after the client has closed its side or the connection was lost. May be
+   * called more than once.
+   */
   void clientDisconnected() {
     timers.cancelAll();
     if (!isLingering()) {
--- a/router/src/main/java/tidebank/frontend/ClientPipeline.java
+++ b/router/src/main/java/tidebank/frontend/ClientPipeline.java
@@ -10,13 +10,13 @@
 import io.netty.handler.codec.http.HttpResponseEncoder;
 import io.netty.handler.codec.http.HttpUtil;
 
-/** Builds the handlers of a client's connection, from bytes to complete requests. */
+/** Builds the channel pipeline of a client's connection, from bytes to complete requests. */
 final class ClientPipeline {
   private ClientPipeline() {}
 
   /**
    * Adds the handlers. A connection over the budget gets no aggregator, as its first request is
-   * refused by its head.
+   * refused once its header is read.
    */
   static void build(
       Channel channel, ClientConnection connection, int maxBodyBytes, boolean overBudget) {
@@ -30,7 +30,7 @@
     channel.pipeline().addLast(new ClientChannelHandler(connection));
   }
 
-  /** Tells a connection that a request begins, also one right behind the end of another. */
+  /** Notifies a connection when a request begins, also if it directly follows another one. */
   private static final class RequestStartDetector extends ChannelInboundHandlerAdapter {
     private final ClientConnection connection;
     private final StrictRequestDecoder decoder;
@@ -53,9 +53,9 @@
   }
 
   /**
-   * Collects bodies up to the limit. An expectation of 100 (Continue) is met or ignored: a refusal
-   * of Netty's own would overtake responses that are due before it, and the body behind it would be
-   * read as a request.
+   * Collects bodies up to the size limit. An expectation of 100 (Continue) is met or ignored, but
+   * not refused: Netty's refusal would overtake responses that are due before it, and the body that
+   * follows would be parsed as a request.
    */
   private static final class BodyAggregator extends HttpObjectAggregator {
     private final ClientConnection connection;
--- a/router/src/main/java/tidebank/frontend/ClientServer.java
+++ b/router/src/main/java/tidebank/frontend/ClientServer.java
@@ -12,8 +12,8 @@
 import tidebank.runtime.TimerQueue;
 
 /**
- * The HTTP server for clients: listens, accepts connections within their budget, and closes them at
- * a shutdown. Confined to the event loop but for {@link #listen}.
+ * The HTTP server for clients. Accepts connections within the connection budget and closes them at
+ * a shutdown. Confined to the event loop except for {@link #listen}.
  */
 public final class ClientServer {
   private final FrontendContext context;
@@ -24,7 +24,7 @@
   private boolean draining;
   private boolean stoppedAccepting;
 
-  /** Creates a server that does not listen yet; {@code ready} says whether it can serve. */
+  /** Creates a server that does not listen yet; {@code ready} tells whether it can serve. */
   public ClientServer(
       RouterConfig config,
       PolicyExecutor executor,
@@ -40,7 +40,7 @@
   }
 
   /** Binds the listening socket. */
-  public ChannelFuture listen(ServerBootstrap template) {
+  public ChannelFuture listen(ServerBootstrap bootstrap) {
     ChannelInitializer<Channel> initializer =
         new ChannelInitializer<>() {
           @Override
@@ -48,7 +48,7 @@
             accept(channel);
           }
         };
-    return listener.bind(template, context.config().listen(), initializer);
+    return listener.bind(bootstrap, context.config().listen(), initializer);
   }
 
   private void accept(Channel channel) {
@@ -60,51 +60,51 @@
     listener.setExhausted(budget.isExhausted());
   }
 
-  // ---- what connections report
+  // ---- called by connections
 
   RequestRouter router() {
     return router;
   }
 
-  /** A request has begun on a connection. */
+  /** Called when a request has begun on a connection. */
   void requestBegan(ClientConnection connection) {
     budget.requestBegan(connection);
   }
 
-  /** A connection has no request that waits for its response. */
+  /** Called when a connection has no request in progress. */
   void becameIdle(ClientConnection connection) {
     budget.becameIdle(connection);
   }
 
-  /** A connection is closed, by either side. */
+  /** Called when a connection has been closed by either side. */
   void disconnected(ClientConnection connection) {
     budget.remove(connection);
     listener.setExhausted(budget.isExhausted());
   }
 
-  /** Returns since when a connection that is accepted now, and bytes on it, may have waited. */
+  /** Returns the earliest time at which a connection accepted now may have been established. */
   long acceptedSince() {
     return listener.acceptedSince(context.executor().arrivedSince());
   }
 
   // ---- life cycle
 
-  /** Returns whether it can serve and is not shutting down. */
+  /** Returns whether it can serve queries and is not draining. */
   public boolean isReady() {
     return !draining && ready.getAsBoolean();
   }
 
-  /** Reports not ready from now on, so that new clients go elsewhere; all are still served. */
+  /** Reports not ready from now on, so that new clients go elsewhere; requests are still served. */
   public void beginDraining() {
     draining = true;
   }
 
-  /** Returns whether a connection ends with its next response. */
+  /** Returns whether connections end with their next response. */
   boolean hasStoppedAccepting() {
     return stoppedAccepting;
   }
 
-  /** Accepts no more connections. Those without a request close, others with their responses. */
+  /** Stops accepting. Idle connections are closed now, others after their responses. */
   public void stopAccepting() {
     acceptBacklog();
     stoppedAccepting = true;
@@ -115,27 +115,27 @@
   }
 
   /**
-   * Accepts what the system has accepted already: closing the listening socket would reset those
-   * connections with their requests.
+   * Accepts the connections in the accept backlog, as closing the listening socket would reset them
+   * and lose their requests.
    */
   private void acceptBacklog() {
-    int before;
+    int sizeBefore;
     do {
-      before = budget.size();
+      sizeBefore = budget.size();
       listener.acceptNow();
-    } while (budget.size() > before && !budget.isExhausted());
+    } while (budget.size() > sizeBefore && !budget.isExhausted());
   }
 
-  /** Closes the connections that have had their final response since before this moment. */
-  public void closeConnectionsRespondedBefore(long moment) {
+  /** Closes the connections that had their final response at or before this time. */
+  public void closeConnectionsRespondedBefore(long time) {
     for (ClientConnection connection : budget.snapshot()) {
-      if (connection.isLingering() && connection.idleSince() <= moment) {
+      if (connection.isLingering() && connection.idleSince() <= time) {
         closeLingering(connection);
       }
     }
   }
 
-  /** Closes all connections; a request that is not complete still gets an error response. */
+  /** Closes all connections; incomplete requests still get an error response. */
   public void closeAllConnections() {
     for (ClientConnection connection : budget.snapshot()) {
       if (connection.isLingering()) {
@@ -149,7 +149,7 @@
   }
 
   private static void closeLingering(ClientConnection connection) {
-    // Closing over bytes that were not read would reset the connection, and the response with it.
+    // Closing a socket with unread bytes resets the connection, and its response may be lost.
     connection.checkClient();
     connection.close("shutdown_responded");
   }
--- a/router/src/main/java/tidebank/frontend/ConnectionBudget.java
+++ b/router/src/main/java/tidebank/frontend/ConnectionBudget.java
@@ -6,18 +6,18 @@
 import tidebank.config.RouterConfig;
 
 /**
- * The open connections of clients, and which of them is closed to make room for another. Confined
- * to the event loop.
+ * The open client connections, and the choice of the one that is closed when a new connection
+ * exceeds the budget. Confined to the event loop.
  */
 final class ConnectionBudget {
   private final FrontendContext context;
   private final RouterConfig.Budgets budgets;
   private final Set<ClientConnection> connections = new LinkedHashSet<>();
 
-  /** Those of which no request has come yet, the oldest first. */
+  /** Connections on which no request has begun yet, oldest first. */
   private final Set<ClientConnection> silent = new LinkedHashSet<>();
 
-  /** Those between two requests, or past their final response, the longest idle first. */
+  /** Connections between two requests or after their final response, longest idle first. */
   private final Set<ClientConnection> idle = new LinkedHashSet<>();
 
   ConnectionBudget(FrontendContext context) {
@@ -40,41 +40,42 @@
     return connections.size();
   }
 
-  /** Returns whether no further connection may be accepted, not even to refuse its requests. */
+  /** Returns whether no further connection may be accepted, not even to refuse its request. */
   boolean isExhausted() {
     return connections.size() >= budgets.maxAcceptedClients();
   }
 
-  /** Returns the open connections as they are now. */
+  /** Returns a copy of the list of open connections. */
   List<ClientConnection> snapshot() {
     return List.copyOf(connections);
   }
 
-  /** Notes that a request has begun: the connection is no longer one to be closed for another. */
+  /** Records that a request has begun, so that the connection is not closed for another one. */
   void requestBegan(ClientConnection connection) {
     silent.remove(connection);
     idle.remove(connection);
   }
 
   /**
-   * Notes that a connection is between two requests. If many are, closes the longest idle one, but
-   * not so soon that its client may be about to send its next request.
+   * Records that a connection is idle. If too many are, closes the longest idle one, unless it has
+   * been idle so briefly that its client may be about to send another request.
    */
   void becameIdle(ClientConnection connection) {
     long now = context.clock().now();
     connection.idleFrom(now);
     idle.add(connection);
-    ClientConnection longest = idle.iterator().next();
+    ClientConnection longestIdle = idle.iterator().next();
     if (idle.size() > budgets.maxIdleClients()
-        && context.clock().now() - longest.idleSince()
+        && context.clock().now() - longestIdle.idleSince()
             >= context.config().transport().minIdleUs()) {
-      closeIfIdle(longest, "front.closed-rested", "longest_idle");
+      closeIfIdle(longestIdle, "front.closed-rested", "longest_idle");
     }
   }
 
   /**
-   * Returns whether there is room for one more connection, for which at most one other is closed.
-   * That one may itself have been over the budget, and then there is still no room.
+   * Returns whether the budget allows one more connection, and closes at most one other for it.
+   * Closing one is not enough if connections over the budget are open to have their requests
+   * refused.
    */
   boolean makeRoom() {
     while (connections.size() >= budgets.maxServedClients()) {
@@ -90,21 +91,22 @@
   }
 
   /**
-   * Returns the oldest silent connection if its first request is overdue, else the longest idle
-   * one, as it is the likeliest to send no more; null if there is none.
+   * Returns the oldest connection without a request if that request is overdue or no connection is
+   * idle. Otherwise returns the longest idle one, which is the least likely to send another
+   * request. Returns null if there is neither.
    */
   private ClientConnection leastWanted() {
     ClientConnection oldestSilent = silent.isEmpty() ? null : silent.iterator().next();
-    boolean overdue =
+    boolean isOverdue =
         oldestSilent != null
             && context.clock().now() - oldestSilent.connectedAt()
                 >= context.config().transport().connectTimeoutUs();
-    return overdue || idle.isEmpty() ? oldestSilent : idle.iterator().next();
+    return isOverdue || idle.isEmpty() ? oldestSilent : idle.iterator().next();
   }
 
   /**
-   * Closes a connection without a request, unless a request, or the client's end, has come and is
-   * not read yet. Returns whether it was closed; if not it is no candidate any more.
+   * Closes an idle connection unless unread input shows that a request has begun or the client has
+   * disconnected. Returns whether it was closed; if not, it is no longer a candidate for closing.
    */
   boolean closeIfIdle(ClientConnection connection, String counter, String reason) {
     connection.checkClient();
--- a/router/src/main/java/tidebank/frontend/ConnectionTimers.java
+++ b/router/src/main/java/tidebank/frontend/ConnectionTimers.java
@@ -3,7 +3,7 @@
 import tidebank.runtime.Clock;
 import tidebank.runtime.TimerQueue;
 
-/** The time limits of one client's connection, all of the same length. */
+/** The time limits of a client's connection, all of the same duration. */
 final class ConnectionTimers {
   private final TimerQueue timers;
   private final Clock clock;
@@ -12,15 +12,15 @@
   private final TimerQueue.Timer unreadResponses;
   private final TimerQueue.Timer linger;
 
-  /** What to do when a limit has passed. */
+  /** Is notified when a time limit has expired. */
   interface Listener {
-    /** No complete request came in time. */
+    /** Called when no complete request arrived in time. */
     void requestTimedOut();
 
-    /** The client has not read its responses in time. */
+    /** Called when the client has not read its responses in time. */
     void responsesNotRead();
 
-    /** The client has not ended its side in time after its final response. */
+    /** Called when the client has not closed its side in time after the final response. */
     void lingeredTooLong();
   }
 
@@ -33,7 +33,7 @@
     this.linger = TimerQueue.timer(listener::lingeredTooLong);
   }
 
-  /** Starts the limit of the first request, or of one that has begun. */
+  /** Starts the time limit of the first request, or of one that has begun. */
   void startRequest() {
     start(request);
   }
@@ -42,7 +42,7 @@
     timers.cancel(request);
   }
 
-  /** Starts the limit of responses that the client does not read. */
+  /** Starts the time limit for reading the responses. */
   void startUnreadResponses() {
     start(unreadResponses);
   }
@@ -51,7 +51,7 @@
     timers.cancel(unreadResponses);
   }
 
-  /** Starts the limit of a client that has its final response. */
+  /** Starts the time limit for closing the client's side after the final response. */
   void startLinger() {
     start(linger);
   }
--- a/router/src/main/java/tidebank/frontend/FrontendContext.java
+++ b/router/src/main/java/tidebank/frontend/FrontendContext.java
@@ -6,7 +6,7 @@
 import tidebank.runtime.PolicyExecutor;
 import tidebank.runtime.TimerQueue;
 
-/** What all clients' connections of a router share. */
+/** The objects that all client connections of a router share. */
 record FrontendContext(
     RouterConfig config,
     PolicyExecutor executor,
--- a/router/src/main/java/tidebank/frontend/HttpExchange.java
+++ b/router/src/main/java/tidebank/frontend/HttpExchange.java
@@ -20,7 +20,7 @@
 import tidebank.runtime.QueryRequest;
 import tidebank.runtime.ResponseCallback;
 
-/** One request on a client's connection and, once it is there, its response. */
+/** A request on a client's connection, with its response once that is available. */
 final class HttpExchange implements ResponseCallback {
   private static final Logger LOG = LoggerFactory.getLogger(HttpExchange.class);
   private static final JsonFactory JSON = new JsonFactory();
@@ -28,7 +28,7 @@
 
   private final ClientConnection connection;
 
-  /** The query that was accepted from the request and has no response yet, or null. */
+  /** The query that was accepted from the request, or null if none is pending. */
   private QueryRequest query;
 
   private FullHttpResponse response;
@@ -37,22 +37,22 @@
     this.connection = connection;
   }
 
-  /** Notes that the request was accepted as a query. */
-  void accepted(QueryRequest accepted) {
-    query = accepted;
-    connection.trace().queryReceived(accepted);
+  /** Records that the request was accepted as a query. */
+  void accepted(QueryRequest acceptedQuery) {
+    query = acceptedQuery;
+    connection.trace().queryReceived(acceptedQuery);
   }
 
   boolean hasResponse() {
     return response != null;
   }
 
-  /** Returns the response, or null while there is none. Writing it releases it. */
+  /** Returns the response, or null while there is none. Writing the response releases it. */
   FullHttpResponse response() {
     return response;
   }
 
-  /** Ends its query, if one is pending, and releases a response that was not written. */
+  /** Closes the query if it is pending, and releases a response that was not written. */
   void clientDisconnected() {
     if (query != null) {
       connection.clientDisconnectedFrom(query);
@@ -66,9 +66,9 @@
   public void onResponse(boolean complete, List<Value> values) {
     ByteBuf body;
     try {
-      body = write(complete, values);
+      body = encodeBody(complete, values);
     } catch (IOException | RuntimeException | VirtualMachineError fault) {
-      LOG.error("response not written", fault);
+      LOG.error("writing a response failed", fault);
       respond(HttpResponseStatus.INTERNAL_SERVER_ERROR, "the answer could not be written");
       return;
     }
@@ -77,7 +77,7 @@
         "application/json");
   }
 
-  private ByteBuf write(boolean complete, List<Value> values) throws IOException {
+  private ByteBuf encodeBody(boolean complete, List<Value> values) throws IOException {
     ByteBuf body = connection.allocator().directBuffer();
     try (JsonGenerator out = JSON.createGenerator((OutputStream) new ByteBufOutputStream(body))) {
       out.writeStartObject();
@@ -133,14 +133,16 @@
     return new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
   }
 
-  private void respond(FullHttpResponse ready, String contentType) {
-    ready.headers().set(HttpHeaderNames.CONTENT_TYPE, contentType);
-    ready.headers().set(HttpHeaderNames.CONTENT_LENGTH, ready.content().readableBytes());
+  private void respond(FullHttpResponse newResponse, String contentType) {
+    newResponse.headers().set(HttpHeaderNames.CONTENT_TYPE, contentType);
+    newResponse
+        .headers()
+        .set(HttpHeaderNames.CONTENT_LENGTH, newResponse.content().readableBytes());
     if (query != null) {
-      connection.trace().responded(query, ready.status().code());
+      connection.trace().responded(query, newResponse.status().code());
     }
     query = null;
-    response = ready;
+    response = newResponse;
     connection.writeResponses();
   }
 }
--- a/router/src/main/java/tidebank/frontend/Listener.java
+++ b/router/src/main/java/tidebank/frontend/Listener.java
@@ -13,15 +13,15 @@
 import tidebank.runtime.TimerQueue;
 
 /**
- * The listening socket. It accepts unless the budget of connections is exhausted, or the system
- * failed to accept a moment ago: then it retries with a growing backoff. It estimates since when
- * connections may have waited to be accepted, as their clients' time has run since then.
+ * The listening socket. Accepts connections unless the connection budget is exhausted or accepting
+ * has just failed, in which case it retries with exponential backoff. Estimates since when a
+ * connection may have waited to be accepted, as its client's timeout has been running since then.
  */
 final class Listener extends ChannelInboundHandlerAdapter {
   private static final long MIN_BACKOFF_US = 1_000;
   private static final long MAX_BACKOFF_US = 50_000;
 
-  /** How many Netty accepts in one pass at most; fewer tell that none waits any more. */
+  /** The most connections that Netty accepts in a pass; fewer mean that the backlog is empty. */
   private static final int MAX_ACCEPTED_PER_PASS = 16;
 
   private static final long NEVER = Long.MAX_VALUE;
@@ -35,12 +35,15 @@
   private long backoffUs = MIN_BACKOFF_US;
   private boolean backingOff;
 
-  /** Since when connections may wait as none were accepted, or {@link #NEVER}. */
+  /** Since when connections may wait in the accept backlog, or {@link #NEVER}. */
   private long stoppedAt = NEVER;
 
   private int acceptedInPass;
 
-  /** Whether the latest pass accepted all that waited; an accept failure may still be reported. */
+  /**
+   * Whether the latest pass emptied the accept backlog. It is only used when the next connection is
+   * accepted, as a failure to accept is reported after the end of its pass.
+   */
   private boolean backlogEmpty;
 
   Listener(Clock clock, TimerQueue timers, Counters counters) {
@@ -51,30 +54,34 @@
 
   /** Binds the socket; {@code initializer} sets up each connection. */
   ChannelFuture bind(
-      ServerBootstrap template, InetSocketAddress address, ChannelHandler initializer) {
-    ChannelFuture binding = template.handler(this).childHandler(initializer).bind(address);
+      ServerBootstrap bootstrap, InetSocketAddress address, ChannelHandler initializer) {
+    ChannelFuture binding = bootstrap.handler(this).childHandler(initializer).bind(address);
     channel = binding.channel();
     return binding;
   }
 
-  /** Sets whether the budget has no room for another connection. */
-  void setExhausted(boolean isExhausted) {
-    if (isExhausted != exhausted) {
-      exhausted = isExhausted;
+  /** Sets whether the connection budget is exhausted. */
+  void setExhausted(boolean newExhausted) {
+    if (newExhausted != exhausted) {
+      exhausted = newExhausted;
       updateAutoRead();
     }
   }
 
-  /** Returns when a connection that is accepted now may have been established at the earliest. */
-  long acceptedSince(long passSince) {
+  /**
+   * Returns the earliest time at which a connection accepted now may have been established.
+   *
+   * @param earliestArrivalTime the same for bytes on connections that were accepted before
+   */
+  long acceptedSince(long earliestArrivalTime) {
     if (backlogEmpty) {
       backlogEmpty = false;
       stoppedAt = NEVER;
     }
-    return Math.min(passSince, stoppedAt);
+    return Math.min(earliestArrivalTime, stoppedAt);
   }
 
-  /** Accepts connections that wait, as many as Netty accepts in one pass. */
+  /** Accepts waiting connections, as many as Netty accepts in one pass. */
   void acceptNow() {
     ((AbstractNioChannel) channel).unsafe().read();
   }
@@ -118,8 +125,8 @@
   }
 
   /**
-   * The system could not accept, as no descriptor or buffer was left. The exception is handled here
-   * only, as Netty's own answer is to accept nothing for a second.
+   * Backs off after a failure to accept, which happens if no file descriptor or buffer is left. The
+   * exception is not passed on, as Netty's own handler would stop accepting for a second.
    */
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
--- a/router/src/main/java/tidebank/frontend/QueryRequestParser.java
+++ b/router/src/main/java/tidebank/frontend/QueryRequestParser.java
@@ -26,15 +26,15 @@
 import tidebank.runtime.QueryRequest.ShardRange;
 
 /**
- * Parses and checks the query of an HTTP request. The words of the wire, in headers and in JSON,
- * are mapped to the terms of {@link QueryRequest} here.
+ * Parses and validates the query of an HTTP request. Maps the names of headers and JSON fields to
+ * the terms of {@link QueryRequest}.
  */
 final class QueryRequestParser {
   private static final Pattern ID = Pattern.compile("[A-Za-z0-9_-]{1,64}");
   private static final Pattern TIME_LEFT = Pattern.compile("([0-9]{1,12}(?:\\.[0-9]{1,6})?)([mu])");
   private static final int US_PER_MS = 1000;
 
-  /** How far each share may be off by rounding. */
+  /** How far each weight may be off by rounding. */
   private static final double ROUNDING = 0.0005;
 
   private final ObjectMapper mapper =
@@ -49,10 +49,12 @@
   }
 
   /**
-   * Parses a request whose first byte came at {@code beganAt}, from when its client's time runs,
-   * and whose last byte came at {@code completeAt}, from when the latency counts.
+   * Parses a request.
    *
-   * @throws InvalidRequestException if it is no query of this protocol
+   * @param className the name of the query class
+   * @param beganAt when the first byte arrived, which starts the client's timeout; in microseconds
+   * @param completeAt when the last byte arrived, which starts the latency; in microseconds
+   * @throws InvalidRequestException if the request is not a valid query
    */
   QueryRequest parse(FullHttpRequest request, String className, long beganAt, long completeAt)
       throws InvalidRequestException {
@@ -71,7 +73,7 @@
     if (!predicate.isTextual()) {
       throw invalid("predicate is missing or no text");
     }
-    // No client waits longer than the timeout of its query class, whatever it says.
+    // The time that the client states is capped at the timeout of the query class.
     long deadline = beganAt + Math.min(timeLeftUs, queryClass.timeoutUs());
     return new QueryRequest(
         id,
--- a/router/src/main/java/tidebank/frontend/RequestArrival.java
+++ b/router/src/main/java/tidebank/frontend/RequestArrival.java
@@ -3,22 +3,23 @@
 import tidebank.runtime.PolicyExecutor;
 
 /**
- * When the requests of one connection arrive: since when bytes that are read may have waited, and
- * whether a request has begun that is not complete.
+ * Tracks the arrival of the requests of one connection: whether a request is incomplete, and since
+ * when bytes may have waited to be read. Times are in microseconds.
  */
 final class RequestArrival {
-  /** No request has begun; times are far above. */
+  /** Stands for no incomplete request; actual times are far above 0. */
   private static final long NONE = 0;
 
   private final PolicyExecutor executor;
   private final long acceptedInPass;
   private final long acceptedSince;
   private long beganAt = NONE;
-  private boolean received;
+  private boolean requestReceived;
 
   /**
-   * Called in the pass of the event loop that accepts the connection; {@code acceptedSince} is when
-   * it may have been established at the earliest.
+   * Creates a tracker; called in the event loop pass that accepts the connection.
+   *
+   * @param acceptedSince the earliest time at which the connection may have been established
    */
   RequestArrival(PolicyExecutor executor, long acceptedSince) {
     this.executor = executor;
@@ -26,39 +27,39 @@
     this.acceptedSince = acceptedSince;
   }
 
-  /** Returns whether a request has begun that is not complete. */
+  /** Returns whether a request has begun but is not complete. */
   boolean hasIncompleteRequest() {
     return beganAt != NONE;
   }
 
-  /** Returns whether any complete request has come. */
+  /** Returns whether a complete request has been received. */
   boolean hasReceivedRequest() {
-    return received;
+    return requestReceived;
   }
 
-  /** Notes that a complete request has come. */
-  void received() {
-    received = true;
+  /** Records that a complete request has been received. */
+  void markRequestReceived() {
+    requestReceived = true;
   }
 
-  /** Notes that the first bytes of a request have come. */
+  /** Records that the first bytes of a request have arrived. */
   void begin() {
     beganAt = arrivedSince();
   }
 
-  /** Notes that the request is complete or given up, and returns when it began. */
+  /** Records that the request is complete or dropped, and returns when it began. */
   long end() {
-    long began = beganAt;
+    long lastBeganAt = beganAt;
     beganAt = NONE;
-    return began;
+    return lastBeganAt;
   }
 
   /**
-   * Returns since when bytes that are read now may have waited: a connection may have been
-   * established, and its first request sent, before the pass that accepted it.
+   * Returns the earliest time at which bytes read now may have arrived. The first request may have
+   * arrived before the pass that accepted its connection, if the connection waited to be accepted.
    */
   long arrivedSince() {
-    boolean justAccepted = !received && executor.passNumber() <= acceptedInPass + 1;
+    boolean justAccepted = !requestReceived && executor.passNumber() <= acceptedInPass + 1;
     return justAccepted ? acceptedSince : executor.arrivedSince();
   }
 }
--- a/router/src/main/java/tidebank/frontend/RequestRouter.java
+++ b/router/src/main/java/tidebank/frontend/RequestRouter.java
@@ -7,7 +7,7 @@
 import java.util.function.BooleanSupplier;
 import tidebank.runtime.QueryRequest;
 
-/** Responds to complete requests by their path, or hands their queries to the executor. */
+/** Responds to complete requests according to their path and submits queries to the executor. */
 final class RequestRouter {
   private static final String HEALTH = "/health/";
   private static final String LIVE = "live";
@@ -24,8 +24,8 @@
   }
 
   /**
-   * Responds to a request or accepts its query. Its first byte came at {@code beganAt} and its last
-   * one at {@code completeAt}, in microseconds.
+   * Responds to a request or submits its query. Its first byte arrived at {@code beganAt} and its
+   * last byte at {@code completeAt}, in microseconds.
    */
   void route(
       ClientConnection connection,
@@ -33,7 +33,7 @@
       FullHttpRequest request,
       long beganAt,
       long completeAt) {
-    // Netty removes the transfer coding that it has decoded; one that is left is unknown.
+    // Netty removes transfer codings that it has decoded, so a remaining one is not supported.
     if (request.decoderResult().isFailure()
         || request.headers().contains(HttpHeaderNames.TRANSFER_ENCODING)) {
       context.counters().add("front.malformed");
--- a/router/src/main/java/tidebank/frontend/RequestTrace.java
+++ b/router/src/main/java/tidebank/frontend/RequestTrace.java
@@ -7,8 +7,8 @@
 import tidebank.runtime.QueryRequest;
 
 /**
- * Logs and counts what became of the requests of one connection, with the times that explain it.
- * The usual is logged at debug level, a request that missed its deadline at info level.
+ * Logs and counts the outcomes of the requests of one connection, with the times that explain them.
+ * Requests that missed their deadline are logged at info level, all else at debug level.
  */
 final class RequestTrace {
   private static final Logger LOG = LoggerFactory.getLogger(RequestTrace.class);
@@ -25,13 +25,13 @@
     this.connectedAt = context.clock().now();
   }
 
-  /** A complete request was read, whatever it asks for. */
+  /** Records that a complete request of any kind was read. */
   void requestRead() {
     lastReadAt = context.clock().now();
     requests++;
   }
 
-  /** A request was accepted as a query. */
+  /** Records that a request was accepted as a query. */
   void queryReceived(QueryRequest query) {
     context.counters().add("scans.taken");
     if (LOG.isDebugEnabled()) {
@@ -39,7 +39,7 @@
     }
   }
 
-  /** The final response of a query is to be written. */
+  /** Records that the final response of a query is available. */
   void responded(QueryRequest query, int status) {
     long now = context.clock().now();
     if (now >= query.deadline()) {
@@ -50,7 +50,7 @@
     }
   }
 
-  /** A client disconnected without its response: by its own will, or after its deadline. */
+  /** Records that the client disconnected before the response of a query, or after its deadline. */
   void disconnected(QueryRequest query) {
     long now = context.clock().now();
     if (now >= query.deadline()) {
@@ -64,7 +64,7 @@
     }
   }
 
-  /** The connection is closed by this side. */
+  /** Records that the router closes the connection. */
   void closed(String reason, int pendingRequests, boolean incompleteRequest) {
     if (LOG.isDebugEnabled()) {
       LOG.debug(
@@ -74,7 +74,7 @@
     }
   }
 
-  /** The client ended the connection; logged if a request was under way or none ever came. */
+  /** Logs that the client disconnected, if a request was pending or none was ever complete. */
   void disconnected(int pendingRequests, boolean incompleteRequest) {
     if (LOG.isDebugEnabled() && (pendingRequests > 0 || incompleteRequest || requests == 0)) {
       LOG.debug("client disconnected: {}", describeConnection(pendingRequests, incompleteRequest));
--- a/router/src/main/java/tidebank/frontend/StrictRequestDecoder.java
+++ b/router/src/main/java/tidebank/frontend/StrictRequestDecoder.java
@@ -8,19 +8,19 @@
 import java.util.List;
 
 /**
- * Netty's request decoder, stricter and with one more question answered. By itself Netty's reads a
- * request of two lengths by one of them, and another request may hide behind it; this one rejects
- * it. {@link #isWithinRequest} says whether an incomplete request has begun.
+ * A stricter HTTP request decoder, which also tells whether a request is incomplete. Netty's own
+ * decoder accepts a request with both Content-Length and Transfer-Encoding and ignores one of them,
+ * which permits request smuggling; this one rejects such a request.
  */
 final class StrictRequestDecoder extends HttpRequestDecoder {
   private boolean withinBody;
 
-  /** RFC 9112, 2.2: empty lines before a request are no part of it. */
+  /** Returns whether the bytes are only line ends; RFC 9112, 2.2 ignores those before a request. */
   static boolean isBlank(ByteBuf bytes) {
     return bytes.forEachByte(octet -> octet == '\r' || octet == '\n') < 0;
   }
 
-  /** Returns whether part of a request was read and its end was not. */
+  /** Returns whether a request has been read in part. */
   boolean isWithinRequest() {
     return withinBody || !isBlank(internalBuffer());
   }
--- a/router/src/main/java/tidebank/package-info.java
+++ b/router/src/main/java/tidebank/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The decisions ({@link tidebank.policy.RoutingPolicy}) and the command line ({@link
- * tidebank.Main}).
+ * The command line ({@link tidebank.Main}) of the query router. Its routing decisions are made by
+ * {@link tidebank.policy.RoutingPolicy}.
  */
 package tidebank;
--- a/router/src/main/java/tidebank/runtime/ActionExecutor.java
+++ b/router/src/main/java/tidebank/runtime/ActionExecutor.java
@@ -8,8 +8,8 @@
 import tidebank.model.Event;
 
 /**
- * Executes the actions of the decisions: sends and cancels attempts, responds to queries, sets
- * timers. Decides nothing. Confined to the event loop.
+ * Executes the actions that the routing policy returns: sends and cancels attempts, responds to
+ * queries and sets timers. Makes no decisions of its own. Confined to the event loop.
  */
 final class ActionExecutor {
   private static final Logger LOG = LoggerFactory.getLogger(ActionExecutor.class);
@@ -22,7 +22,7 @@
   private BackendPort backend;
   private DiscoveryPort discovery;
 
-  /** {@code events} gets what the actions bring about, such as a timer that fires. */
+  /** Creates an executor that passes resulting events, such as fired timers, to {@code events}. */
   ActionExecutor(
       PendingQueries queries,
       Clock clock,
@@ -41,7 +41,7 @@
     this.discovery = discovery;
   }
 
-  /** Executes one action; attempts go out with {@link #flush}. */
+  /** Executes one action. Attempts are buffered until {@link #flush}. */
   void execute(Action action) {
     if (action instanceof Action.SendAttempt send) {
       send(send);
@@ -66,7 +66,7 @@
     }
   }
 
-  /** Writes the attempts sent since the last call; those to one server share batches. */
+  /** Writes the attempts buffered since the last call, batching those to the same server. */
   void flush() {
     backend.flush();
   }
@@ -85,7 +85,7 @@
 
   private void send(Action.SendAttempt send) {
     PendingShardRequest shardRequest = queries.findRequest(send.shardRequest());
-    // The text names a counter and is therefore kept.
+    // The text becomes part of a counter's name and must not change.
     if (!counters.checkInvariant(
         shardRequest != null && shardRequest.query().isOpen(),
         "only parts of an open scan are sent")) {
--- a/router/src/main/java/tidebank/runtime/AttemptRequest.java
+++ b/router/src/main/java/tidebank/runtime/AttemptRequest.java
@@ -1,8 +1,8 @@
 package tidebank.runtime;
 
 /**
- * One attempt at a shard request, as the decisions want it sent. The backend sends it and reports
- * its outcome once, through {@link PolicyExecutor#attemptCompleted}.
+ * An attempt at a shard request that the routing policy has decided to send. The backend sends it
+ * and reports its outcome exactly once, through {@link PolicyExecutor#attemptCompleted}.
  */
 public final class AttemptRequest {
   private final PendingShardRequest shardRequest;
@@ -27,7 +27,7 @@
     return shardRequest.id();
   }
 
-  /** Returns the shard that is asked. */
+  /** Returns the number of the shard that the request goes to. */
   public int shard() {
     return shardRequest.range().shard();
   }
@@ -37,12 +37,12 @@
     return server;
   }
 
-  /** Returns the body; it is the same for all shard requests of a query. Not to be modified. */
+  /** Returns the body, which all shard requests of a query share. Must not be modified. */
   public byte[] body() {
     return shardRequest.query().request().body();
   }
 
-  /** Returns when the attempt is given up, in microseconds. */
+  /** Returns when the attempt times out, in microseconds of the {@link Clock}. */
   public long deadline() {
     return deadline;
   }
@@ -51,7 +51,7 @@
     return shardRequest;
   }
 
-  /** Returns how many attempts at the same shard request were created before. */
+  /** Returns the index of this attempt among those of its shard request, from 0. */
   int number() {
     return number;
   }
@@ -68,8 +68,8 @@
     completed = true;
   }
 
-  void accepted(Handle sent) {
-    handle = sent;
+  void accepted(Handle newHandle) {
+    handle = newHandle;
   }
 
   /** Cancels the attempt unless it has completed. */
@@ -79,19 +79,25 @@
     }
   }
 
-  /** Drops the attempt if nothing of it has been written. */
+  /** Drops the attempt unless it has been written completely. */
   void dropUnsent() {
     if (!completed) {
       handle.dropUnsent();
     }
   }
 
-  /** What the backend returns for an attempt that it accepted. */
+  /** Controls an attempt that the backend has accepted. */
   public interface Handle {
-    /** Stops waiting for the response; a shard server that has the request is told to stop. */
+    /**
+     * Stops waiting for the response. Notifies the shard server if the attempt was written and the
+     * deployment permits cancellation.
+     */
     void cancel();
 
-    /** Drops the attempt if nothing of it has been written; otherwise does nothing. */
+    /**
+     * Drops the attempt unless it has been written completely. A partly written one closes its
+     * connection, so that the shard server does not get the rest.
+     */
     void dropUnsent();
   }
 }
--- a/router/src/main/java/tidebank/runtime/BackendPort.java
+++ b/router/src/main/java/tidebank/runtime/BackendPort.java
@@ -4,26 +4,26 @@
 import java.util.List;
 import tidebank.model.Event;
 
-/** What the decisions want of the side that talks to shard servers. */
+/** The client of the shard servers, as far as the policy's actions and endpoint lists need it. */
 public interface BackendPort {
-  /** Applies an endpoint list, or a change of it; {@code full}: servers not named are gone. */
+  /** Applies a complete endpoint list, in which absent servers are gone, or a delta. */
   void updateEndpoints(List<Member> members, boolean full);
 
   /**
-   * Accepts an attempt, which is written with {@link #flush}. Its outcome is reported once, through
-   * {@link PolicyExecutor#attemptCompleted}.
+   * Buffers an attempt until {@link #flush}. Its outcome is reported exactly once, through {@link
+   * PolicyExecutor#attemptCompleted}.
    */
   AttemptRequest.Handle send(AttemptRequest request);
 
-  /** Writes the attempts accepted since the last call; those to one server share batches. */
+  /** Writes the attempts buffered since the last call, batching those to the same server. */
   void flush();
 
-  /** Takes the present connections to a server out of use; each closes once it is idle. */
+  /** Sends nothing more on the current connections to a server; each closes once it is idle. */
   void retireConnections(String server);
 
-  /** Sends a health check; its outcome goes to {@link PolicyExecutor#healthCheckCompleted}. */
+  /** Sends a health check and reports to {@link PolicyExecutor#healthCheckCompleted}. */
   void checkHealth(String server);
 
-  /** An endpoint of the list, with its address. */
+  /** An endpoint of the list with its network address. */
   record Member(Event.Endpoint endpoint, InetSocketAddress address) {}
 }
--- a/router/src/main/java/tidebank/runtime/CounterNames.java
+++ b/router/src/main/java/tidebank/runtime/CounterNames.java
@@ -6,8 +6,8 @@
 import tidebank.model.Outcome;
 
 /**
- * Names of the counters that count by kind. Dashboards and reports read them, so they stay as they
- * are when a term in the code changes.
+ * Names of the counters for each outcome and each kind of endpoint list update. Dashboards and
+ * reports read these names, so they do not follow renames in the code.
  */
 final class CounterNames {
   private static final Map<Outcome, String> ATTEMPTS = new EnumMap<>(Outcome.class);
@@ -16,32 +16,32 @@
 
   static {
     for (Outcome outcome : Outcome.values()) {
-      ATTEMPTS.put(outcome, "dispatches." + word(outcome));
-      HEALTH_CHECKS.put(outcome, "probes." + word(outcome));
+      ATTEMPTS.put(outcome, "dispatches." + suffix(outcome));
+      HEALTH_CHECKS.put(outcome, "probes." + suffix(outcome));
     }
     for (ListUpdate update : ListUpdate.values()) {
-      LIST_UPDATES.put(update, "list." + word(update));
+      LIST_UPDATES.put(update, "list." + suffix(update));
     }
   }
 
   private CounterNames() {}
 
-  /** The counter of attempts that ended so. */
+  /** Returns the name of the counter of attempts with this outcome. */
   static String attempts(Outcome outcome) {
     return ATTEMPTS.get(outcome);
   }
 
-  /** The counter of health checks that ended so. */
+  /** Returns the name of the counter of health checks with this outcome. */
   static String healthChecks(Outcome outcome) {
     return HEALTH_CHECKS.get(outcome);
   }
 
-  /** The counter of endpoint lists of this kind. */
+  /** Returns the name of the counter of endpoint list updates of this kind. */
   static String listUpdates(ListUpdate update) {
     return LIST_UPDATES.get(update);
   }
 
-  private static String word(Outcome outcome) {
+  private static String suffix(Outcome outcome) {
     return switch (outcome) {
       case COMPLETED -> "completed";
       case ERROR -> "error";
@@ -55,7 +55,7 @@
     };
   }
 
-  private static String word(ListUpdate update) {
+  private static String suffix(ListUpdate update) {
     return switch (update) {
       case DELTA -> "changes";
       case SNAPSHOT -> "full";
--- a/router/src/main/java/tidebank/runtime/DecisionLoop.java
+++ b/router/src/main/java/tidebank/runtime/DecisionLoop.java
@@ -13,8 +13,8 @@
 import tidebank.policy.RoutingPolicy;
 
 /**
- * Collects the events of one pass of the event loop, hands them to the decisions in one round, and
- * has the resulting actions executed in order. Confined to the event loop.
+ * Collects the events of one event loop pass, passes them to the routing policy in one decision
+ * round and has the resulting actions executed in order. Confined to the event loop.
  */
 final class DecisionLoop {
   private static final Logger LOG = LoggerFactory.getLogger(DecisionLoop.class);
@@ -31,13 +31,13 @@
   private final Runnable endPass = this::endPass;
   private List<Event> events = new ArrayList<>();
 
-  /** Whether {@link #endPass} waits to run behind what the event loop reads now. */
+  /** Whether {@link #endPass} is queued to run after the reads of the current pass. */
   private boolean passActive;
 
   private RoutingPolicy policy;
   private long seed;
   private DecisionLog log = DecisionLog.NONE;
-  private Runnable whenIdle;
+  private Runnable idleTask;
 
   DecisionLoop(
       Settings settings,
@@ -61,31 +61,31 @@
     this.stalls = new EventLoopStallLogger(counters);
   }
 
-  /** Records every round from now on. */
-  void recordTo(DecisionLog wanted) {
-    log = wanted;
+  /** Records the running policy and all further decision rounds to this log. */
+  void recordTo(DecisionLog newLog) {
+    log = newLog;
     log.policyStarted(settings, seed);
   }
 
-  /** Queues an event for the round at the end of the present pass. */
+  /** Queues an event for the decision round at the end of the current pass. */
   void enqueue(Event event) {
     events.add(event);
     beginPass();
   }
 
-  /** Runs something once no query is pending and no round is due. */
-  void whenIdle(Runnable then) {
-    whenIdle = then;
+  /** Runs a task once no query is pending and no decision round is due. */
+  void runWhenIdle(Runnable task) {
+    idleTask = task;
     runIfIdle();
   }
 
-  /** Returns the earliest moment at which bytes that are read now may have arrived. */
+  /** Returns the earliest time at which bytes read in the current pass may have arrived. */
   long arrivedSince() {
     beginPass();
     return readDelay.arrivedSince();
   }
 
-  /** Returns the number of the present pass of the event loop, from 1. */
+  /** Returns the number of the current event loop pass, from 1. */
   long passNumber() {
     beginPass();
     return readDelay.number();
@@ -104,9 +104,9 @@
     if (!events.isEmpty()) {
       runRound();
     }
-    long tookUs = readDelay.ended(clock.now());
+    long durationUs = readDelay.ended(clock.now());
     if (!queries.isEmpty()) {
-      stalls.pass(tookUs);
+      stalls.pass(durationUs);
     }
     runIfIdle();
   }
@@ -117,14 +117,15 @@
     counters.add("turns");
     long now = clock.now();
     try {
-      List<Action> wanted = policy.on(now, round);
-      log.roundDecided(now, round, wanted);
-      for (Action action : wanted) {
+      List<Action> decided = policy.on(now, round);
+      log.roundDecided(now, round, decided);
+      for (Action action : decided) {
         actions.execute(action);
       }
       actions.flush();
     } catch (RuntimeException | VirtualMachineError fault) {
-      LOG.error("decision round failed, all pending queries fail: events={}", round.size(), fault);
+      LOG.error(
+          "decision round failed, failing all pending queries: events={}", round.size(), fault);
       counters.add("turns.failed");
       log.roundFailed(now, round, fault);
       startOver();
@@ -132,8 +133,8 @@
   }
 
   /**
-   * Replaces the decisions' state, which may be half changed, by that after a restart with the
-   * endpoints known now. Queries received meanwhile stay queued.
+   * Replaces the policy, as the failed round may have left its state inconsistent, by a new one
+   * with the endpoints known now. Queries received since the round began stay queued.
    */
   private void startOver() {
     actions.failAll();
@@ -147,10 +148,10 @@
   }
 
   private void runIfIdle() {
-    if (whenIdle != null && queries.isEmpty() && !passActive) {
-      Runnable then = whenIdle;
-      whenIdle = null;
-      then.run();
+    if (idleTask != null && queries.isEmpty() && !passActive) {
+      Runnable task = idleTask;
+      idleTask = null;
+      task.run();
     }
   }
 }
--- a/router/src/main/java/tidebank/runtime/DiscoveryPort.java
+++ b/router/src/main/java/tidebank/runtime/DiscoveryPort.java
@@ -1,10 +1,10 @@
 package tidebank.runtime;
 
-/** What the decisions want of the side that talks to discovery. */
+/** The client of discovery, as far as the policy's actions need it. */
 public interface DiscoveryPort {
   /**
-   * Begins a new watch of the endpoint list, or ends it. A watch begun reports exactly one list;
-   * changes follow until the watch is lost.
+   * Starts a new watch of the endpoint list, or stops watching. A new watch reports exactly one
+   * list, followed by changes until the watch is lost.
    */
   void watch(boolean enabled);
 }
--- a/router/src/main/java/tidebank/runtime/EventLoopStallLogger.java
+++ b/router/src/main/java/tidebank/runtime/EventLoopStallLogger.java
@@ -5,13 +5,13 @@
 import tidebank.metrics.Counters;
 
 /**
- * Logs and counts what kept requests waiting within this process: timers that fired late, and
- * passes of the event loop that took long. What clients and servers did meanwhile was read late.
+ * Logs and counts stalls of the event loop: timers that fired late and passes that took long. Input
+ * from clients and shard servers waits unread during a stall.
  */
 final class EventLoopStallLogger {
   private static final Logger LOG = LoggerFactory.getLogger(EventLoopStallLogger.class);
 
-  /** Shorter stalls are not logged. */
+  /** Shorter stalls are neither logged nor counted. */
   private static final long MIN_LOGGED_US = 100_000;
 
   private final Counters counters;
@@ -20,7 +20,7 @@
     this.counters = counters;
   }
 
-  /** Reports by how much the earliest timer fired late. */
+  /** Records by how much the earliest timer fired late, in microseconds. */
   void wakeUp(long lateUs) {
     if (lateUs >= MIN_LOGGED_US) {
       counters.add("timers.late");
@@ -28,11 +28,11 @@
     }
   }
 
-  /** Reports how long a pass of the event loop took while queries were pending. */
-  void pass(long tookUs) {
-    if (tookUs >= MIN_LOGGED_US) {
+  /** Records the duration of an event loop pass during which queries were pending. */
+  void pass(long durationUs) {
+    if (durationUs >= MIN_LOGGED_US) {
       counters.add("passes.long");
-      LOG.info("event loop pass slow: duration_ms={}", tookUs / 1000);
+      LOG.info("event loop pass slow: duration_ms={}", durationUs / 1000);
     }
   }
 }
--- a/router/src/main/java/tidebank/runtime/GracefulShutdown.java
+++ b/router/src/main/java/tidebank/runtime/GracefulShutdown.java
@@ -7,9 +7,9 @@
 import tidebank.model.Settings;
 
 /**
- * Carries out a {@link ShutdownSchedule}: not ready, but serving; then accepting nothing; then,
- * once no query is pending, closing clients' connections until none is left. Confined to the event
- * loop.
+ * Carries out a {@link ShutdownSchedule}. It first reports not ready while requests are still
+ * accepted, then stops accepting, and closes the clients' connections once no query is pending.
+ * Confined to the event loop.
  */
 final class GracefulShutdown {
   private static final Logger LOG = LoggerFactory.getLogger(GracefulShutdown.class);
@@ -26,7 +26,7 @@
 
   private boolean complete;
 
-  /** {@code whenComplete} gets the deadline of the shutdown once no client is connected. */
+  /** Creates a shutdown; {@code whenComplete} gets its deadline once no client is connected. */
   GracefulShutdown(
       Settings settings,
       ClientServer clients,
@@ -42,12 +42,12 @@
     this.whenComplete = whenComplete;
   }
 
-  /** Returns whether no client is connected any more, and none can. */
+  /** Returns whether all clients are disconnected and no further one can connect. */
   boolean isComplete() {
     return complete;
   }
 
-  /** Begins the shutdown; later calls do nothing. */
+  /** Starts the shutdown; later calls do nothing. */
   void begin() {
     if (schedule != null) {
       return;
@@ -67,12 +67,12 @@
 
   private void stopAcceptingRequests() {
     clients.stopAccepting();
-    executor.whenIdle(this::closeClientConnections);
+    executor.runWhenIdle(this::closeClientConnections);
   }
 
   /**
-   * The final responses are on their way. Each connection closes once its client has read them and
-   * ended its side, or has had time enough to; at the deadline all close.
+   * Closes the connections that have lingered long enough after their final response, and all
+   * connections at the deadline. Repeats every tick until none is left.
    */
   private void closeClientConnections() {
     long now = clock.now();
@@ -83,7 +83,7 @@
     }
     if (clients.connectionCount() > 0) {
       timers.schedule(
-          TimerQueue.timer(() -> executor.whenIdle(this::closeClientConnections)),
+          TimerQueue.timer(() -> executor.runWhenIdle(this::closeClientConnections)),
           clock.now() + settings.tickUs());
       return;
     }
--- a/router/src/main/java/tidebank/runtime/KnownEndpoints.java
+++ b/router/src/main/java/tidebank/runtime/KnownEndpoints.java
@@ -10,14 +10,14 @@
 import tidebank.runtime.BackendPort.Member;
 
 /**
- * The endpoint list as it was received last. Decisions that start over are given it, and readiness
+ * The last known endpoint list. A policy that replaces a failed one starts with it, and readiness
  * depends on it.
  */
 final class KnownEndpoints {
   private final Map<String, Member> members = new HashMap<>();
   private boolean received;
 
-  /** Applies a list or a change of it. */
+  /** Applies a complete list or a delta. */
   void apply(ListUpdate update, List<Member> changed) {
     received |= update != ListUpdate.CACHED;
     if (update != ListUpdate.DELTA) {
@@ -32,7 +32,7 @@
     }
   }
 
-  /** Returns whether discovery has sent any list since the start, also an empty one. */
+  /** Returns whether discovery has sent any list since the start, even an empty one. */
   boolean wasReceived() {
     return received;
   }
@@ -41,12 +41,12 @@
     return members.isEmpty();
   }
 
-  /** Returns all known endpoints as one list from the cache. */
+  /** Returns an event with all known endpoints as a cached list. */
   Event.EndpointListReceived asCachedList() {
     return new Event.EndpointListReceived(ListUpdate.CACHED, endpoints(members.values()));
   }
 
-  /** Returns the endpoints without their addresses, which the decisions do not need. */
+  /** Returns the endpoints without their addresses, which the policy does not need. */
   static List<Event.Endpoint> endpoints(Iterable<Member> members) {
     List<Event.Endpoint> endpoints = new ArrayList<>();
     for (Member member : members) {
--- a/router/src/main/java/tidebank/runtime/NettyResources.java
+++ b/router/src/main/java/tidebank/runtime/NettyResources.java
@@ -18,14 +18,14 @@
 import java.util.concurrent.TimeUnit;
 import tidebank.config.RouterConfig;
 
-/** The event loop of a router, its buffers, and the options of its sockets. */
+/** The event loop of a router, its buffer allocator and the options of its sockets. */
 final class NettyResources {
   private static final int PAGE_BYTES = 8192;
 
-  /** Chunks of 512 KiB: one arena of few chunks serves a router. */
+  /** Makes chunks of 8 KiB * 2^6 = 512 KiB; a single arena with few of them serves a router. */
   private static final int CHUNK_ORDER = 6;
 
-  /** How often one client's connection is read in a pass at most; Netty's own default. */
+  /** The most reads from one client's connection in an event loop pass; Netty's default. */
   private static final int MAX_READS_PER_PASS = 16;
 
   private static final int QUIET_PERIOD_S = 0;
@@ -56,12 +56,12 @@
     return group.next();
   }
 
-  /** Returns the template of connections to shard servers and discovery. */
+  /** Returns the bootstrap for connections to shard servers and discovery. */
   Bootstrap outgoing() {
     return outgoing;
   }
 
-  /** Returns the template of the listening socket and of clients' connections. */
+  /** Returns a bootstrap for the listening socket and the clients' connections. */
   ServerBootstrap incoming() {
     return new ServerBootstrap()
         .group(group)
@@ -75,20 +75,20 @@
         .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, waterMark());
   }
 
-  /** Closes what is left, once the event loop has nothing to do, and ends its thread. */
+  /** Closes the remaining channels and ends the event loop's thread. */
   Future<?> shutdown() {
     return group.shutdownGracefully(QUIET_PERIOD_S, SHUTDOWN_TIMEOUT_S, TimeUnit.SECONDS);
   }
 
-  /** Ends the thread of a router that could not be started. */
+  /** Ends the event loop's thread after a failed start, without waiting for queued tasks. */
   void shutdownNow() {
     group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
   }
 
   /**
-   * Reads a client's connection on until nothing is left, so that the end of a client that has
-   * disconnected is met in the pass that reads its request, before anything is sent for it. An
-   * allocator of one's own reads once a pass unless it is told otherwise.
+   * Returns an allocator that reads a client's connection until no bytes are left. A disconnect is
+   * then found in the pass that reads the client's request, before any attempt is sent for it. A
+   * custom allocator reads only once in a pass unless configured otherwise.
    */
   private RecvByteBufAllocator clientReceiveBuffers() {
     RouterConfig.Budgets budgets = config.budgets();
--- a/router/src/main/java/tidebank/runtime/PendingQueries.java
+++ b/router/src/main/java/tidebank/runtime/PendingQueries.java
@@ -5,15 +5,15 @@
 import java.util.Map;
 
 /**
- * The table of queries without a final response and of shard requests with an attempt in flight.
- * Confined to the event loop.
+ * The table of queries without a final response, and of shard requests that belong to such a query
+ * or still have an attempt in flight. Confined to the event loop.
  */
 final class PendingQueries {
   private final Map<String, PendingQuery> queries = new HashMap<>();
   private final Map<String, PendingShardRequest> requests = new HashMap<>();
   private final int maxPending;
 
-  /** How many queries and shard requests of open queries there are. */
+  /** The number of open queries plus that of their shard requests. */
   private int pending;
 
   private long lastNumber;
@@ -22,7 +22,7 @@
     this.maxPending = maxPending;
   }
 
-  /** Returns whether the settings allow one more query with so many shard requests. */
+  /** Returns whether the limit on pending queries and shard requests allows this query. */
   boolean hasCapacity(QueryRequest request) {
     return pending <= maxPending - weight(request);
   }
@@ -31,7 +31,7 @@
     return 1 + request.ranges().size();
   }
 
-  /** Returns whether a query of this id is open, or an attempt of one is still in flight. */
+  /** Returns whether a query with this id is open or still has an attempt in flight. */
   boolean contains(QueryRequest request) {
     if (queries.containsKey(request.id())) {
       return true;
@@ -55,12 +55,12 @@
     return query;
   }
 
-  /** Returns the open query of this id, or null. */
+  /** Returns the open query with this id, or null. */
   PendingQuery find(String id) {
     return queries.get(id);
   }
 
-  /** Returns the shard request of this id, or null. */
+  /** Returns the shard request with this id, or null. */
   PendingShardRequest findRequest(String id) {
     return requests.get(id);
   }
@@ -69,14 +69,14 @@
     return queries.isEmpty();
   }
 
-  /** Returns the open queries as they are now. */
+  /** Returns a copy of the list of open queries. */
   List<PendingQuery> snapshot() {
     return List.copyOf(queries.values());
   }
 
   /**
-   * Closes a query and drops what of it has not been written. Returns the callback for its final
-   * response.
+   * Closes a query and drops its attempts that have not been written completely. Returns the
+   * callback for its final response.
    */
   ResponseCallback close(PendingQuery query) {
     ResponseCallback callback = query.close();
@@ -89,7 +89,7 @@
     return callback;
   }
 
-  /** Removes a shard request once nothing can come for it any more. */
+  /** Removes a shard request if its query is closed and all its attempts have completed. */
   void removeIfDone(PendingShardRequest shardRequest) {
     if (shardRequest.isDone()) {
       requests.remove(shardRequest.id());
--- a/router/src/main/java/tidebank/runtime/PendingQuery.java
+++ b/router/src/main/java/tidebank/runtime/PendingQuery.java
@@ -8,13 +8,13 @@
 import tidebank.runtime.ResponseCallback.Value;
 
 /**
- * A query from its receipt to its final response, with its shard requests. Holds what the decisions
- * do not need: the body, the values received so far and the callback that gets the response.
+ * A query from its receipt to its final response, with its shard requests. Holds the data that the
+ * policy does not need: the body, the values received so far and the callback for the response.
  */
 final class PendingQuery {
   /**
-   * PROTOCOL: nothing is sent more than 0.1 s after a client closed. A check of its connection
-   * counts as fresh for a tenth of that.
+   * How long a check of the client's connection stays valid. PROTOCOL forbids sending attempts more
+   * than 0.1 s after the client closed its connection; this is a tenth of that.
    */
   private static final long CLIENT_CHECK_VALID_US = 10_000;
 
@@ -22,7 +22,7 @@
   private final long number;
   private final Map<String, PendingShardRequest> requests = new LinkedHashMap<>();
 
-  /** Null once the query is closed: it has its final response, or its client disconnected. */
+  /** Null once the query has its final response or its client has disconnected. */
   private ResponseCallback callback;
 
   private long clientCheckedAt;
@@ -47,12 +47,12 @@
     return request;
   }
 
-  /** Returns the number under which the decisions know the query. */
+  /** Returns the number that identifies the query to the policy. */
   long number() {
     return number;
   }
 
-  /** Returns its shard requests, in the order in which the client listed them. */
+  /** Returns the shard requests, in the order in which the client listed the shards. */
   Collection<PendingShardRequest> requests() {
     return requests.values();
   }
@@ -61,16 +61,16 @@
     return callback != null;
   }
 
-  /** Closes the query and returns the callback that its final response goes to. */
+  /** Closes the query and returns the callback for its final response. */
   ResponseCallback close() {
-    ResponseCallback last = callback;
+    ResponseCallback closed = callback;
     callback = null;
-    return last;
+    return closed;
   }
 
   /**
-   * Checks whether the client is still connected, unless that was checked a moment ago. Closes the
-   * query if it is not. Returns whether this call found the client gone.
+   * Closes the query if its client has disconnected, unless the connection was checked less than
+   * {@link #CLIENT_CHECK_VALID_US} ago. Returns whether this call closed the query.
    */
   boolean clientGone(long now) {
     if (callback == null || now - clientCheckedAt < CLIENT_CHECK_VALID_US) {
@@ -81,12 +81,12 @@
     return callback == null;
   }
 
-  /** Notes that an attempt was created. */
+  /** Records that an attempt was created. */
   void attempted(long now) {
     lastAttemptAt = now;
   }
 
-  /** Describes what has come of it for the log, as {@code key=value} pairs. */
+  /** Describes the progress of the query for the log, as {@code key=value} pairs. */
   String describe(long now) {
     int pendingShards = 0;
     int attempts = 0;
--- a/router/src/main/java/tidebank/runtime/PendingShardRequest.java
+++ b/router/src/main/java/tidebank/runtime/PendingShardRequest.java
@@ -3,14 +3,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The request of one query to one shard, with all attempts at it. */
+/** A query's request to one shard, with all its attempts. */
 final class PendingShardRequest {
   private final PendingQuery query;
   private final QueryRequest.ShardRange range;
   private final String id;
   private final List<AttemptRequest> attempts = new ArrayList<>();
 
-  /** The shard's answer, or null while there is none. */
+  /** The value that a shard server returned, or null while there is none. */
   private byte[] value;
 
   PendingShardRequest(PendingQuery query, QueryRequest.ShardRange range) {
@@ -19,7 +19,7 @@
     this.id = id(query.request(), range);
   }
 
-  /** Returns the id on the wire: the query's id, a dot, the shard. */
+  /** Returns the id on the wire: the query's id, a dot and the shard's number. */
   static String id(QueryRequest request, QueryRequest.ShardRange range) {
     return request.id() + '.' + range.shard();
   }
@@ -36,7 +36,7 @@
     return id;
   }
 
-  /** Returns all attempts so far, each at its number. */
+  /** Returns all attempts so far, ordered by index. */
   List<AttemptRequest> attempts() {
     return attempts;
   }
@@ -45,14 +45,14 @@
     return value;
   }
 
-  /** Keeps the first value that arrives while the query is open. */
-  void receive(byte[] received) {
-    if (received != null && value == null && query.isOpen()) {
-      value = received;
+  /** Stores the first non-null value that is offered while the query is open. */
+  void receive(byte[] newValue) {
+    if (newValue != null && value == null && query.isOpen()) {
+      value = newValue;
     }
   }
 
-  /** Returns whether no further attempt can change the response of the query. */
+  /** Returns whether further attempts cannot change the query's response. */
   boolean isClosed() {
     return !query.isOpen() || value != null;
   }
@@ -70,9 +70,9 @@
     return true;
   }
 
-  /** Drops the attempts of which nothing has been written. */
+  /** Drops the attempts that have not been written completely. */
   void dropUnsent() {
-    // Dropping completes an attempt, which may end in this list being read again.
+    // Iterates over a copy, as dropping an attempt completes it, which may use the list again.
     for (AttemptRequest attempt : List.copyOf(attempts)) {
       attempt.dropUnsent();
     }
--- a/router/src/main/java/tidebank/runtime/PolicyExecutor.java
+++ b/router/src/main/java/tidebank/runtime/PolicyExecutor.java
@@ -12,11 +12,11 @@
 import tidebank.runtime.BackendPort.Member;
 
 /**
- * Connects the clients' side, the shard servers' side and discovery with the decisions: takes in
- * what happened, and has what the decisions want executed. Confined to the event loop.
+ * Connects the clients, the shard servers and discovery with the routing policy: turns what happens
+ * into events for the policy and has its actions executed. Confined to the event loop.
  *
  * <p>The state is in {@link PendingQueries} and {@link KnownEndpoints}; {@link DecisionLoop} runs
- * the decisions and {@link ActionExecutor} executes their actions.
+ * the decision rounds and {@link ActionExecutor} executes the actions.
  */
 public final class PolicyExecutor {
   private final Clock clock;
@@ -28,7 +28,7 @@
   private final DecisionLoop decisions;
   private BackendPort backend;
 
-  /** Creates an executor with decisions of this seed; {@link #connect} completes it. */
+  /** Creates an executor with a policy of this seed; {@link #connect} completes it. */
   public PolicyExecutor(
       Settings settings,
       long seed,
@@ -45,26 +45,26 @@
         new DecisionLoop(settings, seed, clock, loop, counters, queries, endpoints, actions);
   }
 
-  /** Records every decision round from now on; called before the first one. */
+  /** Records all further decision rounds to this log; called before the first one. */
   public void recordTo(DecisionLog log) {
     decisions.recordTo(log);
   }
 
-  /** Sets the sides that execute actions; called once, before the first event. */
+  /** Sets the clients that actions are sent through; called once, before the first event. */
   public void connect(BackendPort backend, DiscoveryPort discovery) {
     this.backend = backend;
     actions.connect(backend, discovery);
   }
 
   /**
-   * Takes a query, whose final response goes to {@code callback}. Returns false, and takes nothing,
-   * if as many queries and shard requests are pending as the settings allow.
+   * Accepts a query and passes its final response to {@code callback}. Returns false, without
+   * accepting it, if the limit on pending queries and shard requests would be exceeded.
    */
   public boolean queryReceived(QueryRequest request, ResponseCallback callback) {
     if (!queries.hasCapacity(request)) {
       return false;
     }
-    // The text names a counter and is therefore kept.
+    // The text becomes part of a counter's name and must not change.
     counters.checkInvariant(!isPending(request), "an id is held once");
     PendingQuery query = queries.add(request, callback, clock.now());
     enqueue(
@@ -86,18 +86,18 @@
     return true;
   }
 
-  /** Returns whether a query of this id is pending, or an attempt of one is still in flight. */
+  /** Returns whether a query with this id is open or still has an attempt in flight. */
   public boolean isPending(QueryRequest request) {
     return queries.contains(request);
   }
 
-  /** Describes what has come of a pending query for the log, as {@code key=value} pairs. */
+  /** Describes the progress of a query for the log, as {@code key=value} pairs. */
   public String describe(String id) {
     PendingQuery query = queries.find(id);
     return query == null ? "pending_shards=0" : query.describe(clock.now());
   }
 
-  /** Ends a query whose client has disconnected; it gets no response. */
+  /** Closes a query without a response, as its client has disconnected. */
   public void clientDisconnected(String id) {
     PendingQuery query = queries.find(id);
     if (query != null) {
@@ -108,9 +108,9 @@
   }
 
   /**
-   * Called before the first byte of an attempt is written. The poll that the decision rests on may
-   * be long past, as code may be cold and the process may have been stopped: if the client has
-   * disconnected meanwhile, its query ends here, with all that is not written.
+   * Closes the query if its client has disconnected, which also drops attempts that are not written
+   * yet. Called before the first byte of an attempt is written: the poll before the decision may be
+   * long past if the JVM was still loading code or the process was stopped in between.
    */
   public void aboutToWrite(AttemptRequest attempt) {
     if (attempt.shardRequest().query().clientGone(clock.now())) {
@@ -119,14 +119,14 @@
   }
 
   /**
-   * Takes the outcome of an attempt, once.
+   * Handles the outcome of an attempt; called exactly once for each attempt.
    *
-   * @param value the shard's answer, or null unless the attempt completed successfully
-   * @param loadReport what the server reported of its load, by name; empty if nothing
+   * @param value the value that the server returned, or null unless the attempt was successful
+   * @param loadReport the server's load report by name of the figure, or empty
    */
   public void attemptCompleted(
       AttemptRequest attempt, Outcome outcome, byte[] value, Map<String, Double> loadReport) {
-    // The text names a counter and is therefore kept.
+    // The text becomes part of a counter's name and must not change.
     if (!counters.checkInvariant(!attempt.isCompleted(), "a dispatch ends once")) {
       return;
     }
@@ -145,14 +145,14 @@
     queries.removeIfDone(shardRequest);
   }
 
-  /** Takes the outcome of a health check. */
+  /** Handles the outcome of a health check. */
   public void healthCheckCompleted(
       String server, Outcome outcome, long durationUs, Map<String, Double> loadReport) {
     counters.add(CounterNames.healthChecks(outcome));
     enqueue(new Event.HealthCheckCompleted(server, outcome, durationUs, loadReport));
   }
 
-  /** Takes an endpoint list, a change of it, or that the watch of it was lost. */
+  /** Handles an endpoint list, a change of it, or the end of its watch. */
   public void endpointListReceived(ListUpdate update, List<Member> members) {
     if (update != ListUpdate.WATCH_LOST && update != ListUpdate.DISCOVERY_MOVED) {
       endpoints.apply(update, members);
@@ -162,17 +162,17 @@
     enqueue(new Event.EndpointListReceived(update, KnownEndpoints.endpoints(members)));
   }
 
-  /** Announces that every query, also one still to come, needs its response before this moment. */
+  /** Announces that all queries, including later ones, need their responses before a deadline. */
   void shutdownRequested(long deadline) {
     enqueue(new Event.ShutdownRequested(deadline));
   }
 
-  /** Runs something once no query is pending and no decision round is due. */
-  void whenIdle(Runnable then) {
-    decisions.whenIdle(then);
+  /** Runs a task once no query is pending and no decision round is due. */
+  void runWhenIdle(Runnable task) {
+    decisions.runWhenIdle(task);
   }
 
-  /** Returns whether discovery has sent any list since the start, also an empty one. */
+  /** Returns whether discovery has sent any list since the start, even an empty one. */
   boolean listReceived() {
     return endpoints.wasReceived();
   }
@@ -183,15 +183,15 @@
   }
 
   /**
-   * Returns the earliest moment at which bytes that are read now may have arrived: by {@link
-   * ReadDelayEstimator}, and by how long the earliest timer is overdue, as the whole process stood
-   * still for so long.
+   * Returns the earliest time at which bytes read now may have arrived, in microseconds. This is
+   * the estimate of {@link ReadDelayEstimator}, or the time at which an overdue timer was due if
+   * that is earlier, as the whole process has been stalled since then.
    */
   public long arrivedSince() {
     return Math.min(decisions.arrivedSince(), clock.now() - timers.overdueUs());
   }
 
-  /** Returns the number of the event loop's present pass over its sockets. */
+  /** Returns the number of the current event loop pass, from 1. */
   public long passNumber() {
     return decisions.passNumber();
   }
--- a/router/src/main/java/tidebank/runtime/QueryRequest.java
+++ b/router/src/main/java/tidebank/runtime/QueryRequest.java
@@ -3,17 +3,17 @@
 import java.util.List;
 
 /**
- * A checked query of a client.
+ * A validated query from a client. Times are microseconds of the {@link Clock}.
  *
- * @param id the client's id of it
+ * @param id the id that the client gave it
  * @param queryClass the name of its query class
- * @param tenant whose quota it counts against, or ""
- * @param receivedAt when its last byte was read, in microseconds
- * @param deadline when its client stops waiting, in microseconds
- * @param clientRetry whether the client has sent it before
- * @param key the idempotency key, or ""
- * @param body what each shard request carries; not to be modified
- * @param ranges the shards it goes to
+ * @param tenant the tenant that is charged for it, or an empty string
+ * @param receivedAt the earliest time at which its last byte may have arrived
+ * @param deadline when its client stops waiting
+ * @param clientRetry whether the client marked it as a retry
+ * @param key the key that all tries of the same query share, or an empty string
+ * @param body the body of each shard request; must not be modified
+ * @param ranges the shards that it goes to
  */
 public record QueryRequest(
     String id,
@@ -25,6 +25,12 @@
     String key,
     byte[] body,
     List<ShardRange> ranges) {
-  /** A shard, its share of the complete response, and the key for choosing a replica, or "". */
+  /**
+   * A shard that a query goes to.
+   *
+   * @param shard its number, from 0
+   * @param weight its share of the complete response, from 0 to 1
+   * @param key the key for choosing a replica, or an empty string
+   */
   public record ShardRange(int shard, double weight, String key) {}
 }
--- a/router/src/main/java/tidebank/runtime/QueryRouter.java
+++ b/router/src/main/java/tidebank/runtime/QueryRouter.java
@@ -21,10 +21,11 @@
 import tidebank.model.Event.ListUpdate;
 
 /**
- * A query router on sockets, to be embedded: {@link #start} it, ask whether it is {@link #ready},
- * {@link #stop} it. The methods may be called from any thread; all else happens on one event loop.
+ * An embeddable query router that listens for clients. {@link #start} starts it, {@link #ready}
+ * tells whether it can serve and {@link #stop} stops it. Its public methods may be called from any
+ * thread; everything else runs on one event loop.
  *
- * <p>The sequence of a stop is {@link GracefulShutdown}.
+ * <p>The steps of a stop are in {@link GracefulShutdown}.
  */
 public final class QueryRouter {
   private static final Logger LOG = LoggerFactory.getLogger(QueryRouter.class);
@@ -75,7 +76,10 @@
             config.settings(), clients, executor, clock, timers, this::closeSockets);
   }
 
-  /** Opens the capture, or returns null: a router whose capture fails serves all the same. */
+  /**
+   * Opens the capture. Returns null if none is configured or it cannot be opened, as a router
+   * serves without its capture as well.
+   */
   private CaptureRecorder openRecorder(OperatorConfig operatorConfig) {
     if (operatorConfig.capture() == null) {
       return null;
@@ -83,12 +87,16 @@
     try {
       return new CaptureRecorder(operatorConfig.capture(), clock::now);
     } catch (IOException fault) {
-      LOG.error("capture disabled, its folder cannot be used", fault);
+      LOG.error("capture disabled: its folder cannot be used", fault);
       return null;
     }
   }
 
-  /** Starts a router with the default operator configuration; see the other method. */
+  /**
+   * Starts a router with the default operator configuration. It listens when this returns.
+   *
+   * @throws IOException if it cannot listen, or the configured endpoint list is malformed
+   */
   public static QueryRouter start(RouterConfig config) throws IOException {
     return start(config, OperatorConfig.DEFAULT);
   }
@@ -111,7 +119,7 @@
     return router;
   }
 
-  /** Starts the fleet agent last: what it waits for never delays the listening. */
+  /** Starts the fleet agent; called last, so that the agent never delays listening. */
   private void startAgent(FleetAgent.Plan fleet) {
     if (fleet != null) {
       agent = new FleetAgent(fleet, config.name(), counters::all, loop).start();
@@ -137,7 +145,7 @@
         "router {} listens on {}: endpoints={}", config.name(), address, cached.members().size());
   }
 
-  /** Returns the endpoint list that the configuration carries, or an empty one. */
+  /** Returns the endpoint list of the configuration, or an empty one. */
   private EndpointListParser.EndpointList cachedEndpoints() throws MalformedInputException {
     if (config.cachedList() == null) {
       return new EndpointListParser.EndpointList(0, true, List.of());
@@ -149,19 +157,20 @@
     }
   }
 
-  /** Returns where it listens, with the port that the system chose if the configured one is 0. */
+  /** Returns the address that it listens on, with the actual port if port 0 was configured. */
   public InetSocketAddress address() {
     return address;
   }
 
-  /** Returns whether it can serve, as {@link Readiness} decides, and is not stopping. */
+  /** Returns whether it can serve, as decided by {@link Readiness}, and is not stopping. */
   public boolean ready() {
     return loop.submit(clients::isReady).syncUninterruptibly().getNow();
   }
 
   /**
-   * Begins a graceful shutdown: not ready from now on, it serves new requests for a while, then
-   * responds to all it has accepted. The result completes when all sockets are closed.
+   * Starts a graceful shutdown. The router is not ready from now on. It accepts requests for a
+   * while, then responds to all that it has accepted. The result completes when all sockets are
+   * closed.
    */
   public CompletableFuture<Void> stop() {
     if (loop.isShuttingDown()) {
@@ -175,8 +184,8 @@
   }
 
   /**
-   * Applies what may change while it runs, which is the address of discovery. All else of a
-   * configuration needs a restart.
+   * Applies the address of discovery of a new configuration. Changes of other settings need a
+   * restart.
    */
   public void reload(RouterConfig fresh) {
     loop.execute(
@@ -188,13 +197,13 @@
         });
   }
 
-  /** Reports that a new configuration is faulty; the present one stays. */
+  /** Reports that a new configuration is malformed; the current one stays in effect. */
   public void reloadFailed(MalformedInputException fault) {
     loop.execute(() -> counters.add("config.faulty"));
     LOG.warn("the configuration stays as it was: {}", fault.getMessage());
   }
 
-  /** Called by {@link GracefulShutdown} when no client is connected any more. */
+  /** Closes the remaining sockets; called by {@link GracefulShutdown} after the last client. */
   private void closeSockets(long deadline) {
     shards.close();
     discovery.close();
@@ -204,7 +213,7 @@
         .addListener(
             done -> {
               if (recorder != null) {
-                // The process ends by its deadline, whatever the disk does.
+                // A slow disk must not keep the process past its deadline.
                 recorder.close((deadline - clock.now()) / 1000);
               }
               stopped.complete(null);
--- a/router/src/main/java/tidebank/runtime/ReadDelayEstimator.java
+++ b/router/src/main/java/tidebank/runtime/ReadDelayEstimator.java
@@ -1,13 +1,14 @@
 package tidebank.runtime;
 
 /**
- * Estimates since when bytes may have waited to be read. The event loop polls its sockets, reads
- * what is there, and runs a decision round; bytes that arrive meanwhile are found by the next poll
- * only. So what one pass reads may have arrived at any time since the pass before began, unless the
- * loop was idle in between: then the bytes have woken it. Times are in microseconds.
+ * Estimates how long bytes may have waited to be read. In each pass the event loop polls its
+ * sockets, reads the available bytes and runs a decision round; bytes that arrive after the poll
+ * are only found by the next one. Bytes may therefore have arrived at any time since the previous
+ * pass began, unless the loop was idle in between and the bytes woke it up. Times are in
+ * microseconds.
  */
 final class ReadDelayEstimator {
-  /** A pass that begins within this of the end of the one before did not wait for anything. */
+  /** The longest gap after the end of a pass for which the loop is assumed not to be idle. */
   private final long idleUs;
 
   private boolean passActive;
@@ -20,7 +21,7 @@
     this.idleUs = idleUs;
   }
 
-  /** Notes that something was read or is due in the present pass; the first call begins it. */
+  /** Begins a pass unless one is active. */
   void active(long now) {
     if (!passActive) {
       passActive = true;
@@ -30,19 +31,19 @@
     }
   }
 
-  /** Ends the present pass and returns how long it took. */
+  /** Ends the current pass and returns its duration. */
   long ended(long now) {
     passActive = false;
     previousEndedAt = now;
     return now - beganAt;
   }
 
-  /** Returns the earliest moment at which what the present pass reads may have arrived. */
+  /** Returns the earliest time at which bytes read in the current pass may have arrived. */
   long arrivedSince() {
     return arrivedSince;
   }
 
-  /** Returns the number of the present or latest pass, from 1. */
+  /** Returns the number of the current or latest pass, from 1. */
   long number() {
     return number;
   }
--- a/router/src/main/java/tidebank/runtime/Readiness.java
+++ b/router/src/main/java/tidebank/runtime/Readiness.java
@@ -1,13 +1,15 @@
 package tidebank.runtime;
 
 /**
- * Decides whether a router reports that it can serve. It can once it knows shard servers. Where no
- * endpoint list comes, as discovery is down or overloaded and none was configured, it is ready all
- * the same after half of the time in which restarted routers have to be (the operators': 10 s). It
- * then responds to each query at once with 503, which makes clients try elsewhere, where a start
- * that never ends tells them nothing. An empty list is no such case.
+ * Decides whether a router reports ready. It is ready once it knows shard servers.
+ *
+ * <p>If no list was configured and none arrives, as discovery is down or overloaded, it is ready
+ * after half of the time within which a restarted router must be ready. It then responds to each
+ * query with 503 at once, so that clients try another router; a router that never becomes ready
+ * would tell them nothing. This does not apply if discovery has sent an empty list.
  */
 final class Readiness {
+  /** The operators require a restarted router to be ready within this time. */
   private static final long REQUIRED_WITHIN_US = 10_000_000;
 
   private final long readyWithoutListAt;
@@ -16,7 +18,7 @@
     readyWithoutListAt = startedAt + REQUIRED_WITHIN_US / 2;
   }
 
-  /** {@code listReceived}: whether discovery has sent any list, also an empty one. */
+  /** Returns whether to report ready; {@code listReceived} is also true for an empty list. */
   boolean ready(long now, boolean knowsServers, boolean listReceived) {
     return knowsServers || (!listReceived && now >= readyWithoutListAt);
   }
--- a/router/src/main/java/tidebank/runtime/ResponseCallback.java
+++ b/router/src/main/java/tidebank/runtime/ResponseCallback.java
@@ -2,23 +2,23 @@
 
 import java.util.List;
 
-/** Gets the one final response of a query: exactly one of the methods named on is called, once. */
+/** Receives the final response of a query: exactly one of the on... methods is called, once. */
 public interface ResponseCallback {
-  /** The value of a shard, as its server sent it. */
+  /** The value of a shard, as a shard server sent it. */
   record Value(int shard, byte[] bytes) {}
 
-  /** Responds with the values received; {@code complete}: none is missing. */
+  /** Responds with the values received; {@code complete} tells whether they are sufficient. */
   void onResponse(boolean complete, List<Value> values);
 
-  /** Sheds the query: a retry is harmless. {@code retryAfterUs} above 0 advises when. */
+  /** Rejects the query, which may be retried safely, after {@code retryAfterUs} if above 0. */
   void onThrottled(long retryAfterUs);
 
-  /** Fails the query: shard servers may have executed it or not. */
+  /** Fails the query, which shard servers may or may not have executed. */
   void onFailed();
 
   /**
-   * Reads the client's connection now. If the client has disconnected since the last poll, the
-   * query is closed when this returns.
+   * Reads from the client's connection without waiting for the next poll. If the client has
+   * disconnected, the query is closed when this returns.
    */
   void checkClient();
 }
--- a/router/src/main/java/tidebank/runtime/ServeCommand.java
+++ b/router/src/main/java/tidebank/runtime/ServeCommand.java
@@ -14,8 +14,8 @@
 import tidebank.logging.Log;
 
 /**
- * The command {@code serve}, for the life of its process: SIGTERM stops the router gracefully,
- * SIGHUP reloads its file.
+ * The {@code serve} command, which runs a router for the lifetime of the process. SIGTERM stops the
+ * router gracefully, SIGHUP reloads its configuration.
  */
 public final class ServeCommand {
   private static final Logger LOG = LoggerFactory.getLogger(ServeCommand.class);
@@ -27,20 +27,22 @@
   private ServeCommand() {}
 
   /**
-   * Serves until SIGTERM, whose shutdown hook waits for the last response and ends the process with
-   * 0.
+   * Serves until SIGTERM. A shutdown hook then waits for the last response and ends the process
+   * with exit code 0.
+   *
+   * @throws IOException if the configuration is malformed or the router cannot listen
    */
   public static void run(OperatorConfig operatorConfig) throws IOException {
-    ServeCommand serving = new ServeCommand();
-    SignalHandler previous = Signal.handle(new Signal("HUP"), signal -> serving.reloads.release());
-    Runtime.getRuntime().addShutdownHook(new Thread(serving::shutDown));
-    QueryRouter router = serving.start(operatorConfig);
+    ServeCommand command = new ServeCommand();
+    SignalHandler previous = Signal.handle(new Signal("HUP"), signal -> command.reloads.release());
+    Runtime.getRuntime().addShutdownHook(new Thread(command::shutDown));
+    QueryRouter router = command.start(operatorConfig);
     if (previous == SignalHandler.SIG_IGN) {
-      // A JVM leaves a signal ignored that its parent had it ignore, as nohup does.
-      LOG.warn("SIGHUP is ignored by the parent process: a new configuration needs a restart");
+      // The JVM keeps a signal ignored if its parent process ignored it, as nohup does.
+      LOG.warn("SIGHUP is ignored by the parent process: configuration changes need a restart");
     }
     LOG.info("serving");
-    serving.reloadOnRequest(router);
+    command.reloadOnRequest(router);
   }
 
   private QueryRouter start(OperatorConfig operatorConfig) throws IOException {
@@ -58,8 +60,8 @@
   }
 
   /**
-   * Ends the process with 0: at once before anything listens; amid the start once that is done and
-   * undone again. A failed start keeps its exit code.
+   * Ends the process with exit code 0: at once if the router has not begun to start, otherwise
+   * after it has started and stopped gracefully. A failed start keeps its own exit code.
    */
   private void shutDown() {
     if (!starting && !started.isDone()) {
@@ -73,8 +75,8 @@
   }
 
   /**
-   * Reads the configuration again for each SIGHUP, here and not on the event loop; signals that
-   * come meanwhile count as one. Returns when the router has stopped.
+   * Rereads the configuration after each SIGHUP, on this thread and not on the event loop. Several
+   * signals in the meantime cause a single reload. Returns when the router has stopped.
    */
   private void reloadOnRequest(QueryRouter router) {
     while (true) {
--- a/router/src/main/java/tidebank/runtime/ShutdownSchedule.java
+++ b/router/src/main/java/tidebank/runtime/ShutdownSchedule.java
@@ -3,22 +3,24 @@
 import tidebank.model.Settings;
 
 /**
- * The moments of a graceful shutdown, in microseconds, as PROTOCOL demands: SIGKILL comes no sooner
- * than the longest query timeout, taken as 3 s at the most, and 0.7 s after SIGTERM; what it finds
- * unanswered is lost where it came more than 0.7 s after SIGTERM. Clients keep sending on a
- * connection that stays open, and the process may stand still at any moment, so what could be lost
- * is not accepted: all connections without a request are closed before those 0.7 s are over.
+ * The times of a graceful shutdown, in microseconds. According to PROTOCOL, SIGKILL follows SIGTERM
+ * no sooner than after the longest query timeout (at most 3 s) plus a grace period of 0.7 s. A
+ * request without a response at SIGKILL counts as lost if it arrived more than 0.7 s after SIGTERM.
+ *
+ * <p>Clients keep sending on a connection that stays open, and the process may stall at any time.
+ * No request is accepted that could be lost: all connections without a request are closed before
+ * those 0.7 s are over.
  */
 final class ShutdownSchedule {
   private static final long LONGEST_TIMEOUT_US = 3_000_000;
 
   /**
-   * From the longest query timeout to SIGKILL; also how long after SIGTERM a request is not lost
-   * however it ends.
+   * The time from the longest query timeout to SIGKILL. A request that arrives within the same time
+   * after SIGTERM never counts as lost.
    */
   private static final long GRACE_US = 700_000;
 
-  /** The share of the grace left free for closing connections and for leaving the process. */
+  /** The share of the grace period reserved for closing connections and ending the process. */
   private static final double CLOSING_SHARE = 2.0 / 7;
 
   private final long stopAcceptingAt;
@@ -26,9 +28,9 @@
   private final long lingerUs;
 
   /**
-   * Plans a shutdown whose signal is handled now. {@code lateUs} is how long the earliest timer was
-   * overdue: the process may have stood still for so long, and the signal may have come at the
-   * beginning of that.
+   * Computes the schedule for a signal that is handled at {@code now}. {@code lateUs} is how long
+   * the earliest timer was overdue: the process may have been stalled for this time, and the signal
+   * may have arrived when the stall began.
    */
   ShutdownSchedule(Settings settings, long now, long lateUs) {
     long notifiedAt = now - lateUs;
@@ -44,17 +46,17 @@
                 - closingUs);
   }
 
-  /** Returns when no further request is accepted. */
+  /** Returns when the router stops accepting requests. */
   long stopAcceptingAt() {
     return stopAcceptingAt;
   }
 
-  /** Returns when all that was accepted has its response, and all connections are closed. */
+  /** Returns when all accepted requests have their responses and all connections are closed. */
   long deadline() {
     return deadline;
   }
 
-  /** Returns how long a client that has its final response may take to end its side. */
+  /** Returns how long a client may take to close its side after its final response. */
   long lingerUs() {
     return lingerUs;
   }
--- a/router/src/main/java/tidebank/runtime/TimerQueue.java
+++ b/router/src/main/java/tidebank/runtime/TimerQueue.java
@@ -10,19 +10,20 @@
 import tidebank.metrics.Counters;
 
 /**
- * All timers of an event loop, behind one scheduled wake-up of the loop for the earliest. Confined
+ * All timers of an event loop, which schedules a single wake-up for the earliest of them. Confined
  * to the event loop.
  */
 public final class TimerQueue {
   private static final Logger LOG = LoggerFactory.getLogger(TimerQueue.class);
 
   /**
-   * How far the earliest timer may move away from the wake-up before that is moved, too. Until then
-   * the wake-up finds nothing due: under load the earliest timer moves with every query.
+   * How much earlier than the earliest timer the wake-up may be before it is rescheduled. Under
+   * load the earliest timer changes with every query, and a wake-up that finds nothing due saves
+   * rescheduling for each change.
    */
   private static final long MAX_EARLY_WAKE_UP_US = 1_000_000;
 
-  /** Something that is due at a time. It can be scheduled once at a time. */
+  /** A task with a due time. A timer has at most one due time at once. */
   public abstract static class Timer {
     private long dueAt;
     private long order;
@@ -32,12 +33,12 @@
     protected abstract void fire();
   }
 
-  /** Returns a timer that runs this when it is due. */
-  public static Timer timer(Runnable then) {
+  /** Returns a timer that runs a task when it is due. */
+  public static Timer timer(Runnable task) {
     return new Timer() {
       @Override
       protected void fire() {
-        then.run();
+        task.run();
       }
     };
   }
@@ -66,11 +67,10 @@
     this.stalls = new EventLoopStallLogger(counters);
   }
 
-  /** Schedules a timer, or moves it. One for a past time is due now. */
+  /** Schedules or reschedules a timer. A due time in the past is replaced by the current time. */
   public void schedule(Timer timer, long dueAt) {
     cancel(timer);
-    // It cannot have been due before it was scheduled: only what was is a sign that the process
-    // stood still.
+    // A due time before the call would look like a stall of the process, as overdue timers do.
     timer.dueAt = Math.max(dueAt, clock.now());
     timer.order = ++lastOrder;
     timer.scheduled = true;
@@ -87,8 +87,9 @@
   }
 
   /**
-   * Returns how long something that is due has waited, or something that was due just now had to,
-   * in microseconds: for so long the process stood still, or was too busy to read what came.
+   * Returns how late timers are, in microseconds: by how much the earliest is overdue, or the
+   * latest one was late if it fired no longer ago than that. The process was stalled, or too busy
+   * to read its sockets, for this time.
    */
   public long latenessUs() {
     long now = clock.now();
@@ -97,21 +98,21 @@
   }
 
   /**
-   * Returns how long the earliest timer is overdue, in microseconds. The event loop reads its
-   * sockets before it fires timers.
+   * Returns how long the earliest timer is overdue, in microseconds, or 0. The event loop reads its
+   * sockets before it fires timers, so this shows a stall to the code that handles a read.
    */
   public long overdueUs() {
     return scheduled.isEmpty() ? 0 : Math.max(0, clock.now() - scheduled.first().dueAt);
   }
 
   /**
-   * Moves the wake-up if it is too late, or so early that it would only interrupt an idle process.
-   * One that comes a little early finds nothing due and schedules the next.
+   * Reschedules the wake-up if it is too late, or so early that it would only wake an idle process.
+   * A wake-up that is a little early finds nothing due and schedules the next one.
    */
   private void scheduleWakeUp() {
     long first = scheduled.isEmpty() ? Long.MAX_VALUE : scheduled.first().dueAt;
-    boolean isEarly = first != Long.MAX_VALUE && first - MAX_EARLY_WAKE_UP_US > wakeUpAt;
-    if (first < wakeUpAt || isEarly) {
+    boolean isTooEarly = first != Long.MAX_VALUE && first - MAX_EARLY_WAKE_UP_US > wakeUpAt;
+    if (first < wakeUpAt || isTooEarly) {
       if (wakeUp != null) {
         wakeUp.cancel(false);
       }
--- a/router/src/main/java/tidebank/runtime/package-info.java
+++ b/router/src/main/java/tidebank/runtime/package-info.java
@@ -1,18 +1,20 @@
 /**
  * The event loop and the life cycle of a query router.
  *
- * <p>The decisions ({@code policy}) are pure: they get events and return actions. This package
- * collects the events of one pass of the event loop, runs a decision round, and executes the
- * actions. Clients ({@code frontend}), shard servers ({@code backend}) and discovery know only this
- * package and not each other.
+ * <p>The routing policy ({@code policy}) performs no I/O: it gets events and returns actions. This
+ * package collects the events of one event loop pass, runs a decision round and executes the
+ * actions. The packages for clients ({@code frontend}), shard servers ({@code backend}) and
+ * discovery depend on this package but not on each other.
  *
- * <p>All state belongs to the one event loop of a router and is touched on no other thread; {@link
- * tidebank.runtime.QueryRouter} is the exception, as other threads start, stop and reload it.
+ * <p>All state is confined to the router's single event loop. The exceptions are {@link
+ * tidebank.runtime.QueryRouter}, which other threads start, stop and reload, and {@link
+ * tidebank.runtime.ServeCommand}.
  *
- * <p>Where to start: {@link tidebank.runtime.QueryRouter} creates and connects the parts. {@link
- * tidebank.runtime.PolicyExecutor} is what the three sides call; {@code DecisionLoop} runs the
- * rounds, {@code ActionExecutor} executes the actions, {@code PendingQueries} is the table of
- * queries without a response. {@code GracefulShutdown} is the sequence of a stop, its moments are
- * in {@code ShutdownSchedule}. {@link tidebank.runtime.TimerQueue} holds all timers.
+ * <p>Where to start: {@link tidebank.runtime.QueryRouter} creates and connects the components.
+ * {@link tidebank.runtime.PolicyExecutor} is called by the frontend, the backend and discovery;
+ * {@code DecisionLoop} runs the decision rounds, {@code ActionExecutor} executes the actions and
+ * {@code PendingQueries} is the table of queries without a response. {@code GracefulShutdown}
+ * carries out a stop at the times given by {@code ShutdownSchedule}. {@link
+ * tidebank.runtime.TimerQueue} holds all timers.
  */
 package tidebank.runtime;
--- a/router/src/test/java/tidebank/ClientHttpFixtureTest.java
+++ b/router/src/test/java/tidebank/ClientHttpFixtureTest.java
@@ -29,13 +29,13 @@
 import tidebank.FakeSite.FakeShardServer.Frame;
 
 /**
- * Replays recorded requests of clients and compares the responses byte for byte, with their status
- * lines and headers. A connection that a response says to close has to end behind it.
+ * Replays recorded requests of clients and compares the responses byte for byte, including status
+ * lines and headers. A connection must end after a response that says that it closes.
  *
- * <p>In {@code exchanges.json}, {@code ${x*70000}} in a request stands for that many letters x;
- * bytes are written as the letters of ISO 8859-1; {@code before} are requests on connections of
- * their own that stay open. To record the responses anew: {@code mvn -o -pl gatherer test
- * -Dtest=ClientHttpFixtureTest -Dfixtures.record=true}
+ * <p>In {@code exchanges.json}, {@code ${x*70000}} in a request stands for that many letters x, and
+ * bytes are written as characters of ISO 8859-1. The requests in {@code before} are sent first,
+ * each on a connection of its own that stays open. To record the responses again: {@code mvn -o -pl
+ * router test -Dtest=ClientHttpFixtureTest -Dfixtures.record=true}
  */
 @Timeout(60)
 class ClientHttpFixtureTest {
@@ -45,33 +45,33 @@
   private static final Pattern REPEATED = Pattern.compile("\\$\\{(.)\\*(\\d+)}");
   private static final int CLIENT_LIMIT = 64;
 
-  /** What the servers behind the clients' side do. */
+  /** The state of the router and the shard servers during an exchange. */
   enum Setup {
-    /** Each shard server answers at once. */
+    /** Each shard server responds at once. */
     ANSWERING,
-    /** Only the request for shard 0 is answered. */
+    /** Only the request to shard 0 gets a response. */
     FIRST_SHARD_ONLY,
-    /** No shard server answers. */
+    /** No shard server responds. */
     SILENT,
-    /** All shard servers are about to stop, and responses may say when to come back. */
+    /** All shard servers are draining, and responses may contain Retry-After. */
     RETRY_AFTER,
-    /** All shard servers are about to stop. */
+    /** All shard servers are draining, and responses contain no Retry-After. */
     THROTTLED,
-    /** No list of shard servers is known. */
+    /** No endpoint list is known. */
     UNLISTED,
-    /** As much is pending as the settings allow. */
+    /** The limit on pending queries and shard requests is reached. */
     FULL,
-    /** The budget of clients' connections is used up. */
+    /** The connection budget is exhausted. */
     CROWDED
   }
 
   private final FakeSite site = new FakeSite();
-  private final List<FakeClient> others = new ArrayList<>();
+  private final List<FakeClient> otherClients = new ArrayList<>();
 
   @AfterEach
   void close() throws Exception {
-    for (FakeClient other : others) {
-      other.close();
+    for (FakeClient client : otherClients) {
+      client.close();
     }
     site.close();
   }
@@ -121,7 +121,7 @@
     site.start();
     if (setup == Setup.CROWDED) {
       for (int i = 0; i < CLIENT_LIMIT; i++) {
-        others.add(site.client().send("GET /health/live HTTP/1.1\r\n"));
+        otherClients.add(site.client().send("GET /health/live HTTP/1.1\r\n"));
       }
     }
   }
@@ -129,7 +129,7 @@
   private String replay(Setup setup, JsonNode exchange) throws Exception {
     site.servers.forEach(server -> server.frames.clear());
     for (JsonNode before : exchange.path("before")) {
-      others.add(site.client().send(expand(before.asText())));
+      otherClients.add(site.client().send(expand(before.asText())));
       nextRequest();
     }
     try (FakeClient client = site.client()) {
@@ -159,13 +159,13 @@
                 Matcher.quoteReplacement(found.group(1).repeat(Integer.parseInt(found.group(2)))));
   }
 
-  /** Reads one response and returns whether it says that its connection closes. */
+  /** Reads a response and returns whether it announces that the connection closes. */
   private static boolean readResponse(InputStream in, ByteArrayOutputStream all)
       throws IOException {
     StringBuilder head = new StringBuilder();
     while (head.indexOf("\r\n\r\n") < 0) {
       int next = in.read();
-      assertThat(next).as("the connection ended behind: " + head).isNotNegative();
+      assertThat(next).as("the connection ended after: " + head).isNotNegative();
       head.append((char) next);
     }
     all.writeBytes(head.toString().getBytes(ISO_8859_1));
--- a/router/src/test/java/tidebank/CounterNamesFixtureTest.java
+++ b/router/src/test/java/tidebank/CounterNamesFixtureTest.java
@@ -35,8 +35,8 @@
 import tidebank.runtime.TimerQueue;
 
 /**
- * The names of the counters that operators and the fleet's reports read: that of each constant in
- * its declared order, and all that one run reaches.
+ * Compares the names of counters with recorded ones, as operators and the fleet's reports read
+ * them: the name for each enum constant in declaration order, and all names that one run produces.
  */
 @Timeout(30)
 class CounterNamesFixtureTest implements ResponseCallback, BackendPort {
@@ -49,45 +49,45 @@
   private final Counters counters = new Counters();
   private final Clock clock = new Clock();
   private final TimerQueue timers = new TimerQueue(loop, clock, counters);
-  private final BlockingQueue<String> answers = new LinkedBlockingQueue<>();
+  private final BlockingQueue<String> responses = new LinkedBlockingQueue<>();
   private RouterConfig config;
-  private PolicyExecutor driver;
+  private PolicyExecutor executor;
 
-  /** How the next request to a shard server ends; null: not. */
-  private Outcome outcome = Outcome.COMPLETED;
+  /** The outcome of the next attempt, or null if it does not complete. */
+  private Outcome nextOutcome = Outcome.COMPLETED;
 
   private boolean sendFails;
 
-  /** Requests for this shard never end. */
+  /** Attempts at this shard never complete. */
   private int silentShard = -1;
 
   @BeforeEach
-  void begin() throws Exception {
+  void setUp() throws Exception {
     config = RouterConfig.read(Map.of("NODE_CONFIG", site.configFile().toString()));
-    driver = new PolicyExecutor(config.settings(), 7, clock, timers, loop, counters);
-    driver.connect(this, on -> {});
-    listSeen(ListUpdate.CACHED);
+    executor = new PolicyExecutor(config.settings(), 7, clock, timers, loop, counters);
+    executor.connect(this, on -> {});
+    receiveList(ListUpdate.CACHED);
   }
 
   @AfterEach
-  void end() throws Exception {
+  void tearDown() throws Exception {
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
     site.close();
   }
 
   @Override
-  public void onResponse(boolean whole, List<Value> values) {
-    answers.add("answered");
+  public void onResponse(boolean complete, List<Value> values) {
+    responses.add("answered");
   }
 
   @Override
-  public void onThrottled(long holdOffUs) {
-    answers.add("throttled");
+  public void onThrottled(long retryAfterUs) {
+    responses.add("throttled");
   }
 
   @Override
   public void onFailed() {
-    answers.add("abandoned");
+    responses.add("abandoned");
   }
 
   @Override
@@ -99,14 +99,14 @@
   @Override
   public AttemptRequest.Handle send(AttemptRequest request) {
     if (sendFails) {
-      throw new IllegalStateException("as the test wants it");
+      throw new IllegalStateException("simulated failure");
     }
-    // Only the first request of a query ends as the test says.
-    Outcome end = outcome;
-    outcome = Outcome.COMPLETED;
-    if (end != null && request.shard() != silentShard) {
-      byte[] value = end == Outcome.COMPLETED ? new byte[0] : null;
-      driver.attemptCompleted(request, end, value, Map.of());
+    // Only the first attempt has the outcome that the test set; later ones complete.
+    Outcome outcome = nextOutcome;
+    nextOutcome = Outcome.COMPLETED;
+    if (outcome != null && request.shard() != silentShard) {
+      byte[] value = outcome == Outcome.COMPLETED ? new byte[0] : null;
+      executor.attemptCompleted(request, outcome, value, Map.of());
     }
     return new AttemptRequest.Handle() {
       @Override
@@ -130,115 +130,115 @@
     return loop.submit(task).get();
   }
 
-  private void listSeen(ListUpdate kind) throws Exception {
-    List<Member> known = EndpointListParser.read(config.cachedList()).members();
+  private void receiveList(ListUpdate update) throws Exception {
+    List<Member> endpoints = EndpointListParser.read(config.cachedList()).members();
     onLoop(
         () -> {
-          driver.endpointListReceived(kind, known);
+          executor.endpointListReceived(update, endpoints);
           return null;
         });
   }
 
-  private void take(String type, String id, long timeLeftUs, int shards) throws Exception {
-    List<QueryRequest.ShardRange> ranges = new ArrayList<>();
+  private void submit(String queryClass, String id, long timeoutUs, int shards) throws Exception {
+    List<QueryRequest.ShardRange> targets = new ArrayList<>();
     for (int shard = 0; shard < shards; shard++) {
-      ranges.add(
+      targets.add(
           new QueryRequest.ShardRange(shard, shards == 1 ? 1 : shard == 0 ? 0.75 : 0.25, ""));
     }
     onLoop(
         () ->
-            driver.queryReceived(
+            executor.queryReceived(
                 new QueryRequest(
                     id,
-                    type,
+                    queryClass,
                     "",
                     clock.now(),
-                    clock.now() + timeLeftUs,
+                    clock.now() + timeoutUs,
                     false,
                     "",
                     new byte[0],
-                    ranges),
+                    targets),
                 this));
   }
 
-  private String answer() throws Exception {
-    return answers.poll(FakeSite.WAIT_MS, TimeUnit.MILLISECONDS);
+  private String nextResponse() throws Exception {
+    return responses.poll(FakeSite.WAIT_MS, TimeUnit.MILLISECONDS);
   }
 
-  private SortedMap<String, Long> counts() throws Exception {
+  private SortedMap<String, Long> readCounters() throws Exception {
     return onLoop(counters::all);
   }
 
-  /** The one counter of this kind that went up since then. */
-  private String counted(String kind, SortedMap<String, Long> before) throws Exception {
-    SortedMap<String, Long> now = new TreeMap<>(counts());
+  /** Returns the name of the only counter with this prefix that has increased since then. */
+  private String increasedCounter(String prefix, SortedMap<String, Long> before) throws Exception {
+    SortedMap<String, Long> now = new TreeMap<>(readCounters());
     now.keySet()
         .removeIf(
             name ->
-                !name.startsWith(kind)
-                    || counters(before, name) == now.get(name)
+                !name.startsWith(prefix)
+                    || count(before, name) == now.get(name)
                     || name.equals("dispatches.completed") && now.get(name) > 1);
     assertThat(now).hasSize(1);
     return now.firstKey();
   }
 
-  private static long counters(SortedMap<String, Long> counts, String name) {
+  private static long count(SortedMap<String, Long> counts, String name) {
     return counts.getOrDefault(name, 0L);
   }
 
   @Test
-  void eachConstantKeepsItsName() throws Exception {
+  void eachEnumConstantKeepsItsCounterName() throws Exception {
     List<String> names = new ArrayList<>();
-    // The first ends completed; from then on a completed request is the retry of another.
-    for (Outcome each : Outcome.values()) {
-      SortedMap<String, Long> before = counts();
-      driver = new PolicyExecutor(config.settings(), 7, clock, timers, loop, counters);
-      driver.connect(this, on -> {});
-      listSeen(ListUpdate.CACHED);
-      outcome = each;
-      take("whole", "o" + each.ordinal(), 400_000, 1);
-      answer();
-      names.add(counted("dispatches.", before));
-      before = counts();
+    // The first attempt completes; later increases of that counter come from retries.
+    for (Outcome outcome : Outcome.values()) {
+      SortedMap<String, Long> before = readCounters();
+      executor = new PolicyExecutor(config.settings(), 7, clock, timers, loop, counters);
+      executor.connect(this, on -> {});
+      receiveList(ListUpdate.CACHED);
+      nextOutcome = outcome;
+      submit("whole", "o" + outcome.ordinal(), 400_000, 1);
+      nextResponse();
+      names.add(increasedCounter("dispatches.", before));
+      before = readCounters();
       onLoop(
           () -> {
-            driver.healthCheckCompleted("s0", each, 100, Map.of());
+            executor.healthCheckCompleted("s0", outcome, 100, Map.of());
             return null;
           });
-      names.add(counted("probes.", before));
+      names.add(increasedCounter("probes.", before));
     }
-    for (ListUpdate kind : ListUpdate.values()) {
-      SortedMap<String, Long> before = counts();
-      listSeen(kind);
-      names.add(counted("list.", before));
+    for (ListUpdate update : ListUpdate.values()) {
+      SortedMap<String, Long> before = readCounters();
+      receiveList(update);
+      names.add(increasedCounter("list.", before));
     }
     compare("constants.txt", names);
   }
 
   @Test
-  void oneRunReachesTheseNames() throws Exception {
-    take("whole", "whole", 2_000_000, 1);
-    assertThat(answer()).isEqualTo("answered");
-    take("once", "late", 5_000, 1);
-    assertThat(answer()).isEqualTo("throttled");
-    outcome = Outcome.ERROR;
-    take("once", "lost", 2_000_000, 1);
-    assertThat(answer()).isEqualTo("abandoned");
+  void aRunProducesTheRecordedCounterNames() throws Exception {
+    submit("whole", "whole", 2_000_000, 1);
+    assertThat(nextResponse()).isEqualTo("answered");
+    submit("once", "late", 5_000, 1);
+    assertThat(nextResponse()).isEqualTo("throttled");
+    nextOutcome = Outcome.ERROR;
+    submit("once", "lost", 2_000_000, 1);
+    assertThat(nextResponse()).isEqualTo("abandoned");
     silentShard = 1;
-    take("part", "partial", 2_500_000, 2);
-    assertThat(answer()).isEqualTo("answered");
-    outcome = null;
-    take("once", "left", 2_000_000, 1);
+    submit("part", "partial", 2_500_000, 2);
+    assertThat(nextResponse()).isEqualTo("answered");
+    nextOutcome = null;
+    submit("once", "left", 2_000_000, 1);
     onLoop(
         () -> {
-          driver.clientDisconnected("left");
+          executor.clientDisconnected("left");
           return null;
         });
     sendFails = true;
-    take("once", "failed", 2_000_000, 1);
-    assertThat(answer()).isEqualTo("abandoned");
-    List<String> names = new ArrayList<>(counts().keySet());
-    // These tell of a machine that stood still.
+    submit("once", "failed", 2_000_000, 1);
+    assertThat(nextResponse()).isEqualTo("abandoned");
+    List<String> names = new ArrayList<>(readCounters().keySet());
+    // These count stalls of the event loop, which depend on the load of the machine.
     names.removeAll(List.of("timers.late", "passes.long"));
     compare("names.txt", names);
   }
--- a/router/src/test/java/tidebank/PolicyExecutorTest.java
+++ b/router/src/test/java/tidebank/PolicyExecutorTest.java
@@ -32,7 +32,7 @@
 import tidebank.runtime.ResponseCallback;
 import tidebank.runtime.TimerQueue;
 
-/** The turn and the shard side by themselves, on a loop of their own. */
+/** Tests decision rounds and health checks on an event loop without a router. */
 @Timeout(20)
 class PolicyExecutorTest implements ResponseCallback {
   private final FakeSite site = new FakeSite();
@@ -42,31 +42,31 @@
   private final Counters counters = new Counters();
   private final Clock clock = new Clock();
   private final TimerQueue timers = new TimerQueue(loop, clock, counters);
-  private final List<String> replies = new ArrayList<>();
+  private final List<String> responses = new ArrayList<>();
   private RouterConfig config;
-  private PolicyExecutor driver;
+  private PolicyExecutor executor;
 
   @BeforeEach
-  void begin() throws Exception {
+  void setUp() throws Exception {
     site.limits.put("connectTimeoutMs", 2000);
     config = RouterConfig.read(Map.of("NODE_CONFIG", site.configFile().toString()));
-    driver = new PolicyExecutor(config.settings(), 7, clock, timers, loop, counters);
+    executor = new PolicyExecutor(config.settings(), 7, clock, timers, loop, counters);
   }
 
   @AfterEach
-  void end() throws Exception {
+  void tearDown() throws Exception {
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
     site.close();
   }
 
   @Override
-  public void onResponse(boolean whole, List<Value> values) {
-    replies.add("answered");
+  public void onResponse(boolean complete, List<Value> values) {
+    responses.add("answered");
   }
 
   @Override
-  public void onThrottled(long holdOffUs) {
-    replies.add("throttled");
+  public void onThrottled(long retryAfterUs) {
+    responses.add("throttled");
   }
 
   @Override
@@ -74,32 +74,36 @@
 
   @Override
   public void onFailed() {
-    replies.add("abandoned");
+    responses.add("abandoned");
   }
 
   private <T> T onLoop(Callable<T> task) throws Exception {
     return loop.submit(task).get();
   }
 
-  private void list() throws Exception {
-    var known = EndpointListParser.read(config.cachedList()).members();
+  private void receiveList() throws Exception {
+    var endpoints = EndpointListParser.read(config.cachedList()).members();
     onLoop(
         () -> {
-          driver.endpointListReceived(ListUpdate.CACHED, known);
+          executor.endpointListReceived(ListUpdate.CACHED, endpoints);
           return null;
         });
   }
 
-  private void counted(String name, long times) throws Exception {
+  private void awaitCount(String name, long times) throws Exception {
     while (onLoop(() -> counters.get(name)) < times) {
       Thread.onSpinWait();
     }
   }
 
+  /**
+   * An error while actions are executed, here an OutOfMemoryError on sending, must neither leave a
+   * query without a response nor stop the router from serving.
+   */
   @Test
-  void aFailureInATurnAbandonsWhatIsHeldAndTheNextScanIsServed() throws Exception {
+  void aFailedRoundFailsItsQueriesAndTheNextQueryIsServed() throws Exception {
     boolean[] fails = {true};
-    driver.connect(
+    executor.connect(
         new BackendPort() {
           @Override
           public void updateEndpoints(List<Member> members, boolean full) {}
@@ -107,9 +111,9 @@
           @Override
           public AttemptRequest.Handle send(AttemptRequest request) {
             if (fails[0]) {
-              throw new OutOfMemoryError("as the test wants it");
+              throw new OutOfMemoryError("simulated failure");
             }
-            driver.attemptCompleted(
+            executor.attemptCompleted(
                 request, tidebank.model.Outcome.COMPLETED, new byte[0], Map.of());
             return null;
           }
@@ -124,7 +128,7 @@
           public void checkHealth(String server) {}
         },
         on -> {});
-    list();
+    receiveList();
     for (String id : List.of("a", "b")) {
       QueryRequest request =
           new QueryRequest(
@@ -137,32 +141,33 @@
               "",
               new byte[0],
               List.of(new QueryRequest.ShardRange(0, 1, "")));
-      assertThat(onLoop(() -> driver.queryReceived(request, this))).isTrue();
-      counted(id.equals("a") ? "turns.failed" : "scans.whole", 1);
+      assertThat(onLoop(() -> executor.queryReceived(request, this))).isTrue();
+      awaitCount(id.equals("a") ? "turns.failed" : "scans.whole", 1);
       fails[0] = false;
     }
-    assertThat(replies).containsExactly("abandoned", "answered");
+    assertThat(responses).containsExactly("abandoned", "answered");
   }
 
+  /** Health checks have no id, so each is matched to its response by order on its connection. */
   @Test
-  void probesAreAnsweredInTurnAndOneThatIsNotEndsItsConnection() throws Exception {
+  void healthChecksOnOneConnectionCompleteFailOrTimeOut() throws Exception {
     ShardClient shards =
         new ShardClient(
             config,
             new Bootstrap().group(group).channel(NioSocketChannel.class),
-            driver,
+            executor,
             clock,
             timers,
             counters);
-    driver.connect(shards, on -> {});
-    list();
+    executor.connect(shards, on -> {});
+    receiveList();
     FakeShardServer server = site.servers.get(0);
-    String[][] ends = {
+    String[][] responsesAndCounters = {
       {"util=0.5,inflight=3", "probes.completed"},
       {"-", "probes.completed"},
       {"bad", "probes.error"}
     };
-    for (int i = 0; i < ends.length; i++) {
+    for (int i = 0; i < responsesAndCounters.length; i++) {
       onLoop(
           () -> {
             shards.checkHealth("s0");
@@ -170,15 +175,15 @@
           });
       Frame frame = server.next();
       assertThat(frame.letter()).isEqualTo('p');
-      frame.raw(FakeShardServer.frame('p', ends[i][0]));
-      counted(ends[i][1], i == 1 ? 2 : 1);
+      frame.raw(FakeShardServer.frame('p', responsesAndCounters[i][0]));
+      awaitCount(responsesAndCounters[i][1], i == 1 ? 2 : 1);
     }
     onLoop(
         () -> {
           shards.checkHealth("s0");
           return null;
         });
-    counted("probes.timed_out", 1);
+    awaitCount("probes.timed_out", 1);
     assertThat(server.accepted).hasValue(1);
   }
 }
--- a/router/src/test/java/tidebank/runtime/ReadDelayEstimatorTest.java
+++ b/router/src/test/java/tidebank/runtime/ReadDelayEstimatorTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Since when bytes may have waited, by what the event loop was doing before it read them. */
+/** Tests the estimate of when bytes arrived for idle, long and unfinished event loop passes. */
 class ReadDelayEstimatorTest {
   private static final long REST_US = 5_000;
 
@@ -16,24 +16,25 @@
   }
 
   @Test
-  void whatWakesALoopThatRestedHasJustArrived() {
+  void bytesThatWakeAnIdleLoopHaveJustArrived() {
     assertThat(readAt(1_000_000)).isEqualTo(1_000_000);
     passes.ended(1_001_000);
     assertThat(readAt(1_001_000 + REST_US + 1)).isEqualTo(1_001_000 + REST_US + 1);
   }
 
+  /** Bytes that arrive during a long pass are only read by the next one, and seem to be new. */
   @Test
-  void whatIsReadBehindALongPassMayHaveArrivedSinceThatBegan() {
+  void bytesReadAfterALongPassMayHaveArrivedAtItsStart() {
     readAt(1_000_000);
     passes.ended(1_200_000);
     assertThat(readAt(1_201_000)).isEqualTo(1_000_000);
     passes.ended(1_210_000);
-    // Had it been there before that pass polled, that pass would have read it.
+    // Bytes that had arrived before the pass at 1_201_000 would have been read by that pass.
     assertThat(readAt(1_211_000)).isEqualTo(1_201_000);
   }
 
   @Test
-  void allThatOnePassReadsHasWaitedEquallyLongAtTheMost() {
+  void allReadsOfOnePassHaveTheSameArrivalTime() {
     readAt(1_000_000);
     passes.ended(1_100_000);
     long first = readAt(1_101_000);
--- a/router/src/test/java/tidebank/runtime/ShutdownScheduleTest.java
+++ b/router/src/test/java/tidebank/runtime/ShutdownScheduleTest.java
@@ -14,12 +14,12 @@
 import tidebank.model.Settings;
 
 /**
- * The moments of a shutdown against the protocol's: SIGKILL 0.7 s behind the longest query timeout,
- * 3 s at the most.
+ * Tests the times of a shutdown against those of the protocol: SIGKILL comes 0.7 s after the
+ * longest query timeout, which is taken as at most 3 s.
  */
 class ShutdownScheduleTest {
   private static final long MS = 1000;
-  private static final long TOLD = 50_000 * MS;
+  private static final long SIGTERM_AT = 50_000 * MS;
 
   private static Settings settings(long longestMs) {
     return new Settings(
@@ -37,66 +37,71 @@
         new Settings.Rules(0, MS, 0, 0, 0, 1, 0, 0, 0, 0));
   }
 
+  /** A request accepted too late, or a response sent too late, would be lost at SIGKILL. */
   @Test
-  void nothingIsLetInThatCouldBeLostAndAllIsAnsweredBeforeSigkill() {
+  void acceptingAndRespondingEndEarlyEnoughBeforeSigkill() {
     for (long longestMs : List.of(50L, 800L, 2000L, 3000L, 60_000L)) {
-      ShutdownSchedule plan = new ShutdownSchedule(settings(longestMs), TOLD, 0);
-      long sigkill = TOLD + (Math.min(longestMs, 3000) + 700) * MS;
-      assertThat(plan.stopAcceptingAt()).isBetween(TOLD + 400 * MS, TOLD + 650 * MS);
-      assertThat(plan.deadline())
-          .isBetween(Math.max(plan.stopAcceptingAt() - 100 * MS, TOLD), sigkill - 150 * MS);
+      ShutdownSchedule schedule = new ShutdownSchedule(settings(longestMs), SIGTERM_AT, 0);
+      long sigkill = SIGTERM_AT + (Math.min(longestMs, 3000) + 700) * MS;
+      assertThat(schedule.stopAcceptingAt())
+          .isBetween(SIGTERM_AT + 400 * MS, SIGTERM_AT + 650 * MS);
+      assertThat(schedule.deadline())
+          .isBetween(
+              Math.max(schedule.stopAcceptingAt() - 100 * MS, SIGTERM_AT), sigkill - 150 * MS);
     }
   }
 
+  /** A stalled process handles SIGTERM late; its schedule must still end before SIGKILL. */
   @Test
-  void whoStoodStillReckonsWithASignalAtTheBeginningOfThatAndNeverWithThePast() {
+  void aStalledProcessAssumesTheSignalCameWhenTheStallBegan() {
     for (long lateMs : List.of(0L, 300L, 1700L, 2900L, 10_000L)) {
-      long now = TOLD + lateMs * MS;
-      ShutdownSchedule plan = new ShutdownSchedule(settings(2000), now, lateMs * MS);
-      assertThat(plan.stopAcceptingAt())
+      long now = SIGTERM_AT + lateMs * MS;
+      ShutdownSchedule schedule = new ShutdownSchedule(settings(2000), now, lateMs * MS);
+      assertThat(schedule.stopAcceptingAt())
           .isGreaterThanOrEqualTo(now)
-          .isLessThanOrEqualTo(Math.max(now, TOLD + 650 * MS));
-      assertThat(plan.deadline())
+          .isLessThanOrEqualTo(Math.max(now, SIGTERM_AT + 650 * MS));
+      assertThat(schedule.deadline())
           .isGreaterThanOrEqualTo(now)
-          .isLessThanOrEqualTo(Math.max(now, TOLD + 2550 * MS));
+          .isLessThanOrEqualTo(Math.max(now, SIGTERM_AT + 2550 * MS));
     }
   }
 
+  /** The schedule depends on the lateness of timers to detect that the event loop was stalled. */
   @Test
-  void whatWasDueAndWaitsTellsForHowLongTheLoopStoodStill() throws Exception {
+  void lateTimersShowHowLongTheEventLoopWasStalled() throws Exception {
     DefaultEventLoop loop = new DefaultEventLoop();
     Clock clock = new Clock();
     TimerQueue timers = new TimerQueue(loop, clock, new Counters());
-    CountDownLatch go = new CountDownLatch(1);
-    CountDownLatch rung = new CountDownLatch(1);
-    long[] late = new long[3];
-    CompletableFuture<Long> set = new CompletableFuture<>();
+    CountDownLatch resume = new CountDownLatch(1);
+    CountDownLatch fired = new CountDownLatch(1);
+    long[] latenessUs = new long[3];
+    CompletableFuture<Long> dueAt = new CompletableFuture<>();
     loop.execute(
         () -> {
-          late[0] = timers.latenessUs();
-          // Here, as the loop's thread may start late: a timer for a past time is due when it is
-          // set.
+          latenessUs[0] = timers.latenessUs();
+          // Computed on the loop, as its thread may start late and a due time in the past would be
+          // replaced by the current time.
           long due = clock.now() + 20 * MS;
-          timers.schedule(TimerQueue.timer(() -> late[2] = timers.latenessUs()), due);
-          timers.schedule(TimerQueue.timer(rung::countDown), due + 10 * MS);
-          set.complete(due);
+          timers.schedule(TimerQueue.timer(() -> latenessUs[2] = timers.latenessUs()), due);
+          timers.schedule(TimerQueue.timer(fired::countDown), due + 10 * MS);
+          dueAt.complete(due);
           try {
-            go.await();
+            resume.await();
           } catch (InterruptedException fault) {
             Thread.currentThread().interrupt();
           }
-          late[1] = timers.latenessUs();
+          latenessUs[1] = timers.latenessUs();
         });
-    long due = set.get();
+    long due = dueAt.get();
     while (clock.now() < due + 100 * MS) {
       Thread.onSpinWait();
     }
-    go.countDown();
-    rung.await();
+    resume.countDown();
+    fired.await();
     loop.shutdownGracefully();
-    assertThat(late[0]).isZero();
-    assertThat(late[1]).isGreaterThanOrEqualTo(100 * MS);
-    // Also what has just been rung tells of it.
-    assertThat(late[2]).isGreaterThanOrEqualTo(100 * MS);
+    assertThat(latenessUs[0]).isZero();
+    assertThat(latenessUs[1]).isGreaterThanOrEqualTo(100 * MS);
+    // A timer that has just fired late shows the stall as well.
+    assertThat(latenessUs[2]).isGreaterThanOrEqualTo(100 * MS);
   }
 }
--- a/router/src/test/java/tidebank/runtime/TimerQueueTest.java
+++ b/router/src/test/java/tidebank/runtime/TimerQueueTest.java
@@ -11,14 +11,14 @@
 import org.junit.jupiter.api.Test;
 import tidebank.metrics.Counters;
 
-/** Which wake-ups the timers ask of an event loop that only notes them down. */
+/** Tests which wake-ups the queue schedules, on a fake event loop that only records them. */
 class TimerQueueTest {
-  private static final long SECOND = 1_000_000;
+  private static final long SECOND_US = 1_000_000;
 
-  /** Between reading the clock here and there; far below what the tests tell apart. */
-  private static final long SLACK = SECOND / 2;
+  /** Allows for time between two clock reads; far below the differences that are tested. */
+  private static final long SLACK_US = SECOND_US / 2;
 
-  /** A wake-up that was asked for, and whether it still stands. */
+  /** A wake-up that was scheduled, and whether it was cancelled. */
   private static final class WakeUp {
     private final long delayUs;
     private boolean cancelled;
@@ -42,7 +42,7 @@
           wakeUps.add(wakeUp);
           return proxy(
               ScheduledFuture.class,
-              (called, with) -> {
+              (called, ignored) -> {
                 assertThat(called).isEqualTo("cancel");
                 wakeUp.cancelled = true;
                 return true;
@@ -50,52 +50,55 @@
         });
   }
 
-  /** What is done with a call, by the name of its method. */
-  private interface Calls {
-    Object called(String method, Object[] arguments);
+  /** Handles the calls of a proxy by the name of the method. */
+  private interface CallHandler {
+    Object handle(String method, Object[] arguments);
   }
 
-  private static <T> T proxy(Class<T> type, Calls calls) {
+  private static <T> T proxy(Class<T> type, CallHandler handler) {
     return type.cast(
         Proxy.newProxyInstance(
             type.getClassLoader(),
             new Class<?>[] {type},
-            (self, method, arguments) -> calls.called(method.getName(), arguments)));
+            (self, method, arguments) -> handler.handle(method.getName(), arguments)));
   }
 
-  private List<Long> standing() {
-    return wakeUps.stream().filter(one -> !one.cancelled).map(one -> one.delayUs).toList();
+  private List<Long> scheduledDelays() {
+    return wakeUps.stream().filter(w -> !w.cancelled).map(w -> w.delayUs).toList();
   }
 
+  /** An idle process would otherwise wake up for a due time that no longer exists. */
   @Test
-  void anIdleLoopIsNotWokenForTheTimeThatItsOnlyTimerHasLeft() {
-    timers.schedule(timer, clock.now() + 5 * SECOND);
-    timers.schedule(timer, clock.now() + 10 * SECOND);
-    assertThat(standing()).hasSize(1).allMatch(delay -> delay > 10 * SECOND - SLACK);
+  void postponingTheOnlyTimerPostponesTheWakeUp() {
+    timers.schedule(timer, clock.now() + 5 * SECOND_US);
+    timers.schedule(timer, clock.now() + 10 * SECOND_US);
+    assertThat(scheduledDelays()).hasSize(1).allMatch(delay -> delay > 10 * SECOND_US - SLACK_US);
   }
 
   @Test
-  void anEarlierTimerMovesTheWakeUpForwardAndALaterOneDoesNot() {
-    timers.schedule(timer, clock.now() + 5 * SECOND);
-    timers.schedule(TimerQueue.timer(() -> {}), clock.now() + 10 * SECOND);
-    timers.schedule(TimerQueue.timer(() -> {}), clock.now() + 2 * SECOND);
-    assertThat(standing()).hasSize(1).allMatch(delay -> delay <= 2 * SECOND);
+  void onlyAnEarlierTimerMovesTheWakeUpForward() {
+    timers.schedule(timer, clock.now() + 5 * SECOND_US);
+    timers.schedule(TimerQueue.timer(() -> {}), clock.now() + 10 * SECOND_US);
+    timers.schedule(TimerQueue.timer(() -> {}), clock.now() + 2 * SECOND_US);
+    assertThat(scheduledDelays()).hasSize(1).allMatch(delay -> delay <= 2 * SECOND_US);
     assertThat(wakeUps).hasSize(2);
   }
 
+  /** Under load the earliest timer changes with every query; rescheduling each time is costly. */
   @Test
-  void aTimerThatMovesByLittleLeavesTheWakeUpWhereItIs() {
-    timers.schedule(timer, clock.now() + 5 * SECOND);
-    timers.schedule(timer, clock.now() + 5 * SECOND + SECOND / 10);
+  void aSlightlyPostponedTimerKeepsItsWakeUp() {
+    timers.schedule(timer, clock.now() + 5 * SECOND_US);
+    timers.schedule(timer, clock.now() + 5 * SECOND_US + SECOND_US / 10);
     assertThat(wakeUps).hasSize(1);
-    assertThat(standing()).hasSize(1);
+    assertThat(scheduledDelays()).hasSize(1);
   }
 
+  /** Overdue timers indicate a stall of the process, which a due time in the past does not. */
   @Test
-  void aTimerThatIsSetForAPastTimeTellsOfNoStandstill() {
-    timers.schedule(timer, clock.now() - 5 * SECOND);
-    assertThat(standing()).containsExactly(0L);
-    assertThat(timers.overdueUs()).isLessThan(SLACK);
-    assertThat(timers.latenessUs()).isLessThan(SLACK);
+  void aTimerSetForAPastTimeIsNotReportedAsAStall() {
+    timers.schedule(timer, clock.now() - 5 * SECOND_US);
+    assertThat(scheduledDelays()).containsExactly(0L);
+    assertThat(timers.overdueUs()).isLessThan(SLACK_US);
+    assertThat(timers.latenessUs()).isLessThan(SLACK_US);
   }
 }
