--- a/router/src/main/java/tidebank/backend/BatchWriter.java
+++ b/router/src/main/java/tidebank/backend/BatchWriter.java
@@ -49,7 +49,7 @@
       }
       // The policy may cancel attempts here, which removes them from the batch.
       for (InFlightAttempt attempt : batch.copyOfAttempts()) {
-        context.policy().aboutToWrite(attempt.request());
+        context.policy().checkClientBeforeWrite(attempt.request());
       }
       if (!batch.isEmpty()) {
         write(channel, batch, now);
--- a/router/src/main/java/tidebank/backend/ShardClient.java
+++ b/router/src/main/java/tidebank/backend/ShardClient.java
@@ -105,10 +105,10 @@
   }
 
   @Override
-  public void updateEndpoints(List<Member> members, boolean full) {
+  public void updateEndpoints(List<ResolvedEndpoint> members, boolean full) {
     long now = context.clock().now();
     Set<String> listed = new HashSet<>();
-    for (Member member : members) {
+    for (ResolvedEndpoint member : members) {
       Endpoint endpoint = member.endpoint();
       listed.add(endpoint.server());
       ConnectionPool pool = pool(endpoint.server());
--- a/router/src/main/java/tidebank/discovery/EndpointListParser.java
+++ b/router/src/main/java/tidebank/discovery/EndpointListParser.java
@@ -10,7 +10,7 @@
 import tidebank.config.RouterConfig;
 import tidebank.model.Event.Endpoint;
 import tidebank.model.Event.EndpointStatus;
-import tidebank.runtime.BackendPort.Member;
+import tidebank.runtime.BackendPort.ResolvedEndpoint;
 import tidebank.runtime.Clock;
 
 /**
@@ -29,7 +29,7 @@
    * @param complete whether it names all endpoints, so that any other has left
    * @param members the endpoints, each named once
    */
-  public record EndpointList(long version, boolean complete, List<Member> members) {}
+  public record EndpointList(long version, boolean complete, List<ResolvedEndpoint> members) {}
 
   private EndpointListParser() {}
 
@@ -45,10 +45,10 @@
       throw new MalformedInputException(
           "field 'whole' is not true or false, or 'hosts' is not a list");
     }
-    List<Member> members = new ArrayList<>();
+    List<ResolvedEndpoint> members = new ArrayList<>();
     Set<String> servers = new HashSet<>();
     for (JsonNode host : hosts) {
-      Member member = member(host);
+      ResolvedEndpoint member = member(host);
       String server = member.endpoint().server();
       if (!servers.add(server)) {
         throw new MalformedInputException("host '" + server + "' is listed twice");
@@ -58,7 +58,7 @@
     return new EndpointList(JsonFields.integer(list, "seq"), complete.booleanValue(), members);
   }
 
-  private static Member member(JsonNode host) throws MalformedInputException {
+  private static ResolvedEndpoint member(JsonNode host) throws MalformedInputException {
     String server = JsonFields.text(host, "host");
     EndpointStatus status = status(server, JsonFields.text(host, "health"));
     Endpoint endpoint =
@@ -68,7 +68,7 @@
             status,
             startedAt(host),
             JsonFields.number(host, "share", DEFAULT_CAPACITY));
-    return new Member(
+    return new ResolvedEndpoint(
         endpoint,
         RouterConfig.address("dial of host '" + server + "'", JsonFields.text(host, "dial")));
   }
--- a/router/src/main/java/tidebank/frontend/ClientChannelHandler.java
+++ b/router/src/main/java/tidebank/frontend/ClientChannelHandler.java
@@ -55,7 +55,7 @@
       connection.clientDisconnected();
       context.close();
     } else {
-      connection.failed(cause);
+      connection.handleFailure(cause);
     }
   }
 
--- a/router/src/main/java/tidebank/frontend/ClientConnection.java
+++ b/router/src/main/java/tidebank/frontend/ClientConnection.java
@@ -63,7 +63,7 @@
     this.timers = new ConnectionTimers(context, this);
     this.trace = new RequestTrace(context, channel);
     this.connectedAt = context.clock().now();
-    this.arrival = new RequestArrival(context.executor(), server.acceptedSince());
+    this.arrival = new RequestArrival(context.executor(), server.earliestConnectTime());
   }
 
   // ---- state
@@ -87,12 +87,12 @@
   }
 
   /** Returns whether the final response was written or the connection is closed. */
-  boolean isLingering() {
+  boolean isLingeringOrClosed() {
     return state.compareTo(State.LINGERING) >= 0;
   }
 
   /** Returns whether 100 (Continue) may be written, as no other response is due before it. */
-  boolean mayContinue() {
+  boolean allowsContinueResponse() {
     return exchanges.isEmpty() && state == State.OPEN;
   }
 
@@ -104,7 +104,7 @@
     return idleSince;
   }
 
-  void idleFrom(long now) {
+  void setIdleSince(long now) {
     idleSince = now;
   }
 
@@ -121,7 +121,7 @@
    */
   void requestBegan() {
     if (!hasIncompleteRequest() && state == State.OPEN) {
-      arrival.begin();
+      arrival.beginRequest();
       server.requestBegan(this);
       if (arrival.hasReceivedRequest()) {
         timers.startRequest();
@@ -148,17 +148,17 @@
     } else if (message instanceof FullHttpRequest request) {
       requestBegan();
       timers.cancelRequest();
-      handle(request, arrival.end());
+      handle(request, arrival.endRequest());
     }
   }
 
   private void handle(FullHttpRequest request, long beganAt) {
     HttpExchange exchange = addExchange();
-    trace.requestRead();
+    trace.recordRequest();
     if (!HttpUtil.isKeepAlive(request)) {
       drain();
     }
-    long completeAt = arrival.arrivedSince();
+    long completeAt = arrival.earliestArrivalTime();
     if (!arrival.hasReceivedRequest()) {
       arrival.markRequestReceived();
       server.requestBegan(this);
@@ -189,7 +189,7 @@
   // ---- responses
 
   /** Refuses a request with a body over the size limit. */
-  void bodyTooLarge() {
+  void refuseOversizedBody() {
     context.counters().add("front.rejected");
     refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
   }
@@ -204,7 +204,7 @@
   private void refuse(HttpResponseStatus status, String text) {
     HttpExchange exchange = addExchange();
     drain();
-    arrival.end();
+    arrival.endRequest();
     timers.cancelRequest();
     exchange.respond(status, text);
   }
@@ -273,7 +273,7 @@
    */
   @Override
   public void requestTimedOut() {
-    checkClient();
+    readNow();
     if (state != State.OPEN) {
       return;
     }
@@ -302,20 +302,20 @@
 
   /** Closes the connection and logs {@code reason}. */
   void close(String reason) {
-    trace.closed(reason, exchanges.size(), hasIncompleteRequest());
+    trace.recordClose(reason, exchanges.size(), hasIncompleteRequest());
     server.disconnected(this);
     channel.close();
   }
 
   /** Reads the available input, or the end of the stream, without waiting for the next poll. */
-  void checkClient() {
+  void readNow() {
     if (channel instanceof AbstractNioChannel nioChannel && channel.isActive()) {
       nioChannel.unsafe().read();
     }
   }
 
   /** Responds with 500 after an internal failure; the connection ends with the response. */
-  void failed(Throwable cause) {
+  void handleFailure(Throwable cause) {
     context.counters().recordFault("front.failed", String.valueOf(cause));
     if (state == State.OPEN) {
       refuse(HttpResponseStatus.INTERNAL_SERVER_ERROR, "failed");
@@ -323,8 +323,8 @@
   }
 
   /** Closes a pending query of this connection, as the client has disconnected. */
-  void clientDisconnectedFrom(QueryRequest query) {
-    trace.disconnected(query);
+  void abandonQuery(QueryRequest query) {
+    trace.recordDisconnect(query);
     context.executor().clientDisconnected(query.id());
   }
 
@@ -334,8 +334,8 @@
    */
   void clientDisconnected() {
     timers.cancelAll();
-    if (!isLingering()) {
-      trace.disconnected(exchanges.size(), hasIncompleteRequest());
+    if (!isLingeringOrClosed()) {
+      trace.recordDisconnect(exchanges.size(), hasIncompleteRequest());
     }
     server.disconnected(this);
     for (HttpExchange exchange : exchanges) {
--- a/router/src/main/java/tidebank/frontend/ClientPipeline.java
+++ b/router/src/main/java/tidebank/frontend/ClientPipeline.java
@@ -71,13 +71,13 @@
       boolean isMet =
           HttpUtil.is100ContinueExpected(start)
               && !isContentLengthInvalid(start, maxContentLength)
-              && connection.mayContinue();
+              && connection.allowsContinueResponse();
       return isMet ? super.newContinueResponse(start, maxContentLength, pipeline) : null;
     }
 
     @Override
     protected void handleOversizedMessage(ChannelHandlerContext context, HttpMessage message) {
-      connection.bodyTooLarge();
+      connection.refuseOversizedBody();
     }
   }
 }
--- a/router/src/main/java/tidebank/frontend/ClientServer.java
+++ b/router/src/main/java/tidebank/frontend/ClientServer.java
@@ -19,24 +19,24 @@
   private final FrontendContext context;
   private final RequestRouter router;
   private final ConnectionBudget budget;
-  private final Listener listener;
-  private final BooleanSupplier ready;
+  private final ListeningSocket listener;
+  private final BooleanSupplier canServe;
   private boolean draining;
   private boolean stoppedAccepting;
 
-  /** Creates a server that does not listen yet; {@code ready} tells whether it can serve. */
+  /** Creates a server that does not listen yet; {@code canServe} tells whether it can serve. */
   public ClientServer(
       RouterConfig config,
       PolicyExecutor executor,
       Clock clock,
       TimerQueue timers,
       Counters counters,
-      BooleanSupplier ready) {
+      BooleanSupplier canServe) {
     this.context = new FrontendContext(config, executor, clock, timers, counters);
-    this.ready = ready;
+    this.canServe = canServe;
     this.router = new RequestRouter(context, this::isReady);
     this.budget = new ConnectionBudget(context);
-    this.listener = new Listener(clock, timers, counters);
+    this.listener = new ListeningSocket(clock, timers, counters);
   }
 
   /** Binds the listening socket. */
@@ -52,7 +52,7 @@
   }
 
   private void accept(Channel channel) {
-    boolean overBudget = !budget.makeRoom();
+    boolean overBudget = !budget.ensureCapacity();
     ClientConnection connection = new ClientConnection(this, context, channel, overBudget);
     budget.add(connection);
     ClientPipeline.build(
@@ -83,15 +83,15 @@
   }
 
   /** Returns the earliest time at which a connection accepted now may have been established. */
-  long acceptedSince() {
-    return listener.acceptedSince(context.executor().arrivedSince());
+  long earliestConnectTime() {
+    return listener.earliestConnectTime(context.executor().earliestArrivalTime());
   }
 
   // ---- life cycle
 
   /** Returns whether it can serve queries and is not draining. */
   public boolean isReady() {
-    return !draining && ready.getAsBoolean();
+    return !draining && canServe.getAsBoolean();
   }
 
   /** Reports not ready from now on, so that new clients go elsewhere; requests are still served. */
@@ -129,7 +129,7 @@
   /** Closes the connections that had their final response at or before this time. */
   public void closeConnectionsRespondedBefore(long time) {
     for (ClientConnection connection : budget.snapshot()) {
-      if (connection.isLingering() && connection.idleSince() <= time) {
+      if (connection.isLingeringOrClosed() && connection.idleSince() <= time) {
         closeLingering(connection);
       }
     }
@@ -138,7 +138,7 @@
   /** Closes all connections; incomplete requests still get an error response. */
   public void closeAllConnections() {
     for (ClientConnection connection : budget.snapshot()) {
-      if (connection.isLingering()) {
+      if (connection.isLingeringOrClosed()) {
         closeLingering(connection);
       } else if (connection.hasIncompleteRequest()) {
         connection.refuseIncompleteRequest();
@@ -150,7 +150,7 @@
 
   private static void closeLingering(ClientConnection connection) {
     // Closing a socket with unread bytes resets the connection, and its response may be lost.
-    connection.checkClient();
+    connection.readNow();
     connection.close("shutdown_responded");
   }
 
--- a/router/src/main/java/tidebank/frontend/ConnectionBudget.java
+++ b/router/src/main/java/tidebank/frontend/ConnectionBudget.java
@@ -15,7 +15,7 @@
   private final Set<ClientConnection> connections = new LinkedHashSet<>();
 
   /** Connections on which no request has begun yet, oldest first. */
-  private final Set<ClientConnection> silent = new LinkedHashSet<>();
+  private final Set<ClientConnection> awaitingFirstRequest = new LinkedHashSet<>();
 
   /** Connections between two requests or after their final response, longest idle first. */
   private final Set<ClientConnection> idle = new LinkedHashSet<>();
@@ -28,7 +28,7 @@
   /** Adds a connection that was just accepted. */
   void add(ClientConnection connection) {
     connections.add(connection);
-    silent.add(connection);
+    awaitingFirstRequest.add(connection);
   }
 
   void remove(ClientConnection connection) {
@@ -52,7 +52,7 @@
 
   /** Records that a request has begun, so that the connection is not closed for another one. */
   void requestBegan(ClientConnection connection) {
-    silent.remove(connection);
+    awaitingFirstRequest.remove(connection);
     idle.remove(connection);
   }
 
@@ -62,7 +62,7 @@
    */
   void becameIdle(ClientConnection connection) {
     long now = context.clock().now();
-    connection.idleFrom(now);
+    connection.setIdleSince(now);
     idle.add(connection);
     ClientConnection longestIdle = idle.iterator().next();
     if (idle.size() > budgets.maxIdleClients()
@@ -77,9 +77,9 @@
    * Closing one is not enough if connections over the budget are open to have their requests
    * refused.
    */
-  boolean makeRoom() {
+  boolean ensureCapacity() {
     while (connections.size() >= budgets.maxServedClients()) {
-      ClientConnection candidate = leastWanted();
+      ClientConnection candidate = evictionCandidate();
       if (candidate == null) {
         return false;
       }
@@ -95,13 +95,14 @@
    * idle. Otherwise returns the longest idle one, which is the least likely to send another
    * request. Returns null if there is neither.
    */
-  private ClientConnection leastWanted() {
-    ClientConnection oldestSilent = silent.isEmpty() ? null : silent.iterator().next();
+  private ClientConnection evictionCandidate() {
+    ClientConnection oldestWithoutRequest =
+        awaitingFirstRequest.isEmpty() ? null : awaitingFirstRequest.iterator().next();
     boolean isOverdue =
-        oldestSilent != null
-            && context.clock().now() - oldestSilent.connectedAt()
+        oldestWithoutRequest != null
+            && context.clock().now() - oldestWithoutRequest.connectedAt()
                 >= context.config().transport().connectTimeoutUs();
-    return isOverdue || idle.isEmpty() ? oldestSilent : idle.iterator().next();
+    return isOverdue || idle.isEmpty() ? oldestWithoutRequest : idle.iterator().next();
   }
 
   /**
@@ -109,7 +110,7 @@
    * disconnected. Returns whether it was closed; if not, it is no longer a candidate for closing.
    */
   boolean closeIfIdle(ClientConnection connection, String counter, String reason) {
-    connection.checkClient();
+    connection.readNow();
     if (!connections.contains(connection) || !connection.isIdle()) {
       requestBegan(connection);
       return false;
--- a/router/src/main/java/tidebank/frontend/HttpExchange.java
+++ b/router/src/main/java/tidebank/frontend/HttpExchange.java
@@ -38,9 +38,9 @@
   }
 
   /** Records that the request was accepted as a query. */
-  void accepted(QueryRequest acceptedQuery) {
+  void markAccepted(QueryRequest acceptedQuery) {
     query = acceptedQuery;
-    connection.trace().queryReceived(acceptedQuery);
+    connection.trace().recordQuery(acceptedQuery);
   }
 
   boolean hasResponse() {
@@ -55,7 +55,7 @@
   /** Closes the query if it is pending, and releases a response that was not written. */
   void clientDisconnected() {
     if (query != null) {
-      connection.clientDisconnectedFrom(query);
+      connection.abandonQuery(query);
     }
     if (response != null) {
       response.release();
@@ -119,8 +119,8 @@
   }
 
   @Override
-  public void checkClient() {
-    connection.checkClient();
+  public void pollClientConnection() {
+    connection.readNow();
   }
 
   /** Responds with a line of text. */
@@ -139,7 +139,7 @@
         .headers()
         .set(HttpHeaderNames.CONTENT_LENGTH, newResponse.content().readableBytes());
     if (query != null) {
-      connection.trace().responded(query, newResponse.status().code());
+      connection.trace().recordResponse(query, newResponse.status().code());
     }
     query = null;
     response = newResponse;
--- a/router/src/main/java/tidebank/frontend/Listener.java
+++ b/router/src/main/java/tidebank/frontend/ListeningSocket.java
@@ -17,7 +17,7 @@
  * has just failed, in which case it retries with exponential backoff. Estimates since when a
  * connection may have waited to be accepted, as its client's timeout has been running since then.
  */
-final class Listener extends ChannelInboundHandlerAdapter {
+final class ListeningSocket extends ChannelInboundHandlerAdapter {
   private static final long MIN_BACKOFF_US = 1_000;
   private static final long MAX_BACKOFF_US = 50_000;
 
@@ -36,7 +36,7 @@
   private boolean backingOff;
 
   /** Since when connections may wait in the accept backlog, or {@link #NEVER}. */
-  private long stoppedAt = NEVER;
+  private long stoppedAcceptingAt = NEVER;
 
   private int acceptedInPass;
 
@@ -46,7 +46,7 @@
    */
   private boolean backlogEmpty;
 
-  Listener(Clock clock, TimerQueue timers, Counters counters) {
+  ListeningSocket(Clock clock, TimerQueue timers, Counters counters) {
     this.clock = clock;
     this.timers = timers;
     this.counters = counters;
@@ -73,12 +73,12 @@
    *
    * @param earliestArrivalTime the same for bytes on connections that were accepted before
    */
-  long acceptedSince(long earliestArrivalTime) {
+  long earliestConnectTime(long earliestArrivalTime) {
     if (backlogEmpty) {
       backlogEmpty = false;
-      stoppedAt = NEVER;
+      stoppedAcceptingAt = NEVER;
     }
-    return Math.min(earliestArrivalTime, stoppedAt);
+    return Math.min(earliestArrivalTime, stoppedAcceptingAt);
   }
 
   /** Accepts waiting connections, as many as Netty accepts in one pass. */
@@ -91,17 +91,17 @@
     channel.close();
   }
 
-  private boolean accepts() {
+  private boolean isAccepting() {
     return !exhausted && !backingOff;
   }
 
   private void updateAutoRead() {
-    if (!accepts()) {
+    if (!isAccepting()) {
       backlogEmpty = false;
-      stoppedAt = Math.min(stoppedAt, clock.now());
+      stoppedAcceptingAt = Math.min(stoppedAcceptingAt, clock.now());
     }
     if (channel.isOpen()) {
-      channel.config().setAutoRead(accepts());
+      channel.config().setAutoRead(isAccepting());
     }
   }
 
@@ -119,7 +119,7 @@
 
   @Override
   public void channelReadComplete(ChannelHandlerContext context) {
-    backlogEmpty = accepts() && acceptedInPass < MAX_ACCEPTED_PER_PASS;
+    backlogEmpty = isAccepting() && acceptedInPass < MAX_ACCEPTED_PER_PASS;
     acceptedInPass = 0;
     context.fireChannelReadComplete();
   }
--- a/router/src/main/java/tidebank/frontend/QueryRequestParser.java
+++ b/router/src/main/java/tidebank/frontend/QueryRequestParser.java
@@ -23,7 +23,7 @@
 import tidebank.model.QueryClass;
 import tidebank.model.Settings;
 import tidebank.runtime.QueryRequest;
-import tidebank.runtime.QueryRequest.ShardRange;
+import tidebank.runtime.QueryRequest.ShardTarget;
 
 /**
  * Parses and validates the query of an HTTP request. Maps the names of headers and JSON fields to
@@ -35,7 +35,7 @@
   private static final int US_PER_MS = 1000;
 
   /** How far each weight may be off by rounding. */
-  private static final double ROUNDING = 0.0005;
+  private static final double WEIGHT_TOLERANCE = 0.0005;
 
   private final ObjectMapper mapper =
       JsonMapper.builder()
@@ -67,8 +67,8 @@
     if (!ID.matcher(id).matches()) {
       throw invalid("X-Correlation-Id is missing or no plain id");
     }
-    long timeLeftUs = timeLeftUs(headers.get("X-Time-Left", ""));
-    JsonNode body = json(request);
+    long timeLeftUs = parseTimeLeftUs(headers.get("X-Time-Left", ""));
+    JsonNode body = parseJson(request);
     JsonNode predicate = body.path("predicate");
     if (!predicate.isTextual()) {
       throw invalid("predicate is missing or no text");
@@ -84,10 +84,10 @@
         headers.get("X-Repeat", "").equals("1"),
         headers.get("X-Session-Key", ""),
         predicate.textValue().getBytes(UTF_8),
-        ranges(body.path("ranges")));
+        shardTargets(body.path("ranges")));
   }
 
-  private static long timeLeftUs(String text) throws InvalidRequestException {
+  private static long parseTimeLeftUs(String text) throws InvalidRequestException {
     Matcher parts = TIME_LEFT.matcher(text);
     if (!parts.matches()) {
       throw invalid("X-Time-Left is missing or no time such as 480m");
@@ -100,7 +100,7 @@
     return us;
   }
 
-  private JsonNode json(FullHttpRequest request) throws InvalidRequestException {
+  private JsonNode parseJson(FullHttpRequest request) throws InvalidRequestException {
     try (InputStream in = new ByteBufInputStream(request.content())) {
       return mapper.readTree(in);
     } catch (IOException fault) {
@@ -108,25 +108,26 @@
     }
   }
 
-  private List<ShardRange> ranges(JsonNode list) throws InvalidRequestException {
+  private List<ShardTarget> shardTargets(JsonNode list) throws InvalidRequestException {
     if (!list.isArray() || list.isEmpty()) {
       throw invalid("ranges is missing or empty");
     }
-    List<ShardRange> ranges = new ArrayList<>(list.size());
+    List<ShardTarget> targets = new ArrayList<>(list.size());
     Set<Integer> seen = new HashSet<>();
     double sum = 0;
     for (JsonNode element : list) {
-      ShardRange range = range(element, seen);
-      sum += range.weight();
-      ranges.add(range);
+      ShardTarget target = shardTarget(element, seen);
+      sum += target.weight();
+      targets.add(target);
     }
-    if (!(Math.abs(sum - 1) <= ROUNDING * (1 + ranges.size()))) {
+    if (!(Math.abs(sum - 1) <= WEIGHT_TOLERANCE * (1 + targets.size()))) {
       throw invalid("the portions do not make one whole");
     }
-    return ranges;
+    return targets;
   }
 
-  private ShardRange range(JsonNode element, Set<Integer> seen) throws InvalidRequestException {
+  private ShardTarget shardTarget(JsonNode element, Set<Integer> seen)
+      throws InvalidRequestException {
     JsonNode shard = element.path("range");
     if (!shard.isIntegralNumber()
         || !shard.canConvertToInt()
@@ -142,7 +143,7 @@
     if (!(weight >= 0 && weight <= 1)) {
       throw invalid("portion is no share from 0 to 1");
     }
-    return new ShardRange(shard.intValue(), weight, element.path("hash").asText(""));
+    return new ShardTarget(shard.intValue(), weight, element.path("hash").asText(""));
   }
 
   private static InvalidRequestException invalid(String message) {
--- a/router/src/main/java/tidebank/frontend/RequestArrival.java
+++ b/router/src/main/java/tidebank/frontend/RequestArrival.java
@@ -8,28 +8,28 @@
  */
 final class RequestArrival {
   /** Stands for no incomplete request; actual times are far above 0. */
-  private static final long NONE = 0;
+  private static final long NOT_BEGUN = 0;
 
   private final PolicyExecutor executor;
   private final long acceptedInPass;
-  private final long acceptedSince;
-  private long beganAt = NONE;
+  private final long earliestConnectTime;
+  private long beganAt = NOT_BEGUN;
   private boolean requestReceived;
 
   /**
    * Creates a tracker; called in the event loop pass that accepts the connection.
    *
-   * @param acceptedSince the earliest time at which the connection may have been established
+   * @param earliestConnectTime the earliest time at which the connection may have been established
    */
-  RequestArrival(PolicyExecutor executor, long acceptedSince) {
+  RequestArrival(PolicyExecutor executor, long earliestConnectTime) {
     this.executor = executor;
     this.acceptedInPass = executor.passNumber();
-    this.acceptedSince = acceptedSince;
+    this.earliestConnectTime = earliestConnectTime;
   }
 
   /** Returns whether a request has begun but is not complete. */
   boolean hasIncompleteRequest() {
-    return beganAt != NONE;
+    return beganAt != NOT_BEGUN;
   }
 
   /** Returns whether a complete request has been received. */
@@ -43,14 +43,14 @@
   }
 
   /** Records that the first bytes of a request have arrived. */
-  void begin() {
-    beganAt = arrivedSince();
+  void beginRequest() {
+    beganAt = earliestArrivalTime();
   }
 
   /** Records that the request is complete or dropped, and returns when it began. */
-  long end() {
+  long endRequest() {
     long lastBeganAt = beganAt;
-    beganAt = NONE;
+    beganAt = NOT_BEGUN;
     return lastBeganAt;
   }
 
@@ -58,8 +58,8 @@
    * Returns the earliest time at which bytes read now may have arrived. The first request may have
    * arrived before the pass that accepted its connection, if the connection waited to be accepted.
    */
-  long arrivedSince() {
+  long earliestArrivalTime() {
     boolean justAccepted = !requestReceived && executor.passNumber() <= acceptedInPass + 1;
-    return justAccepted ? acceptedSince : executor.arrivedSince();
+    return justAccepted ? earliestConnectTime : executor.earliestArrivalTime();
   }
 }
--- a/router/src/main/java/tidebank/frontend/RequestRouter.java
+++ b/router/src/main/java/tidebank/frontend/RequestRouter.java
@@ -15,12 +15,12 @@
 
   private final FrontendContext context;
   private final QueryRequestParser parser;
-  private final BooleanSupplier ready;
+  private final BooleanSupplier isReady;
 
-  RequestRouter(FrontendContext context, BooleanSupplier ready) {
+  RequestRouter(FrontendContext context, BooleanSupplier isReady) {
     this.context = context;
     this.parser = new QueryRequestParser(context.config().settings());
-    this.ready = ready;
+    this.isReady = isReady;
   }
 
   /**
@@ -42,16 +42,16 @@
     }
     String path = request.uri().split("[?]", 2)[0];
     if (path.startsWith(HEALTH)) {
-      health(exchange, path.substring(HEALTH.length()));
+      respondToHealthCheck(exchange, path.substring(HEALTH.length()));
     } else if (!request.method().equals(HttpMethod.POST)) {
       connection.reject(exchange, HttpResponseStatus.METHOD_NOT_ALLOWED, "scans come by POST");
     } else {
-      query(connection, exchange, request, path, beganAt, completeAt);
+      submitQuery(connection, exchange, request, path, beganAt, completeAt);
     }
   }
 
-  private void health(HttpExchange exchange, String check) {
-    if (check.equals(LIVE) || (check.equals(READY) && ready.getAsBoolean())) {
+  private void respondToHealthCheck(HttpExchange exchange, String check) {
+    if (check.equals(LIVE) || (check.equals(READY) && isReady.getAsBoolean())) {
       exchange.respond(HttpResponseStatus.OK, "ok");
     } else if (check.equals(READY)) {
       exchange.respond(HttpResponseStatus.SERVICE_UNAVAILABLE, "not ready");
@@ -60,7 +60,7 @@
     }
   }
 
-  private void query(
+  private void submitQuery(
       ClientConnection connection,
       HttpExchange exchange,
       FullHttpRequest request,
@@ -79,8 +79,8 @@
     if (context.executor().isPending(query)) {
       context.counters().add("front.rejected");
       connection.reject(exchange, HttpResponseStatus.BAD_REQUEST, "X-Correlation-Id is in use");
-    } else if (context.executor().queryReceived(query, exchange)) {
-      exchange.accepted(query);
+    } else if (context.executor().submitQuery(query, exchange)) {
+      exchange.markAccepted(query);
     } else {
       context.counters().add("front.refused-full");
       exchange.respond(HttpResponseStatus.SERVICE_UNAVAILABLE, "as much is held as may be");
--- a/router/src/main/java/tidebank/frontend/RequestTrace.java
+++ b/router/src/main/java/tidebank/frontend/RequestTrace.java
@@ -26,13 +26,13 @@
   }
 
   /** Records that a complete request of any kind was read. */
-  void requestRead() {
+  void recordRequest() {
     lastReadAt = context.clock().now();
     requests++;
   }
 
   /** Records that a request was accepted as a query. */
-  void queryReceived(QueryRequest query) {
+  void recordQuery(QueryRequest query) {
     context.counters().add("scans.taken");
     if (LOG.isDebugEnabled()) {
       LOG.debug("query received: {}", describe(query, context.clock().now()));
@@ -40,7 +40,7 @@
   }
 
   /** Records that the final response of a query is available. */
-  void responded(QueryRequest query, int status) {
+  void recordResponse(QueryRequest query, int status) {
     long now = context.clock().now();
     if (now >= query.deadline()) {
       context.counters().add("front.answered-late");
@@ -51,7 +51,7 @@
   }
 
   /** Records that the client disconnected before the response of a query, or after its deadline. */
-  void disconnected(QueryRequest query) {
+  void recordDisconnect(QueryRequest query) {
     long now = context.clock().now();
     if (now >= query.deadline()) {
       context.counters().add("front.left-unanswered");
@@ -65,7 +65,7 @@
   }
 
   /** Records that the router closes the connection. */
-  void closed(String reason, int pendingRequests, boolean incompleteRequest) {
+  void recordClose(String reason, int pendingRequests, boolean incompleteRequest) {
     if (LOG.isDebugEnabled()) {
       LOG.debug(
           "client connection closed: reason={} {}",
@@ -75,7 +75,7 @@
   }
 
   /** Logs that the client disconnected, if a request was pending or none was ever complete. */
-  void disconnected(int pendingRequests, boolean incompleteRequest) {
+  void recordDisconnect(int pendingRequests, boolean incompleteRequest) {
     if (LOG.isDebugEnabled() && (pendingRequests > 0 || incompleteRequest || requests == 0)) {
       LOG.debug("client disconnected: {}", describeConnection(pendingRequests, incompleteRequest));
     }
@@ -97,7 +97,7 @@
         Locale.ROOT,
         "query=%s %s age_ms=%d remaining_ms=%d connection_age_ms=%d read_ms_ago=%d requests=%d",
         query.id(),
-        context.executor().describe(query.id()),
+        context.executor().describeProgress(query.id()),
         (now - query.receivedAt()) / 1000,
         (query.deadline() - now) / 1000,
         (now - connectedAt) / 1000,
--- a/router/src/main/java/tidebank/frontend/package-info.java
+++ b/router/src/main/java/tidebank/frontend/package-info.java
@@ -9,8 +9,8 @@
  * tidebank.runtime.PolicyExecutor}, with its exchange as the callback for the final response.
  *
  * <p>{@code ConnectionBudget} chooses the connection to close when a new one exceeds the budget,
- * {@code Listener} stops accepting when the budget is exhausted, and {@code ConnectionTimers} holds
- * the time limits of a connection.
+ * {@code ListeningSocket} stops accepting when the budget is exhausted, and {@code
+ * ConnectionTimers} holds the time limits of a connection.
  *
  * <p>All state is confined to the router's event loop. Where to start: {@code
  * ClientConnection.read} for a request, {@code ClientConnection.writeResponses} for a response,
--- a/router/src/main/java/tidebank/runtime/ActionExecutor.java
+++ b/router/src/main/java/tidebank/runtime/ActionExecutor.java
@@ -18,22 +18,24 @@
   private final Clock clock;
   private final TimerQueue timers;
   private final Counters counters;
-  private final Consumer<Event> events;
+  private final Consumer<Event> eventSink;
   private BackendPort backend;
   private DiscoveryPort discovery;
 
-  /** Creates an executor that passes resulting events, such as fired timers, to {@code events}. */
+  /**
+   * Creates an executor that passes resulting events, such as fired timers, to {@code eventSink}.
+   */
   ActionExecutor(
       PendingQueries queries,
       Clock clock,
       TimerQueue timers,
       Counters counters,
-      Consumer<Event> events) {
+      Consumer<Event> eventSink) {
     this.queries = queries;
     this.clock = clock;
     this.timers = timers;
     this.counters = counters;
-    this.events = events;
+    this.eventSink = eventSink;
   }
 
   void connect(BackendPort backend, DiscoveryPort discovery) {
@@ -75,7 +77,7 @@
   void failAll() {
     for (PendingQuery query : queries.snapshot()) {
       ResponseCallback callback = queries.close(query);
-      for (PendingShardRequest shardRequest : query.requests()) {
+      for (PendingShardRequest shardRequest : query.shardRequests()) {
         shardRequest.cancelAll();
       }
       callback.onFailed();
@@ -84,7 +86,7 @@
   }
 
   private void send(Action.SendAttempt send) {
-    PendingShardRequest shardRequest = queries.findRequest(send.shardRequest());
+    PendingShardRequest shardRequest = queries.findShardRequest(send.shardRequest());
     // The text becomes part of a counter's name and must not change.
     if (!counters.checkInvariant(
         shardRequest != null && shardRequest.query().isOpen(),
@@ -96,17 +98,17 @@
     AttemptRequest attempt =
         new AttemptRequest(shardRequest, number, send.server(), send.deadline(), now);
     shardRequest.attempts().add(attempt);
-    shardRequest.query().attempted(now);
+    shardRequest.query().recordAttempt(now);
     try {
-      attempt.accepted(backend.send(attempt));
+      attempt.setHandle(backend.send(attempt));
     } catch (RuntimeException | VirtualMachineError fault) {
-      attempt.complete();
+      attempt.markCompleted();
       throw fault;
     }
   }
 
   private void cancel(Action.CancelAttempt cancel) {
-    PendingShardRequest shardRequest = queries.findRequest(cancel.shardRequest());
+    PendingShardRequest shardRequest = queries.findShardRequest(cancel.shardRequest());
     if (shardRequest != null) {
       shardRequest.attempts().get(cancel.attempt()).cancel();
     }
@@ -141,7 +143,7 @@
 
   private void setTimer(Action.SetTimer timer) {
     timers.schedule(
-        TimerQueue.timer(() -> events.accept(new Event.TimerFired(timer.token()))),
+        TimerQueue.timer(() -> eventSink.accept(new Event.TimerFired(timer.token()))),
         clock.now() + timer.delayUs());
   }
 }
--- a/router/src/main/java/tidebank/runtime/AttemptRequest.java
+++ b/router/src/main/java/tidebank/runtime/AttemptRequest.java
@@ -6,7 +6,7 @@
  */
 public final class AttemptRequest {
   private final PendingShardRequest shardRequest;
-  private final int number;
+  private final int index;
   private final String server;
   private final long deadline;
   private final long createdAt;
@@ -16,7 +16,7 @@
   AttemptRequest(
       PendingShardRequest shardRequest, int number, String server, long deadline, long createdAt) {
     this.shardRequest = shardRequest;
-    this.number = number;
+    this.index = number;
     this.server = server;
     this.deadline = deadline;
     this.createdAt = createdAt;
@@ -29,7 +29,7 @@
 
   /** Returns the number of the shard that the request goes to. */
   public int shard() {
-    return shardRequest.range().shard();
+    return shardRequest.target().shard();
   }
 
   /** Returns the id of the shard server that the attempt goes to. */
@@ -52,8 +52,8 @@
   }
 
   /** Returns the index of this attempt among those of its shard request, from 0. */
-  int number() {
-    return number;
+  int index() {
+    return index;
   }
 
   long createdAt() {
@@ -64,11 +64,11 @@
     return completed;
   }
 
-  void complete() {
+  void markCompleted() {
     completed = true;
   }
 
-  void accepted(Handle newHandle) {
+  void setHandle(Handle newHandle) {
     handle = newHandle;
   }
 
--- a/router/src/main/java/tidebank/runtime/BackendPort.java
+++ b/router/src/main/java/tidebank/runtime/BackendPort.java
@@ -7,7 +7,7 @@
 /** The client of the shard servers, as far as the policy's actions and endpoint lists need it. */
 public interface BackendPort {
   /** Applies a complete endpoint list, in which absent servers are gone, or a delta. */
-  void updateEndpoints(List<Member> members, boolean full);
+  void updateEndpoints(List<ResolvedEndpoint> endpoints, boolean full);
 
   /**
    * Buffers an attempt until {@link #flush}. Its outcome is reported exactly once, through {@link
@@ -25,5 +25,5 @@
   void checkHealth(String server);
 
   /** An endpoint of the list with its network address. */
-  record Member(Event.Endpoint endpoint, InetSocketAddress address) {}
+  record ResolvedEndpoint(Event.Endpoint endpoint, InetSocketAddress address) {}
 }
--- a/router/src/main/java/tidebank/runtime/Clock.java
+++ b/router/src/main/java/tidebank/runtime/Clock.java
@@ -6,11 +6,11 @@
  */
 public final class Clock {
   private final long startNanos = System.nanoTime();
-  private final long startUnixUs = System.currentTimeMillis() * 1000;
+  private final long startUnixTimeUs = System.currentTimeMillis() * 1000;
 
   /** Returns the current time, in microseconds. */
   public long now() {
-    return startUnixUs + (System.nanoTime() - startNanos) / 1000;
+    return startUnixTimeUs + (System.nanoTime() - startNanos) / 1000;
   }
 
   /**
--- a/router/src/main/java/tidebank/runtime/DecisionLoop.java
+++ b/router/src/main/java/tidebank/runtime/DecisionLoop.java
@@ -27,7 +27,7 @@
   private final KnownEndpoints endpoints;
   private final ActionExecutor actions;
   private final ReadDelayEstimator readDelay;
-  private final EventLoopStallLogger stalls;
+  private final EventLoopStallLogger stallLogger;
   private final Runnable endPass = this::endPass;
   private List<Event> events = new ArrayList<>();
 
@@ -58,11 +58,11 @@
     this.actions = actions;
     this.policy = new RoutingPolicy(settings, seed);
     this.readDelay = new ReadDelayEstimator(settings.tickUs());
-    this.stalls = new EventLoopStallLogger(counters);
+    this.stallLogger = new EventLoopStallLogger(counters);
   }
 
   /** Records the running policy and all further decision rounds to this log. */
-  void recordTo(DecisionLog newLog) {
+  void setDecisionLog(DecisionLog newLog) {
     log = newLog;
     log.policyStarted(settings, seed);
   }
@@ -80,21 +80,21 @@
   }
 
   /** Returns the earliest time at which bytes read in the current pass may have arrived. */
-  long arrivedSince() {
+  long earliestArrivalTime() {
     beginPass();
-    return readDelay.arrivedSince();
+    return readDelay.earliestArrivalTime();
   }
 
   /** Returns the number of the current event loop pass, from 1. */
   long passNumber() {
     beginPass();
-    return readDelay.number();
+    return readDelay.passNumber();
   }
 
   private void beginPass() {
     if (!passActive) {
       passActive = true;
-      readDelay.active(clock.now());
+      readDelay.beginPassIfNeeded(clock.now());
       loop.execute(endPass);
     }
   }
@@ -104,9 +104,9 @@
     if (!events.isEmpty()) {
       runRound();
     }
-    long durationUs = readDelay.ended(clock.now());
+    long durationUs = readDelay.endPass(clock.now());
     if (!queries.isEmpty()) {
-      stalls.pass(durationUs);
+      stallLogger.recordPass(durationUs);
     }
     runIfIdle();
   }
@@ -128,7 +128,7 @@
           "decision round failed, failing all pending queries: events={}", round.size(), fault);
       counters.add("turns.failed");
       log.roundFailed(now, round, fault);
-      startOver();
+      restartPolicy();
     }
   }
 
@@ -136,7 +136,7 @@
    * Replaces the policy, as the failed round may have left its state inconsistent, by a new one
    * with the endpoints known now. Queries received since the round began stay queued.
    */
-  private void startOver() {
+  private void restartPolicy() {
     actions.failAll();
     events.removeIf(
         event ->
--- a/router/src/main/java/tidebank/runtime/KnownEndpoints.java
+++ b/router/src/main/java/tidebank/runtime/KnownEndpoints.java
@@ -7,50 +7,51 @@
 import tidebank.model.Event;
 import tidebank.model.Event.EndpointStatus;
 import tidebank.model.Event.ListUpdate;
-import tidebank.runtime.BackendPort.Member;
+import tidebank.runtime.BackendPort.ResolvedEndpoint;
 
 /**
  * The last known endpoint list. A policy that replaces a failed one starts with it, and readiness
  * depends on it.
  */
 final class KnownEndpoints {
-  private final Map<String, Member> members = new HashMap<>();
-  private boolean received;
+  private final Map<String, ResolvedEndpoint> endpointsByServer = new HashMap<>();
+  private boolean listReceived;
 
   /** Applies a complete list or a delta. */
-  void apply(ListUpdate update, List<Member> changed) {
-    received |= update != ListUpdate.CACHED;
+  void apply(ListUpdate update, List<ResolvedEndpoint> changed) {
+    listReceived |= update != ListUpdate.CACHED;
     if (update != ListUpdate.DELTA) {
-      members.clear();
+      endpointsByServer.clear();
     }
-    for (Member member : changed) {
-      if (member.endpoint().status() == EndpointStatus.GONE) {
-        members.remove(member.endpoint().server());
+    for (ResolvedEndpoint resolved : changed) {
+      if (resolved.endpoint().status() == EndpointStatus.GONE) {
+        endpointsByServer.remove(resolved.endpoint().server());
       } else {
-        members.put(member.endpoint().server(), member);
+        endpointsByServer.put(resolved.endpoint().server(), resolved);
       }
     }
   }
 
   /** Returns whether discovery has sent any list since the start, even an empty one. */
-  boolean wasReceived() {
-    return received;
+  boolean hasReceivedList() {
+    return listReceived;
   }
 
   boolean isEmpty() {
-    return members.isEmpty();
+    return endpointsByServer.isEmpty();
   }
 
   /** Returns an event with all known endpoints as a cached list. */
   Event.EndpointListReceived asCachedList() {
-    return new Event.EndpointListReceived(ListUpdate.CACHED, endpoints(members.values()));
+    return new Event.EndpointListReceived(
+        ListUpdate.CACHED, withoutAddresses(endpointsByServer.values()));
   }
 
   /** Returns the endpoints without their addresses, which the policy does not need. */
-  static List<Event.Endpoint> endpoints(Iterable<Member> members) {
+  static List<Event.Endpoint> withoutAddresses(Iterable<ResolvedEndpoint> listed) {
     List<Event.Endpoint> endpoints = new ArrayList<>();
-    for (Member member : members) {
-      endpoints.add(member.endpoint());
+    for (ResolvedEndpoint resolved : listed) {
+      endpoints.add(resolved.endpoint());
     }
     return endpoints;
   }
--- a/router/src/main/java/tidebank/runtime/NettyResources.java
+++ b/router/src/main/java/tidebank/runtime/NettyResources.java
@@ -34,13 +34,13 @@
   private final RouterConfig config;
   private final EventLoopGroup group;
   private final ByteBufAllocator allocator;
-  private final Bootstrap outgoing;
+  private final Bootstrap outboundBootstrap;
 
   NettyResources(RouterConfig config) {
     this.config = config;
     group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     allocator = new PooledByteBufAllocator(true, 0, 1, PAGE_BYTES, CHUNK_ORDER);
-    outgoing =
+    outboundBootstrap =
         new Bootstrap()
             .group(group)
             .channel(NioSocketChannel.class)
@@ -57,12 +57,12 @@
   }
 
   /** Returns the bootstrap for connections to shard servers and discovery. */
-  Bootstrap outgoing() {
-    return outgoing;
+  Bootstrap outboundBootstrap() {
+    return outboundBootstrap;
   }
 
   /** Returns a bootstrap for the listening socket and the clients' connections. */
-  ServerBootstrap incoming() {
+  ServerBootstrap serverBootstrap() {
     return new ServerBootstrap()
         .group(group)
         .channel(NioServerSocketChannel.class)
--- a/router/src/main/java/tidebank/runtime/PendingQueries.java
+++ b/router/src/main/java/tidebank/runtime/PendingQueries.java
@@ -10,11 +10,11 @@
  */
 final class PendingQueries {
   private final Map<String, PendingQuery> queries = new HashMap<>();
-  private final Map<String, PendingShardRequest> requests = new HashMap<>();
+  private final Map<String, PendingShardRequest> shardRequests = new HashMap<>();
   private final int maxPending;
 
   /** The number of open queries plus that of their shard requests. */
-  private int pending;
+  private int pendingCount;
 
   private long lastNumber;
 
@@ -24,11 +24,11 @@
 
   /** Returns whether the limit on pending queries and shard requests allows this query. */
   boolean hasCapacity(QueryRequest request) {
-    return pending <= maxPending - weight(request);
+    return pendingCount <= maxPending - countWithShardRequests(request);
   }
 
-  private static int weight(QueryRequest request) {
-    return 1 + request.ranges().size();
+  private static int countWithShardRequests(QueryRequest request) {
+    return 1 + request.targets().size();
   }
 
   /** Returns whether a query with this id is open or still has an attempt in flight. */
@@ -36,8 +36,8 @@
     if (queries.containsKey(request.id())) {
       return true;
     }
-    for (QueryRequest.ShardRange range : request.ranges()) {
-      if (requests.containsKey(PendingShardRequest.id(request, range))) {
+    for (QueryRequest.ShardTarget target : request.targets()) {
+      if (shardRequests.containsKey(PendingShardRequest.id(request, target))) {
         return true;
       }
     }
@@ -47,10 +47,10 @@
   /** Adds a query and its shard requests. */
   PendingQuery add(QueryRequest request, ResponseCallback callback, long now) {
     PendingQuery query = new PendingQuery(request, ++lastNumber, callback, now);
-    pending += weight(request);
+    pendingCount += countWithShardRequests(request);
     queries.put(query.id(), query);
-    for (PendingShardRequest shardRequest : query.requests()) {
-      requests.put(shardRequest.id(), shardRequest);
+    for (PendingShardRequest shardRequest : query.shardRequests()) {
+      shardRequests.put(shardRequest.id(), shardRequest);
     }
     return query;
   }
@@ -61,8 +61,8 @@
   }
 
   /** Returns the shard request with this id, or null. */
-  PendingShardRequest findRequest(String id) {
-    return requests.get(id);
+  PendingShardRequest findShardRequest(String id) {
+    return shardRequests.get(id);
   }
 
   boolean isEmpty() {
@@ -81,8 +81,8 @@
   ResponseCallback close(PendingQuery query) {
     ResponseCallback callback = query.close();
     queries.remove(query.id());
-    pending -= weight(query.request());
-    for (PendingShardRequest shardRequest : query.requests()) {
+    pendingCount -= countWithShardRequests(query.request());
+    for (PendingShardRequest shardRequest : query.shardRequests()) {
       shardRequest.dropUnsent();
       removeIfDone(shardRequest);
     }
@@ -92,7 +92,7 @@
   /** Removes a shard request if its query is closed and all its attempts have completed. */
   void removeIfDone(PendingShardRequest shardRequest) {
     if (shardRequest.isDone()) {
-      requests.remove(shardRequest.id());
+      shardRequests.remove(shardRequest.id());
     }
   }
 }
--- a/router/src/main/java/tidebank/runtime/PendingQuery.java
+++ b/router/src/main/java/tidebank/runtime/PendingQuery.java
@@ -20,7 +20,7 @@
 
   private final QueryRequest request;
   private final long number;
-  private final Map<String, PendingShardRequest> requests = new LinkedHashMap<>();
+  private final Map<String, PendingShardRequest> shardRequests = new LinkedHashMap<>();
 
   /** Null once the query has its final response or its client has disconnected. */
   private ResponseCallback callback;
@@ -33,9 +33,9 @@
     this.number = number;
     this.callback = callback;
     this.clientCheckedAt = now;
-    for (QueryRequest.ShardRange range : request.ranges()) {
-      PendingShardRequest shardRequest = new PendingShardRequest(this, range);
-      requests.put(shardRequest.id(), shardRequest);
+    for (QueryRequest.ShardTarget target : request.targets()) {
+      PendingShardRequest shardRequest = new PendingShardRequest(this, target);
+      shardRequests.put(shardRequest.id(), shardRequest);
     }
   }
 
@@ -53,8 +53,8 @@
   }
 
   /** Returns the shard requests, in the order in which the client listed the shards. */
-  Collection<PendingShardRequest> requests() {
-    return requests.values();
+  Collection<PendingShardRequest> shardRequests() {
+    return shardRequests.values();
   }
 
   boolean isOpen() {
@@ -72,25 +72,25 @@
    * Closes the query if its client has disconnected, unless the connection was checked less than
    * {@link #CLIENT_CHECK_VALID_US} ago. Returns whether this call closed the query.
    */
-  boolean clientGone(long now) {
+  boolean closeIfClientDisconnected(long now) {
     if (callback == null || now - clientCheckedAt < CLIENT_CHECK_VALID_US) {
       return false;
     }
     clientCheckedAt = now;
-    callback.checkClient();
+    callback.pollClientConnection();
     return callback == null;
   }
 
   /** Records that an attempt was created. */
-  void attempted(long now) {
+  void recordAttempt(long now) {
     lastAttemptAt = now;
   }
 
   /** Describes the progress of the query for the log, as {@code key=value} pairs. */
-  String describe(long now) {
+  String describeProgress(long now) {
     int pendingShards = 0;
     int attempts = 0;
-    for (PendingShardRequest shardRequest : requests.values()) {
+    for (PendingShardRequest shardRequest : shardRequests.values()) {
       pendingShards += shardRequest.value() == null ? 1 : 0;
       attempts += shardRequest.attempts().size();
     }
@@ -105,10 +105,10 @@
 
   /** Returns the values received so far, in the order in which the client listed the shards. */
   List<Value> values() {
-    List<Value> values = new ArrayList<>(requests.size());
-    for (PendingShardRequest shardRequest : requests.values()) {
+    List<Value> values = new ArrayList<>(shardRequests.size());
+    for (PendingShardRequest shardRequest : shardRequests.values()) {
       if (shardRequest.value() != null) {
-        values.add(new Value(shardRequest.range().shard(), shardRequest.value()));
+        values.add(new Value(shardRequest.target().shard(), shardRequest.value()));
       }
     }
     return values;
--- a/router/src/main/java/tidebank/runtime/PendingShardRequest.java
+++ b/router/src/main/java/tidebank/runtime/PendingShardRequest.java
@@ -6,30 +6,30 @@
 /** A query's request to one shard, with all its attempts. */
 final class PendingShardRequest {
   private final PendingQuery query;
-  private final QueryRequest.ShardRange range;
+  private final QueryRequest.ShardTarget target;
   private final String id;
   private final List<AttemptRequest> attempts = new ArrayList<>();
 
   /** The value that a shard server returned, or null while there is none. */
   private byte[] value;
 
-  PendingShardRequest(PendingQuery query, QueryRequest.ShardRange range) {
+  PendingShardRequest(PendingQuery query, QueryRequest.ShardTarget target) {
     this.query = query;
-    this.range = range;
-    this.id = id(query.request(), range);
+    this.target = target;
+    this.id = id(query.request(), target);
   }
 
   /** Returns the id on the wire: the query's id, a dot and the shard's number. */
-  static String id(QueryRequest request, QueryRequest.ShardRange range) {
-    return request.id() + '.' + range.shard();
+  static String id(QueryRequest request, QueryRequest.ShardTarget target) {
+    return request.id() + '.' + target.shard();
   }
 
   PendingQuery query() {
     return query;
   }
 
-  QueryRequest.ShardRange range() {
-    return range;
+  QueryRequest.ShardTarget target() {
+    return target;
   }
 
   String id() {
@@ -46,7 +46,7 @@
   }
 
   /** Stores the first non-null value that is offered while the query is open. */
-  void receive(byte[] newValue) {
+  void offerValue(byte[] newValue) {
     if (newValue != null && value == null && query.isOpen()) {
       value = newValue;
     }
--- a/router/src/main/java/tidebank/runtime/PolicyExecutor.java
+++ b/router/src/main/java/tidebank/runtime/PolicyExecutor.java
@@ -9,7 +9,7 @@
 import tidebank.model.Event.ListUpdate;
 import tidebank.model.Outcome;
 import tidebank.model.Settings;
-import tidebank.runtime.BackendPort.Member;
+import tidebank.runtime.BackendPort.ResolvedEndpoint;
 
 /**
  * Connects the clients, the shard servers and discovery with the routing policy: turns what happens
@@ -46,8 +46,8 @@
   }
 
   /** Records all further decision rounds to this log; called before the first one. */
-  public void recordTo(DecisionLog log) {
-    decisions.recordTo(log);
+  public void setDecisionLog(DecisionLog log) {
+    decisions.setDecisionLog(log);
   }
 
   /** Sets the clients that actions are sent through; called once, before the first event. */
@@ -60,7 +60,7 @@
    * Accepts a query and passes its final response to {@code callback}. Returns false, without
    * accepting it, if the limit on pending queries and shard requests would be exceeded.
    */
-  public boolean queryReceived(QueryRequest request, ResponseCallback callback) {
+  public boolean submitQuery(QueryRequest request, ResponseCallback callback) {
     if (!queries.hasCapacity(request)) {
       return false;
     }
@@ -77,11 +77,15 @@
             request.deadline(),
             request.clientRetry(),
             request.key()));
-    for (PendingShardRequest shardRequest : query.requests()) {
-      QueryRequest.ShardRange range = shardRequest.range();
+    for (PendingShardRequest shardRequest : query.shardRequests()) {
+      QueryRequest.ShardTarget target = shardRequest.target();
       enqueue(
           new Event.ShardRequestReceived(
-              shardRequest.id(), query.number(), range.shard(), range.weight(), range.key()));
+              shardRequest.id(),
+              query.number(),
+              target.shard(),
+              target.weight(),
+              target.routingKey()));
     }
     return true;
   }
@@ -92,9 +96,9 @@
   }
 
   /** Describes the progress of a query for the log, as {@code key=value} pairs. */
-  public String describe(String id) {
+  public String describeProgress(String id) {
     PendingQuery query = queries.find(id);
-    return query == null ? "pending_shards=0" : query.describe(clock.now());
+    return query == null ? "pending_shards=0" : query.describeProgress(clock.now());
   }
 
   /** Closes a query without a response, as its client has disconnected. */
@@ -112,8 +116,8 @@
    * yet. Called before the first byte of an attempt is written: the poll before the decision may be
    * long past if the JVM was still loading code or the process was stopped in between.
    */
-  public void aboutToWrite(AttemptRequest attempt) {
-    if (attempt.shardRequest().query().clientGone(clock.now())) {
+  public void checkClientBeforeWrite(AttemptRequest attempt) {
+    if (attempt.shardRequest().query().closeIfClientDisconnected(clock.now())) {
       counters.add("scans.lapsed-before-writing");
     }
   }
@@ -130,14 +134,14 @@
     if (!counters.checkInvariant(!attempt.isCompleted(), "a dispatch ends once")) {
       return;
     }
-    attempt.complete();
+    attempt.markCompleted();
     PendingShardRequest shardRequest = attempt.shardRequest();
-    shardRequest.receive(value);
+    shardRequest.offerValue(value);
     counters.add(CounterNames.attempts(outcome));
     enqueue(
         new Event.AttemptCompleted(
             shardRequest.id(),
-            attempt.number(),
+            attempt.index(),
             outcome,
             clock.now() - attempt.createdAt(),
             shardRequest.isClosed(),
@@ -153,13 +157,13 @@
   }
 
   /** Handles an endpoint list, a change of it, or the end of its watch. */
-  public void endpointListReceived(ListUpdate update, List<Member> members) {
+  public void endpointListReceived(ListUpdate update, List<ResolvedEndpoint> listed) {
     if (update != ListUpdate.WATCH_LOST && update != ListUpdate.DISCOVERY_MOVED) {
-      endpoints.apply(update, members);
-      backend.updateEndpoints(members, update != ListUpdate.DELTA);
+      endpoints.apply(update, listed);
+      backend.updateEndpoints(listed, update != ListUpdate.DELTA);
     }
     counters.add(CounterNames.listUpdates(update));
-    enqueue(new Event.EndpointListReceived(update, KnownEndpoints.endpoints(members)));
+    enqueue(new Event.EndpointListReceived(update, KnownEndpoints.withoutAddresses(listed)));
   }
 
   /** Announces that all queries, including later ones, need their responses before a deadline. */
@@ -173,12 +177,12 @@
   }
 
   /** Returns whether discovery has sent any list since the start, even an empty one. */
-  boolean listReceived() {
-    return endpoints.wasReceived();
+  boolean hasReceivedList() {
+    return endpoints.hasReceivedList();
   }
 
   /** Returns whether any shard server is known. */
-  boolean knowsServers() {
+  boolean hasKnownEndpoints() {
     return !endpoints.isEmpty();
   }
 
@@ -187,8 +191,8 @@
    * the estimate of {@link ReadDelayEstimator}, or the time at which an overdue timer was due if
    * that is earlier, as the whole process has been stalled since then.
    */
-  public long arrivedSince() {
-    return Math.min(decisions.arrivedSince(), clock.now() - timers.overdueUs());
+  public long earliestArrivalTime() {
+    return Math.min(decisions.earliestArrivalTime(), clock.now() - timers.overdueUs());
   }
 
   /** Returns the number of the current event loop pass, from 1. */
--- a/router/src/main/java/tidebank/runtime/QueryRequest.java
+++ b/router/src/main/java/tidebank/runtime/QueryRequest.java
@@ -13,7 +13,7 @@
  * @param clientRetry whether the client marked it as a retry
  * @param key the key that all tries of the same query share, or an empty string
  * @param body the body of each shard request; must not be modified
- * @param ranges the shards that it goes to
+ * @param targets the shards that it goes to
  */
 public record QueryRequest(
     String id,
@@ -24,13 +24,13 @@
     boolean clientRetry,
     String key,
     byte[] body,
-    List<ShardRange> ranges) {
+    List<ShardTarget> targets) {
   /**
    * A shard that a query goes to.
    *
    * @param shard its number, from 0
    * @param weight its share of the complete response, from 0 to 1
-   * @param key the key for choosing a replica, or an empty string
+   * @param routingKey the key for choosing a replica, or an empty string
    */
-  public record ShardRange(int shard, double weight, String key) {}
+  public record ShardTarget(int shard, double weight, String routingKey) {}
 }
--- a/router/src/main/java/tidebank/runtime/QueryRouter.java
+++ b/router/src/main/java/tidebank/runtime/QueryRouter.java
@@ -21,7 +21,7 @@
 import tidebank.model.Event.ListUpdate;
 
 /**
- * An embeddable query router that listens for clients. {@link #start} starts it, {@link #ready}
+ * An embeddable query router that listens for clients. {@link #start} starts it, {@link #isReady}
  * tells whether it can serve and {@link #stop} stops it. Its public methods may be called from any
  * thread; everything else runs on one event loop.
  *
@@ -55,12 +55,13 @@
     loop = netty.loop();
     timers = new TimerQueue(loop, clock, counters);
     executor = new PolicyExecutor(config.settings(), config.seed(), clock, timers, loop, counters);
-    shards = new ShardClient(config, netty.outgoing(), executor, clock, timers, counters);
-    discovery = new DiscoveryClient(config, netty.outgoing(), executor, clock, timers, counters);
+    shards = new ShardClient(config, netty.outboundBootstrap(), executor, clock, timers, counters);
+    discovery =
+        new DiscoveryClient(config, netty.outboundBootstrap(), executor, clock, timers, counters);
     executor.connect(shards, discovery);
     recorder = openRecorder(operatorConfig);
     if (recorder != null) {
-      executor.recordTo(recorder);
+      executor.setDecisionLog(recorder);
     }
     Readiness readiness = new Readiness(clock.now());
     clients =
@@ -70,7 +71,9 @@
             clock,
             timers,
             counters,
-            () -> readiness.ready(clock.now(), executor.knowsServers(), executor.listReceived()));
+            () ->
+                readiness.isReady(
+                    clock.now(), executor.hasKnownEndpoints(), executor.hasReceivedList()));
     shutdown =
         new GracefulShutdown(
             config.settings(), clients, executor, clock, timers, this::closeSockets);
@@ -110,7 +113,7 @@
       throws IOException {
     QueryRouter router = new QueryRouter(config, operatorConfig);
     try {
-      router.open();
+      router.openSockets();
       router.startAgent(operatorConfig.fleet());
     } catch (IOException | RuntimeException fault) {
       router.netty.shutdownNow();
@@ -126,7 +129,7 @@
     }
   }
 
-  private void open() throws IOException {
+  private void openSockets() throws IOException {
     EndpointListParser.EndpointList cached = cachedEndpoints();
     loop.submit(
             () -> {
@@ -134,7 +137,7 @@
               discovery.start(cached.members().isEmpty() ? -1 : cached.version());
             })
         .syncUninterruptibly();
-    ChannelFuture binding = clients.listen(netty.incoming()).awaitUninterruptibly();
+    ChannelFuture binding = clients.listen(netty.serverBootstrap()).awaitUninterruptibly();
     if (!binding.isSuccess()) {
       throw new IOException(
           "cannot listen on " + config.listen() + ": " + binding.cause().getMessage());
@@ -163,7 +166,7 @@
   }
 
   /** Returns whether it can serve, as decided by {@link Readiness}, and is not stopping. */
-  public boolean ready() {
+  public boolean isReady() {
     return loop.submit(clients::isReady).syncUninterruptibly().getNow();
   }
 
--- a/router/src/main/java/tidebank/runtime/ReadDelayEstimator.java
+++ b/router/src/main/java/tidebank/runtime/ReadDelayEstimator.java
@@ -9,42 +9,42 @@
  */
 final class ReadDelayEstimator {
   /** The longest gap after the end of a pass for which the loop is assumed not to be idle. */
-  private final long idleUs;
+  private final long maxGapUs;
 
   private boolean passActive;
-  private long number;
+  private long passNumber;
   private long beganAt;
-  private long arrivedSince;
+  private long earliestArrivalTime;
   private long previousEndedAt = Long.MIN_VALUE / 2;
 
-  ReadDelayEstimator(long idleUs) {
-    this.idleUs = idleUs;
+  ReadDelayEstimator(long maxGapUs) {
+    this.maxGapUs = maxGapUs;
   }
 
   /** Begins a pass unless one is active. */
-  void active(long now) {
+  void beginPassIfNeeded(long now) {
     if (!passActive) {
       passActive = true;
-      number++;
-      arrivedSince = now - previousEndedAt <= idleUs ? beganAt : now;
+      passNumber++;
+      earliestArrivalTime = now - previousEndedAt <= maxGapUs ? beganAt : now;
       beganAt = now;
     }
   }
 
   /** Ends the current pass and returns its duration. */
-  long ended(long now) {
+  long endPass(long now) {
     passActive = false;
     previousEndedAt = now;
     return now - beganAt;
   }
 
   /** Returns the earliest time at which bytes read in the current pass may have arrived. */
-  long arrivedSince() {
-    return arrivedSince;
+  long earliestArrivalTime() {
+    return earliestArrivalTime;
   }
 
   /** Returns the number of the current or latest pass, from 1. */
-  long number() {
-    return number;
+  long passNumber() {
+    return passNumber;
   }
 }
--- a/router/src/main/java/tidebank/runtime/Readiness.java
+++ b/router/src/main/java/tidebank/runtime/Readiness.java
@@ -19,7 +19,7 @@
   }
 
   /** Returns whether to report ready; {@code listReceived} is also true for an empty list. */
-  boolean ready(long now, boolean knowsServers, boolean listReceived) {
+  boolean isReady(long now, boolean knowsServers, boolean listReceived) {
     return knowsServers || (!listReceived && now >= readyWithoutListAt);
   }
 }
--- a/router/src/main/java/tidebank/runtime/ResponseCallback.java
+++ b/router/src/main/java/tidebank/runtime/ResponseCallback.java
@@ -20,5 +20,5 @@
    * Reads from the client's connection without waiting for the next poll. If the client has
    * disconnected, the query is closed when this returns.
    */
-  void checkClient();
+  void pollClientConnection();
 }
--- a/router/src/main/java/tidebank/runtime/ServeCommand.java
+++ b/router/src/main/java/tidebank/runtime/ServeCommand.java
@@ -42,7 +42,7 @@
       LOG.warn("SIGHUP is ignored by the parent process: configuration changes need a restart");
     }
     LOG.info("serving");
-    command.reloadOnRequest(router);
+    command.reloadOnSignal(router);
   }
 
   private QueryRouter start(OperatorConfig operatorConfig) throws IOException {
@@ -78,7 +78,7 @@
    * Rereads the configuration after each SIGHUP, on this thread and not on the event loop. Several
    * signals in the meantime cause a single reload. Returns when the router has stopped.
    */
-  private void reloadOnRequest(QueryRouter router) {
+  private void reloadOnSignal(QueryRouter router) {
     while (true) {
       reloads.acquireUninterruptibly();
       reloads.drainPermits();
--- a/router/src/main/java/tidebank/runtime/ShutdownSchedule.java
+++ b/router/src/main/java/tidebank/runtime/ShutdownSchedule.java
@@ -12,13 +12,13 @@
  * those 0.7 s are over.
  */
 final class ShutdownSchedule {
-  private static final long LONGEST_TIMEOUT_US = 3_000_000;
+  private static final long MAX_QUERY_TIMEOUT_US = 3_000_000;
 
   /**
    * The time from the longest query timeout to SIGKILL. A request that arrives within the same time
    * after SIGTERM never counts as lost.
    */
-  private static final long GRACE_US = 700_000;
+  private static final long GRACE_PERIOD_US = 700_000;
 
   /** The share of the grace period reserved for closing connections and ending the process. */
   private static final double CLOSING_SHARE = 2.0 / 7;
@@ -34,15 +34,15 @@
    */
   ShutdownSchedule(Settings settings, long now, long lateUs) {
     long notifiedAt = now - lateUs;
-    long closingUs = Math.round(GRACE_US * CLOSING_SHARE);
+    long closingUs = Math.round(GRACE_PERIOD_US * CLOSING_SHARE);
     lingerUs = closingUs;
-    stopAcceptingAt = Math.max(now, notifiedAt + GRACE_US - closingUs / 2);
+    stopAcceptingAt = Math.max(now, notifiedAt + GRACE_PERIOD_US - closingUs / 2);
     deadline =
         Math.max(
             now,
             notifiedAt
-                + Math.min(settings.longestTimeoutUs(), LONGEST_TIMEOUT_US)
-                + GRACE_US
+                + Math.min(settings.longestTimeoutUs(), MAX_QUERY_TIMEOUT_US)
+                + GRACE_PERIOD_US
                 - closingUs);
   }
 
--- a/router/src/main/java/tidebank/runtime/TimerQueue.java
+++ b/router/src/main/java/tidebank/runtime/TimerQueue.java
@@ -26,7 +26,7 @@
   /** A task with a due time. A timer has at most one due time at once. */
   public abstract static class Timer {
     private long dueAt;
-    private long order;
+    private long sequence;
     private boolean scheduled;
 
     /** Called on the event loop when the timer is due. */
@@ -45,26 +45,26 @@
 
   private static final Comparator<Timer> EARLIEST_FIRST =
       Comparator.comparingLong((Timer timer) -> timer.dueAt)
-          .thenComparingLong(timer -> timer.order);
+          .thenComparingLong(timer -> timer.sequence);
 
   private final TreeSet<Timer> scheduled = new TreeSet<>(EARLIEST_FIRST);
   private final EventLoop loop;
   private final Clock clock;
   private final Counters counters;
-  private final EventLoopStallLogger stalls;
+  private final EventLoopStallLogger stallLogger;
   private final Runnable wakeUpTask = this::wakeUp;
   private ScheduledFuture<?> wakeUp;
   private long wakeUpAt = Long.MAX_VALUE;
-  private long lastOrder;
-  private long firedAt;
-  private long firedLateUs;
+  private long lastSequence;
+  private long lastFiredAt;
+  private long lastLatenessUs;
 
   /** Creates an empty queue on this event loop. */
   public TimerQueue(EventLoop loop, Clock clock, Counters counters) {
     this.loop = loop;
     this.clock = clock;
     this.counters = counters;
-    this.stalls = new EventLoopStallLogger(counters);
+    this.stallLogger = new EventLoopStallLogger(counters);
   }
 
   /** Schedules or reschedules a timer. A due time in the past is replaced by the current time. */
@@ -72,7 +72,7 @@
     cancel(timer);
     // A due time before the call would look like a stall of the process, as overdue timers do.
     timer.dueAt = Math.max(dueAt, clock.now());
-    timer.order = ++lastOrder;
+    timer.sequence = ++lastSequence;
     timer.scheduled = true;
     scheduled.add(timer);
     scheduleWakeUp();
@@ -94,7 +94,7 @@
   public long latenessUs() {
     long now = clock.now();
     long overdueUs = scheduled.isEmpty() ? 0 : now - scheduled.first().dueAt;
-    return Math.max(overdueUs, now - firedAt <= firedLateUs ? firedLateUs : 0);
+    return Math.max(overdueUs, now - lastFiredAt <= lastLatenessUs ? lastLatenessUs : 0);
   }
 
   /**
@@ -126,9 +126,9 @@
     wakeUpAt = Long.MAX_VALUE;
     long now = clock.now();
     if (!scheduled.isEmpty() && scheduled.first().dueAt <= now) {
-      firedAt = now;
-      firedLateUs = now - scheduled.first().dueAt;
-      stalls.wakeUp(firedLateUs);
+      lastFiredAt = now;
+      lastLatenessUs = now - scheduled.first().dueAt;
+      stallLogger.recordTimerDelay(lastLatenessUs);
     }
     while (!scheduled.isEmpty() && scheduled.first().dueAt <= now) {
       Timer due = scheduled.pollFirst();
--- a/router/src/test/java/tidebank/CounterNamesFixtureTest.java
+++ b/router/src/test/java/tidebank/CounterNamesFixtureTest.java
@@ -91,10 +91,10 @@
   }
 
   @Override
-  public void checkClient() {}
+  public void pollClientConnection() {}
 
   @Override
-  public void updateEndpoints(List<Member> members, boolean full) {}
+  public void updateEndpoints(List<ResolvedEndpoint> members, boolean full) {}
 
   @Override
   public AttemptRequest.Handle send(AttemptRequest request) {
@@ -131,7 +131,7 @@
   }
 
   private void receiveList(ListUpdate update) throws Exception {
-    List<Member> endpoints = EndpointListParser.read(config.cachedList()).members();
+    List<ResolvedEndpoint> endpoints = EndpointListParser.read(config.cachedList()).members();
     onLoop(
         () -> {
           executor.endpointListReceived(update, endpoints);
@@ -140,14 +140,14 @@
   }
 
   private void submit(String queryClass, String id, long timeoutUs, int shards) throws Exception {
-    List<QueryRequest.ShardRange> targets = new ArrayList<>();
+    List<QueryRequest.ShardTarget> targets = new ArrayList<>();
     for (int shard = 0; shard < shards; shard++) {
       targets.add(
-          new QueryRequest.ShardRange(shard, shards == 1 ? 1 : shard == 0 ? 0.75 : 0.25, ""));
+          new QueryRequest.ShardTarget(shard, shards == 1 ? 1 : shard == 0 ? 0.75 : 0.25, ""));
     }
     onLoop(
         () ->
-            executor.queryReceived(
+            executor.submitQuery(
                 new QueryRequest(
                     id,
                     queryClass,
--- a/router/src/test/java/tidebank/FakeSite.java
+++ b/router/src/test/java/tidebank/FakeSite.java
@@ -249,7 +249,7 @@
           @Override
           public void roundFailed(long nowUs, List<Event> events, Throwable cause) {}
         };
-    eventLoop().execute(() -> executor.recordTo(stall));
+    eventLoop().execute(() -> executor.setDecisionLog(stall));
     set.await();
   }
 
--- a/router/src/test/java/tidebank/PolicyExecutorTest.java
+++ b/router/src/test/java/tidebank/PolicyExecutorTest.java
@@ -70,7 +70,7 @@
   }
 
   @Override
-  public void checkClient() {}
+  public void pollClientConnection() {}
 
   @Override
   public void onFailed() {
@@ -106,7 +106,7 @@
     executor.connect(
         new BackendPort() {
           @Override
-          public void updateEndpoints(List<Member> members, boolean full) {}
+          public void updateEndpoints(List<ResolvedEndpoint> members, boolean full) {}
 
           @Override
           public AttemptRequest.Handle send(AttemptRequest request) {
@@ -140,8 +140,8 @@
               false,
               "",
               new byte[0],
-              List.of(new QueryRequest.ShardRange(0, 1, "")));
-      assertThat(onLoop(() -> executor.queryReceived(request, this))).isTrue();
+              List.of(new QueryRequest.ShardTarget(0, 1, "")));
+      assertThat(onLoop(() -> executor.submitQuery(request, this))).isTrue();
       awaitCount(id.equals("a") ? "turns.failed" : "scans.whole", 1);
       fails[0] = false;
     }
--- a/router/src/test/java/tidebank/runtime/ReadDelayEstimatorTest.java
+++ b/router/src/test/java/tidebank/runtime/ReadDelayEstimatorTest.java
@@ -11,14 +11,14 @@
   private final ReadDelayEstimator passes = new ReadDelayEstimator(REST_US);
 
   private long readAt(long now) {
-    passes.active(now);
-    return passes.arrivedSince();
+    passes.beginPassIfNeeded(now);
+    return passes.earliestArrivalTime();
   }
 
   @Test
   void bytesThatWakeAnIdleLoopHaveJustArrived() {
     assertThat(readAt(1_000_000)).isEqualTo(1_000_000);
-    passes.ended(1_001_000);
+    passes.endPass(1_001_000);
     assertThat(readAt(1_001_000 + REST_US + 1)).isEqualTo(1_001_000 + REST_US + 1);
   }
 
@@ -26,9 +26,9 @@
   @Test
   void bytesReadAfterALongPassMayHaveArrivedAtItsStart() {
     readAt(1_000_000);
-    passes.ended(1_200_000);
+    passes.endPass(1_200_000);
     assertThat(readAt(1_201_000)).isEqualTo(1_000_000);
-    passes.ended(1_210_000);
+    passes.endPass(1_210_000);
     // Bytes that had arrived before the pass at 1_201_000 would have been read by that pass.
     assertThat(readAt(1_211_000)).isEqualTo(1_201_000);
   }
@@ -36,9 +36,9 @@
   @Test
   void allReadsOfOnePassHaveTheSameArrivalTime() {
     readAt(1_000_000);
-    passes.ended(1_100_000);
+    passes.endPass(1_100_000);
     long first = readAt(1_101_000);
     assertThat(readAt(1_150_000)).isEqualTo(first).isEqualTo(1_000_000);
-    assertThat(passes.number()).isEqualTo(2);
+    assertThat(passes.passNumber()).isEqualTo(2);
   }
 }
--- a/router/src/test/java/tidebank/runtime/SampleRequests.java
+++ b/router/src/test/java/tidebank/runtime/SampleRequests.java
@@ -8,7 +8,7 @@
 
   /** Returns an attempt at the shard request with the id {@code query.shard}. */
   public static AttemptRequest request(String query, int shard, byte[] body, long deadline) {
-    QueryRequest.ShardRange target = new QueryRequest.ShardRange(shard, 1, "");
+    QueryRequest.ShardTarget target = new QueryRequest.ShardTarget(shard, 1, "");
     QueryRequest request =
         new QueryRequest(query, "whole", "a", 0, deadline, false, "", body, List.of(target));
     PendingQuery pending = new PendingQuery(request, 1, null, 0);
--- a/testbed/src/main/java/tidebank/testbed/scale/RecordingShardPort.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/RecordingShardPort.java
@@ -1,7 +1,6 @@
 package tidebank.testbed.scale;
 
 import java.util.List;
-import tidebank.lease.Member;
 import tidebank.runtime.AttemptRequest;
 import tidebank.runtime.BackendPort;
 
@@ -15,7 +14,7 @@
   private long entries;
 
   @Override
-  public void updateEndpoints(List<Member> members, boolean full) {
+  public void updateEndpoints(List<ResolvedEndpoint> members, boolean full) {
     if (full) {
       wholeLists++;
     } else {
