--- a/router/src/main/java/tidebank/model/Event.java
+++ b/router/src/main/java/tidebank/model/Event.java
@@ -24,8 +24,11 @@
 
   /** The state of a shard server as listed by discovery. */
   enum EndpointStatus {
+    /** Accepts attempts. */
     IN_SERVICE,
+    /** Is about to stop and gets no new attempts. */
     DRAINING,
+    /** Has stopped or was removed. */
     GONE
   }
 
--- a/router/src/main/java/tidebank/model/Idempotency.java
+++ b/router/src/main/java/tidebank/model/Idempotency.java
@@ -2,7 +2,7 @@
 
 /** Whether the shard requests of a query class may be executed more than once. */
 public enum Idempotency {
-  /** May be executed more than once. */
+  /** May be executed any number of times. */
   IDEMPOTENT,
   /** Servers ignore repetitions with the same key within the class's idempotency window. */
   WITH_KEY,
--- a/router/src/main/java/tidebank/model/Outcome.java
+++ b/router/src/main/java/tidebank/model/Outcome.java
@@ -23,8 +23,8 @@
 
   private final boolean provesNotExecuted;
 
-  Outcome(boolean neverExecuted) {
-    this.provesNotExecuted = neverExecuted;
+  Outcome(boolean provesNotExecuted) {
+    this.provesNotExecuted = provesNotExecuted;
   }
 
   /** Returns whether this outcome proves that the server did not execute the attempt. */
--- a/router/src/main/java/tidebank/model/Settings.java
+++ b/router/src/main/java/tidebank/model/Settings.java
@@ -83,7 +83,7 @@
    * @param pollIntervalUs how long the endpoint list counts as current without a watch
    * @param drainGraceUs how long attempts may be sent to a draining server after the notification
    * @param slowStartInitialShare share of its capacity that a server has when it starts
-   * @param slowStartUs time after its start at which a server has its full capacity
+   * @param slowStartUs time after its start at which a server has its full capacity at the latest
    * @param overloadMultiple multiple of its capacity at which a starting server collapses
    * @param overloadWindowUs how long that load has to last for the server to collapse
    * @param retryBudgetFloor number of retries in a window that are permitted at any traffic
--- a/router/src/main/java/tidebank/policy/ActionEmitter.java
+++ b/router/src/main/java/tidebank/policy/ActionEmitter.java
@@ -7,7 +7,7 @@
 
 /**
  * Turns the decisions of a round into actions: answers, the start of the discovery watch, attempts,
- * cancellations and the next timer. Only what has changed since the round before is emitted.
+ * cancellations and the next timer. Only what has changed since the previous round is emitted.
  */
 final class ActionEmitter {
   private final Settings settings;
