--- a/coordinator/src/main/java/tidebank/coordinator/AssignmentWaiters.java
+++ b/coordinator/src/main/java/tidebank/coordinator/AssignmentWaiters.java
@@ -54,7 +54,7 @@
     if (waiters.isEmpty()) {
       return;
     }
-    Map<String, List<String>> unclaimed = state.get().unclaimed();
+    Map<String, List<String>> unclaimed = state.get().unclaimedTasks();
     if (unclaimed.isEmpty()) {
       return;
     }
--- a/router/src/main/java/tidebank/config/OperatorConfig.java
+++ b/router/src/main/java/tidebank/config/OperatorConfig.java
@@ -5,7 +5,7 @@
 import org.slf4j.event.Level;
 import tidebank.capture.CaptureRecorder;
 import tidebank.fleet.FleetAgent;
-import tidebank.fleet.Retention;
+import tidebank.fleet.RemovalList;
 import tidebank.logging.Log;
 
 /**
@@ -21,7 +21,7 @@
     Log.Settings logging,
     long counterLogIntervalUs,
     CaptureRecorder.Config capture,
-    FleetAgent.Plan fleet) {
+    FleetAgent.Config fleet) {
   private static final long BYTES_PER_MB = 1 << 20;
   private static final long US_PER_MS = 1000;
   private static final long US_PER_SECOND = 1_000_000;
@@ -70,7 +70,7 @@
         root.table("report")
             .integer("counters_every_s", DEFAULT_COUNTER_LOG_INTERVAL_S, 1, SECONDS_PER_DAY);
     CaptureRecorder.Config capture = capture(root.table("capture"));
-    FleetAgent.Plan fleet = fleet(root.table("fleet"));
+    FleetAgent.Config fleet = fleet(root.table("fleet"));
     file.check();
     return new OperatorConfig(logging, counterLogIntervalS * US_PER_SECOND, capture, fleet);
   }
@@ -101,12 +101,12 @@
     return folder.isEmpty() ? null : config;
   }
 
-  private static FleetAgent.Plan fleet(Toml.Table table) {
+  private static FleetAgent.Config fleet(Toml.Table table) {
     List<String> coordinators = table.texts("stewards");
     String folder = table.text("folder", "");
     long intervalUs = table.integer("every_ms", 60_000, 100, SECONDS_PER_DAY * 1000) * US_PER_MS;
-    Retention.Bounds retention =
-        new Retention.Bounds(
+    RemovalList.RetentionLimits retention =
+        new RemovalList.RetentionLimits(
             table.integer("keep_days", 30, 1, 3650) * SECONDS_PER_DAY * US_PER_SECOND,
             table.integer("keep_mb", 1000, 1, 1 << 30) * BYTES_PER_MB);
     for (String coordinator : coordinators) {
@@ -121,6 +121,6 @@
     if (folder.isEmpty()) {
       table.fault("folder", "is missing, wanted the folder that all members share");
     }
-    return new FleetAgent.Plan(coordinators, Path.of(folder), intervalUs, retention);
+    return new FleetAgent.Config(coordinators, Path.of(folder), intervalUs, retention);
   }
 }
--- a/router/src/main/java/tidebank/fleet/AgentMailbox.java
+++ b/router/src/main/java/tidebank/fleet/AgentMailbox.java
@@ -5,15 +5,16 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * Messages between a router's event loop, its agent's thread and the thread that waits for
- * assignments. None of them ever waits for another, so that a stalled event loop costs no lease.
+ * Passes messages between a router's event loop, its agent thread and the thread that waits for
+ * assignments. None of them ever waits for another, so a stalled event loop cannot cost a lease.
  *
- * <p>One request for counters is pending at a time; each set of counters is taken at most once, and
+ * <p>At most one request for counters is pending. Each set of counters is taken at most once and
  * was counted after the request that it answers. An assignment notice is taken at most once and
- * never lost. Once {@link #requestLeave} has been called, {@link #leaveRequested} is true for all.
+ * never lost. Once {@link #requestLeave} has been called, {@link #leaveRequested} returns true on
+ * every thread.
  */
 public final class AgentMailbox {
-  /** Owned by the agent's thread. */
+  /** Whether a request for counters is pending; confined to the agent thread. */
   private boolean countersRequested;
 
   private final AtomicReference<SortedMap<String, Long>> counters = new AtomicReference<>();
@@ -21,9 +22,9 @@
   private volatile boolean leaveRequested;
 
   /**
-   * Requests counters, unless a request is pending; called by the agent's thread.
+   * Requests counters unless a request is pending; called by the agent thread.
    *
-   * @return whether the event loop is to be asked now
+   * @return whether the caller must now ask the event loop for the counters
    */
   public boolean requestCounters() {
     boolean isNew = !countersRequested;
@@ -32,14 +33,14 @@
   }
 
   /** Delivers the requested counters; called by the event loop. */
-  public void deliverCounters(SortedMap<String, Long> counted) {
-    counters.set(counted);
+  public void deliverCounters(SortedMap<String, Long> delivered) {
+    counters.set(delivered);
   }
 
   /**
-   * Takes the delivered counters, which ends the request; called by the agent's thread.
+   * Takes the delivered counters, which completes the request; called by the agent thread.
    *
-   * @return the counters, or null if they were not delivered yet
+   * @return the counters, or null if they have not been delivered yet
    */
   public SortedMap<String, Long> takeCounters() {
     SortedMap<String, Long> taken = counters.getAndSet(null);
@@ -49,22 +50,25 @@
     return taken;
   }
 
-  /** Says that there is a task to claim; called by the thread that waits for assignments. */
+  /**
+   * Notifies the agent that there is a task to claim; called by the thread that waits for
+   * assignments.
+   */
   public void notifyAssignment() {
     assignmentNotice.set(true);
   }
 
-  /** Returns whether there was a notice since the last call; called by the agent's thread. */
+  /** Returns whether a notice arrived since the last call; called by the agent thread. */
   public boolean takeAssignmentNotice() {
     return assignmentNotice.getAndSet(false);
   }
 
-  /** Requests that the member leaves, as the router is draining; may be called by any thread. */
+  /** Requests that the member leave because the router is draining; may be called by any thread. */
   public void requestLeave() {
     leaveRequested = true;
   }
 
-  /** Returns whether the member is to leave. */
+  /** Returns whether the member must leave. */
   public boolean leaveRequested() {
     return leaveRequested;
   }
--- a/router/src/main/java/tidebank/fleet/CountersTask.java
+++ b/router/src/main/java/tidebank/fleet/CountersTask.java
@@ -6,8 +6,8 @@
 import java.util.function.Supplier;
 
 /**
- * Writes a member's counters to the shared folder once an interval; done by every member. Owned by
- * the agent's thread; the counters are read on the router's event loop.
+ * Writes a member's counters to the shared folder at a fixed interval; runs on every member.
+ * Confined to the agent thread; the counters are read on the router's event loop.
  */
 final class CountersTask {
   private final String member;
@@ -16,7 +16,7 @@
   private final AgentMailbox mailbox;
   private final Supplier<SortedMap<String, Long>> counters;
   private final Executor eventLoop;
-  private long writtenAt;
+  private long lastWriteAt;
   private long lastSequence;
 
   CountersTask(
@@ -32,17 +32,17 @@
     this.mailbox = mailbox;
     this.counters = counters;
     this.eventLoop = eventLoop;
-    writtenAt = LeaseClient.now() - intervalUs;
+    lastWriteAt = LeaseClient.now() - intervalUs;
   }
 
-  /** Requests counters if they are due, and writes those that were delivered. */
+  /** Requests counters if they are due, and writes them if they have been delivered. */
   void runIfDue(LazySharedFolder folder) throws IOException {
-    if (LeaseClient.now() - writtenAt >= intervalUs && mailbox.requestCounters()) {
+    if (LeaseClient.now() - lastWriteAt >= intervalUs && mailbox.requestCounters()) {
       eventLoop.execute(() -> mailbox.deliverCounters(counters.get()));
     }
     SortedMap<String, Long> delivered = mailbox.takeCounters();
     if (delivered != null) {
-      writtenAt = LeaseClient.now();
+      lastWriteAt = LeaseClient.now();
       folder
           .open()
           .writeCounters(
--- a/router/src/main/java/tidebank/fleet/FleetAgent.java
+++ b/router/src/main/java/tidebank/fleet/FleetAgent.java
@@ -13,36 +13,39 @@
 import tidebank.errors.TidebankException;
 
 /**
- * A query router's part in the fleet, on a thread of its own: keeps its membership and leases, and
- * does the tasks whose lease it holds. It shares nothing with the event loop but an {@link
- * AgentMailbox}; neither waits for the other. If no coordinator answers it stops its tasks and goes
- * on retrying; queries are not affected.
+ * A query router's agent in the fleet, on a thread of its own: keeps the router's membership and
+ * leases, and runs the tasks that it holds the leases of. It shares only an {@link AgentMailbox}
+ * with the event loop, and neither waits for the other. If no coordinator answers, the agent stops
+ * its tasks and keeps retrying; queries are not affected.
  */
 public final class FleetAgent {
   private static final Logger LOG = LoggerFactory.getLogger(FleetAgent.class);
 
-  /** The most the agent sleeps at a time where there is nothing to do. */
-  private static final long IDLE_PAUSE_MS = 20;
+  /** How long the agent sleeps at a time while it has no command to send. */
+  private static final long IDLE_SLEEP_MS = 20;
 
-  /** How long the coordinator may let a request wait that has no task to claim. */
+  /** How long a coordinator may delay its answer while there is no task to claim. */
   private static final int ASSIGNMENT_WAIT_MS = 5000;
 
   /**
-   * How a router takes part.
+   * The agent's configuration.
    *
-   * @param coordinators where they listen, as host:port
+   * @param coordinators the coordinators' addresses, as host:port
    * @param sharedFolder the folder that all members share
-   * @param intervalUs how often counters are written, a report is published and stored files are
-   *     looked through, in microseconds
-   * @param retention how long and how much is stored
+   * @param intervalUs the interval at which counters are written, a report is published and stored
+   *     files are scanned, in microseconds
+   * @param retention the limits on the stored files
    */
-  public record Plan(
-      List<String> coordinators, Path sharedFolder, long intervalUs, Retention.Bounds retention) {}
+  public record Config(
+      List<String> coordinators,
+      Path sharedFolder,
+      long intervalUs,
+      RemovalList.RetentionLimits retention) {}
 
-  private final Plan plan;
+  private final Config config;
   private final String member;
   private final AgentMailbox mailbox = new AgentMailbox();
-  private final AgentErrorLogger errors = new AgentErrorLogger();
+  private final AgentErrorLogger errorLogger = new AgentErrorLogger();
   private final LazySharedFolder folder;
   private final LeaseClient leases;
   private final CountersTask countersTask;
@@ -52,28 +55,31 @@
   private final Thread assignmentThread = new Thread(this::awaitAssignments, "fleet news");
 
   /**
-   * Creates an agent that is not started.
+   * Creates an agent without starting it.
    *
    * @param member the router's name
-   * @param counters returns what the router has counted since its start; called on its event loop
-   * @param eventLoop that event loop
+   * @param counters returns the router's counts since its start; called on the event loop
+   * @param eventLoop the router's event loop
    */
   public FleetAgent(
-      Plan plan, String member, Supplier<SortedMap<String, Long>> counters, Executor eventLoop) {
-    this.plan = plan;
+      Config config,
+      String member,
+      Supplier<SortedMap<String, Long>> counters,
+      Executor eventLoop) {
+    this.config = config;
     this.member = member;
-    folder = new LazySharedFolder(plan.sharedFolder());
+    folder = new LazySharedFolder(config.sharedFolder());
     String session = UUID.randomUUID().toString();
-    leases = new LeaseClient(plan.coordinators(), member, session, mailbox, errors);
+    leases = new LeaseClient(config.coordinators(), member, session, mailbox, errorLogger);
     countersTask =
-        new CountersTask(member, session, plan.intervalUs(), mailbox, counters, eventLoop);
-    reportTask = new ReportTask(plan.intervalUs(), leases);
-    retentionTask = new RetentionTask(plan.intervalUs(), plan.retention(), leases);
+        new CountersTask(member, session, config.intervalUs(), mailbox, counters, eventLoop);
+    reportTask = new ReportTask(config.intervalUs(), leases);
+    retentionTask = new RetentionTask(config.intervalUs(), config.retention(), leases);
     agentThread.setDaemon(true);
     assignmentThread.setDaemon(true);
   }
 
-  /** Starts the agent's threads; they end with the process or once it has left. */
+  /** Starts the agent's threads, which end with the process or once the agent has left. */
   public FleetAgent start() {
     agentThread.start();
     assignmentThread.start();
@@ -81,8 +87,8 @@
   }
 
   /**
-   * Releases all leases while the router is draining, so that others need not wait for their ends.
-   * Returns at once.
+   * Requests that the agent release all leases because the router is draining, so that other
+   * members need not wait for them to expire. Returns at once.
    */
   public void leave() {
     mailbox.requestLeave();
@@ -96,12 +102,12 @@
         Thread.currentThread().interrupt();
         return;
       } catch (IOException exception) {
-        errors.log(toTidebankException(exception).details());
-        LeaseClient.pause();
+        errorLogger.log(toTidebankException(exception).details());
+        LeaseClient.sleepBeforeRetry();
       } catch (RuntimeException exception) {
-        // Such as counters requested while the router ends.
+        // For example, counters were requested while the event loop was shutting down.
         LOG.warn("agent iteration failed", exception);
-        LeaseClient.pause();
+        LeaseClient.sleepBeforeRetry();
       }
     }
   }
@@ -116,7 +122,7 @@
     boolean sent = leases.sendNextCommand();
     if (!sent && !mailbox.leaveRequested()) {
       runTasks();
-      Thread.sleep(IDLE_PAUSE_MS);
+      Thread.sleep(IDLE_SLEEP_MS);
     }
   }
 
@@ -130,15 +136,15 @@
     return exception instanceof TidebankException known
         ? known
         : new StorageException.FleetFolderUnusable(
-            plan.sharedFolder().toString(), exception.toString());
+            config.sharedFolder().toString(), exception.toString());
   }
 
   /**
-   * Waits at the coordinator for a task to claim, so that it is claimed at once and not with the
-   * next renewal.
+   * Waits at the coordinator for tasks to claim, so that the agent claims them at once instead of
+   * after its next renewal.
    */
   private void awaitAssignments() {
-    CoordinatorSession coordinator = new CoordinatorSession(plan.coordinators());
+    CoordinatorHttpClient coordinator = new CoordinatorHttpClient(config.coordinators());
     while (!mailbox.leaveRequested()) {
       try {
         if (coordinator.awaitUnclaimedTask(member, ASSIGNMENT_WAIT_MS)) {
@@ -147,9 +153,9 @@
       } catch (IOException | RuntimeException exception) {
         LOG.debug("could not wait for assignments", exception);
       }
-      // The task may take a moment to be claimed, and coordinators that are gone are not to be
-      // asked without a pause.
-      LeaseClient.pause();
+      // Claiming the task takes a moment, and unreachable coordinators must not be polled without a
+      // delay.
+      LeaseClient.sleepBeforeRetry();
     }
   }
 }
--- a/router/src/main/java/tidebank/fleet/FleetReport.java
+++ b/router/src/main/java/tidebank/fleet/FleetReport.java
@@ -7,17 +7,17 @@
 import java.util.TreeMap;
 
 /**
- * The fleet's report of one window. It holds what every member had counted since its start, so that
- * a window is the difference to the report before, whoever made that one: nothing is counted twice
- * as long as each report follows the one before it, which the coordinator ensures by the revision.
- * A member that was killed loses what it had not yet written.
+ * The fleet's report of one window. It stores each member's counts since the member's start, so
+ * that the next window is the difference to this report, whichever member makes it. Nothing is
+ * counted twice as long as each report follows the one published before it, which the coordinator
+ * ensures by the revision. Counts that a member had not written when it was killed are lost.
  *
- * @param number 1 for the first, as the coordinator publishes it
- * @param previous the name under which the report before was published; empty in the first
- * @param fencingToken the fencing token that its maker held the task's lease with
- * @param window what the fleet counted since the report before
- * @param silentMembers members that have written no new counters since the report before
- * @param members the last counters of each member, by name
+ * @param number the number of the report, 1 for the first
+ * @param previous the file name of the report published before; empty in the first
+ * @param fencingToken the fencing token that the reporting member held the task's lease with
+ * @param window the fleet's counts since the previous report, by counter
+ * @param silentMembers live members that have written no new counters since the previous report
+ * @param members the last counters of each member, by the member's name
  */
 public record FleetReport(
     long number,
@@ -27,39 +27,42 @@
     List<String> silentMembers,
     SortedMap<String, MemberCounters> members) {
   /**
-   * What a member had counted.
+   * The counters of one member.
    *
-   * @param session the start of the member that counted it
-   * @param sequence grows by one with each time the member writes its counters
-   * @param counters all that it counted since that start, by counter
+   * @param session the member's session, which identifies one start of its process
+   * @param sequence a number that increases by one each time the session writes its counters
+   * @param counters all counts since that start, by counter
    */
   public record MemberCounters(String session, long sequence, SortedMap<String, Long> counters) {
     private boolean isNewerThan(MemberCounters before) {
       return before == null || !session.equals(before.session) || sequence > before.sequence;
     }
 
-    /** Adds what was counted since an earlier time of the same start, or all of it. */
+    /**
+     * Adds the increase since earlier counters to a window. Counters of a new session count in
+     * full.
+     */
     private void addIncrease(MemberCounters before, SortedMap<String, Long> window) {
-      boolean sameStart = before != null && session.equals(before.session);
+      boolean sameSession = before != null && session.equals(before.session);
       counters.forEach(
           (counter, count) -> {
-            long counted = sameStart ? before.counters.getOrDefault(counter, 0L) : 0;
-            window.merge(counter, count - counted, Long::sum);
+            long previousCount = sameSession ? before.counters.getOrDefault(counter, 0L) : 0;
+            window.merge(counter, count - previousCount, Long::sum);
           });
     }
   }
 
-  /** The report before the first. */
+  /** The empty report that precedes the first one. */
   public static final FleetReport NONE =
       new FleetReport(0, "", 0, new TreeMap<>(), List.of(), new TreeMap<>());
 
   /**
-   * Returns the report after this one.
+   * Returns the report that follows this one.
    *
-   * @param published the name that this one was published under
-   * @param nextFencingToken the fencing token of the next one's maker
-   * @param alive the members that are alive
-   * @param current the last counters of each member that wrote any
+   * @param published the file name that this report was published under
+   * @param nextFencingToken the fencing token that the next report is made with
+   * @param alive the names of the live members
+   * @param current the last counters of each member that wrote any, by the member's name
    */
   public FleetReport next(
       String published,
@@ -68,8 +71,8 @@
       Map<String, MemberCounters> current) {
     SortedMap<String, Long> nextWindow = new TreeMap<>();
     SortedMap<String, MemberCounters> nextMembers = new TreeMap<>();
-    // A member without a file now was counted before, and is not to be counted again once its file
-    // is there.
+    // Keeps members without a readable file, so that they are not counted again from zero when the
+    // file is back.
     members.forEach(
         (name, before) -> {
           if (alive.contains(name)) {
@@ -83,7 +86,7 @@
             counted.addIncrease(before, nextWindow);
             nextMembers.put(name, counted);
           } else {
-            // Nothing new, or an older file came back: what was counted stays counted.
+            // Nothing new, or an older file was restored: keeps the counters already counted.
             nextMembers.put(name, before);
           }
         });
--- a/router/src/main/java/tidebank/fleet/LazySharedFolder.java
+++ b/router/src/main/java/tidebank/fleet/LazySharedFolder.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.nio.file.Path;
 
-/** The shared folder, opened when it is first needed. Owned by the agent's thread. */
+/** Opens the shared folder when it is first needed. Confined to the agent thread. */
 final class LazySharedFolder {
   private final Path path;
   private SharedFolder opened;
--- a/router/src/main/java/tidebank/fleet/LeaseClient.java
+++ b/router/src/main/java/tidebank/fleet/LeaseClient.java
@@ -13,47 +13,47 @@
 import tidebank.lease.TaskLease;
 
 /**
- * Keeps a member's membership and leases: sends the holder's commands to the coordinators until
- * they are answered. Owned by the agent's thread.
+ * Keeps a member's membership and leases: sends the commands of its {@link LeaseHolder} to the
+ * coordinators until they are answered. Confined to the agent thread.
  */
 final class LeaseClient {
   private static final Logger LOG = LoggerFactory.getLogger(FleetAgent.class);
-  private static final long RETRY_PAUSE_MS = 50;
+  private static final long RETRY_DELAY_MS = 50;
 
   private final List<String> coordinators;
   private final AgentMailbox mailbox;
-  private final AgentErrorLogger errors;
+  private final AgentErrorLogger errorLogger;
   private final LeaseHolder holder;
-  private final CoordinatorSession coordinator;
+  private final CoordinatorHttpClient coordinator;
 
   LeaseClient(
       List<String> coordinators,
       String member,
       String session,
       AgentMailbox mailbox,
-      AgentErrorLogger errors) {
+      AgentErrorLogger errorLogger) {
     this.coordinators = coordinators;
     this.mailbox = mailbox;
-    this.errors = errors;
+    this.errorLogger = errorLogger;
     holder = new LeaseHolder(member, session);
-    coordinator = new CoordinatorSession(coordinators);
+    coordinator = new CoordinatorHttpClient(coordinators);
   }
 
-  /** Returns the monotonic clock that leases are counted by, in microseconds. */
+  /** Returns the time of the monotonic clock that leases are measured by, in microseconds. */
   static long now() {
     return System.nanoTime() / 1000;
   }
 
-  /** Waits before a retry; an interrupt ends it and stays set. */
-  static void pause() {
+  /** Sleeps before a retry. An interrupt ends the sleep and stays set. */
+  static void sleepBeforeRetry() {
     try {
-      Thread.sleep(RETRY_PAUSE_MS);
+      Thread.sleep(RETRY_DELAY_MS);
     } catch (InterruptedException interrupted) {
       Thread.currentThread().interrupt();
     }
   }
 
-  /** Sends the next command; returns false if there is none. */
+  /** Sends the next command. Returns false if none is due. */
   boolean sendNextCommand() throws IOException {
     LeaseCommand command = holder.nextCommand(now());
     if (command == null) {
@@ -64,38 +64,41 @@
   }
 
   /**
-   * Publishes a value under a task whose lease is held.
+   * Publishes a value for a task, if the task's lease is held.
    *
-   * @param revision the revision that it replaces
+   * @param revision the revision that the value replaces
    * @return whether it was published
    */
   boolean publish(String task, long revision, String value) throws IOException {
-    LeaseCommand command = holder.publish(task, revision, value, now());
+    LeaseCommand command = holder.createPublishCommand(task, revision, value, now());
     return command != null && send(command).error() == null;
   }
 
-  /** Repeats a command until it is answered. */
+  /**
+   * Sends a command until it is answered. Gives up if it is not answered and the member was asked
+   * to leave, unless the command does that.
+   */
   private CommandResult send(LeaseCommand command) throws IOException {
     while (true) {
-      Optional<CommandResult> answer = coordinator.command(command);
-      if (answer.isPresent() && answer.get().config() != null) {
-        holder.handleResult(command.sequence(), answer.get(), now());
-        logResult(command, answer.get());
-        return answer.get();
+      Optional<CommandResult> result = coordinator.execute(command);
+      if (result.isPresent() && result.get().config() != null) {
+        holder.handleResult(command.sequence(), result.get(), now());
+        logResult(command, result.get());
+        return result.get();
       }
       if (mailbox.leaveRequested() && command.kind() != LeaseCommand.Kind.LEAVE) {
         throw new CoordinatorException.CoordinatorUnavailable(coordinators.toString());
       }
-      pause();
+      sleepBeforeRetry();
     }
   }
 
   private void logResult(LeaseCommand command, CommandResult result) {
     if (result.error() != null) {
-      errors.log(result.error());
+      errorLogger.log(result.error());
       return;
     }
-    errors.succeeded();
+    errorLogger.succeeded();
     if (command.kind() == LeaseCommand.Kind.CLAIM) {
       LOG.info(
           "acquired lease: task={}, fencing_token={}", command.task(), tokenIfHeld(command.task()));
@@ -107,13 +110,13 @@
     return holder.tokenIfHeld(task, now(), 0);
   }
 
-  /** Returns the state of the lease table, if a coordinator answers. */
-  Optional<LeaseTableState> state() throws IOException {
-    return coordinator.state();
+  /** Returns the state of the lease table, or empty if no coordinator answered. */
+  Optional<LeaseTableState> fetchState() throws IOException {
+    return coordinator.fetchState();
   }
 
-  /** Returns a task of the lease table. */
-  static Optional<TaskLease> find(LeaseTableState state, String task) {
+  /** Returns the entry of a task in the lease table. */
+  static Optional<TaskLease> findTask(LeaseTableState state, String task) {
     return state.tasks().stream().filter(lease -> lease.task().equals(task)).findFirst();
   }
 
--- a/router/src/main/java/tidebank/fleet/LeaseCodec.java
+++ b/router/src/main/java/tidebank/fleet/LeaseCodec.java
@@ -7,7 +7,10 @@
 import tidebank.errors.CoordinatorException;
 import tidebank.lease.LeaseCommand;
 
-/** Commands, results, state and stored files as JSON, on the wire and in the log. */
+/**
+ * Reads and writes commands, results, states and stored files as JSON, on the wire and in the
+ * replicated log.
+ */
 public final class LeaseCodec {
   private static final ObjectMapper MAPPER =
       LeaseJson.configure(
@@ -19,58 +22,64 @@
   public static byte[] write(Object value) {
     try {
       return MAPPER.writeValueAsBytes(value);
-    } catch (JsonProcessingException fault) {
-      throw new IllegalStateException("a value of ours has no JSON: " + fault.getMessage(), fault);
+    } catch (JsonProcessingException exception) {
+      throw new IllegalStateException(
+          "could not write " + value.getClass().getName() + " as JSON: " + exception.getMessage(),
+          exception);
     }
   }
 
   /**
    * Reads a value.
    *
-   * @throws IOException if it is no JSON of that type
+   * @throws IOException if the bytes are not valid JSON of the type
    */
   public static <T> T read(byte[] bytes, Class<T> type) throws IOException {
     return MAPPER.readValue(bytes, type);
   }
 
   /**
-   * Reads a command from outside: any text is possible, and no field may be missing that its kind
-   * needs.
+   * Reads a command sent by a client, which may contain anything. Throws if a field is missing that
+   * every command of its kind needs, or if the kind is PLAN, which only leaders use. Text fields
+   * that are absent become empty.
    */
   public static LeaseCommand readCommand(byte[] body) throws CoordinatorException.MalformedRequest {
     LeaseCommand command;
     try {
       command = read(body, LeaseCommand.class);
-    } catch (JsonProcessingException fault) {
-      throw new CoordinatorException.MalformedRequest(fault.getOriginalMessage().split("\n", 0)[0]);
-    } catch (IOException fault) {
-      throw new CoordinatorException.MalformedRequest(fault.getMessage());
+    } catch (JsonProcessingException exception) {
+      throw new CoordinatorException.MalformedRequest(
+          exception.getOriginalMessage().split("\n", 0)[0]);
+    } catch (IOException exception) {
+      throw new CoordinatorException.MalformedRequest(exception.getMessage());
     }
     if (command == null || command.kind() == null || command.kind() == LeaseCommand.Kind.PLAN) {
       throw new CoordinatorException.MalformedRequest("field 'kind' names no command");
     }
-    LeaseCommand whole =
+    LeaseCommand normalized =
         new LeaseCommand(
             command.kind(),
-            text(command.session()),
+            emptyIfNull(command.session()),
             command.sequence(),
-            text(command.member()),
-            text(command.task()),
+            emptyIfNull(command.member()),
+            emptyIfNull(command.task()),
             command.fencingToken(),
             command.revision(),
-            text(command.value()),
+            emptyIfNull(command.value()),
             null);
-    if (whole.session().isEmpty() || whole.session().length() > 128 || whole.sequence() < 1) {
+    if (normalized.session().isEmpty()
+        || normalized.session().length() > 128
+        || normalized.sequence() < 1) {
       throw new CoordinatorException.MalformedRequest(
-          "field 'session' is to be a text of 1 to 128 characters, 'number' to be from 1 up");
+          "field 'session' must have 1 to 128 characters, and field 'number' must be at least 1");
     }
-    if (whole.member().isEmpty() && command.kind() != LeaseCommand.Kind.MOVE) {
+    if (normalized.member().isEmpty() && command.kind() != LeaseCommand.Kind.MOVE) {
       throw new CoordinatorException.MalformedRequest("field 'name' is missing");
     }
-    return whole;
+    return normalized;
   }
 
-  private static String text(String value) {
+  private static String emptyIfNull(String value) {
     return value == null ? "" : value;
   }
 }
--- a/router/src/main/java/tidebank/fleet/LeaseJson.java
+++ b/router/src/main/java/tidebank/fleet/LeaseJson.java
@@ -15,9 +15,10 @@
 import tidebank.lease.TaskLease;
 
 /**
- * JSON field names of the lease protocol, of the coordinators' log and of the files in the shared
- * folder. They are older than the names of the record components and stay as they are, so that
- * processes and stored data of other versions can be read. The records know nothing of JSON.
+ * JSON field names of the lease protocol, of the coordinators' replicated log and of the files in
+ * the shared folder. They are older than the names of the record components and must not change,
+ * because messages and stored data of other versions use them. The records themselves do not depend
+ * on JSON.
  */
 public final class LeaseJson {
   private LeaseJson() {}
@@ -32,10 +33,10 @@
         .addMixIn(LeaseConfig.class, LeaseConfigFields.class)
         .addMixIn(Member.class, MemberFields.class)
         .addMixIn(TaskLease.class, TaskLeaseFields.class)
-        .addMixIn(OperatorSession.class, OperatorFields.class)
-        .addMixIn(LeaseTableState.class, StateFields.class)
+        .addMixIn(OperatorSession.class, OperatorSessionFields.class)
+        .addMixIn(LeaseTableState.class, LeaseTableStateFields.class)
         .addMixIn(FleetReport.class, FleetReportFields.class)
-        .addMixIn(Retention.class, RetentionFields.class)
+        .addMixIn(RemovalList.class, RemovalListFields.class)
         .addMixIn(TidebankException.Details.class, ErrorDetailsFields.class);
   }
 
@@ -181,7 +182,7 @@
 
   /** Fields of {@link OperatorSession}. */
   @JsonPropertyOrder({"session", "number", "answer"})
-  private interface OperatorFields {
+  private interface OperatorSessionFields {
     @JsonProperty("number")
     long lastSequence();
 
@@ -191,7 +192,7 @@
 
   /** Fields of {@link LeaseTableState}. */
   @JsonPropertyOrder({"terms", "term", "now", "tokenFloor", "members", "duties", "operators"})
-  private interface StateFields {
+  private interface LeaseTableStateFields {
     @JsonProperty("terms")
     LeaseConfig config();
 
@@ -215,9 +216,9 @@
     List<String> silentMembers();
   }
 
-  /** Fields of {@link Retention}. */
+  /** Fields of {@link RemovalList}. */
   @JsonPropertyOrder({"number", "follows", "token", "names"})
-  private interface RetentionFields {
+  private interface RemovalListFields {
     @JsonProperty("follows")
     String previous();
 
--- a/router/src/main/java/tidebank/fleet/ReportTask.java
+++ b/router/src/main/java/tidebank/fleet/ReportTask.java
@@ -10,10 +10,10 @@
 import tidebank.lease.TaskLease;
 
 /**
- * The singleton task that publishes the fleet's report once an interval: reads the published one,
- * writes the next beside it under a name with the fencing token, and publishes that name. If the
- * process is stopped anywhere in between, the coordinator refuses the stale token or the old
- * revision, and the file counts for nothing. Owned by the agent's thread.
+ * The singleton task that publishes the fleet's report at a fixed interval. It reads the published
+ * report, writes the next one to a file with the fencing token in its name, and publishes that
+ * name. If the process is paused in between, the coordinator rejects its stale token or outdated
+ * revision, and the file is never used. Confined to the agent thread.
  */
 final class ReportTask {
   /** The task's name. */
@@ -23,7 +23,7 @@
 
   private final long intervalUs;
   private final LeaseClient leases;
-  private long startedAt;
+  private long lastRunAt;
 
   ReportTask(long intervalUs, LeaseClient leases) {
     this.intervalUs = intervalUs;
@@ -33,12 +33,12 @@
   /** Publishes the next report if the lease is held and a report is due. */
   void runIfDue(LazySharedFolder folder) throws IOException {
     long fencingToken = leases.tokenIfHeld(NAME);
-    if (fencingToken == 0 || LeaseClient.now() - startedAt < intervalUs) {
+    if (fencingToken == 0 || LeaseClient.now() - lastRunAt < intervalUs) {
       return;
     }
-    startedAt = LeaseClient.now();
-    Optional<LeaseTableState> state = leases.state();
-    Optional<TaskLease> lease = state.flatMap(known -> LeaseClient.find(known, NAME));
+    lastRunAt = LeaseClient.now();
+    Optional<LeaseTableState> state = leases.fetchState();
+    Optional<TaskLease> lease = state.flatMap(known -> LeaseClient.findTask(known, NAME));
     if (lease.isPresent()) {
       publishNext(folder, state.get(), lease.get(), fencingToken);
     }
@@ -57,9 +57,9 @@
         folder
             .readReport(lease.value())
             .next(lease.value(), fencingToken, alive, folder.readCounters());
-    String file = folder.write(next);
-    if (leases.publish(NAME, lease.revision(), file)) {
-      LOG.info("published report: file={}", file);
+    String fileName = folder.write(next);
+    if (leases.publish(NAME, lease.revision(), fileName)) {
+      LOG.info("published report: file={}", fileName);
       folder.removeOldReports(next);
     }
   }
--- a/router/src/main/java/tidebank/fleet/RetentionTask.java
+++ b/router/src/main/java/tidebank/fleet/RetentionTask.java
@@ -8,10 +8,10 @@
 import tidebank.lease.TaskLease;
 
 /**
- * The singleton task that removes stored files once an interval: finishes the removals that are
- * published, as their holder may have died over them, then lists what is kept too long and
- * publishes the list, and only then removes what it names. Whoever is stopped in between removes
- * late what was to go, or has its list refused. Owned by the agent's thread.
+ * The singleton task that removes stored files at a fixed interval. It first finishes the published
+ * removals, because the member that published them may have died before it was done. Then it lists
+ * the files to remove, publishes the list, and only then removes them. A member that is paused in
+ * between removes its files late or has its list rejected. Confined to the agent thread.
  */
 final class RetentionTask {
   /** The task's name. */
@@ -19,29 +19,29 @@
 
   private static final Logger LOG = LoggerFactory.getLogger(FleetAgent.class);
 
-  /** Names that one removal list may have, so that its file stays small. */
+  /** The maximum number of names on a removal list, so that its file stays small. */
   private static final int MAX_REMOVALS = 1000;
 
   private final long intervalUs;
-  private final Retention.Bounds bounds;
+  private final RemovalList.RetentionLimits limits;
   private final LeaseClient leases;
-  private long startedAt;
+  private long lastRunAt;
 
-  RetentionTask(long intervalUs, Retention.Bounds bounds, LeaseClient leases) {
+  RetentionTask(long intervalUs, RemovalList.RetentionLimits limits, LeaseClient leases) {
     this.intervalUs = intervalUs;
-    this.bounds = bounds;
+    this.limits = limits;
     this.leases = leases;
   }
 
-  /** Removes what is kept too long if the lease is held and a removal is due. */
+  /** Removes files beyond the retention limits if the lease is held and a removal is due. */
   void runIfDue(LazySharedFolder folder) throws IOException {
     long fencingToken = leases.tokenIfHeld(NAME);
-    if (fencingToken == 0 || LeaseClient.now() - startedAt < intervalUs) {
+    if (fencingToken == 0 || LeaseClient.now() - lastRunAt < intervalUs) {
       return;
     }
-    startedAt = LeaseClient.now();
-    Optional<LeaseTableState> state = leases.state();
-    Optional<TaskLease> lease = state.flatMap(known -> LeaseClient.find(known, NAME));
+    lastRunAt = LeaseClient.now();
+    Optional<LeaseTableState> state = leases.fetchState();
+    Optional<TaskLease> lease = state.flatMap(known -> LeaseClient.findTask(known, NAME));
     if (lease.isPresent()) {
       removeNext(folder, state.get(), lease.get(), fencingToken);
     }
@@ -51,12 +51,14 @@
       LazySharedFolder lazyFolder, LeaseTableState state, TaskLease lease, long fencingToken)
       throws IOException {
     SharedFolder folder = lazyFolder.open();
-    Retention published = folder.readRemovals(lease.value());
-    folder.remove(published);
-    String report = LeaseClient.find(state, ReportTask.NAME).map(TaskLease::value).orElse("");
-    // Leases are renewed while a large folder is looked through.
-    Retention.Stock stored = folder.scanStored(report, 2 * MAX_REMOVALS, leases::sendNextCommand);
-    Retention next = published.next(lease.value(), fencingToken, stored, bounds, MAX_REMOVALS);
+    RemovalList published = folder.readRemovalList(lease.value());
+    folder.removeFiles(published);
+    String publishedReport =
+        LeaseClient.findTask(state, ReportTask.NAME).map(TaskLease::value).orElse("");
+    // Renews leases during the scan, which takes long in a large folder.
+    RemovalList.ScanResult stored =
+        folder.scanFiles(publishedReport, 2 * MAX_REMOVALS, leases::sendNextCommand);
+    RemovalList next = published.next(lease.value(), fencingToken, stored, limits, MAX_REMOVALS);
     if (next.names().isEmpty()) {
       return;
     }
@@ -64,7 +66,7 @@
         && leases.tokenIfHeld(NAME) == fencingToken) {
       LOG.info(
           "removed files: removed={}, listed={}, list={}",
-          folder.remove(next),
+          folder.removeFiles(next),
           next.names().size(),
           next.number());
       folder.removeOldRemovalLists(next);
--- a/router/src/main/java/tidebank/fleet/SharedFolder.java
+++ b/router/src/main/java/tidebank/fleet/SharedFolder.java
@@ -17,12 +17,15 @@
 import tidebank.errors.MembershipException;
 
 /**
- * The folder that all members share: members' counters, reports and removal lists. Every file is
- * there complete or not at all.
+ * The folder that all members share, with the members' counters, reports and removal lists. Files
+ * are written atomically: a reader sees a whole file or none.
  */
 final class SharedFolder {
   private static final Logger LOG = LoggerFactory.getLogger(SharedFolder.class);
+
+  /** How many of the latest reports to retain, and how many of the latest removal lists. */
   private static final int FILES_RETAINED = 100;
+
   private static final String JSON_SUFFIX = ".json";
   private static final Pattern MEMBER_NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]*");
 
@@ -31,7 +34,7 @@
   private final Path reports;
   private final Path removals;
 
-  /** Opens the folder, and creates what is missing of it. */
+  /** Opens the folder and creates its missing parts. */
   SharedFolder(Path root) throws IOException {
     this.root = root;
     removals = Files.createDirectories(root.resolve("removals"));
@@ -41,16 +44,16 @@
 
   // ---- counters
 
-  void writeCounters(String member, FleetReport.MemberCounters written) throws IOException {
+  void writeCounters(String member, FleetReport.MemberCounters memberCounters) throws IOException {
     if (!MEMBER_NAME.matcher(member).matches()) {
       throw new MembershipException.InvalidName(member);
     }
-    writeAtomically(counters.resolve(member + JSON_SUFFIX), LeaseCodec.write(written));
+    writeAtomically(counters.resolve(member + JSON_SUFFIX), LeaseCodec.write(memberCounters));
   }
 
   /**
-   * Returns the last counters of each member. A file that cannot be read counts as none: the report
-   * lists its member as silent.
+   * Returns the last counters of each member. Files that cannot be read are skipped, and reports
+   * list their members as silent.
    */
   Map<String, FleetReport.MemberCounters> readCounters() throws IOException {
     Map<String, FleetReport.MemberCounters> all = new TreeMap<>();
@@ -78,8 +81,8 @@
   // ---- reports and removal lists
 
   /**
-   * Writes a report under a name that no other fencing token ever has, and returns that name. The
-   * report counts only once the coordinator has published the name.
+   * Writes a report to a file and returns the file's name, which no other fencing token ever has.
+   * The report counts only once the coordinator has published the name.
    */
   String write(FleetReport report) throws IOException {
     String name = "report-" + report.number() + "-by-" + report.fencingToken() + JSON_SUFFIX;
@@ -87,7 +90,7 @@
     return name;
   }
 
-  /** Returns the report of a published name; the empty one if the name is empty. */
+  /** Returns the report with a published name, or the empty report if the name is empty. */
   FleetReport readReport(String published) throws IOException {
     return published.isEmpty()
         ? FleetReport.NONE
@@ -95,32 +98,33 @@
   }
 
   /**
-   * Writes a removal list under a name that no other fencing token ever has, and returns that name.
-   * Nothing is removed before the coordinator has published the name.
+   * Writes a removal list to a file and returns the file's name, which no other fencing token ever
+   * has. Nothing is removed before the coordinator has published the name.
    */
-  String write(Retention list) throws IOException {
+  String write(RemovalList list) throws IOException {
     String name = "removal-" + list.number() + "-by-" + list.fencingToken() + JSON_SUFFIX;
     writeAtomically(removals.resolve(name), LeaseCodec.write(list));
     return name;
   }
 
-  /** Returns the removal list of a published name; the empty one if the name is empty. */
-  Retention readRemovals(String published) throws IOException {
+  /** Returns the removal list with a published name, or the empty list if the name is empty. */
+  RemovalList readRemovalList(String published) throws IOException {
     return published.isEmpty()
-        ? Retention.NONE
-        : LeaseCodec.read(Files.readAllBytes(removals.resolve(published)), Retention.class);
+        ? RemovalList.NONE
+        : LeaseCodec.read(Files.readAllBytes(removals.resolve(published)), RemovalList.class);
   }
 
   /**
-   * Removes reports long before the published one, and those beside it that were never published.
-   * Late or repeated, it does no harm: no name that it removes can be published any more.
+   * Removes reports long before the published one, and those with the same numbers that were never
+   * published. A late or repeated call does no harm, because none of the removed names can be
+   * published any more.
    */
   void removeOldReports(FleetReport published) throws IOException {
     removeOldFiles(reports, published.number());
   }
 
-  /** Removes old removal lists, as {@link #removeOldReports} does reports. */
-  void removeOldRemovalLists(Retention published) throws IOException {
+  /** Removes old removal lists, as {@link #removeOldReports} removes old reports. */
+  void removeOldRemovalLists(RemovalList published) throws IOException {
     removeOldFiles(removals, published.number());
   }
 
@@ -134,34 +138,44 @@
     }
   }
 
-  /** Returns the number in the name of a report or removal list; of any other file the greatest. */
+  /**
+   * Returns the number in the name of a report or removal list, or {@link Long#MAX_VALUE} for any
+   * other file.
+   */
   private static long numberInName(Path file) {
-    String[] words = file.getFileName().toString().split("-", 0);
-    return words.length == 4 && words[1].matches("\\d{1,18}")
-        ? Long.parseLong(words[1])
+    String[] parts = file.getFileName().toString().split("-", 0);
+    return parts.length == 4 && parts[1].matches("\\d{1,18}")
+        ? Long.parseLong(parts[1])
         : Long.MAX_VALUE;
   }
 
   // ---- retention
 
   /**
-   * Returns what is stored. Ages are by the clock of the folder's own system, from a file written
-   * just now, not by this process's: a wall clock that is wrong here removes nothing.
+   * Scans the stored files. Ages are measured by the clock of the folder's file system, read from a
+   * file written just now, and not by this process's clock: a wrong clock here must not remove
+   * anything.
    *
-   * @param report the report that was published when this was last looked at: it and all later ones
-   *     are still needed, as is the newest file of each folder, which somebody may be writing
-   * @param maxFiles how many of the oldest files to return: there may be more than fit in memory
-   * @param pause run after each thousand files, as a scan of a large folder lasts longer than a
-   *     lease
+   * @param publishedReport the name of the last report known to be published. It and all later
+   *     reports are still needed, as is the newest file of each folder, which a member may still be
+   *     writing.
+   * @param maxFiles how many of the oldest files to return, because all of them may not fit in
+   *     memory
+   * @param callback called after every thousand files, because the scan of a large folder takes
+   *     longer than a lease lasts
    */
-  Retention.Stock scanStored(String report, int maxFiles, StoredFileScan.Pause pause)
+  RemovalList.ScanResult scanFiles(
+      String publishedReport, int maxFiles, StoredFileScan.ScanCallback callback)
       throws IOException {
-    long nowUs = clockUs();
-    long firstNeeded = report.isEmpty() ? 0 : numberInName(reports.resolve(report));
+    long nowUs = fileSystemTimeUs();
+    long firstNeededNumber =
+        publishedReport.isEmpty() ? 0 : numberInName(reports.resolve(publishedReport));
     StoredFileScan scan =
         new StoredFileScan(
-            maxFiles, pause, file -> file.startsWith(reports) && numberInName(file) >= firstNeeded);
-    for (String folder : Retention.FOLDERS) {
+            maxFiles,
+            callback,
+            file -> file.startsWith(reports) && numberInName(file) >= firstNeededNumber);
+    for (String folder : RemovalList.FOLDERS) {
       if (Files.isDirectory(root.resolve(folder))) {
         Files.walkFileTree(root.resolve(folder), scan);
       }
@@ -169,18 +183,18 @@
     return scan.result(root, nowUs);
   }
 
-  private long clockUs() throws IOException {
-    Path touched = Files.createTempFile(root, "now", ".part");
-    long now = Files.getLastModifiedTime(touched).to(TimeUnit.MICROSECONDS);
-    Files.delete(touched);
-    return now;
+  private long fileSystemTimeUs() throws IOException {
+    Path timestampFile = Files.createTempFile(root, "now", ".part");
+    long nowUs = Files.getLastModifiedTime(timestampFile).to(TimeUnit.MICROSECONDS);
+    Files.delete(timestampFile);
+    return nowUs;
   }
 
   /**
-   * Removes the files that a published list names and returns how many there were; late or
-   * repeated, it does no harm. Names that lead out of the folders under retention are skipped.
+   * Removes the files that a published list names and returns how many of them existed. A late or
+   * repeated call does no harm. Names outside of the folders under retention are skipped.
    */
-  int remove(Retention published) throws IOException {
+  int removeFiles(RemovalList published) throws IOException {
     int removed = 0;
     for (String name : published.names()) {
       Path file = root.resolve(name).normalize();
@@ -197,14 +211,14 @@
     Path normalizedRoot = root.normalize();
     return file.startsWith(normalizedRoot)
         && file.getNameCount() > normalizedRoot.getNameCount() + 1
-        && Retention.FOLDERS.contains(normalizedRoot.relativize(file).getName(0).toString());
+        && RemovalList.FOLDERS.contains(normalizedRoot.relativize(file).getName(0).toString());
   }
 
   private static void writeAtomically(Path file, byte[] bytes) throws IOException {
-    Path partial = file.resolveSibling(file.getFileName() + ".part");
+    Path temporary = file.resolveSibling(file.getFileName() + ".part");
     try (FileChannel channel =
         FileChannel.open(
-            partial,
+            temporary,
             StandardOpenOption.CREATE,
             StandardOpenOption.TRUNCATE_EXISTING,
             StandardOpenOption.WRITE)) {
@@ -214,6 +228,7 @@
       }
       channel.force(true);
     }
-    Files.move(partial, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+    Files.move(
+        temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
   }
 }
--- a/router/src/main/java/tidebank/fleet/StoredFileScan.java
+++ b/router/src/main/java/tidebank/fleet/StoredFileScan.java
@@ -15,38 +15,39 @@
 import java.util.function.Predicate;
 
 /**
- * Goes through all stored files and remembers the oldest that may be removed, and when the newest
- * file of each folder was written.
+ * Visits all stored files and collects the oldest that may be removed, and the modification time of
+ * the newest file in each folder.
  */
 final class StoredFileScan extends SimpleFileVisitor<Path> {
-  private static final int FILES_BETWEEN_PAUSES = 1000;
+  private static final int FILES_PER_CALLBACK = 1000;
 
-  /** What must not wait until a long scan is over. */
-  interface Pause {
-    void run() throws IOException;
+  /** An action to perform during a long scan, such as renewing leases. */
+  interface ScanCallback {
+    void call() throws IOException;
   }
 
-  private record StoredFile(Path path, long bytes, long modifiedUs) {}
+  private record ScannedFile(Path path, long bytes, long modifiedUs) {}
 
   private final int maxFiles;
-  private final Pause pause;
+  private final ScanCallback callback;
   private final Predicate<Path> needed;
   private final Map<Path, Long> newestByFolder = new HashMap<>();
-  private final PriorityQueue<StoredFile> oldest =
-      new PriorityQueue<>(Comparator.comparingLong(StoredFile::modifiedUs).reversed());
+  private final PriorityQueue<ScannedFile> oldest =
+      new PriorityQueue<>(Comparator.comparingLong(ScannedFile::modifiedUs).reversed());
   private long totalBytes;
   private long fileCount;
 
   /**
-   * Creates a scan of nothing yet.
+   * Creates a scan that has visited no file yet.
    *
-   * @param maxFiles how many of the oldest files to remember: there may be more than fit in memory
-   * @param pause run after each thousand files
-   * @param needed whether a file must not be removed
+   * @param maxFiles how many of the oldest files to collect, because all of them may not fit in
+   *     memory
+   * @param callback called after every thousand files
+   * @param needed returns whether a file must be kept
    */
-  StoredFileScan(int maxFiles, Pause pause, Predicate<Path> needed) {
+  StoredFileScan(int maxFiles, ScanCallback callback, Predicate<Path> needed) {
     this.maxFiles = maxFiles;
-    this.pause = pause;
+    this.callback = callback;
     this.needed = needed;
   }
 
@@ -54,8 +55,8 @@
   public FileVisitResult visitFile(Path file, BasicFileAttributes attributes) throws IOException {
     if (attributes.isRegularFile()) {
       add(file, attributes);
-      if (++fileCount % FILES_BETWEEN_PAUSES == 0) {
-        pause.run();
+      if (++fileCount % FILES_PER_CALLBACK == 0) {
+        callback.call();
       }
     }
     return FileVisitResult.CONTINUE;
@@ -66,7 +67,7 @@
     totalBytes += attributes.size();
     newestByFolder.merge(file.getParent(), modifiedUs, Math::max);
     if (!needed.test(file)) {
-      oldest.add(new StoredFile(file, attributes.size(), modifiedUs));
+      oldest.add(new ScannedFile(file, attributes.size(), modifiedUs));
     }
     if (oldest.size() > maxFiles) {
       oldest.poll();
@@ -74,27 +75,28 @@
   }
 
   @Override
-  public FileVisitResult visitFileFailed(Path file, IOException removedMeanwhile) {
+  public FileVisitResult visitFileFailed(Path file, IOException exception) {
+    // Most likely removed during the scan.
     return FileVisitResult.CONTINUE;
   }
 
   /**
-   * Returns what was found.
+   * Returns the result of the scan.
    *
-   * @param root the folder that names are relative to
-   * @param nowUs the time by the clock that the files' times are of
+   * @param root the folder that file names are relative to
+   * @param nowUs the current time by the clock of the files' timestamps, in microseconds
    */
-  Retention.Stock result(Path root, long nowUs) {
-    List<Retention.Item> items = new ArrayList<>();
-    for (StoredFile file : oldest) {
+  RemovalList.ScanResult result(Path root, long nowUs) {
+    List<RemovalList.StoredFile> files = new ArrayList<>();
+    for (ScannedFile file : oldest) {
       boolean newest = file.modifiedUs() == newestByFolder.get(file.path().getParent());
-      items.add(
-          new Retention.Item(
+      files.add(
+          new RemovalList.StoredFile(
               root.relativize(file.path()).toString(),
               file.bytes(),
               nowUs - file.modifiedUs(),
               newest));
     }
-    return new Retention.Stock(totalBytes, items);
+    return new RemovalList.ScanResult(totalBytes, files);
   }
 }
--- a/router/src/main/java/tidebank/lease/CommandResult.java
+++ b/router/src/main/java/tidebank/lease/CommandResult.java
@@ -6,10 +6,11 @@
 /**
  * The result of a {@link LeaseCommand}.
  *
- * @param error why the command had no effect, or null
- * @param leases all leases that the command's session holds now; empty for operators
- * @param assignedTasks the tasks that the member holds or should claim
- * @param config what leases are granted by
+ * @param error the reason why the command had no effect, or null if it took effect
+ * @param leases all leases that the command's session holds after the command; empty for operators
+ * @param assignedTasks the tasks assigned to the member that it holds or can claim at once; empty
+ *     for operators
+ * @param config the lease configuration in force
  * @param revision the revision of the value that the command published, or 0
  */
 public record CommandResult(
@@ -18,6 +19,6 @@
     List<String> assignedTasks,
     LeaseConfig config,
     long revision) {
-  /** A task whose lease the session holds, and the fencing token it was granted with. */
+  /** A task that the session holds the lease of, with the fencing token of the grant. */
   public record Grant(String task, long fencingToken) {}
 }
--- a/router/src/main/java/tidebank/lease/LeaseCommand.java
+++ b/router/src/main/java/tidebank/lease/LeaseCommand.java
@@ -3,18 +3,19 @@
 import java.util.List;
 
 /**
- * A command of a member, an operator or a leader to the {@link LeaseTable}. Session and sequence
- * number make it take effect once: a repeated one gets the first one's result.
+ * A command that a member, an operator or a leader sends to the {@link LeaseTable}. The session and
+ * the sequence number make a command take effect only once: a repeated command gets the result of
+ * the first.
  *
- * @param kind what is to be done
- * @param session who sends it: a name that no other process ever has
- * @param sequence grows by one with each new command of a session
- * @param member the member it is about
- * @param task the singleton task it is about
- * @param fencingToken the fencing token that its sender holds the task's lease with
- * @param revision the revision of the published value that its sender has last seen
+ * @param kind the action to perform
+ * @param session the sender's session, a name that no other process ever uses
+ * @param sequence a number that increases by one with each new command of the session
+ * @param member the name of the member that the command concerns
+ * @param task the name of the singleton task that the command concerns
+ * @param fencingToken the fencing token that the sender holds the task's lease with
+ * @param revision the revision of the published value that the sender read last
  * @param value the value to publish
- * @param plan the configuration, in a command of that kind only, else null
+ * @param plan the configuration to apply, or null if the kind is not {@link Kind#PLAN}
  */
 public record LeaseCommand(
     Kind kind,
@@ -27,43 +28,52 @@
     String value,
     Plan plan) {
   /**
-   * The configuration of leases and the names of all singleton tasks. It goes through the log, as
-   * all replicas must change over at the same place in it.
+   * The lease configuration and the names of all singleton tasks. It goes through the replicated
+   * log, because all replicas must switch to it at the same position in the log.
    */
   public record Plan(LeaseConfig config, List<String> tasks) {}
 
-  /** What is to be done, and the fields that the kind needs. */
+  /** The action of a command. The fields that it needs are given in parentheses. */
   public enum Kind {
-    /** Become a member (member). */
+    /** Registers the member (member). */
     JOIN,
-    /** Stay a member and renew all leases (member). */
+    /** Renews the membership and all leases of the session (member). */
     RENEW,
-    /** Stop being a member and release all leases at once (member). */
+    /** Ends the membership and releases all leases of the session at once (member). */
     LEAVE,
-    /** Acquire a task's lease (member, task). */
+    /** Acquires a task's lease (member, task). */
     CLAIM,
-    /** Release a task's lease (member, task, fencingToken). */
+    /** Releases a task's lease (member, task, fencingToken). */
     RELEASE,
-    /** Replace the value published under a task (member, task, fencingToken, revision, value). */
+    /** Replaces the value published for a task (member, task, fencingToken, revision, value). */
     PUBLISH,
-    /** An operator's: assign a task to a member, or to any if none is named (task, member). */
+    /**
+     * Assigns a task to a member, or to any member if the name is empty; sent by operators (task,
+     * member).
+     */
     MOVE,
-    /** An operator's: assign no task to the member and move those it has (member). */
+    /** Moves all tasks off a member and assigns no more to it; sent by operators (member). */
     DRAIN,
-    /** An operator's: let a drained member have tasks again (member). */
+    /** Allows tasks to be assigned to a drained member again; sent by operators (member). */
     ADMIT,
-    /** An operator's: never accept the name as a member's again (member). */
+    /** Bars a name from being used by a member ever again; sent by operators (member). */
     RETIRE,
-    /** A new leader's, where its file differs from the configuration in force (plan). */
+    /**
+     * Applies the configuration file of a new leader; sent if it differs from the configuration in
+     * force (plan).
+     */
     PLAN
   }
 
-  /** Returns a command that needs no more than a member's name. */
+  /** Returns a command that needs only a member's name. */
   public static LeaseCommand of(Kind kind, String session, long sequence, String member) {
     return new LeaseCommand(kind, session, sequence, member, "", 0, 0, "", null);
   }
 
-  /** Returns whether this is a kind of command that members send. */
+  /**
+   * Returns whether members send this kind of command, which are all kinds before {@link
+   * Kind#MOVE}.
+   */
   public boolean sentByMember() {
     return kind.compareTo(Kind.MOVE) < 0;
   }
--- a/router/src/main/java/tidebank/lease/LeaseHolder.java
+++ b/router/src/main/java/tidebank/lease/LeaseHolder.java
@@ -10,18 +10,24 @@
 import tidebank.lease.LeaseCommand.Kind;
 
 /**
- * A member's side of the protocol: the command to send to the coordinator next, and the leases that
- * the member holds, by its own monotonic clock in microseconds. It has one command pending at a
- * time, which it repeats unchanged until it is answered. A lease counts from before its command was
- * first sent: the coordinator may have taken the first copy. Callers ask for the fencing token just
- * before they act; whoever is stopped in between is caught at the resource, by that token.
+ * The member's side of the lease protocol: decides which command to send to the coordinator next,
+ * and tracks the leases that the member holds. Times are in microseconds of the member's own
+ * monotonic clock.
+ *
+ * <p>One command is pending at a time and is repeated unchanged until it is answered. A lease
+ * counts from the time its command was first sent, because the coordinator may have applied the
+ * first copy. Callers get the fencing token just before they act. If a caller is paused in between,
+ * the resource rejects its stale token.
  */
 public class LeaseHolder {
-  /** A lease that is held: its fencing token, and its end on the member's own clock. */
+  /** A lease that is held, with its fencing token and its expiry on the member's own clock. */
   public record HeldLease(long fencingToken, long expiresAt) {}
 
-  /** The end of a lease whose grant was never heard: of no use before it is renewed. */
-  private static final long NEVER_USABLE = Long.MIN_VALUE / 2;
+  /**
+   * Expiry of a lease that appears in a result for the first time without having been claimed or
+   * renewed by that command. It lies in the past, so the lease is not used before its next renewal.
+   */
+  private static final long UNKNOWN_EXPIRY = Long.MIN_VALUE / 2;
 
   private final String member;
   private final String session;
@@ -38,17 +44,17 @@
   private long pendingSentAt;
 
   /**
-   * Creates a holder without leases that joins with its first command.
+   * Creates a holder without leases. Its first command joins.
    *
    * @param member the member's name
-   * @param session a name that no other process and no earlier start ever had
+   * @param session a name that no other process and no earlier start of this one ever used
    */
   public LeaseHolder(String member, String session) {
     this.member = member;
     this.session = session;
   }
 
-  /** Returns a holder in the same state that goes on independently of this one. */
+  /** Returns an independent copy of this holder. */
   public LeaseHolder copy() {
     LeaseHolder copy = newInstance(member, session);
     copy.leases.putAll(leases);
@@ -65,25 +71,27 @@
     return copy;
   }
 
-  /** Returns a fresh holder of the same class, for {@link #copy}. */
-  protected LeaseHolder newInstance(String ofMember, String inSession) {
-    return new LeaseHolder(ofMember, inSession);
+  /** Returns a new holder of the same class, for {@link #copy}. */
+  protected LeaseHolder newInstance(String memberName, String sessionName) {
+    return new LeaseHolder(memberName, sessionName);
   }
 
   // ---- commands
 
-  /** Returns the command to send now, or to send again; null if there is none. */
+  /** Returns the pending command to send again, or else a new one; null if none is due. */
   public LeaseCommand nextCommand(long now) {
     if (pending == null) {
       pendingSentAt = now;
-      pending = newCommand(now);
+      pending = createCommand(now);
     } else {
-      pendingSentAt = sentAt(pendingSentAt, now);
+      pendingSentAt = effectiveSentAt(pendingSentAt, now);
     }
     return pending;
   }
 
-  /** Returns when there will be a command to send, should nothing else happen. */
+  /**
+   * Returns when the next renewal or join is due, or {@link Long#MAX_VALUE} if the member has left.
+   */
   public long nextCommandAt() {
     if (left) {
       return Long.MAX_VALUE;
@@ -91,12 +99,15 @@
     return joined ? renewedAt + renewIntervalUs : nextJoinAt;
   }
 
-  /** Makes a renewal due at once, as its result may assign a new task. Leases last as they did. */
+  /**
+   * Makes a renewal due at once, because its result may assign a new task. Does not change when
+   * leases expire.
+   */
   public void renewSoon(long now) {
     renewedAt = Math.min(renewedAt, now - renewIntervalUs);
   }
 
-  private LeaseCommand newCommand(long now) {
+  private LeaseCommand createCommand(long now) {
     left |= leaving && !joined;
     if (left || (!joined && now < nextJoinAt)) {
       return null;
@@ -110,15 +121,16 @@
     if (now - renewedAt >= renewIntervalUs) {
       return LeaseCommand.of(Kind.RENEW, session, ++lastSequence, member);
     }
-    LeaseCommand release = releaseOfUnassigned();
-    return release == null ? claimOfAssigned() : release;
+    LeaseCommand release = createRelease();
+    return release == null ? createClaim() : release;
   }
 
-  private LeaseCommand releaseOfUnassigned() {
-    for (Map.Entry<String, HeldLease> held : leases.entrySet()) {
-      String task = held.getKey();
+  private LeaseCommand createRelease() {
+    for (Map.Entry<String, HeldLease> entry : leases.entrySet()) {
+      String task = entry.getKey();
       if (!assignedTasks.contains(task)) {
-        LeaseCommand release = taskCommand(Kind.RELEASE, task, held.getValue().fencingToken());
+        LeaseCommand release =
+            createTaskCommand(Kind.RELEASE, task, entry.getValue().fencingToken());
         dropBeforeRelease(task);
         return release;
       }
@@ -126,24 +138,24 @@
     return null;
   }
 
-  private LeaseCommand claimOfAssigned() {
+  private LeaseCommand createClaim() {
     for (String task : assignedTasks) {
       if (!leases.containsKey(task)) {
-        return taskCommand(Kind.CLAIM, task, 0);
+        return createTaskCommand(Kind.CLAIM, task, 0);
       }
     }
     return null;
   }
 
-  private LeaseCommand taskCommand(Kind kind, String task, long fencingToken) {
+  private LeaseCommand createTaskCommand(Kind kind, String task, long fencingToken) {
     return new LeaseCommand(kind, session, ++lastSequence, member, task, fencingToken, 0, "", null);
   }
 
   /**
-   * Returns the command that publishes a value under a task, or the pending command if there is one
-   * already; null if the task's lease is not held.
+   * Returns the command that publishes a value for a task. Returns the pending command instead if
+   * there is one, and null if the task's lease is not held.
    */
-  public LeaseCommand publish(String task, long revision, String value, long now) {
+  public LeaseCommand createPublishCommand(String task, long revision, String value, long now) {
     if (pending == null && leases.containsKey(task)) {
       long fencingToken = leases.get(task).fencingToken();
       pending =
@@ -164,9 +176,9 @@
 
   // ---- results
 
-  /** Handles the result of a command. One that is not awaited any more changes nothing. */
+  /** Handles the result of a command. Ignores a result that does not answer the pending command. */
   public void handleResult(long sequence, CommandResult result, long now) {
-    if (pending == null || !isAwaited(sequence)) {
+    if (pending == null || !answersPending(sequence)) {
       return;
     }
     LeaseCommand command = pending;
@@ -191,21 +203,24 @@
     }
   }
 
-  /** A claim or renewal sets the end of a lease; other results only say what is still held. */
+  /**
+   * Updates the held leases. Only the result of a claim or renewal extends a lease; the others just
+   * list which leases are still held.
+   */
   private void updateLeases(LeaseCommand command, CommandResult result, long now) {
     leases
         .keySet()
         .removeIf(task -> result.leases().stream().noneMatch(grant -> grant.task().equals(task)));
     for (Grant grant : result.leases()) {
-      boolean renewed =
+      boolean extended =
           command.kind() == Kind.RENEW
               || (command.kind() == Kind.CLAIM && command.task().equals(grant.task()));
-      HeldLease before = leases.get(grant.task());
-      if (renewed) {
+      HeldLease previous = leases.get(grant.task());
+      if (extended) {
         long expiresAt = leaseStart(pendingSentAt, now) + leaseDurationUs(result.config());
         leases.put(grant.task(), new HeldLease(grant.fencingToken(), expiresAt));
-      } else if (before == null || before.fencingToken() != grant.fencingToken()) {
-        leases.put(grant.task(), new HeldLease(grant.fencingToken(), NEVER_USABLE));
+      } else if (previous == null || previous.fencingToken() != grant.fencingToken()) {
+        leases.put(grant.task(), new HeldLease(grant.fencingToken(), UNKNOWN_EXPIRY));
       }
     }
   }
@@ -213,7 +228,7 @@
   private void updateAssignedTasks(LeaseCommand command, CommandResult result) {
     assignedTasks = leaving ? List.of() : result.assignedTasks();
     if (command.kind() == Kind.CLAIM && result.error() != null) {
-      // Refused: the next renewal says whether it is still assigned.
+      // The claim was refused. The result of the next renewal tells if the task is still assigned.
       assignedTasks =
           assignedTasks.stream()
               .filter(task -> !task.equals(command.task()) || leases.containsKey(task))
@@ -221,40 +236,40 @@
     }
   }
 
-  // ---- what is held
+  // ---- held leases
 
   /**
    * Returns the fencing token to act with for a task now, or 0 if its lease is not held.
    *
-   * @param marginUs how much time the lease has to have left at the least, in microseconds
+   * @param marginUs the remaining time that the lease must exceed, in microseconds
    */
   public long tokenIfHeld(String task, long now, long marginUs) {
     HeldLease lease = leases.get(task);
     return lease != null && !leaving && isHeld(lease, now, marginUs) ? lease.fencingToken() : 0;
   }
 
-  /** Stops acting for all tasks at once; the next command releases all leases. */
+  /** Stops using all leases at once. The next new command ends the membership and releases them. */
   public void leave() {
     leaving = true;
   }
 
-  /** Returns whether the member has left or was retired, and there is nothing more to send. */
+  /** Returns whether the member has left or was retired, so that it sends no more commands. */
   public boolean hasLeft() {
     return left;
   }
 
-  // ---- rules that must hold, one method each, so that a model test can leave out any of them
+  // ---- rules that must hold, one method each, so that a model test can disable any of them
 
   /**
-   * Drops a lease once its release is sent: nothing may be done under it from then on, as a
-   * successor hears of the release first.
+   * Drops a lease when its release is about to be sent. The member must not act under it from then
+   * on, because a successor may get the lease before the result arrives.
    */
   protected void dropBeforeRelease(String task) {
     leases.remove(task);
   }
 
   /** Returns when a command counts as sent: the first time, however often it was repeated. */
-  protected long sentAt(long firstSentAt, long repeatedAt) {
+  protected long effectiveSentAt(long firstSentAt, long repeatedAt) {
     return firstSentAt;
   }
 
@@ -263,22 +278,22 @@
     return config.holderLeaseUs();
   }
 
-  /** Returns when a lease starts: when its command was sent, not when it was answered. */
-  protected long leaseStart(long sentAt, long answeredAt) {
+  /** Returns when a lease starts: when its command was sent, not when the result arrived. */
+  protected long leaseStart(long sentAt, long resultReceivedAt) {
     return sentAt;
   }
 
-  /** Returns whether a lease has that much time left. */
+  /** Returns whether a lease has more than the given margin of time left. */
   protected boolean isHeld(HeldLease lease, long now, long marginUs) {
     return now + marginUs < lease.expiresAt();
   }
 
-  /** Returns whether a result is the pending command's. */
-  protected boolean isAwaited(long sequence) {
+  /** Returns whether a result with this sequence number answers the pending command. */
+  protected boolean answersPending(long sequence) {
     return pending.sequence() == sequence;
   }
 
-  /** Returns all of the state, for comparing two holders. */
+  /** Returns the state as text, for comparing two holders. */
   @Override
   public String toString() {
     return member
--- a/router/src/main/java/tidebank/lease/LeaseTable.java
+++ b/router/src/main/java/tidebank/lease/LeaseTable.java
@@ -5,9 +5,9 @@
 import tidebank.errors.TidebankException;
 
 /**
- * The coordinator's table of members, singleton tasks and their leases. A deterministic state
+ * The coordinator's table of members, singleton tasks and their leases. It is a deterministic state
  * machine: the same commands in the same order give the same results and the same state. The leader
- * stamps each command with its term and its monotonic clock, in microseconds.
+ * stamps each command with its term and with the time of its monotonic clock, in microseconds.
  */
 public class LeaseTable {
   private final GrantRules rules;
@@ -23,7 +23,7 @@
     this(config, new GrantRules());
   }
 
-  /** Creates a table that goes on from a stored state. */
+  /** Creates a table from a stored state. */
   public LeaseTable(LeaseTableState state) {
     this(state, new GrantRules());
   }
@@ -57,11 +57,11 @@
   }
 
   /**
-   * Applies one command and returns its result. A repeated command gets the first one's result and
-   * has no effect.
+   * Applies a command and returns its result. A repeated command gets the result of the first one
+   * and has no effect.
    *
    * @param commandTerm the term of the leader that stamped the command
-   * @param clock that leader's monotonic clock at the time, in microseconds
+   * @param clock the time of that leader's monotonic clock, in microseconds
    */
   public CommandResult apply(long commandTerm, long clock, LeaseCommand command) {
     if (commandTerm > term) {
@@ -73,11 +73,13 @@
       return last.result();
     }
     CommandResult result = execute(command, last.sequence());
-    rememberResult(command, result);
+    recordResult(command, result);
     return result;
   }
 
-  /** Moves all times to the clock of a new leader, which has nothing in common with the old one. */
+  /**
+   * Adjusts all times to the clock of a new leader, which is unrelated to the previous leader's.
+   */
   protected void startTerm(long newTerm, long newClock) {
     members.startTerm(leaderClock, newClock, config);
     tasks.startTerm(leaderClock, newClock, config);
@@ -93,7 +95,7 @@
   private LastCommand lastCommand(LeaseCommand command) {
     if (command.sentByMember()) {
       Member member = members.find(command.member());
-      return member != null && member.joinedBy(command.session())
+      return member != null && member.isJoinedBy(command.session())
           ? new LastCommand(member.lastSequence(), member.lastResult())
           : new LastCommand(0, null);
     }
@@ -103,16 +105,16 @@
         : new LastCommand(operator.lastSequence(), operator.lastResult());
   }
 
-  private void rememberResult(LeaseCommand command, CommandResult result) {
+  private void recordResult(LeaseCommand command, CommandResult result) {
     if (!command.sentByMember()) {
-      operators.rememberResult(command, result);
+      operators.recordResult(command, result);
       return;
     }
     Member member = members.find(command.member());
     if (member != null
-        && member.joinedBy(command.session())
+        && member.isJoinedBy(command.session())
         && command.sequence() > member.lastSequence()) {
-      members.rememberResult(member, command.sequence(), result);
+      members.recordResult(member, command.sequence(), result);
     }
   }
 
@@ -133,13 +135,13 @@
     assignTasks();
     return new CommandResult(
         error,
-        tasks.heldBy(command.session(), leaderClock),
-        command.sentByMember() ? tasks.claimableBy(command, leaderClock) : List.of(),
+        tasks.grantsOf(command.session(), leaderClock),
+        command.sentByMember() ? tasks.claimableTasks(command, leaderClock) : List.of(),
         config,
         revision);
   }
 
-  /** Executes a member's command; returns the revision it published, or 0. */
+  /** Executes a member's command and returns the revision that it published, or 0. */
   private long executeForMember(LeaseCommand command) throws TidebankException {
     if (command.kind() == LeaseCommand.Kind.JOIN) {
       members.join(command, leaderClock, config);
@@ -169,11 +171,11 @@
     return 0;
   }
 
-  /** Executes an operator's or leader's command; returns 0, as it publishes nothing. */
+  /** Executes a command of an operator or a leader and returns 0, as it publishes nothing. */
   private long executeForOperator(LeaseCommand command) throws TidebankException {
     switch (command.kind()) {
       case MOVE -> {
-        TaskLease lease = tasks.require(command.task());
+        TaskLease lease = tasks.requireTask(command.task());
         if (!command.member().isEmpty()) {
           members.requireNamed(command.member());
         }
@@ -184,7 +186,7 @@
       case RETIRE -> members.retire(members.requireNamed(command.member()));
       case PLAN -> {
         config = command.plan().config();
-        tasks.configure(command.plan().tasks(), leaderClock);
+        tasks.setTasks(command.plan().tasks(), leaderClock);
       }
       default -> throw new IllegalStateException("not an operator's command: " + command.kind());
     }
@@ -192,6 +194,6 @@
   }
 
   private void assignTasks() {
-    tasks.assign(members.eligible(leaderClock), leaderClock);
+    tasks.assign(members.eligibleNames(leaderClock), leaderClock);
   }
 }
--- a/router/src/main/java/tidebank/lease/LeaseTableState.java
+++ b/router/src/main/java/tidebank/lease/LeaseTableState.java
@@ -6,15 +6,15 @@
 import java.util.TreeMap;
 
 /**
- * The whole state of a {@link LeaseTable}, as it is stored in snapshots and shown to operators.
+ * The whole state of a {@link LeaseTable}, as stored in snapshots and shown to operators.
  *
- * @param config what leases are granted by
- * @param term the term of the last leader whose command was applied
+ * @param config the lease configuration in force
+ * @param term the term of the last leader that stamped an applied command
  * @param leaderClock the latest time of that leader's clock, in microseconds
  * @param tokenFloor the greatest fencing token of any task that was removed
  * @param members all members, by name
  * @param tasks all singleton tasks, by name
- * @param operators operators' sessions, the one used longest ago first
+ * @param operators the operator sessions, the least recently used first
  */
 public record LeaseTableState(
     LeaseConfig config,
@@ -24,12 +24,12 @@
     List<Member> members,
     List<TaskLease> tasks,
     List<OperatorSession> operators) {
-  /** Returns the tasks that nobody holds, by the member that each is assigned to. */
-  public SortedMap<String, List<String>> unclaimed() {
+  /** Returns the assigned tasks that no member holds, by the member that they are assigned to. */
+  public SortedMap<String, List<String>> unclaimedTasks() {
     SortedMap<String, List<String>> tasksByMember = new TreeMap<>();
     for (TaskLease lease : tasks) {
-      boolean free = lease.holder().isEmpty() || leaderClock >= lease.expiresAt();
-      if (free && !lease.assignedMember().isEmpty()) {
+      boolean unheld = lease.holder().isEmpty() || leaderClock >= lease.expiresAt();
+      if (unheld && !lease.assignedMember().isEmpty()) {
         tasksByMember
             .computeIfAbsent(lease.assignedMember(), member -> new ArrayList<>())
             .add(lease.task());
@@ -38,7 +38,7 @@
     return tasksByMember;
   }
 
-  /** Returns the same state at a later time of the same term; for display. */
+  /** Returns the same state at a later time of the same term, for display. */
   public LeaseTableState asOf(long time) {
     return new LeaseTableState(
         config, term, Math.max(leaderClock, time), tokenFloor, members, tasks, operators);
--- a/router/src/main/java/tidebank/lease/Member.java
+++ b/router/src/main/java/tidebank/lease/Member.java
@@ -1,16 +1,16 @@
 package tidebank.lease;
 
 /**
- * A name that is or was a member. Times are those of the leader's clock, in microseconds.
+ * A current or former member. Times are in microseconds of the leader's clock.
  *
  * @param name the member's name
- * @param session the session that joined under it last
- * @param expiresAt when it stops being alive unless it renews
- * @param eligibleAt before this time no task is assigned to it
- * @param flapCount how often in a row it came back soon after it had gone
- * @param draining whether an operator lets it have no task
- * @param retired whether an operator ended the name for good
- * @param lastSequence the number of its session's last command
+ * @param session the session that joined last under this name
+ * @param expiresAt when the membership expires unless it is renewed
+ * @param eligibleAt the time before which a flapping member gets no task if another member can
+ * @param flapCount how many times in a row the member rejoined soon after its membership had ended
+ * @param draining whether an operator drains the member, so that no task is assigned to it
+ * @param retired whether an operator retired the name for good
+ * @param lastSequence the sequence number of the last command of the session
  * @param lastResult the result of that command
  */
 public record Member(
@@ -23,11 +23,11 @@
     boolean retired,
     long lastSequence,
     CommandResult lastResult) {
-  boolean aliveAt(long leaderClock) {
+  boolean isAliveAt(long leaderClock) {
     return expiresAt > leaderClock;
   }
 
-  boolean joinedBy(String otherSession) {
+  boolean isJoinedBy(String otherSession) {
     return session.equals(otherSession);
   }
 
--- a/router/src/main/java/tidebank/lease/MemberTable.java
+++ b/router/src/main/java/tidebank/lease/MemberTable.java
@@ -7,10 +7,15 @@
 import tidebank.errors.MembershipException;
 import tidebank.errors.TidebankException;
 
-/** The members of a {@link LeaseTable}: joining, renewing, leaving, and operators' flags. */
+/**
+ * The members of a {@link LeaseTable}: joins, renewals, leaves, and the flags that operators set.
+ */
 final class MemberTable {
-  /** How often the hold-off of a member that keeps coming and going doubles. */
-  private static final int MAX_HOLD_OFF_DOUBLINGS = 5;
+  /**
+   * The greatest flap count. A flapping member is held off for one lease, and for twice as long
+   * with each further flap.
+   */
+  private static final int MAX_FLAP_COUNT = 5;
 
   private final SortedMap<String, Member> members = new TreeMap<>();
   private final GrantRules rules;
@@ -32,16 +37,21 @@
     return members.get(name);
   }
 
-  /** Returns the member that a command comes from. */
+  /**
+   * Returns the member that sent a command. Throws if it is not registered, joined under another
+   * session since, or is retired.
+   */
   Member requireSender(LeaseCommand command) throws TidebankException {
     Member member = find(command.member());
-    if (member == null || !member.joinedBy(command.session())) {
+    if (member == null || !member.isJoinedBy(command.session())) {
       throw new MembershipException.MemberUnknown(command.member());
     }
     return requireNotRetired(member);
   }
 
-  /** Returns the member that an operator's command names. */
+  /**
+   * Returns the member that an operator's command names. Throws if it does not exist or is retired.
+   */
   Member requireNamed(String name) throws TidebankException {
     Member member = find(name);
     if (member == null) {
@@ -59,38 +69,38 @@
 
   void join(LeaseCommand command, long leaderClock, LeaseConfig config) throws TidebankException {
     config.checkTextLength("name", command.member());
-    Member before = find(command.member());
-    if (before == null) {
-      makeRoom(leaderClock, config);
-      put(joined(command, leaderClock, config, 0, leaderClock, false));
+    Member existing = find(command.member());
+    if (existing == null) {
+      evictIfFull(leaderClock, config);
+      put(createMember(command, leaderClock, config, 0, leaderClock, false));
       return;
     }
-    requireNotRetired(before);
-    if (before.joinedBy(command.session())) {
+    requireNotRetired(existing);
+    if (existing.isJoinedBy(command.session())) {
       put(
-          joined(
+          createMember(
               command,
               leaderClock,
               config,
-              before.flapCount(),
-              before.eligibleAt(),
-              before.draining()));
+              existing.flapCount(),
+              existing.eligibleAt(),
+              existing.draining()));
       return;
     }
-    if (before.aliveAt(leaderClock)) {
-      throw new MembershipException.NameTaken(command.member(), before.expiresAt() - leaderClock);
+    if (existing.isAliveAt(leaderClock)) {
+      throw new MembershipException.NameTaken(command.member(), existing.expiresAt() - leaderClock);
     }
-    // A member that keeps coming and going gets tasks ever later; a long absence is forgiven.
-    long absentUs = leaderClock - before.expiresAt();
-    boolean cameBackSoon = absentUs < (config.leaseUs() << MAX_HOLD_OFF_DOUBLINGS);
-    int flapCount = cameBackSoon ? Math.min(MAX_HOLD_OFF_DOUBLINGS, before.flapCount() + 1) : 0;
+    // Each flap doubles the time before the member gets tasks; a long absence resets the count.
+    long absentUs = leaderClock - existing.expiresAt();
+    boolean flapped = absentUs < (config.leaseUs() << MAX_FLAP_COUNT);
+    int flapCount = flapped ? Math.min(MAX_FLAP_COUNT, existing.flapCount() + 1) : 0;
     long holdOffUs = flapCount == 0 ? 0 : config.leaseUs() << (flapCount - 1);
     put(
-        joined(
-            command, leaderClock, config, flapCount, leaderClock + holdOffUs, before.draining()));
+        createMember(
+            command, leaderClock, config, flapCount, leaderClock + holdOffUs, existing.draining()));
   }
 
-  private static Member joined(
+  private static Member createMember(
       LeaseCommand command,
       long leaderClock,
       LeaseConfig config,
@@ -109,17 +119,20 @@
         null);
   }
 
-  /** Forgets the member that has been gone longest where there are as many as there may be. */
-  private void makeRoom(long leaderClock, LeaseConfig config) throws TidebankException {
+  /**
+   * Removes the member that expired longest ago if the table is full. Throws if all are alive or
+   * retired.
+   */
+  private void evictIfFull(long leaderClock, LeaseConfig config) throws TidebankException {
     if (members.size() < config.maxMembers()) {
       return;
     }
-    Member longestGone =
+    Member expiredLongest =
         members.values().stream()
-            .filter(member -> !member.aliveAt(leaderClock) && !member.retired())
+            .filter(member -> !member.isAliveAt(leaderClock) && !member.retired())
             .min(Comparator.comparingLong(Member::expiresAt))
             .orElseThrow(() -> new MembershipException.MemberLimitReached(config.maxMembers()));
-    members.remove(longestGone.name());
+    members.remove(expiredLongest.name());
   }
 
   void renew(Member member, long expiresAt) {
@@ -138,28 +151,28 @@
     put(member.withFlags(false, true));
   }
 
-  void rememberResult(Member member, long sequence, CommandResult result) {
+  void recordResult(Member member, long sequence, CommandResult result) {
     put(member.withLastCommand(sequence, result));
   }
 
-  /** Moves all times to the clock of a new leader. */
+  /** Adjusts all times to the clock of a new leader. */
   void startTerm(long oldClock, long newClock, LeaseConfig config) {
     members.replaceAll(
         (name, member) ->
             member.withTimes(
-                rules.expiryInNewTerm(!member.aliveAt(oldClock), newClock, config),
+                rules.expiryInNewTerm(!member.isAliveAt(oldClock), newClock, config),
                 newClock + Math.max(0, member.eligibleAt() - oldClock)));
   }
 
   /**
-   * Returns the members that tasks may be assigned to. If all of them are held off, they are better
-   * than nobody.
+   * Returns the names of the members that tasks may be assigned to. If all of them are held off,
+   * returns them all, because a held-off member is better than none.
    */
-  List<String> eligible(long leaderClock) {
+  List<String> eligibleNames(long leaderClock) {
     List<Member> alive =
         members.values().stream()
             .filter(
-                member -> member.aliveAt(leaderClock) && !member.draining() && !member.retired())
+                member -> member.isAliveAt(leaderClock) && !member.draining() && !member.retired())
             .toList();
     List<String> eligible =
         alive.stream()
--- a/router/src/main/java/tidebank/lease/OperatorSession.java
+++ b/router/src/main/java/tidebank/lease/OperatorSession.java
@@ -1,10 +1,10 @@
 package tidebank.lease;
 
 /**
- * The last command of an operator's session, so that a repeated one takes effect once.
+ * The last command of an operator session, kept so that a repeated command takes effect only once.
  *
  * @param session the session's name
- * @param lastSequence the number of its last command
+ * @param lastSequence the sequence number of its last command
  * @param lastResult the result of that command
  */
 public record OperatorSession(String session, long lastSequence, CommandResult lastResult) {}
--- a/router/src/main/java/tidebank/lease/OperatorSessions.java
+++ b/router/src/main/java/tidebank/lease/OperatorSessions.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The sessions of operators that sent a command last, a bounded number of them. */
+/** The most recently used operator sessions, up to a fixed number. */
 final class OperatorSessions {
   private static final int MAX_SESSIONS = 64;
 
@@ -14,7 +14,7 @@
     stored.forEach(session -> sessions.put(session.session(), session));
   }
 
-  /** Returns all sessions, the one used longest ago first. */
+  /** Returns all sessions, the least recently used first. */
   List<OperatorSession> all() {
     return List.copyOf(sessions.values());
   }
@@ -24,7 +24,7 @@
     return sessions.get(session);
   }
 
-  void rememberResult(LeaseCommand command, CommandResult result) {
+  void recordResult(LeaseCommand command, CommandResult result) {
     sessions.remove(command.session());
     sessions.put(
         command.session(), new OperatorSession(command.session(), command.sequence(), result));
--- a/router/src/main/java/tidebank/lease/TaskAssignment.java
+++ b/router/src/main/java/tidebank/lease/TaskAssignment.java
@@ -9,12 +9,12 @@
 import tidebank.model.SeededRandom;
 
 /**
- * Assigns singleton tasks to members: by rendezvous hashing, so that a member's coming or going
- * moves few tasks; with a capacity, so that none has many more than others; and keeping what is, as
- * a move leaves a task without a holder for a while.
+ * Assigns singleton tasks to members. Rendezvous hashing moves few tasks when a member joins or
+ * leaves, a capacity per member limits uneven loads, and current assignments are kept because a
+ * task has no holder for a while when it moves.
  */
 final class TaskAssignment {
-  /** Tasks that a member may have, over an even share. */
+  /** The capacity of a member, as a multiple of an even share of the tasks. */
   private static final double CAPACITY_FACTOR = 1.25;
 
   private final List<String> members;
@@ -22,18 +22,19 @@
   private final Map<String, String> assigned = new TreeMap<>();
   private final Map<String, Integer> loads = new HashMap<>();
 
-  private TaskAssignment(int tasks, List<String> members) {
+  private TaskAssignment(int taskCount, List<String> members) {
     this.members = members;
-    capacity = (int) Math.ceil(CAPACITY_FACTOR * tasks / members.size());
+    capacity = (int) Math.ceil(CAPACITY_FACTOR * taskCount / members.size());
   }
 
   /**
-   * Returns the member of each task; tasks that no member has room for are left out.
+   * Returns the member that each task is assigned to. Tasks that no member has capacity for are
+   * left out.
    *
-   * @param tasks all of them, in a fixed order
-   * @param members those that may have one
-   * @param current the holder of each task, or the member it was assigned to last
-   * @param sticky the member that an operator assigned each task to
+   * @param tasks all tasks, in a fixed order
+   * @param members the members that tasks may be assigned to
+   * @param current the holder of each task or, if it has none, the member it was last assigned to
+   * @param sticky the member that an operator assigned each task to, or empty
    */
   static Map<String, String> assign(
       Collection<String> tasks,
@@ -44,21 +45,21 @@
       return new TreeMap<>();
     }
     TaskAssignment assignment = new TaskAssignment(tasks.size(), members);
-    // What stays goes first, so that it is not pushed out by what moves.
+    // Tasks that keep their member come first, so that moving tasks do not take up its capacity.
     for (String task : tasks) {
       String member = sticky.get(task);
       if (members.contains(member)) {
-        assignment.put(task, member);
+        assignment.assignTo(task, member);
       }
     }
     for (String task : tasks) {
       String member = current.get(task);
       if (members.contains(member) && assignment.hasCapacity(member)) {
-        assignment.put(task, member);
+        assignment.assignTo(task, member);
       }
     }
     for (String task : tasks) {
-      assignment.putByHash(task);
+      assignment.assignByHash(task);
     }
     return assignment.assigned;
   }
@@ -67,13 +68,13 @@
     return loads.getOrDefault(member, 0) < capacity;
   }
 
-  private void put(String task, String member) {
+  private void assignTo(String task, String member) {
     if (assigned.putIfAbsent(task, member) == null) {
       loads.merge(member, 1, Integer::sum);
     }
   }
 
-  private void putByHash(String task) {
+  private void assignByHash(String task) {
     if (assigned.containsKey(task)) {
       return;
     }
@@ -83,6 +84,6 @@
             Comparator.comparingDouble(
                     (String member) -> SeededRandom.mixedHash(task + '/' + member))
                 .thenComparing(Comparator.naturalOrder()))
-        .ifPresent(member -> put(task, member));
+        .ifPresent(member -> assignTo(task, member));
   }
 }
--- a/router/src/main/java/tidebank/lease/TaskLease.java
+++ b/router/src/main/java/tidebank/lease/TaskLease.java
@@ -1,17 +1,18 @@
 package tidebank.lease;
 
 /**
- * A singleton task with its lease, its assignment and its published value. Times are those of the
- * leader's clock, in microseconds.
+ * A singleton task with its lease, its assigned member and its published value. Times are in
+ * microseconds of the leader's clock.
  *
  * @param task the task's name
- * @param fencingToken the last fencing token granted, 0 before the first grant
- * @param holder the member it was granted to, or empty if it was released
- * @param session the session it was granted to, or empty
- * @param expiresAt the end of the lease
- * @param assignedMember the member that may claim it, or empty
- * @param stickyMember the member that an operator assigned it to, or empty
- * @param revision counts published values
+ * @param fencingToken the last fencing token granted, or before the first grant the floor that it
+ *     must exceed
+ * @param holder the member that the lease was last granted to, or empty if it was released
+ * @param session the session that the lease was last granted to, or empty if it was released
+ * @param expiresAt when the lease expires
+ * @param assignedMember the member that may claim the task, or empty
+ * @param stickyMember the member that an operator assigned the task to, or empty
+ * @param revision the number of values published so far
  * @param publishingToken the fencing token that the value was published with
  * @param value the published value
  */
@@ -26,16 +27,18 @@
     long revision,
     long publishingToken,
     String value) {
-  /** Returns a task that was never granted; its first fencing token is above the floor. */
+  /**
+   * Returns a task that was never granted. Its first fencing token will be greater than the floor.
+   */
   static TaskLease neverGranted(String task, long fencingTokenFloor, long leaderClock) {
     return new TaskLease(task, fencingTokenFloor, "", "", leaderClock, "", "", 0, 0, "");
   }
 
-  boolean heldBy(String otherSession) {
+  boolean isHeldBy(String otherSession) {
     return session.equals(otherSession);
   }
 
-  TaskLease granted(long newToken, String newHolder, String newSession, long newExpiresAt) {
+  TaskLease withGrant(long newToken, String newHolder, String newSession, long newExpiresAt) {
     return new TaskLease(
         task,
         newToken,
@@ -50,14 +53,14 @@
   }
 
   TaskLease withExpiry(long newExpiresAt) {
-    return granted(fencingToken, holder, session, newExpiresAt);
+    return withGrant(fencingToken, holder, session, newExpiresAt);
   }
 
-  TaskLease released() {
-    return granted(fencingToken, "", "", expiresAt);
+  TaskLease withoutHolder() {
+    return withGrant(fencingToken, "", "", expiresAt);
   }
 
-  TaskLease assigned(String newAssignedMember, String newStickyMember) {
+  TaskLease withAssignment(String newAssignedMember, String newStickyMember) {
     return new TaskLease(
         task,
         fencingToken,
@@ -72,7 +75,7 @@
   }
 
   /** Returns the task with a new value, published with its current fencing token. */
-  TaskLease published(String newValue) {
+  TaskLease withPublishedValue(String newValue) {
     return new TaskLease(
         task,
         fencingToken,
--- a/router/src/main/java/tidebank/lease/TaskLeaseTable.java
+++ b/router/src/main/java/tidebank/lease/TaskLeaseTable.java
@@ -9,16 +9,16 @@
 import tidebank.errors.TidebankException;
 
 /**
- * The singleton tasks of a {@link LeaseTable}: granting, renewing and releasing their leases,
- * publishing values under them, and assigning them to members.
+ * The singleton tasks of a {@link LeaseTable}: grants, renews and releases their leases, publishes
+ * values for them, and assigns them to members.
  */
 final class TaskLeaseTable {
   private final SortedMap<String, TaskLease> leases = new TreeMap<>();
   private final GrantRules rules;
 
   /**
-   * The greatest fencing token of any task that was removed: a task that comes back under its name
-   * goes on from there.
+   * The greatest fencing token of any removed task. New tasks start from it, so that a task that is
+   * removed and added again never reuses a token.
    */
   private long fencingTokenFloor;
 
@@ -42,9 +42,9 @@
   // ---- leases
 
   void claim(LeaseCommand command, long leaderClock, LeaseConfig config) throws TidebankException {
-    TaskLease lease = require(command.task());
+    TaskLease lease = requireTask(command.task());
     boolean expired = rules.isExpired(lease, leaderClock);
-    if (!expired && !lease.heldBy(command.session())) {
+    if (!expired && !lease.isHeldBy(command.session())) {
       throw new MembershipException.LeaseHeldByOther(
           lease.task(), lease.holder(), lease.expiresAt() - leaderClock);
     }
@@ -54,28 +54,28 @@
     }
     long fencingToken = expired ? rules.nextFencingToken(lease) : lease.fencingToken();
     put(
-        lease.granted(
+        lease.withGrant(
             fencingToken, command.member(), command.session(), leaderClock + config.leaseUs()));
   }
 
   void release(LeaseCommand command, long leaderClock) throws TidebankException {
-    put(requireCurrentHolder(command, leaderClock).released());
+    put(requireCurrentHolder(command, leaderClock).withoutHolder());
   }
 
   /** Renews all leases of a session that have not expired. */
   void renewAll(String session, long leaderClock, long expiresAt) {
     leases.replaceAll(
         (task, lease) ->
-            lease.heldBy(session) && !rules.isExpired(lease, leaderClock)
+            lease.isHeldBy(session) && !rules.isExpired(lease, leaderClock)
                 ? lease.withExpiry(expiresAt)
                 : lease);
   }
 
   void releaseAll(String session) {
-    leases.replaceAll((task, lease) -> lease.heldBy(session) ? lease.released() : lease);
+    leases.replaceAll((task, lease) -> lease.isHeldBy(session) ? lease.withoutHolder() : lease);
   }
 
-  /** Replaces a task's published value; returns the new revision. */
+  /** Replaces a task's published value and returns the new revision. */
   long publish(LeaseCommand command, long leaderClock, LeaseConfig config)
       throws TidebankException {
     TaskLease lease = requireCurrentHolder(command, leaderClock);
@@ -84,15 +84,17 @@
       throw new MembershipException.RevisionConflict(
           lease.task(), command.revision(), lease.revision());
     }
-    TaskLease published = lease.published(command.value());
+    TaskLease published = lease.withPublishedValue(command.value());
     put(published);
     return published.revision();
   }
 
-  /** Returns the task of a command that only the current holder of its lease may send. */
+  /**
+   * Returns the lease that a command refers to. Throws if the command's sender does not hold it.
+   */
   private TaskLease requireCurrentHolder(LeaseCommand command, long leaderClock)
       throws TidebankException {
-    TaskLease lease = require(command.task());
+    TaskLease lease = requireTask(command.task());
     if (!rules.isCurrentHolder(lease, command)) {
       throw new MembershipException.StaleFencingToken(
           lease.task(), command.fencingToken(), lease.fencingToken());
@@ -104,14 +106,14 @@
   }
 
   /** Returns the leases that a session holds. */
-  List<CommandResult.Grant> heldBy(String session, long leaderClock) {
+  List<CommandResult.Grant> grantsOf(String session, long leaderClock) {
     return leases.values().stream()
-        .filter(lease -> lease.heldBy(session) && !rules.isExpired(lease, leaderClock))
+        .filter(lease -> lease.isHeldBy(session) && !rules.isExpired(lease, leaderClock))
         .map(lease -> new CommandResult.Grant(lease.task(), lease.fencingToken()))
         .toList();
   }
 
-  /** Moves all times to the clock of a new leader. */
+  /** Adjusts all expiry times to the clock of a new leader. */
   void startTerm(long oldClock, long newClock, LeaseConfig config) {
     leases.replaceAll(
         (task, lease) ->
@@ -121,7 +123,7 @@
 
   // ---- tasks and their assignment
 
-  TaskLease require(String task) throws TidebankException {
+  TaskLease requireTask(String task) throws TidebankException {
     TaskLease lease = leases.get(task);
     if (lease == null) {
       throw new MembershipException.TaskNotFound(task);
@@ -129,8 +131,8 @@
     return lease;
   }
 
-  /** Removes the tasks that are not listed and adds those that are not there yet. */
-  void configure(List<String> tasks, long leaderClock) {
+  /** Removes the tasks that are not listed and adds the listed ones that are missing. */
+  void setTasks(List<String> tasks, long leaderClock) {
     for (TaskLease lease : all()) {
       if (!tasks.contains(lease.task())) {
         fencingTokenFloor = Math.max(fencingTokenFloor, lease.fencingToken());
@@ -143,9 +145,9 @@
     }
   }
 
-  /** Assigns a task to one member for as long as that is eligible, or with an empty name to any. */
+  /** Assigns a task to one member as long as that member is eligible. An empty name allows any. */
   void setStickyMember(TaskLease lease, String member) {
-    put(lease.assigned(lease.assignedMember(), member));
+    put(lease.withAssignment(lease.assignedMember(), member));
   }
 
   /** Assigns all tasks to the eligible members. */
@@ -160,14 +162,15 @@
     Map<String, String> assignment =
         TaskAssignment.assign(leases.keySet(), eligibleMembers, current, sticky);
     leases.replaceAll(
-        (task, lease) -> lease.assigned(assignment.getOrDefault(task, ""), lease.stickyMember()));
+        (task, lease) ->
+            lease.withAssignment(assignment.getOrDefault(task, ""), lease.stickyMember()));
   }
 
-  /** Returns the tasks assigned to a command's sender that it holds or could claim at once. */
-  List<String> claimableBy(LeaseCommand command, long leaderClock) {
+  /** Returns the tasks assigned to a command's sender that it holds or can claim at once. */
+  List<String> claimableTasks(LeaseCommand command, long leaderClock) {
     return leases.values().stream()
         .filter(lease -> lease.assignedMember().equals(command.member()))
-        .filter(lease -> rules.isExpired(lease, leaderClock) || lease.heldBy(command.session()))
+        .filter(lease -> rules.isExpired(lease, leaderClock) || lease.isHeldBy(command.session()))
         .map(TaskLease::task)
         .toList();
   }
--- a/router/src/main/java/tidebank/lease/package-info.java
+++ b/router/src/main/java/tidebank/lease/package-info.java
@@ -1,20 +1,19 @@
 /**
- * Leases on the fleet's singleton tasks: the rules of the coordinator that grants them and of the
- * member that holds them.
+ * Leases on the fleet's singleton tasks: the rules of the coordinator, which grants them, and of
+ * the members, which hold them.
  *
- * <p>A singleton task is done by one member at a time. A member joins, claims the tasks that are
- * assigned to it and renews its leases; each grant carries a fencing token that only grows, and
+ * <p>A singleton task is run by one member at a time. A member joins, claims the tasks that are
+ * assigned to it and renews its leases. Each grant carries a fencing token that only increases, and
  * every write for a task is checked against the last token granted. Safety rests on that check and
- * on monotonic clocks of a bounded drift, never on a check at the sender alone.
+ * on monotonic clocks with a bounded drift, never on a check by the sender alone.
  *
- * <p>Everything here is pure: no I/O, no threads, no clock of its own. {@link
- * tidebank.lease.LeaseTable} is owned by the coordinator's replicated state machine, which applies
- * commands in the order of its log; {@link tidebank.lease.LeaseHolder} is owned by a member's agent
- * thread.
+ * <p>The package is pure: it has no I/O, no threads and no clock of its own. {@link
+ * tidebank.lease.LeaseTable} belongs to the coordinators' replicated state machine, which applies
+ * commands in log order; {@link tidebank.lease.LeaseHolder} belongs to a member's agent thread.
  *
- * <p>Start reading at {@link tidebank.lease.LeaseTable#apply}. The rules that must hold are one
- * method each in {@link tidebank.lease.GrantRules} and at the end of {@link
- * tidebank.lease.LeaseHolder}; the exhaustive model test leaves out one at a time. A stale fencing
- * token is refused in {@link tidebank.lease.TaskLeaseTable}.
+ * <p>Start reading at {@link tidebank.lease.LeaseTable#apply}. Each rule that must hold is a method
+ * of {@link tidebank.lease.GrantRules} or one of the last methods of {@link
+ * tidebank.lease.LeaseHolder}; the exhaustive model test disables one rule at a time. {@link
+ * tidebank.lease.TaskLeaseTable} rejects stale fencing tokens.
  */
 package tidebank.lease;
--- a/router/src/main/java/tidebank/runtime/QueryRouter.java
+++ b/router/src/main/java/tidebank/runtime/QueryRouter.java
@@ -123,7 +123,7 @@
   }
 
   /** Starts the fleet agent; called last, so that the agent never delays listening. */
-  private void startAgent(FleetAgent.Plan fleet) {
+  private void startAgent(FleetAgent.Config fleet) {
     if (fleet != null) {
       agent = new FleetAgent(fleet, config.name(), counters::all, loop).start();
     }
--- a/router/src/test/java/tidebank/config/ConfigFixtureTest.java
+++ b/router/src/test/java/tidebank/config/ConfigFixtureTest.java
@@ -163,14 +163,14 @@
           .put("capture.budget_bytes", capture.maxTotalBytes())
           .put("capture.force", capture.syncEveryBlock());
     }
-    FleetAgent.Plan fleet = file.fleet();
+    FleetAgent.Config fleet = file.fleet();
     if (fleet != null) {
       fields
           .put("fleet.stewards", fleet.coordinators())
           .put("fleet.folder", fleet.sharedFolder())
           .put("fleet.every_us", fleet.intervalUs())
-          .put("fleet.keep_us", fleet.retention().ageUs())
-          .put("fleet.keep_bytes", fleet.retention().bytes());
+          .put("fleet.keep_us", fleet.retention().maxAgeUs())
+          .put("fleet.keep_bytes", fleet.retention().maxTotalBytes());
     }
     return fields.lines();
   }
--- a/router/src/test/java/tidebank/fleet/RetentionTest.java
+++ b/router/src/test/java/tidebank/fleet/RetentionTest.java
@@ -13,73 +13,93 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import tidebank.fleet.Retention.Bounds;
-import tidebank.fleet.Retention.Item;
-import tidebank.fleet.Retention.Stock;
+import tidebank.fleet.RemovalList.RetentionLimits;
+import tidebank.fleet.RemovalList.ScanResult;
+import tidebank.fleet.RemovalList.StoredFile;
 
-/** What is listed to be removed, and what a published list removes. */
+/** Tests which files a removal list names, and which files a published list removes. */
 class RetentionTest {
   private static final long DAY = 86_400_000_000L;
 
   @TempDir Path folder;
 
-  private static Item item(String name, long bytes, long days, boolean needed) {
-    return new Item(name, bytes, days * DAY, needed);
+  private static StoredFile storedFile(String name, long bytes, long days, boolean needed) {
+    return new StoredFile(name, bytes, days * DAY, needed);
   }
 
-  private static List<String> over(long days, long bytes, int most, Item... items) {
-    Stock stock = new Stock(Stream.of(items).mapToLong(Item::bytes).sum(), List.of(items));
-    return Retention.NONE.next("", 7, stock, new Bounds(days * DAY, bytes), most).names();
+  /** Returns the names on the first list for stored files, under limits of age and total size. */
+  private static List<String> listed(
+      long maxDays, long maxBytes, int maxNames, StoredFile... files) {
+    ScanResult stored =
+        new ScanResult(Stream.of(files).mapToLong(StoredFile::bytes).sum(), List.of(files));
+    return RemovalList.NONE
+        .next("", 7, stored, new RetentionLimits(maxDays * DAY, maxBytes), maxNames)
+        .names();
   }
 
+  /** Guards against removing needed files, or newer files while older ones would do. */
   @Test
-  void whatIsTooOldGoesThenTheOldestOverTheBudgetAndNeverWhatIsNeeded() {
-    Item[] items = {
-      item("a", 10, 40, false),
-      item("b", 10, 40, true),
-      item("c", 10, 5, false),
-      item("d", 10, 6, false),
-      item("e", 10, 1, false)
+  void oldAndExcessFilesAreListedButNeverNeededOnes() {
+    StoredFile[] files = {
+      storedFile("a", 10, 40, false),
+      storedFile("b", 10, 40, true),
+      storedFile("c", 10, 5, false),
+      storedFile("d", 10, 6, false),
+      storedFile("e", 10, 1, false)
     };
-    assertThat(over(30, 100, 10, items)).containsExactly("a");
-    assertThat(over(30, 30, 10, items)).containsExactly("a", "d");
-    assertThat(over(30, 0, 10, items)).containsExactly("a", "d", "c", "e");
-    assertThat(over(30, 0, 2, items)).as("the rest stands in the next").containsExactly("a", "d");
-    assertThat(over(50, 100, 10, items)).isEmpty();
+    assertThat(listed(30, 100, 10, files)).containsExactly("a");
+    assertThat(listed(30, 30, 10, files)).containsExactly("a", "d");
+    assertThat(listed(30, 0, 10, files)).containsExactly("a", "d", "c", "e");
+    assertThat(listed(30, 0, 2, files))
+        .as("the next list takes the rest")
+        .containsExactly("a", "d");
+    assertThat(listed(50, 100, 10, files)).isEmpty();
   }
 
+  /** Guards against a broken chain of lists, which checks follow from the newest to the first. */
   @Test
-  void eachListFollowsTheOneBeforeAndSaysByWhichToken() {
-    Retention first = Retention.NONE.next("", 3, new Stock(0, List.of()), new Bounds(DAY, 0), 10);
-    Retention second =
-        first.next("removal-1-by-3.json", 5, new Stock(0, List.of()), new Bounds(DAY, 0), 10);
-    assertThat(second).isEqualTo(new Retention(2, "removal-1-by-3.json", 5, List.of()));
+  void nextListNamesThePreviousOneAndItsToken() {
+    RemovalList first =
+        RemovalList.NONE.next("", 3, new ScanResult(0, List.of()), new RetentionLimits(DAY, 0), 10);
+    RemovalList second =
+        first.next(
+            "removal-1-by-3.json",
+            5,
+            new ScanResult(0, List.of()),
+            new RetentionLimits(DAY, 0),
+            10);
+    assertThat(second).isEqualTo(new RemovalList(2, "removal-1-by-3.json", 5, List.of()));
   }
 
-  private Path put(String name, int days) throws Exception {
+  /** Creates a file of 10 bytes that was last written some days ago. */
+  private Path createFile(String name, int ageDays) throws Exception {
     Path file = folder.resolve(name);
     Files.createDirectories(file.getParent());
     Files.write(file, new byte[10]);
     return Files.setLastModifiedTime(
-        file, FileTime.from(Instant.now().minus(Duration.ofDays(days))));
+        file, FileTime.from(Instant.now().minus(Duration.ofDays(ageDays))));
   }
 
+  /**
+   * Guards against removing a report that the next one is computed from, and a capture that a
+   * member is still writing.
+   */
   @Test
-  void thePublishedReportAllLaterOnesAndTheNewestOfEachFolderAreNeeded() throws Exception {
+  void publishedAndLaterReportsAndNewestFilesAreNeeded() throws Exception {
     SharedFolder fleet = new SharedFolder(folder);
     for (int i = 1; i <= 5; i++) {
-      put("reports/report-" + i + "-by-1.json", 50 - i);
+      createFile("reports/report-" + i + "-by-1.json", 50 - i);
     }
-    put("captures/g0/000001.tbc", 90);
-    put("captures/g0/000002.tbc", 80);
-    put("told/g0.json", 90);
+    createFile("captures/g0/000001.tbc", 90);
+    createFile("captures/g0/000002.tbc", 80);
+    createFile("told/g0.json", 90);
     List<String> names =
-        Retention.NONE
+        RemovalList.NONE
             .next(
                 "",
                 1,
-                fleet.scanStored("report-3-by-1.json", 100, () -> {}),
-                new Bounds(30 * DAY, 1000),
+                fleet.scanFiles("report-3-by-1.json", 100, () -> {}),
+                new RetentionLimits(30 * DAY, 1000),
                 100)
             .names();
     assertThat(names)
@@ -87,19 +107,20 @@
             "captures/g0/000001.tbc", "reports/report-1-by-1.json", "reports/report-2-by-1.json");
   }
 
+  /** Guards against a damaged list that removes files outside of the folders under retention. */
   @Test
-  void aListRemovesWhatItNamesOnceOrTwiceAndNothingOutsideOfWhatIsKept() throws Exception {
+  void removalIsRepeatableAndStaysInsideItsFolders() throws Exception {
     SharedFolder fleet = new SharedFolder(folder);
-    Path gone = put("captures/g0/000001.tbc", 90);
-    Path told = put("told/g0.json", 90);
+    Path removed = createFile("captures/g0/000001.tbc", 90);
+    Path counters = createFile("told/g0.json", 90);
     Path outside = Files.createTempFile(folder.getParent(), "outside", ".txt");
     Path link = Files.createSymbolicLink(folder.resolve("captures/link.tbc"), outside);
     try {
-      assertThat(fleet.scanStored("", 100, () -> {}).oldest())
-          .extracting(Item::name)
+      assertThat(fleet.scanFiles("", 100, () -> {}).oldest())
+          .extracting(StoredFile::name)
           .doesNotContain("captures/link.tbc");
-      Retention list =
-          new Retention(
+      RemovalList list =
+          new RemovalList(
               1,
               "",
               1,
@@ -111,40 +132,42 @@
                   outside.toString(),
                   "captures",
                   "reports"));
-      assertThat(fleet.remove(list)).isEqualTo(1);
-      assertThat(fleet.remove(list)).isZero();
-      assertThat(gone).doesNotExist();
-      assertThat(List.of(told, outside, link, folder.resolve("captures"))).allMatch(Files::exists);
+      assertThat(fleet.removeFiles(list)).isEqualTo(1);
+      assertThat(fleet.removeFiles(list)).isZero();
+      assertThat(removed).doesNotExist();
+      assertThat(List.of(counters, outside, link, folder.resolve("captures")))
+          .allMatch(Files::exists);
     } finally {
       Files.delete(outside);
     }
   }
 
+  /** Guards against a scan that outlasts the lease, or that holds more files than fit in memory. */
   @Test
-  void aLookThroughALargeFolderLetsOtherThingsBeDoneInBetweenAndKeepsOnlyTheOldest()
-      throws Exception {
+  void scanRunsItsCallbackAndKeepsOnlyTheOldestFiles() throws Exception {
     SharedFolder fleet = new SharedFolder(folder);
     Path captures = Files.createDirectories(folder.resolve("captures/g0"));
     for (int i = 0; i < 2500; i++) {
       Files.createFile(captures.resolve(i + ".tbc"));
     }
-    AtomicInteger between = new AtomicInteger();
-    put("captures/g0/7.tbc", 40);
-    put("captures/g0/9.tbc", 50);
-    Stock stock = fleet.scanStored("", 2, between::incrementAndGet);
-    assertThat(stock.oldest())
-        .extracting(Item::name)
+    AtomicInteger callbacks = new AtomicInteger();
+    createFile("captures/g0/7.tbc", 40);
+    createFile("captures/g0/9.tbc", 50);
+    ScanResult stored = fleet.scanFiles("", 2, callbacks::incrementAndGet);
+    assertThat(stored.oldest())
+        .extracting(StoredFile::name)
         .containsExactlyInAnyOrder("captures/g0/7.tbc", "captures/g0/9.tbc");
-    assertThat(stock.bytes()).isEqualTo(20);
-    assertThat(between).hasValue(2);
+    assertThat(stored.totalBytes()).isEqualTo(20);
+    assertThat(callbacks).hasValue(2);
   }
 
+  /** Guards against removal lists that pile up in the shared folder. */
   @Test
-  void ofAllListsAHundredAreKept() throws Exception {
+  void lastHundredRemovalListsAreRetained() throws Exception {
     SharedFolder fleet = new SharedFolder(folder);
     for (int i : IntStream.rangeClosed(1, 300).toArray()) {
-      Retention list = new Retention(i, "", 1, List.of());
-      assertThat(fleet.readRemovals(fleet.write(list))).isEqualTo(list);
+      RemovalList list = new RemovalList(i, "", 1, List.of());
+      assertThat(fleet.readRemovalList(fleet.write(list))).isEqualTo(list);
       fleet.removeOldRemovalLists(list);
     }
     try (var files = Files.list(folder.resolve("removals"))) {
--- a/testbed/src/main/java/tidebank/testbed/chaos/SharedFolderCheck.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/SharedFolderCheck.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Set;
 import tidebank.fleet.LeaseCodec;
-import tidebank.fleet.Retention;
+import tidebank.fleet.RemovalList;
 import tidebank.lease.TaskLease;
 
 /**
@@ -88,9 +88,9 @@
   private void readNewLists(String newest) {
     try {
       for (String name = newest; !name.equals(lastList) && !name.isEmpty(); ) {
-        Retention list =
+        RemovalList list =
             LeaseCodec.read(
-                Files.readAllBytes(folder.resolve("removals").resolve(name)), Retention.class);
+                Files.readAllBytes(folder.resolve("removals").resolve(name)), RemovalList.class);
         listed.addAll(list.names());
         name = list.previous();
       }
--- a/testbed/src/test/java/tidebank/lease/LeaseModel.java
+++ b/testbed/src/test/java/tidebank/lease/LeaseModel.java
@@ -11,34 +11,39 @@
 import tidebank.testbed.explore.StateSpaceExplorer;
 
 /**
- * Three members, two tasks, coordinators whose log is taken for granted (a library's), and a
- * network that loses, repeats and reorders any message: what was sent once may arrive at any time,
- * any number of times. A member that takes no step is paused. Clocks run 5% fast or slow, and begin
- * anywhere. The rules are the product's own classes, with one rule left out or none.
+ * A model of the lease protocol for exhaustive exploration: three members, two tasks, and
+ * coordinators with a replicated log that is assumed to be correct, as a library provides it. The
+ * network loses, repeats and reorders messages: a message may arrive at any later time, any number
+ * of times. A member that takes no step is paused. Clocks run up to 5% fast or slow and start at
+ * unrelated times. The rules are those of the production classes, with at most one rule disabled.
  */
-final class LeaseModel implements StateSpaceExplorer.Model<LeaseModel.World> {
+final class LeaseModel implements StateSpaceExplorer.Model<LeaseModel.State> {
   private static final int MEMBERS = 3;
   private static final List<String> TASKS = List.of("probe", "report");
   private static final long TICK_US = 1_000_000;
   private static final LeaseConfig CONFIG = new LeaseConfig(3 * TICK_US, 0.05, 8, 64);
 
-  /** How fast the clocks of the members and of the leaders by term run. */
+  /** Clock rates of the members, relative to real time. */
   private static final double[] MEMBER_RATES = {0.95, 1.05, 1};
 
+  /** Clock rates of the leaders, by term. */
   private static final double[] LEADER_RATES = {1.05, 0.95};
+
+  /** Clock times of the leaders at tick 0, by term. */
   private static final long[] LEADER_STARTS = {50 * TICK_US, 90 * TICK_US};
 
   /**
-   * All there is at a moment.
+   * The state of the model.
    *
+   * @param tick the real time, in seconds
    * @param delayedCommands commands that may arrive at any time
    * @param delayedResults results that may arrive at any time
-   * @param lost messages that did not arrive at once
-   * @param disturbances restarts and moves
-   * @param outcomes what commands were answered, as an observer notes it down
-   * @param violation what is wrong, or null
+   * @param lost the number of messages that did not arrive at once
+   * @param disturbances the number of restarts and moves
+   * @param outcomes the first outcome of each command, as an outside observer records it
+   * @param violation the rule violation found by the last step, or null
    */
-  record World(
+  record State(
       int tick,
       int term,
       LeaseTableState table,
@@ -49,8 +54,8 @@
       int disturbances,
       TreeMap<String, String> outcomes,
       String violation) {
-    World with(int newTick, int newTerm) {
-      return new World(
+    State withTime(int newTick, int newTerm) {
+      return new State(
           newTick,
           newTerm,
           table,
@@ -63,10 +68,10 @@
           violation);
     }
 
-    World withHolder(int index, LeaseHolder holder) {
+    State withHolder(int index, LeaseHolder holder) {
       List<LeaseHolder> changed = new ArrayList<>(holders);
       changed.set(index, holder);
-      return new World(
+      return new State(
           tick,
           term,
           table,
@@ -79,8 +84,8 @@
           violation);
     }
 
-    World disturbed() {
-      return new World(
+    State withDisturbance() {
+      return new State(
           tick,
           term,
           table,
@@ -93,13 +98,13 @@
           violation);
     }
 
-    World delaying(LeaseCommand command) {
-      return new World(
+    State withDelayed(LeaseCommand command) {
+      return new State(
           tick,
           term,
           table,
           holders,
-          plus(delayedCommands, command),
+          append(delayedCommands, command),
           delayedResults,
           lost + 1,
           disturbances,
@@ -107,23 +112,23 @@
           violation);
     }
 
-    World delaying(DelayedResult result) {
-      return new World(
+    State withDelayed(DelayedResult result) {
+      return new State(
           tick,
           term,
           table,
           holders,
           delayedCommands,
-          plus(delayedResults, result),
+          append(delayedResults, result),
           lost + 1,
           disturbances,
           outcomes,
           violation);
     }
 
-    World applied(
+    State withApplied(
         LeaseTableState newTable, TreeMap<String, String> newOutcomes, String newViolation) {
-      return new World(
+      return new State(
           tick,
           term,
           newTable,
@@ -136,49 +141,50 @@
           newViolation);
     }
 
-    private static <T> List<T> plus(List<T> list, T one) {
-      List<T> longer = new ArrayList<>(list);
-      longer.add(one);
-      return longer;
+    private static <T> List<T> append(List<T> list, T element) {
+      List<T> copy = new ArrayList<>(list);
+      copy.add(element);
+      return copy;
     }
   }
 
   /** A result that was sent to a member and may arrive at any time. */
   record DelayedResult(int member, String session, long sequence, CommandResult result) {}
 
-  private record Applied(World world, CommandResult result) {}
+  private record ApplyResult(State state, CommandResult result) {}
 
-  private final PlantedFault fault;
+  private final InjectedFault fault;
   private final int maxLost;
   private final boolean disturbances;
 
   /**
    * Creates a model.
    *
-   * @param maxLost commands or results that do not arrive at once
+   * @param fault the fault to inject
+   * @param maxLost how many commands or results may fail to arrive at once
    * @param disturbances whether there may be one restart or move
    */
-  LeaseModel(PlantedFault fault, int maxLost, boolean disturbances) {
+  LeaseModel(InjectedFault fault, int maxLost, boolean disturbances) {
     this.fault = fault;
     this.maxLost = maxLost;
     this.disturbances = disturbances;
   }
 
-  private static long memberClock(World world, int member) {
-    return (10 + member) * TICK_US + Math.round(world.tick * TICK_US * MEMBER_RATES[member]);
+  private static long memberClock(State state, int member) {
+    return (10 + member) * TICK_US + Math.round(state.tick * TICK_US * MEMBER_RATES[member]);
   }
 
-  private static long leaderClock(World world) {
-    return LEADER_STARTS[world.term - 1]
-        + Math.round(world.tick * TICK_US * LEADER_RATES[world.term - 1]);
+  private static long leaderClock(State state) {
+    return LEADER_STARTS[state.term - 1]
+        + Math.round(state.tick * TICK_US * LEADER_RATES[state.term - 1]);
   }
 
   // ---- steps
 
   @Override
-  public World initialState() {
-    World world =
-        new World(
+  public State initialState() {
+    State state =
+        new State(
             0,
             1,
             new LeaseTable(CONFIG).state(),
@@ -189,21 +195,21 @@
             0,
             new TreeMap<>(),
             null);
-    LeaseTable table = fault.table(world.table);
+    LeaseTable table = fault.table(state.table);
     LeaseCommand.Plan plan = new LeaseCommand.Plan(CONFIG, TASKS);
     table.apply(
         1,
-        leaderClock(world),
+        leaderClock(state),
         new LeaseCommand(LeaseCommand.Kind.PLAN, "leader", 1, "", "", 0, 0, "", plan));
     List<LeaseHolder> holders = new ArrayList<>();
     for (int i = 0; i < MEMBERS; i++) {
       LeaseHolder holder = fault.holder("m" + i, "s" + i);
-      LeaseCommand join = holder.nextCommand(memberClock(world, i));
-      CommandResult joined = table.apply(1, leaderClock(world), join);
-      holder.handleResult(join.sequence(), joined, memberClock(world, i));
+      LeaseCommand join = holder.nextCommand(memberClock(state, i));
+      CommandResult joinResult = table.apply(1, leaderClock(state), join);
+      holder.handleResult(join.sequence(), joinResult, memberClock(state, i));
       holders.add(holder);
     }
-    return new World(
+    return new State(
         0,
         1,
         table.state(),
@@ -217,109 +223,120 @@
   }
 
   @Override
-  public void forEachSuccessor(World world, BiConsumer<String, World> next) {
-    if (world.violation != null) {
+  public void forEachSuccessor(State state, BiConsumer<String, State> next) {
+    if (state.violation != null) {
       return;
     }
-    next.accept("a second passes", world.with(world.tick + 1, world.term));
-    if (world.term < LEADER_STARTS.length) {
-      next.accept("another coordinator leads", world.with(world.tick, world.term + 1));
+    next.accept("a second passes", state.withTime(state.tick + 1, state.term));
+    if (state.term < LEADER_STARTS.length) {
+      next.accept("another coordinator leads", state.withTime(state.tick, state.term + 1));
     }
-    if (world.disturbances == 0) {
+    if (state.disturbances == 0) {
       LeaseCommand move =
           new LeaseCommand(
               LeaseCommand.Kind.MOVE, "operator", 1, "m1", TASKS.get(0), 0, 0, "", null);
-      next.accept("an operator moves probe to m1", apply(world, move).world.disturbed());
+      next.accept("an operator moves probe to m1", apply(state, move).state.withDisturbance());
     }
     for (int i = 0; i < MEMBERS; i++) {
-      memberSteps(world, i, next);
+      addMemberSteps(state, i, next);
     }
-    for (LeaseCommand command : world.delayedCommands) {
-      next.accept("late: " + describe(command) + " arrives", apply(world, command).world);
+    for (LeaseCommand command : state.delayedCommands) {
+      next.accept("delayed " + describe(command) + " arrives", apply(state, command).state);
     }
-    for (DelayedResult delayed : world.delayedResults) {
-      resultArrives(world, delayed, next);
+    for (DelayedResult delayed : state.delayedResults) {
+      addDelayedResult(state, delayed, next);
     }
   }
 
-  private void memberSteps(World world, int member, BiConsumer<String, World> next) {
-    LeaseHolder asking = world.holders.get(member).copy();
-    sends(world, member, asking, asking.nextCommand(memberClock(world, member)), next);
-    LeaseHolder publishing = world.holders.get(member).copy();
-    sends(world, member, publishing, publishCommand(world, member, publishing), next);
-    if (world.disturbances == 0) {
+  private void addMemberSteps(State state, int member, BiConsumer<String, State> next) {
+    LeaseHolder requester = state.holders.get(member).copy();
+    addSendSteps(state, member, requester, requester.nextCommand(memberClock(state, member)), next);
+    LeaseHolder publisher = state.holders.get(member).copy();
+    addSendSteps(state, member, publisher, publishCommand(state, member, publisher), next);
+    if (state.disturbances == 0) {
       LeaseHolder restarted = fault.holder("m" + member, "s" + member + "'");
       next.accept(
-          "m" + member + " is killed and starts again",
-          world.withHolder(member, restarted).disturbed());
+          "m" + member + " is killed and restarts",
+          state.withHolder(member, restarted).withDisturbance());
     }
   }
 
-  /** Returns what a member publishes of its own accord, or null. */
-  private static LeaseCommand publishCommand(World world, int member, LeaseHolder holder) {
-    long clock = memberClock(world, member);
+  /** Returns the command with which a member that holds the task publishes, or null. */
+  private static LeaseCommand publishCommand(State state, int member, LeaseHolder holder) {
+    long clock = memberClock(state, member);
     if (holder.tokenIfHeld(TASKS.get(0), clock, 0) == 0) {
       return null;
     }
     LeaseCommand pending = holder.copy().nextCommand(clock);
-    long revision = world.table.tasks().get(0).revision();
-    LeaseCommand publish = holder.publish(TASKS.get(0), revision, "by m" + member, clock);
+    long revision = state.table.tasks().get(0).revision();
+    LeaseCommand publish =
+        holder.createPublishCommand(TASKS.get(0), revision, "by m" + member, clock);
     return publish == null || publish.equals(pending) ? null : publish;
   }
 
-  /** A member sends a command: it is answered, its result is delayed, or it is delayed itself. */
-  private void sends(
-      World world,
+  /**
+   * Adds the steps in which a member sends a command: it is answered, its result is delayed, or the
+   * command itself is delayed.
+   */
+  private void addSendSteps(
+      State state,
       int member,
       LeaseHolder sender,
       LeaseCommand command,
-      BiConsumer<String, World> next) {
+      BiConsumer<String, State> next) {
     if (command == null) {
       return;
     }
-    Applied applied = apply(world, command);
+    ApplyResult applied = apply(state, command);
     LeaseHolder answered = sender.copy();
-    answered.handleResult(command.sequence(), applied.result, memberClock(world, member));
+    answered.handleResult(command.sequence(), applied.result, memberClock(state, member));
     String step = "m" + member + ": " + describe(command);
-    next.accept(step + ", answered", applied.world.withHolder(member, answered));
-    if (world.lost < maxLost) {
+    next.accept(step + ", answered", applied.state.withHolder(member, answered));
+    if (state.lost < maxLost) {
       DelayedResult delayed =
           new DelayedResult(member, command.session(), command.sequence(), applied.result);
       next.accept(
-          step + ", result delayed", applied.world.withHolder(member, sender).delaying(delayed));
-      next.accept(step + ", delayed", world.withHolder(member, sender).delaying(command));
+          step + ", result delayed", applied.state.withHolder(member, sender).withDelayed(delayed));
+      next.accept(step + ", delayed", state.withHolder(member, sender).withDelayed(command));
     }
   }
 
-  private void resultArrives(World world, DelayedResult delayed, BiConsumer<String, World> next) {
-    LeaseHolder holder = world.holders.get(delayed.member).copy();
-    boolean sameStart = holder.toString().startsWith("m" + delayed.member + delayed.session);
-    if (sameStart) {
-      holder.handleResult(delayed.sequence, delayed.result, memberClock(world, delayed.member));
+  private void addDelayedResult(
+      State state, DelayedResult delayed, BiConsumer<String, State> next) {
+    LeaseHolder holder = state.holders.get(delayed.member).copy();
+    boolean sameSession = holder.toString().startsWith("m" + delayed.member + delayed.session);
+    if (sameSession) {
+      holder.handleResult(delayed.sequence, delayed.result, memberClock(state, delayed.member));
       next.accept(
-          "late: m" + delayed.member + " receives the result of " + delayed.sequence,
-          world.withHolder(delayed.member, holder));
+          "m" + delayed.member + " receives the delayed result of " + delayed.sequence,
+          state.withHolder(delayed.member, holder));
     }
   }
 
-  /** The coordinators apply a command; an observer at the resource compares before and after. */
-  private Applied apply(World world, LeaseCommand command) {
-    LeaseTable table = fault.table(world.table);
-    CommandResult result = table.apply(world.term, leaderClock(world), command);
+  /**
+   * Applies a command at the coordinators. An observer at the resource compares the states before
+   * and after.
+   */
+  private ApplyResult apply(State state, LeaseCommand command) {
+    LeaseTable table = fault.table(state.table);
+    CommandResult result = table.apply(state.term, leaderClock(state), command);
     LeaseTableState after = table.state();
-    TreeMap<String, String> outcomes = new TreeMap<>(world.outcomes);
-    String violation = fencingViolation(world.table, after, command);
+    TreeMap<String, String> outcomes = new TreeMap<>(state.outcomes);
+    String violation = fencingViolation(state.table, after, command);
     if (!isSuperseded(result)) {
       String outcome = result.error() + " " + result.revision();
-      String first = outcomes.putIfAbsent(callOf(command), outcome);
-      if (first != null && !first.equals(outcome)) {
-        violation = callOf(command) + " was answered differently when repeated";
+      String firstOutcome = outcomes.putIfAbsent(commandId(command), outcome);
+      if (firstOutcome != null && !firstOutcome.equals(outcome)) {
+        violation = commandId(command) + " got another result when it was repeated";
       }
     }
-    return new Applied(world.applied(after, outcomes, violation), result);
+    return new ApplyResult(state.withApplied(after, outcomes, violation), result);
   }
 
-  /** A command after its session's next, or outside of its session, has no effect. */
+  /**
+   * Returns whether a command had no effect because it came after a newer one of its session or
+   * from a session that is not a member's.
+   */
   private static boolean isSuperseded(CommandResult result) {
     TidebankException.Details error = result.error();
     return error != null
@@ -328,35 +345,36 @@
             || error.is(MembershipException.NameTaken.class));
   }
 
-  // ---- what must hold
+  // ---- rules that must hold
 
   private static String fencingViolation(
       LeaseTableState before, LeaseTableState after, LeaseCommand command) {
     String violation = null;
     for (int i = 0; i < TASKS.size(); i++) {
-      TaskLease was = before.tasks().get(i);
-      TaskLease is = after.tasks().get(i);
-      boolean otherHolder = !is.session().isEmpty() && !is.session().equals(was.session());
-      if (is.fencingToken() < was.fencingToken()
-          || otherHolder && is.fencingToken() == was.fencingToken()) {
-        violation = is.task() + " was granted by token " + is.fencingToken() + " again";
+      TaskLease oldLease = before.tasks().get(i);
+      TaskLease newLease = after.tasks().get(i);
+      boolean holderChanged =
+          !newLease.session().isEmpty() && !newLease.session().equals(oldLease.session());
+      if (newLease.fencingToken() < oldLease.fencingToken()
+          || holderChanged && newLease.fencingToken() == oldLease.fencingToken()) {
+        violation = newLease.task() + " was granted again with token " + newLease.fencingToken();
       }
-      if (is.revision() > was.revision()
-          && (command.fencingToken() != was.fencingToken()
-              || !command.session().equals(was.session()))) {
-        violation = is.task() + " was published under the old token " + command.fencingToken();
+      if (newLease.revision() > oldLease.revision()
+          && (command.fencingToken() != oldLease.fencingToken()
+              || !command.session().equals(oldLease.session()))) {
+        violation = newLease.task() + " was published with stale token " + command.fencingToken();
       }
     }
     return violation;
   }
 
   @Override
-  public String findViolation(World world) {
-    if (world.violation != null) {
-      return world.violation;
+  public String findViolation(State state) {
+    if (state.violation != null) {
+      return state.violation;
     }
-    for (TaskLease lease : world.table.tasks()) {
-      String violation = holderViolation(world, lease);
+    for (TaskLease lease : state.table.tasks()) {
+      String violation = holderViolation(state, lease);
       if (violation != null) {
         return violation;
       }
@@ -364,63 +382,66 @@
     return null;
   }
 
-  private static String holderViolation(World world, TaskLease lease) {
-    List<String> acting = new ArrayList<>();
+  private static String holderViolation(State state, TaskLease lease) {
+    List<String> holders = new ArrayList<>();
     for (int i = 0; i < MEMBERS; i++) {
-      long fencingToken = world.holders.get(i).tokenIfHeld(lease.task(), memberClock(world, i), 0);
+      long fencingToken = state.holders.get(i).tokenIfHeld(lease.task(), memberClock(state, i), 0);
       if (fencingToken > 0) {
-        acting.add("m" + i + " by token " + fencingToken);
+        holders.add("m" + i + " with token " + fencingToken);
         if (fencingToken != lease.fencingToken()) {
           return lease.task()
               + ": "
-              + acting
+              + holders
               + " while token "
               + lease.fencingToken()
               + " is granted";
         }
       }
     }
-    return acting.size() > 1 ? lease.task() + " has two holders: " + acting : null;
+    return holders.size() > 1 ? lease.task() + " has two holders: " + holders : null;
   }
 
-  // ---- comparing worlds
+  // ---- comparing states
 
   @Override
-  public String stateKey(World world) {
-    return world.tick
+  public String stateKey(State state) {
+    return state.tick
         + " "
-        + world.term
-        + world.table
-        + world.holders
-        + world.delayedCommands
-        + world.delayedResults.stream()
+        + state.term
+        + state.table
+        + state.holders
+        + state.delayedCommands
+        + state.delayedResults.stream()
             .map(delayed -> delayed.session + delayed.sequence + delayed.result)
             .collect(Collectors.joining(","))
-        + world.lost
-        + world.disturbances
-        + outcomesThatMayRepeat(world);
+        + state.lost
+        + state.disturbances
+        + repeatableOutcomes(state);
   }
 
-  /** Outcomes of calls that may come again; no others tell two worlds apart. */
-  private static TreeMap<String, String> outcomesThatMayRepeat(World world) {
-    TreeMap<String, String> outcomes = new TreeMap<>(world.outcomes);
+  /**
+   * Returns the outcomes of commands that may still arrive or be answered again. Others do not
+   * matter for comparing states.
+   */
+  private static TreeMap<String, String> repeatableOutcomes(State state) {
+    TreeMap<String, String> outcomes = new TreeMap<>(state.outcomes);
     outcomes
         .keySet()
         .removeIf(
-            call ->
-                world.delayedCommands.stream().noneMatch(command -> call.equals(callOf(command)))
-                    && world.delayedResults.stream()
+            id ->
+                state.delayedCommands.stream().noneMatch(command -> id.equals(commandId(command)))
+                    && state.delayedResults.stream()
                         .noneMatch(
-                            delayed -> call.equals(callOf(delayed.session, delayed.sequence))));
+                            delayed -> id.equals(commandId(delayed.session, delayed.sequence))));
     return outcomes;
   }
 
-  private static String callOf(LeaseCommand command) {
-    return callOf(command.session(), command.sequence());
+  private static String commandId(LeaseCommand command) {
+    return commandId(command.session(), command.sequence());
   }
 
-  private static String callOf(String session, long sequence) {
-    return "call " + session + " " + sequence;
+  private static String commandId(String session, long sequence) {
+    return "command " + session + " " + sequence;
   }
 
   private static String describe(LeaseCommand command) {
@@ -433,9 +454,9 @@
         + ")";
   }
 
-  static List<PlantedFault> faults() {
-    return Arrays.stream(PlantedFault.values())
-        .filter(fault -> fault != PlantedFault.NONE)
+  static List<InjectedFault> faults() {
+    return Arrays.stream(InjectedFault.values())
+        .filter(fault -> fault != InjectedFault.NONE)
         .toList();
   }
 }
--- a/testbed/src/test/java/tidebank/lease/LeaseTableTest.java
+++ b/testbed/src/test/java/tidebank/lease/LeaseTableTest.java
@@ -10,248 +10,301 @@
 import org.junit.jupiter.api.Test;
 import tidebank.lease.LeaseCommand.Kind;
 
-/** What members, operators and new leaders make of the stewards' state. Times are in ms here. */
+/**
+ * Tests how commands of members, operators and new leaders change the lease table. Times are in
+ * milliseconds here and are converted for the table.
+ */
 class LeaseTableTest {
   private static final long MS = 1000;
-  private static final LeaseConfig TERMS = new LeaseConfig(3000 * MS, 0.05, 50, 64);
+  private static final LeaseConfig CONFIG = new LeaseConfig(3000 * MS, 0.05, 50, 64);
 
-  private final LeaseTable book = new LeaseTable(TERMS);
-  private final Map<String, Long> numbers = new HashMap<>();
+  private final LeaseTable table = new LeaseTable(CONFIG);
+  private final Map<String, Long> sequences = new HashMap<>();
   private long term = 1;
   private long now = 7_000;
 
   @BeforeEach
-  void plan() {
-    plan(List.of("probe/a", "report"));
+  void configureTasks() {
+    configure(List.of("probe/a", "report"));
   }
 
-  private void plan(List<String> duties) {
+  private void configure(List<String> tasks) {
     apply(
         new LeaseCommand(
             Kind.PLAN,
             "steward",
-            number("steward"),
+            nextSequence("steward"),
             "",
             "",
             0,
             0,
             "",
-            new LeaseCommand.Plan(TERMS, duties)));
+            new LeaseCommand.Plan(CONFIG, tasks)));
   }
 
-  private long number(String session) {
-    return numbers.merge(session, 1L, Long::sum);
+  private long nextSequence(String session) {
+    return sequences.merge(session, 1L, Long::sum);
   }
 
   private CommandResult apply(LeaseCommand command) {
-    return book.apply(term, now * MS, command);
+    return table.apply(term, now * MS, command);
   }
 
-  /** A member's session is its name with a tick for each start. */
-  private CommandResult ask(Kind kind, String session) {
-    return apply(LeaseCommand.of(kind, session, number(session), session.replace("'", "")));
+  /** Sends a member's command. A session is the member's name, with an apostrophe per restart. */
+  private CommandResult send(Kind kind, String session) {
+    return apply(LeaseCommand.of(kind, session, nextSequence(session), session.replace("'", "")));
   }
 
-  private CommandResult about(Kind kind, String session, String duty, long token) {
+  /** Sends a member's command for a task; a published value is always "x". */
+  private CommandResult sendForTask(Kind kind, String session, String task, long fencingToken) {
     return apply(
         new LeaseCommand(
-            kind, session, number(session), session.replace("'", ""), duty, token, 0, "x", null));
+            kind,
+            session,
+            nextSequence(session),
+            session.replace("'", ""),
+            task,
+            fencingToken,
+            0,
+            "x",
+            null));
   }
 
-  private String operate(Kind kind, String name, String duty) {
-    return code(apply(new LeaseCommand(kind, "op", number("op"), name, duty, 0, 0, "", null)));
+  /** Sends an operator's command and returns the error code, or an empty text. */
+  private String sendAsOperator(Kind kind, String member, String task) {
+    return errorCode(
+        apply(new LeaseCommand(kind, "op", nextSequence("op"), member, task, 0, 0, "", null)));
   }
 
-  private static String code(CommandResult answer) {
-    return answer.error() == null ? "" : answer.error().code();
+  /** Returns the error code of a result, or an empty text. */
+  private static String errorCode(CommandResult result) {
+    return result.error() == null ? "" : result.error().code();
   }
 
-  private TaskLease duty(String name) {
-    return book.state().tasks().stream()
-        .filter(duty -> duty.task().equals(name))
+  private TaskLease lease(String task) {
+    return table.state().tasks().stream()
+        .filter(lease -> lease.task().equals(task))
         .findFirst()
         .orElseThrow();
   }
 
+  /**
+   * Guards against a second grant of a task while a member renews its lease, and against a release
+   * with a token that is not the current one.
+   */
   @Test
-  void aDutyIsClaimedRenewedReleasedAndHeldByOneOnly() {
-    assertThat(ask(Kind.JOIN, "a").assignedTasks()).containsExactly("probe/a", "report");
-    assertThat(about(Kind.CLAIM, "a", "report", 0).leases())
+  void leaseHasOneHolderFromClaimToRelease() {
+    assertThat(send(Kind.JOIN, "a").assignedTasks()).containsExactly("probe/a", "report");
+    assertThat(sendForTask(Kind.CLAIM, "a", "report", 0).leases())
         .containsExactly(new CommandResult.Grant("report", 1));
-    assertThat(code(about(Kind.CLAIM, "a", "nothing", 0))).isEqualTo("TB-1001");
-    ask(Kind.JOIN, "b");
-    assertThat(code(about(Kind.CLAIM, "b", "report", 0))).isEqualTo("TB-1002");
+    assertThat(errorCode(sendForTask(Kind.CLAIM, "a", "nothing", 0))).isEqualTo("TB-1001");
+    send(Kind.JOIN, "b");
+    assertThat(errorCode(sendForTask(Kind.CLAIM, "b", "report", 0))).isEqualTo("TB-1002");
     now += 2900;
-    ask(Kind.RENEW, "a");
+    send(Kind.RENEW, "a");
     now += 2900;
-    assertThat(code(about(Kind.CLAIM, "b", "report", 0))).isIn("TB-1002", "TB-1007");
-    assertThat(code(about(Kind.RELEASE, "a", "report", 9))).isEqualTo("TB-1004");
-    assertThat(code(about(Kind.RELEASE, "a", "report", 1))).isEmpty();
-    assertThat(duty("report").holder()).isEmpty();
+    assertThat(errorCode(sendForTask(Kind.CLAIM, "b", "report", 0))).isIn("TB-1002", "TB-1007");
+    assertThat(errorCode(sendForTask(Kind.RELEASE, "a", "report", 9))).isEqualTo("TB-1004");
+    assertThat(errorCode(sendForTask(Kind.RELEASE, "a", "report", 1))).isEmpty();
+    assertThat(lease("report").holder()).isEmpty();
   }
 
+  /**
+   * Guards against waiting members that are not woken for a free or expired task, and against
+   * waking them for a task that is held.
+   */
   @Test
-  void whatNobodyHasIsToldByWhomItIsMeantForAndWhatIsOwnedIsNot() {
-    assertThat(book.state().unclaimed()).isEmpty();
-    ask(Kind.JOIN, "a");
-    assertThat(book.state().unclaimed()).isEqualTo(Map.of("a", List.of("probe/a", "report")));
-    about(Kind.CLAIM, "a", "report", 0);
-    assertThat(book.state().unclaimed()).isEqualTo(Map.of("a", List.of("probe/a")));
-    assertThat(book.state().asOf((now + 3001) * MS).unclaimed())
+  void unclaimedTasksAreListedByAssignedMember() {
+    assertThat(table.state().unclaimedTasks()).isEmpty();
+    send(Kind.JOIN, "a");
+    assertThat(table.state().unclaimedTasks()).isEqualTo(Map.of("a", List.of("probe/a", "report")));
+    sendForTask(Kind.CLAIM, "a", "report", 0);
+    assertThat(table.state().unclaimedTasks()).isEqualTo(Map.of("a", List.of("probe/a")));
+    assertThat(table.state().asOf((now + 3001) * MS).unclaimedTasks())
         .isEqualTo(Map.of("a", List.of("probe/a", "report")));
   }
 
+  /** Guards against a late renewal that revives a lease that another member may already hold. */
   @Test
-  void aRenewalAfterTheEndOfTheLeaseBringsNothingBack() {
-    ask(Kind.JOIN, "a");
-    about(Kind.CLAIM, "a", "report", 0);
+  void renewalAfterExpiryDoesNotReviveTheLease() {
+    send(Kind.JOIN, "a");
+    sendForTask(Kind.CLAIM, "a", "report", 0);
     now += 3000;
-    assertThat(ask(Kind.RENEW, "a").leases()).isEmpty();
-    assertThat(code(about(Kind.PUBLISH, "a", "report", 1))).isEqualTo("TB-1005");
-    assertThat(about(Kind.CLAIM, "a", "report", 0).leases())
+    assertThat(send(Kind.RENEW, "a").leases()).isEmpty();
+    assertThat(errorCode(sendForTask(Kind.PUBLISH, "a", "report", 1))).isEqualTo("TB-1005");
+    assertThat(sendForTask(Kind.CLAIM, "a", "report", 0).leases())
         .containsExactly(new CommandResult.Grant("report", 2));
   }
 
+  /**
+   * Guards against a dead member that blocks its task or its name: both are free once it expires,
+   * and its old session is not accepted afterwards.
+   */
   @Test
-  void oneThatClaimsAndNeverRenewsLosesItAndItsNameIsFreeAfterwards() {
-    ask(Kind.JOIN, "a");
-    about(Kind.CLAIM, "a", "report", 0);
-    ask(Kind.JOIN, "b");
-    assertThat(code(ask(Kind.JOIN, "a'"))).isEqualTo("TB-1006");
+  void memberWithoutRenewalsLosesItsTaskAndName() {
+    send(Kind.JOIN, "a");
+    sendForTask(Kind.CLAIM, "a", "report", 0);
+    send(Kind.JOIN, "b");
+    assertThat(errorCode(send(Kind.JOIN, "a'"))).isEqualTo("TB-1006");
     now += 1500;
-    ask(Kind.RENEW, "b");
+    send(Kind.RENEW, "b");
     now += 1500;
-    assertThat(ask(Kind.RENEW, "b").assignedTasks()).contains("report");
-    assertThat(about(Kind.CLAIM, "b", "report", 0).leases())
+    assertThat(send(Kind.RENEW, "b").assignedTasks()).contains("report");
+    assertThat(sendForTask(Kind.CLAIM, "b", "report", 0).leases())
         .contains(new CommandResult.Grant("report", 2));
-    assertThat(code(ask(Kind.JOIN, "a'"))).isEmpty();
-    assertThat(code(ask(Kind.RENEW, "a"))).isEqualTo("TB-1007");
+    assertThat(errorCode(send(Kind.JOIN, "a'"))).isEmpty();
+    assertThat(errorCode(send(Kind.RENEW, "a"))).isEqualTo("TB-1007");
   }
 
+  /**
+   * Guards against treating a late renewal as a restart, and against tasks that move each time a
+   * flapping member restarts.
+   */
   @Test
-  void aSlowMemberIsNotADeadOneAndAFlappingOneGetsDutiesEverLater() {
-    ask(Kind.JOIN, "a");
+  void onlyAFlappingMemberIsHeldOffLongerEachTime() {
+    send(Kind.JOIN, "a");
     now += 5000;
-    // Slow: the same session goes on, without its leases, and may claim at once.
-    assertThat(ask(Kind.RENEW, "a").assignedTasks()).contains("report");
-    List<Long> waits = new ArrayList<>();
+    // The same session renews late: it has lost its leases but may claim again at once.
+    assertThat(send(Kind.RENEW, "a").assignedTasks()).contains("report");
+    List<Long> holdOffs = new ArrayList<>();
     String session = "a";
     for (int i = 0; i < 4; i++) {
-      ask(Kind.LEAVE, session);
+      send(Kind.LEAVE, session);
       session += "'";
-      // Held off, but better than nobody.
-      assertThat(ask(Kind.JOIN, session).assignedTasks()).contains("report");
-      waits.add(book.state().members().get(0).eligibleAt() / MS - now);
+      // A held-off member still gets tasks if there is no other.
+      assertThat(send(Kind.JOIN, session).assignedTasks()).contains("report");
+      holdOffs.add(table.state().members().get(0).eligibleAt() / MS - now);
     }
-    ask(Kind.JOIN, "b");
-    assertThat(ask(Kind.RENEW, "b").assignedTasks()).containsExactly("probe/a", "report");
-    assertThat(ask(Kind.RENEW, session).assignedTasks()).isEmpty();
-    assertThat(waits).containsExactly(3000L, 6000L, 12_000L, 24_000L);
+    send(Kind.JOIN, "b");
+    assertThat(send(Kind.RENEW, "b").assignedTasks()).containsExactly("probe/a", "report");
+    assertThat(send(Kind.RENEW, session).assignedTasks()).isEmpty();
+    assertThat(holdOffs).containsExactly(3000L, 6000L, 12_000L, 24_000L);
   }
 
+  /**
+   * Guards against a new leader that grants a lease again while the previous leader's grant is
+   * valid, or that revives members that had expired: its clock differs from the previous one's.
+   */
   @Test
-  void aNewLeaderHonoursWhatTheOldOneMayHaveGrantedAndGivesTheDeadNoNewLife() {
-    ask(Kind.JOIN, "a");
-    ask(Kind.JOIN, "b");
-    about(Kind.CLAIM, "a", duty("report").assignedMember().equals("a") ? "report" : "probe/a", 0);
-    String held = duty("report").holder().equals("a") ? "report" : "probe/a";
+  void newLeaderKeepsUnexpiredLeasesAndRevivesNoMember() {
+    send(Kind.JOIN, "a");
+    send(Kind.JOIN, "b");
+    sendForTask(
+        Kind.CLAIM, "a", lease("report").assignedMember().equals("a") ? "report" : "probe/a", 0);
+    String held = lease("report").holder().equals("a") ? "report" : "probe/a";
     now += 2900;
-    ask(Kind.RENEW, "b");
-    // Its clock has nothing to do with the old one's.
+    send(Kind.RENEW, "b");
+    // The new leader's clock is unrelated to the previous leader's.
     term = 2;
     now = 3;
-    ask(Kind.RENEW, "b");
-    assertThat(duty(held).expiresAt()).isEqualTo(3003 * MS);
+    send(Kind.RENEW, "b");
+    assertThat(lease(held).expiresAt()).isEqualTo(3003 * MS);
     now += 2990;
-    assertThat(code(about(Kind.CLAIM, "b", held, 0))).isEqualTo("TB-1002");
+    assertThat(errorCode(sendForTask(Kind.CLAIM, "b", held, 0))).isEqualTo("TB-1002");
     now += 10;
-    ask(Kind.RENEW, "b");
-    assertThat(about(Kind.CLAIM, "b", held, 0).leases()).contains(new CommandResult.Grant(held, 2));
+    send(Kind.RENEW, "b");
+    assertThat(sendForTask(Kind.CLAIM, "b", held, 0).leases())
+        .contains(new CommandResult.Grant(held, 2));
     term = 3;
     now = 1_000_000;
-    ask(Kind.RENEW, "b");
-    assertThat(book.state().members().get(0).expiresAt())
+    send(Kind.RENEW, "b");
+    assertThat(table.state().members().get(0).expiresAt())
         .as("a was silent before")
         .isEqualTo(now * MS);
   }
 
+  /** Guards against operators' commands that leave tasks with the wrong member or lose them. */
   @Test
   void operatorsMoveDrainAdmitAndRetire() {
-    ask(Kind.JOIN, "a");
-    ask(Kind.JOIN, "b");
-    assertThat(operate(Kind.MOVE, "nobody", "report")).isEqualTo("TB-1015");
-    assertThat(operate(Kind.MOVE, "b", "report")).isEmpty();
-    assertThat(operate(Kind.MOVE, "b", "probe/a")).isEmpty();
-    assertThat(ask(Kind.RENEW, "b").assignedTasks()).containsExactly("probe/a", "report");
-    assertThat(operate(Kind.DRAIN, "b", "")).isEmpty();
-    assertThat(ask(Kind.RENEW, "b").assignedTasks()).isEmpty();
-    assertThat(ask(Kind.RENEW, "a").assignedTasks()).containsExactly("probe/a", "report");
-    assertThat(operate(Kind.ADMIT, "b", "")).isEmpty();
-    assertThat(operate(Kind.MOVE, "", "probe/a")).isEmpty();
-    assertThat(operate(Kind.RETIRE, "a", "")).isEmpty();
-    assertThat(code(ask(Kind.RENEW, "a"))).isEqualTo("TB-1008");
-    assertThat(code(ask(Kind.JOIN, "a'"))).isEqualTo("TB-1008");
-    assertThat(ask(Kind.RENEW, "b").assignedTasks()).containsExactly("probe/a", "report");
+    send(Kind.JOIN, "a");
+    send(Kind.JOIN, "b");
+    assertThat(sendAsOperator(Kind.MOVE, "nobody", "report")).isEqualTo("TB-1015");
+    assertThat(sendAsOperator(Kind.MOVE, "b", "report")).isEmpty();
+    assertThat(sendAsOperator(Kind.MOVE, "b", "probe/a")).isEmpty();
+    assertThat(send(Kind.RENEW, "b").assignedTasks()).containsExactly("probe/a", "report");
+    assertThat(sendAsOperator(Kind.DRAIN, "b", "")).isEmpty();
+    assertThat(send(Kind.RENEW, "b").assignedTasks()).isEmpty();
+    assertThat(send(Kind.RENEW, "a").assignedTasks()).containsExactly("probe/a", "report");
+    assertThat(sendAsOperator(Kind.ADMIT, "b", "")).isEmpty();
+    assertThat(sendAsOperator(Kind.MOVE, "", "probe/a")).isEmpty();
+    assertThat(sendAsOperator(Kind.RETIRE, "a", "")).isEmpty();
+    assertThat(errorCode(send(Kind.RENEW, "a"))).isEqualTo("TB-1008");
+    assertThat(errorCode(send(Kind.JOIN, "a'"))).isEqualTo("TB-1008");
+    assertThat(send(Kind.RENEW, "b").assignedTasks()).containsExactly("probe/a", "report");
   }
 
+  /**
+   * Guards against reused fencing tokens: a task that is removed and added again must not restart
+   * from token 1.
+   */
   @Test
-  void aDutyTakenOutAndBackGoesOnWithGreaterTokens() {
-    ask(Kind.JOIN, "a");
-    about(Kind.CLAIM, "a", "report", 0);
-    about(Kind.RELEASE, "a", "report", 1);
-    about(Kind.CLAIM, "a", "report", 0);
-    plan(List.of("probe/a"));
-    plan(List.of("probe/a", "report"));
-    assertThat(about(Kind.CLAIM, "a", "report", 0).leases())
+  void readdedTaskContinuesWithGreaterFencingTokens() {
+    send(Kind.JOIN, "a");
+    sendForTask(Kind.CLAIM, "a", "report", 0);
+    sendForTask(Kind.RELEASE, "a", "report", 1);
+    sendForTask(Kind.CLAIM, "a", "report", 0);
+    configure(List.of("probe/a"));
+    configure(List.of("probe/a", "report"));
+    assertThat(sendForTask(Kind.CLAIM, "a", "report", 0).leases())
         .contains(new CommandResult.Grant("report", 3));
   }
 
+  /**
+   * Guards against uneven assignment, against moving tasks of other members when one leaves, and
+   * against a table that exceeds its member limit.
+   */
   @Test
-  void fortyMembersThatJoinAtOnceShareTheDutiesAndOneThatGoesMovesOnlyItsOwn() {
-    List<String> duties = new ArrayList<>();
+  void tasksSpreadEvenlyAndOnlyALeaversTasksMove() {
+    List<String> tasks = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
-      duties.add("probe/" + i);
+      tasks.add("probe/" + i);
     }
     for (int i = 0; i < 40; i++) {
-      ask(Kind.JOIN, "m" + i);
+      send(Kind.JOIN, "m" + i);
     }
-    plan(duties);
-    Map<String, String> before = meant();
-    Map<String, Integer> each = new HashMap<>();
-    before.values().forEach(member -> each.merge(member, 1, Integer::sum));
-    assertThat(each.values()).allMatch(count -> count <= 2);
-    ask(Kind.LEAVE, before.get("probe/7"));
-    Map<String, String> after = meant();
+    configure(tasks);
+    Map<String, String> before = assignedMembers();
+    Map<String, Integer> tasksPerMember = new HashMap<>();
+    before.values().forEach(member -> tasksPerMember.merge(member, 1, Integer::sum));
+    assertThat(tasksPerMember.values()).allMatch(count -> count <= 2);
+    send(Kind.LEAVE, before.get("probe/7"));
+    Map<String, String> after = assignedMembers();
     assertThat(after.keySet())
-        .filteredOn(duty -> !after.get(duty).equals(before.get(duty)))
-        .allMatch(duty -> before.get(duty).equals(before.get("probe/7")));
+        .filteredOn(task -> !after.get(task).equals(before.get(task)))
+        .allMatch(task -> before.get(task).equals(before.get("probe/7")));
     for (int i = 40; i < 50; i++) {
-      assertThat(code(ask(Kind.JOIN, "m" + i))).isEmpty();
+      assertThat(errorCode(send(Kind.JOIN, "m" + i))).isEmpty();
     }
-    // The one that left makes room; then there is none.
-    assertThat(code(ask(Kind.JOIN, "m50"))).isEmpty();
-    assertThat(code(ask(Kind.JOIN, "m51"))).isEqualTo("TB-1009");
+    // The member that left is replaced; after that the table is full.
+    assertThat(errorCode(send(Kind.JOIN, "m50"))).isEmpty();
+    assertThat(errorCode(send(Kind.JOIN, "m51"))).isEqualTo("TB-1009");
   }
 
-  private Map<String, String> meant() {
-    Map<String, String> meant = new HashMap<>();
-    book.state().tasks().forEach(duty -> meant.put(duty.task(), duty.assignedMember()));
-    return meant;
+  /** Returns the member that each task is assigned to. */
+  private Map<String, String> assignedMembers() {
+    Map<String, String> members = new HashMap<>();
+    table.state().tasks().forEach(lease -> members.put(lease.task(), lease.assignedMember()));
+    return members;
   }
 
+  /**
+   * Guards against a snapshot that loses state: a command repeated after the restore would take
+   * effect twice.
+   */
   @Test
-  void itsStateTakenUpAnewGoesOnAsIfNothingHadBeen() {
-    ask(Kind.JOIN, "a");
-    about(Kind.CLAIM, "a", "report", 0);
-    LeaseCommand published =
-        new LeaseCommand(Kind.PUBLISH, "a", number("a"), "a", "report", 1, 0, "report-1", null);
-    CommandResult first = apply(published);
-    LeaseTable again = new LeaseTable(book.state());
-    assertThat(again.state()).isEqualTo(book.state());
-    assertThat(again.apply(term, now * MS + 5, published)).isEqualTo(first);
+  void restoredTableRecognizesRepeatedCommands() {
+    send(Kind.JOIN, "a");
+    sendForTask(Kind.CLAIM, "a", "report", 0);
+    LeaseCommand publish =
+        new LeaseCommand(
+            Kind.PUBLISH, "a", nextSequence("a"), "a", "report", 1, 0, "report-1", null);
+    CommandResult firstResult = apply(publish);
+    LeaseTable restored = new LeaseTable(table.state());
+    assertThat(restored.state()).isEqualTo(table.state());
+    assertThat(restored.apply(term, now * MS + 5, publish)).isEqualTo(firstResult);
     assertThat(
-            code(
-                again.apply(
+            errorCode(
+                restored.apply(
                     term,
                     now * MS + 5,
                     new LeaseCommand(
--- a/testbed/src/test/java/tidebank/testbed/ArchitectureTest.java
+++ b/testbed/src/test/java/tidebank/testbed/ArchitectureTest.java
@@ -34,7 +34,7 @@
           "tidebank.capture.UnreadableCaptureException",
           "tidebank.capture.SegmentRetention",
           "tidebank.fleet.FleetReport",
-          "tidebank.fleet.Retention",
+          "tidebank.fleet.RemovalList",
           "tidebank.runtime.Readiness",
           "tidebank.runtime.ReadDelayEstimator",
           "tidebank.runtime.ShutdownSchedule",
--- a/testbed/src/test/java/tidebank/testbed/chaos/SharedFolderCheckTest.java
+++ b/testbed/src/test/java/tidebank/testbed/chaos/SharedFolderCheckTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import tidebank.fleet.LeaseCodec;
-import tidebank.fleet.Retention;
+import tidebank.fleet.RemovalList;
 import tidebank.lease.TaskLease;
 
 /** Removals that a list had named before, and ones that none had. */
@@ -31,7 +31,7 @@
   private TaskLease published(String... names) throws Exception {
     Files.write(
         folder.resolve("removals/removal-1-by-1.json"),
-        LeaseCodec.write(new Retention(1, "", 1, List.of(names))));
+        LeaseCodec.write(new RemovalList(1, "", 1, List.of(names))));
     return new TaskLease("retention", 1, "g0", "x", 0, "g0", "", 1, 1, "removal-1-by-1.json");
   }
 
--- a/testbed/src/test/java/tidebank/testbed/fleet/CoordinatorProcessesTest.java
+++ b/testbed/src/test/java/tidebank/testbed/fleet/CoordinatorProcessesTest.java
@@ -137,7 +137,8 @@
       CoordinatorClient client = client(coordinators);
       Member member = new Member("g0", "first", client);
       long token = member.acquire("report");
-      LeaseCommand publish = member.holder.publish("report", 0, "fleet-1." + token, Member.nowUs());
+      LeaseCommand publish =
+          member.holder.createPublishCommand("report", 0, "fleet-1." + token, Member.nowUs());
       CommandResult first = client.sendCommand(publish);
       assertThat(first.revision()).isEqualTo(1);
       coordinators.process(0).kill();
--- a/testbed/src/test/java/tidebank/threads/AgentMailboxThreadsTest.java
+++ b/testbed/src/test/java/tidebank/threads/AgentMailboxThreadsTest.java
@@ -10,66 +10,66 @@
 import org.junit.jupiter.api.Test;
 import tidebank.fleet.AgentMailbox;
 
-/** What loop and agent hand each other, under all interleavings of a few of their steps. */
+/** Checks {@link AgentMailbox} under all interleavings of a few operations of its threads. */
 class AgentMailboxThreadsTest {
   private static SortedMap<String, Long> counters(long scans) {
     return new TreeMap<>(java.util.Map.of("scans", scans));
   }
 
-  /** As it is. */
+  /** The production mailbox. */
   public static class Real {
-    private final AgentMailbox handover = new AgentMailbox();
+    private final AgentMailbox mailbox = new AgentMailbox();
 
     @Operation(nonParallelGroup = "agent")
-    public boolean ask() {
-      return handover.requestCounters();
+    public boolean askForCounters() {
+      return mailbox.requestCounters();
     }
 
     @Operation(nonParallelGroup = "loop")
-    public void tell(long scans) {
-      handover.deliverCounters(counters(scans));
+    public void transferCounters(long scans) {
+      mailbox.deliverCounters(counters(scans));
     }
 
     @Operation(nonParallelGroup = "agent")
-    public String take() {
-      return String.valueOf(handover.takeCounters());
+    public String takeCounters() {
+      return String.valueOf(mailbox.takeCounters());
     }
 
     @Operation
-    public void news() {
-      handover.notifyAssignment();
+    public void notifyAssignment() {
+      mailbox.notifyAssignment();
     }
 
     @Operation(nonParallelGroup = "agent")
-    public boolean takeNews() {
-      return handover.takeAssignmentNotice();
+    public boolean takeNotice() {
+      return mailbox.takeAssignmentNotice();
     }
 
     @Operation
     public void leave() {
-      handover.requestLeave();
+      mailbox.requestLeave();
     }
 
     @Operation
-    public boolean leaving() {
-      return handover.leaveRequested();
+    public boolean leaveRequested() {
+      return mailbox.leaveRequested();
     }
   }
 
-  /** Planted: what was told is read and then cleared, so that what came in between is lost. */
-  public static class ReadThenCleared {
-    private volatile SortedMap<String, Long> counted;
+  /** A faulty mailbox: it reads the counters and then clears them, which loses any in between. */
+  public static class ReadThenClear {
+    private volatile SortedMap<String, Long> delivered;
 
     @Operation(nonParallelGroup = "loop")
-    public void tell(long scans) {
-      counted = counters(scans);
+    public void transferCounters(long scans) {
+      delivered = counters(scans);
     }
 
     @Operation(nonParallelGroup = "agent")
-    public String take() {
-      SortedMap<String, Long> told = counted;
-      counted = null;
-      return String.valueOf(told);
+    public String takeCounters() {
+      SortedMap<String, Long> taken = delivered;
+      delivered = null;
+      return String.valueOf(taken);
     }
   }
 
@@ -84,14 +84,16 @@
         .minimizeFailedScenario(false);
   }
 
+  /** Guards against lost or doubled messages when threads use the mailbox concurrently. */
   @Test
-  void everyOrderIsOneThatCouldHaveBeenOneAfterTheOther() {
+  void mailboxIsLinearizable() {
     assertThatCode(() -> options().check(Real.class)).doesNotThrowAnyException();
   }
 
+  /** Guards against a check that finds nothing: it must detect a mailbox that loses counters. */
   @Test
-  void whatIsReadAndThenClearedIsFound() {
-    assertThatThrownBy(() -> options().check(ReadThenCleared.class))
+  void readThenClearIsDetected() {
+    assertThatThrownBy(() -> options().check(ReadThenClear.class))
         .isInstanceOf(AssertionError.class)
         .hasMessageContaining("Invalid execution results");
   }
--- a/testbed/src/test/java/tidebank/threads/LogRateLimiterThreadsTest.java
+++ b/testbed/src/test/java/tidebank/threads/LogRateLimiterThreadsTest.java
@@ -8,52 +8,52 @@
 import org.junit.jupiter.api.Test;
 import tidebank.logging.LogRateLimiter;
 
-/** The log's bound under all interleavings of a few lines. */
+/** Checks {@link LogRateLimiter} under all interleavings of a few log lines. */
 class LogRateLimiterThreadsTest {
-  /** As it is. */
+  /** The production limiter. */
   public static class Real {
-    private final LogRateLimiter bound = new LogRateLimiter(1);
+    private final LogRateLimiter limiter = new LogRateLimiter(1);
 
     @Operation
-    public long now() {
-      return bound.tryAcquire(1);
+    public long acquireNow() {
+      return limiter.tryAcquire(1);
     }
 
     @Operation
-    public long later() {
-      return bound.tryAcquire(2);
+    public long acquireLater() {
+      return limiter.tryAcquire(2);
     }
   }
 
-  /** Planted: the same without a lock. */
+  /** A faulty limiter: the same without a lock. */
   public static class Unlocked {
-    private long second;
-    private int lines;
-    private long left;
+    private long currentSecond;
+    private int admittedLines;
+    private long unreportedLines;
 
     @Operation
-    public long now() {
-      return take(1);
+    public long acquireNow() {
+      return tryAcquire(1);
     }
 
     @Operation
-    public long later() {
-      return take(2);
+    public long acquireLater() {
+      return tryAcquire(2);
     }
 
-    private long take(long now) {
-      if (now != second) {
-        second = now;
-        lines = 0;
+    private long tryAcquire(long second) {
+      if (second != currentSecond) {
+        currentSecond = second;
+        admittedLines = 0;
       }
-      if (lines >= 1) {
-        left++;
+      if (admittedLines >= 1) {
+        unreportedLines++;
         return LogRateLimiter.DENIED;
       }
-      lines++;
-      long tell = left;
-      left = 0;
-      return tell;
+      admittedLines++;
+      long toReport = unreportedLines;
+      unreportedLines = 0;
+      return toReport;
     }
   }
 
@@ -68,13 +68,15 @@
         .minimizeFailedScenario(false);
   }
 
+  /** Guards against lines over the limit, or denied lines that are reported twice or never. */
   @Test
-  void everyOrderOfItsLinesIsOneThatCouldHaveBeenOneAfterTheOther() {
+  void limiterIsLinearizable() {
     assertThatCode(() -> options().check(Real.class)).doesNotThrowAnyException();
   }
 
+  /** Guards against a check that finds nothing: it must detect a limiter without a lock. */
   @Test
-  void withoutItsLockItIsFound() {
+  void missingLockIsDetected() {
     assertThatThrownBy(() -> options().check(Unlocked.class))
         .isInstanceOf(AssertionError.class)
         .hasMessageContaining("Invalid execution results");
