--- a/router/src/main/java/tidebank/policy/Query.java
+++ b/router/src/main/java/tidebank/policy/Query.java
@@ -5,9 +5,12 @@
 import java.util.List;
 import tidebank.model.QueryClass;
 
-/** A query from when it is received until its final answer. Times are microseconds. */
+/**
+ * The state of one query from its arrival to its final answer. Times are microseconds of the
+ * policy's clock.
+ */
 final class Query {
-  /** What was decided for the query. */
+  /** The state of the query's current stage: open, or closed with a result. */
   enum Verdict {
     OPEN,
     COMPLETE,
@@ -48,7 +51,7 @@
     return id;
   }
 
-  /** Returns its number at this router; numbers rise. */
+  /** Returns the query's sequence number at this router; later queries have higher numbers. */
   long number() {
     return number;
   }
@@ -57,42 +60,46 @@
     return queryClass;
   }
 
-  /** Returns its requests of all stages, ranked once it is selected. */
+  /**
+   * Returns the shard requests of all stages. Those of the first stage are sorted by rank once the
+   * query is reviewed.
+   */
   List<ShardRequest> requests() {
     return requests;
   }
 
-  /** Returns when its client stops waiting. */
+  /** Returns the time at which the client stops waiting. */
   long deadline() {
     return deadline;
   }
 
-  /** Returns until when an answer has its full value. */
+  /** Returns the time until which an answer has its full value. */
   long objectiveAt() {
     return objectiveAt;
   }
 
-  /** Shortens its time, and its latency objective with it. */
-  void limitDeadline(long at) {
-    deadline = Math.min(deadline, at);
+  /** Limits the deadline, and with it the latency objective, to the given time. */
+  void limitDeadline(long limit) {
+    deadline = Math.min(deadline, limit);
     objectiveAt = Math.min(objectiveAt, deadline);
   }
 
-  /** Sorts its requests by falling weight. */
+  /** Sorts the shard requests by descending weight; equal weights are sorted by shard. */
   void rankRequests() {
     requests.sort(BY_RANK);
   }
 
+  /** Returns whether the requests to send have been selected. */
   boolean isSelected() {
     return selected;
   }
 
-  /** From now on, which of its requests go is decided. */
+  /** Records that the requests to send have been selected. */
   void markSelected() {
     selected = true;
   }
 
-  /** Returns the stage that it is in, from 0. */
+  /** Returns the index of the current stage, from 0. */
   int stage() {
     return stage;
   }
@@ -101,11 +108,12 @@
     return stage == 0;
   }
 
-  /** Returns whether the answer to this stage brings further requests. */
+  /** Returns whether a second stage follows once the current stage is answered. */
   boolean hasSecondStage() {
     return isFirstStage() && queryClass.secondStageRequests() > 0;
   }
 
+  /** Returns whether the query is in its second stage and the first was answered completely. */
   boolean isFirstStageComplete() {
     return firstStageComplete;
   }
@@ -129,22 +137,28 @@
     return verdict == Verdict.COMPLETE || verdict == Verdict.PARTIAL;
   }
 
-  void decide(Verdict decision) {
-    verdict = decision;
+  void decide(Verdict newStatus) {
+    verdict = newStatus;
   }
 
-  /** Returns how many servers lost connections on which its requests were in flight. */
+  /** Returns the number of lost connections, as {@link #recordConnectionLoss} counts them. */
   int connectionLosses() {
     return connectionLosses;
   }
 
-  /** Records a lost connection; several in a row to one server count once. */
+  /**
+   * Records that a connection was lost with a request of this query in flight. Consecutive losses
+   * at the same server count once.
+   */
   void recordConnectionLoss(ShardServer server) {
     connectionLosses += server == lastLostServer ? 0 : 1;
     lastLostServer = server;
   }
 
-  /** Returns how many requests of this stage are unresolved, as of its last review. */
+  /**
+   * Returns how many requests of the current stage were unresolved at the last review, or {@link
+   * Integer#MAX_VALUE} before the first review.
+   */
   int remainingRequests() {
     return remainingRequests;
   }
@@ -153,12 +167,12 @@
     remainingRequests = count;
   }
 
-  /** Returns when it is to be reviewed at the latest. */
+  /** Returns the time of the next scheduled review, or {@link Long#MAX_VALUE} if there is none. */
   long reviewAt() {
     return reviewAt;
   }
 
-  void setReviewAt(long at) {
-    reviewAt = at;
+  void setReviewAt(long time) {
+    reviewAt = time;
   }
 }
--- a/router/src/main/java/tidebank/policy/QueryCompletion.java
+++ b/router/src/main/java/tidebank/policy/QueryCompletion.java
@@ -6,18 +6,18 @@
 import tidebank.model.QueryClass;
 
 /**
- * Decides when a query is answered and how: completely, partially, throttled or failed. A query
- * that can no longer be answered gets its final answer at once.
+ * Decides when each query gets its answer, and which one: complete, partial, throttled or failed. A
+ * query that can no longer be answered is throttled or failed immediately.
  */
 final class QueryCompletion {
-  /** The share of the latency objective that a second stage needs. */
+  /** The share of the latency objective that is reserved for the second stage. */
   private static final double SECOND_STAGE_SHARE = 0.35;
 
-  /** Weights of a stage may sum to this much less than 1 by rounding. */
+  /** The rounding error that is tolerated in sums of weights. */
   private static final double WEIGHT_TOLERANCE = 0.00005;
 
-  /** After so many lost connections a query may itself crash its servers. */
-  private static final int FATAL_CONNECTION_LOSSES = 2;
+  /** The number of lost connections at which a query is assumed to crash its servers. */
+  private static final int CRASHING_CONNECTION_LOSSES = 2;
 
   private final DeadlineBudget deadlines;
   private final AttemptScheduler attempts;
@@ -31,7 +31,10 @@
     this.workQueue = workQueue;
   }
 
-  /** What has come of the requests of a query's present stage; one is reused for all queries. */
+  /**
+   * Counts and weights of the requests of a query's current stage. One instance is reused for all
+   * queries.
+   */
   private static final class Progress {
     private int requests;
     private int answered;
@@ -72,7 +75,7 @@
     }
   }
 
-  /** Answers a query, gives it up, or sets when it is reviewed again. */
+  /** Answers a query, throttles or fails it, or schedules its next review. */
   void review(Query query, long now) {
     progress.measure(query);
     query.setRemainingRequests(progress.unresolved);
@@ -88,7 +91,7 @@
             || now >= partialAnswerAt
             || now >= lastAnswerAt)) {
       close(query, Query.Verdict.PARTIAL);
-    } else if (isHopeless(query, now) || now >= lastAnswerAt) {
+    } else if (cannotBeAnswered(query, now) || now >= lastAnswerAt) {
       giveUp(query);
     } else if (now < partialAnswerAt) {
       workQueue.reviewAt(partialAnswerAt, query);
@@ -98,7 +101,7 @@
     }
   }
 
-  /** Returns from when on a partial answer no longer waits for the rest. */
+  /** Returns the time from which a partial answer no longer waits for unresolved requests. */
   private long partialAnswerAt(Query query) {
     QueryClass queryClass = query.queryClass();
     long reserveUs =
@@ -108,13 +111,17 @@
     return query.objectiveAt() - reserveUs;
   }
 
+  /**
+   * Returns whether the answered requests make the answer complete. A second stage needs all its
+   * responses and a complete first stage.
+   */
   private boolean isComplete(Query query) {
     return query.isFirstStage()
         ? progress.answeredWeight >= query.queryClass().completeWeight() - WEIGHT_TOLERANCE
         : progress.isAllAnswered() && query.isFirstStageComplete();
   }
 
-  /** Returns the least weight that a partial answer of the present stage needs. */
+  /** Returns the minimum weight of a partial answer to the current stage. */
   private static double minimumWeight(Query query) {
     QueryClass queryClass = query.queryClass();
     if (queryClass.minimumWeight() < queryClass.completeWeight()) {
@@ -123,23 +130,29 @@
     return query.isFirstStage() ? queryClass.completeWeight() : 1;
   }
 
-  /** Returns whether the query can't be answered, is worth nothing any more, or crashes servers. */
-  private boolean isHopeless(Query query, long now) {
+  /**
+   * Returns whether the query can't reach its minimum weight, has no value after its latency
+   * objective, or is assumed to crash its servers.
+   */
+  private boolean cannotBeAnswered(Query query, long now) {
     boolean crashesServers =
-        query.connectionLosses() >= FATAL_CONNECTION_LOSSES
+        query.connectionLosses() >= CRASHING_CONNECTION_LOSSES
             && query.isFirstStage()
             && progress.answeredWeight <= 0;
-    double possibleWeight = progress.answeredWeight + progress.unresolvedWeight;
-    boolean worthless = query.queryClass().lateWeight() <= 0 && now >= query.objectiveAt();
-    return crashesServers || possibleWeight < minimumWeight(query) - WEIGHT_TOLERANCE || worthless;
+    double reachableWeight = progress.answeredWeight + progress.unresolvedWeight;
+    boolean hasNoValue = query.queryClass().lateWeight() <= 0 && now >= query.objectiveAt();
+    return crashesServers
+        || reachableWeight < minimumWeight(query) - WEIGHT_TOLERANCE
+        || hasNoValue;
   }
 
-  /** Ends a query without an answer: throttled where a client's retry is harmless, else failed. */
+  /** Throttles a query if its client may safely retry it, otherwise fails it. */
   void giveUp(Query query) {
-    close(query, isRetryHarmless(query) ? Query.Verdict.THROTTLED : Query.Verdict.FAILED);
+    close(query, isSafeToRetry(query) ? Query.Verdict.THROTTLED : Query.Verdict.FAILED);
   }
 
-  private static boolean isRetryHarmless(Query query) {
+  /** Returns whether a retry by the client can't execute a non-idempotent request twice. */
+  private static boolean isSafeToRetry(Query query) {
     if (query.queryClass().idempotency() == Idempotency.IDEMPOTENT) {
       return true;
     }
@@ -151,16 +164,19 @@
     return true;
   }
 
-  /** Decides a query and gives up what it still has in flight. */
-  void close(Query query, Query.Verdict verdict) {
-    query.decide(verdict);
+  /** Closes the current stage of a query with the given status, and gives up attempts in flight. */
+  void close(Query query, Query.Verdict status) {
+    query.decide(status);
     decided.add(query);
     for (ShardRequest request : query.requests()) {
       attempts.abandon(request);
     }
   }
 
-  /** Returns the queries that were decided in this round, in that order; cleared by the caller. */
+  /**
+   * Returns the queries that were closed in this decision round, in order. The caller clears the
+   * list.
+   */
   List<Query> decided() {
     return decided;
   }
--- a/router/src/main/java/tidebank/policy/QueryIntake.java
+++ b/router/src/main/java/tidebank/policy/QueryIntake.java
@@ -5,7 +5,10 @@
 import tidebank.model.QueryClass;
 import tidebank.model.Settings;
 
-/** Takes in queries and their shard requests, and sets each query's deadline and objective. */
+/**
+ * Adds received queries and shard requests to the {@link QueryTable}, and sets the deadline and the
+ * latency objective of each query.
+ */
 final class QueryIntake {
   private final Settings settings;
   private final QueryTable queries;
@@ -14,7 +17,7 @@
   private final RetryBudget retryBudget;
   private final ClientRetryTracker clientRetries = new ClientRetryTracker();
 
-  /** When this router shuts down. */
+  /** The time by which all queries need their final answer, once the router shuts down. */
   private long shutdownAt = Long.MAX_VALUE;
 
   QueryIntake(
@@ -30,6 +33,7 @@
     this.retryBudget = retryBudget;
   }
 
+  /** Adds a query, and records how long it waited for the event loop. */
   void addQuery(Event.QueryReceived event, long now) {
     deadlines.recordEventLoopDelay(now - event.receivedAt(), now);
     QueryClass queryClass = settings.queryClasses().get(event.queryClass());
@@ -45,13 +49,16 @@
     retryBudget.recordReceived(now);
   }
 
-  /** A query of an unknown class has to be answered completely, and is executed once. */
+  /**
+   * Returns the strictest requirements for a query of an unknown class: only a complete answer
+   * counts, and no request may be executed twice.
+   */
   private static QueryClass unknownClass(String name, long remainingUs) {
     return new QueryClass(
         name, Idempotency.NON_IDEMPOTENT, 0, remainingUs, remainingUs, 0, 1, 1, 0);
   }
 
-  /** Adds a request to its query, unless that is no longer open. */
+  /** Adds a shard request to its query if the query is still open. */
   void addRequest(Event.ShardRequestReceived event, long now) {
     retryBudget.recordReceived(now);
     Query query = queries.openQuery(event.queryNumber());
@@ -61,7 +68,7 @@
     }
   }
 
-  /** Ends the time of all queries, also of those still to come, with the router's own. */
+  /** Limits the deadlines of all present and future queries to the router's shutdown deadline. */
   void shutDownBy(long deadline) {
     shutdownAt = deadline;
     for (Query query : queries.queries()) {
--- a/router/src/main/java/tidebank/policy/QueryTable.java
+++ b/router/src/main/java/tidebank/policy/QueryTable.java
@@ -4,19 +4,22 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The open queries and their shard requests, and requests that still have attempts in flight. */
+/**
+ * An index of the open queries and their shard requests. It also keeps requests of closed queries
+ * while attempts of them are in flight.
+ */
 final class QueryTable {
   private final Map<String, Query> byId = new HashMap<>();
   private final Map<Long, Query> byNumber = new HashMap<>();
   private final Map<String, ShardRequest> requests = new HashMap<>();
 
-  /** Returns the open query of this id, or null. */
+  /** Returns the open query with this id, or null. */
   Query openQuery(String id) {
     Query query = byId.get(id);
     return query != null && query.isOpen() ? query : null;
   }
 
-  /** Returns the open query of this number, or null. */
+  /** Returns the open query with this sequence number, or null. */
   Query openQuery(long number) {
     Query query = byNumber.get(number);
     return query != null && query.isOpen() ? query : null;
@@ -26,13 +29,17 @@
     return byId.values();
   }
 
-  /** Returns the attempt of this number if it is in flight, else null. */
-  Attempt attemptInFlight(String requestId, int number) {
+  /**
+   * Returns an attempt of a shard request, or null if it is not in flight.
+   *
+   * @param attemptNumber the attempt's position among the attempts of its request, from 0
+   */
+  Attempt attemptInFlight(String requestId, int attemptNumber) {
     ShardRequest request = requests.get(requestId);
-    if (request == null || number >= request.attempts().size()) {
+    if (request == null || attemptNumber >= request.attempts().size()) {
       return null;
     }
-    Attempt attempt = request.attempts().get(number);
+    Attempt attempt = request.attempts().get(attemptNumber);
     return attempt.isInFlight() ? attempt : null;
   }
 
@@ -47,16 +54,14 @@
     requests.put(request.id(), request);
   }
 
-  /** Forgets an answered query; its requests stay while attempts are in flight. */
+  /** Removes a closed query; its requests stay while they have attempts in flight. */
   void remove(Query query) {
     byId.remove(query.id());
     byNumber.remove(query.number());
     query.requests().forEach(this::forgetIfDone);
   }
 
-  /**
-   * Forgets a request of a query that is no longer open, once none of its attempts is in flight.
-   */
+  /** Removes a request if its query is closed and none of its attempts is in flight. */
   void forgetIfDone(ShardRequest request) {
     if (!request.query().isOpen() && !request.hasAttemptInFlight()) {
       requests.remove(request.id());
--- a/router/src/main/java/tidebank/policy/QueryWorkQueue.java
+++ b/router/src/main/java/tidebank/policy/QueryWorkQueue.java
@@ -6,36 +6,37 @@
 import java.util.TreeMap;
 
 /**
- * The queries that a decision round has to review: those that something happened to, and those
- * whose time has come.
+ * The queue of queries to review: those that changed in the current decision round, and those with
+ * a scheduled review that is due.
  */
 final class QueryWorkQueue {
-  private record Entry(long at, Query query) {}
+  private record ScheduledReview(long time, Query query) {}
 
-  private final PriorityQueue<Entry> byTime =
+  private final PriorityQueue<ScheduledReview> byTime =
       new PriorityQueue<>(
-          Comparator.comparingLong(Entry::at).thenComparingLong(entry -> entry.query().number()));
+          Comparator.comparingLong(ScheduledReview::time)
+              .thenComparingLong(review -> review.query().number()));
   private SortedMap<Long, Query> changed = new TreeMap<>();
 
-  /** Has the query reviewed in this round. */
+  /** Adds the query to those that are reviewed in the current round. */
   void markChanged(Query query) {
     changed.put(query.number(), query);
   }
 
-  /** Has the query reviewed no later than at the given time. */
+  /** Schedules a review at the given time, unless an earlier one is scheduled. */
   void reviewAt(long time, Query query) {
     if (time < query.reviewAt()) {
       query.setReviewAt(time);
-      byTime.add(new Entry(time, query));
+      byTime.add(new ScheduledReview(time, query));
     }
   }
 
-  /** Takes the queries to review now, in the order in which they were received. */
+  /** Removes and returns the queries to review now, in the order in which they were received. */
   Iterable<Query> takeDue(long now) {
-    while (!byTime.isEmpty() && byTime.peek().at() <= now) {
-      Entry entry = byTime.poll();
-      if (isCurrent(entry)) {
-        markChanged(entry.query());
+    while (!byTime.isEmpty() && byTime.peek().time() <= now) {
+      ScheduledReview review = byTime.poll();
+      if (isCurrent(review)) {
+        markChanged(review.query());
       }
     }
     Iterable<Query> due = changed.values();
@@ -44,16 +45,16 @@
     return due;
   }
 
-  /** Returns when the next query is due, or {@link Long#MAX_VALUE}. */
+  /** Returns the time of the next scheduled review, or {@link Long#MAX_VALUE} if there is none. */
   long nextReviewAt() {
     while (!byTime.isEmpty() && !isCurrent(byTime.peek())) {
       byTime.poll();
     }
-    return byTime.isEmpty() ? Long.MAX_VALUE : byTime.peek().at();
+    return byTime.isEmpty() ? Long.MAX_VALUE : byTime.peek().time();
   }
 
-  /** Returns whether the query was not given another time since. */
-  private static boolean isCurrent(Entry entry) {
-    return entry.at() == entry.query().reviewAt();
+  /** Returns whether the review of this query has not been rescheduled since. */
+  private static boolean isCurrent(ScheduledReview review) {
+    return review.time() == review.query().reviewAt();
   }
 }
--- a/router/src/main/java/tidebank/policy/RetryBudget.java
+++ b/router/src/main/java/tidebank/policy/RetryBudget.java
@@ -3,15 +3,15 @@
 import tidebank.model.Settings;
 
 /**
- * The retry budget: attempts after the first of a request are limited, over a sliding window, to a
- * share of the queries and requests received, plus a fixed floor. Settings without a window have no
- * such limit.
+ * The retry budget. Over a sliding window, it limits retries and hedged attempts to a fixed floor
+ * plus a share of the queries and shard requests received. There is no limit if the settings have
+ * no window.
  */
 final class RetryBudget {
   private final Settings.Rules rules;
   private final long windowUs;
 
-  /** A tick longer than the window, to stay on the safe side of it. */
+  /** The window in which retries count: one tick longer than configured, as a safety margin. */
   private final long retryWindowUs;
 
   private final SlidingWindow received = new SlidingWindow();
@@ -23,7 +23,7 @@
     this.retryWindowUs = windowUs + settings.tickUs();
   }
 
-  /** Records a query or a request that was received. */
+  /** Records a received query or shard request. */
   void recordReceived(long now) {
     received.add(now, windowUs);
   }
--- a/router/src/main/java/tidebank/policy/RetryPolicy.java
+++ b/router/src/main/java/tidebank/policy/RetryPolicy.java
@@ -4,7 +4,7 @@
 import tidebank.model.QueryClass;
 import tidebank.model.Settings;
 
-/** Decides whether a shard request may get a further attempt: a retry, or a hedged attempt. */
+/** Decides whether a shard request may get a further attempt: a retry or a hedged attempt. */
 final class RetryPolicy {
   private static final int MAX_RETRIES = 2;
 
@@ -23,8 +23,9 @@
   }
 
   /**
-   * Returns whether the request may get a further attempt at all, now or later: within the
-   * permitted number and the latency objective, and without executing twice what must not be.
+   * Returns whether the request may get a further attempt, now or later. It may if it has attempts
+   * left, its latency objective has not passed, and a further attempt can't execute a
+   * non-idempotent request twice.
    */
   boolean isRetryable(ShardRequest request, long now) {
     Query query = request.query();
@@ -39,7 +40,10 @@
         && isWithinKeyWindow(request, now + tickUs - queryClass.idempotencyWindowUs());
   }
 
-  /** Returns whether all attempts that may have executed were sent after the given time. */
+  /**
+   * Returns whether servers still recognize the idempotency key of every attempt that may have
+   * executed, because all of these were sent after the given time.
+   */
   private static boolean isWithinKeyWindow(ShardRequest request, long windowStart) {
     for (Attempt attempt : request.attempts()) {
       if (attempt.mayHaveExecuted() && attempt.sentAt() <= windowStart) {
@@ -50,19 +54,20 @@
   }
 
   /**
-   * Returns whether a retryable request may get its further attempt now. Under overload that would
-   * add to the load. It goes all the same where the request reached no server; and where the
-   * traffic of one router is sparse, so that its own requests filled no server, if it never ran.
+   * Returns whether a retryable request may get its further attempt now, within the retry budget.
+   * Under overload a further attempt would add to the load, so it is allowed only if the request
+   * never reached a server. If each router's traffic is sparse, it is also allowed if the request
+   * was never executed: this router's own requests can't have caused the overload then.
    */
   boolean admitsNow(ShardRequest request, long now) {
-    boolean harmless =
+    boolean allowedByLoad =
         !congestion.isOverloaded()
             || request.neverReachedServer()
             || (sparseTraffic && !request.mayHaveExecuted());
-    return harmless && budget.allows(now);
+    return allowedByLoad && budget.allows(now);
   }
 
-  /** Counts an attempt after the first of a request. */
+  /** Records a retry or a hedged attempt in the retry budget. */
   void recordRetry(long now) {
     budget.recordRetry(now);
   }
--- a/router/src/main/java/tidebank/policy/RoutingPolicy.java
+++ b/router/src/main/java/tidebank/policy/RoutingPolicy.java
@@ -10,18 +10,21 @@
 import tidebank.model.Settings;
 
 /**
- * All routing decisions of one query router. Call {@link #on} with the clock and what happened
- * since the last call; it returns what to do now, in order. The same settings, seed and events
- * always give the same actions.
+ * The routing decisions of one query router. Each call of {@link #on} runs one decision round: it
+ * takes the current time and the events since the last round, and returns the actions to execute,
+ * in order. The same settings, seed and events always give the same actions.
  *
- * <p>The requests of a query are ranked by weight; the top T go unless their shard is over its
- * concurrency limit; later ranks need a load below a threshold that falls from the limit to idle
- * ({@link LoadThresholds}). Everything else serves that sentence: events change the state of the
- * detectors and limits, {@link #decide} settles what is wanted of each query that is due, and
- * {@link ActionEmitter} emits the difference to what was asked for before.
+ * <p>The shard requests of a query are ranked by weight. The top T requests are sent unless their
+ * shard is over its concurrency limit. A request of a lower rank is sent only if the load of its
+ * shard is below a threshold, which falls with the rank from the concurrency limit to nearly idle
+ * ({@link LoadThresholds}).
+ *
+ * <p>A round has three steps. Events update the state of the detectors and limits. {@link #decide}
+ * then reviews each query that changed or is due, and decides which attempts it needs and whether
+ * it is answered. {@link ActionEmitter} emits the difference to the earlier decisions as actions.
  */
 public final class RoutingPolicy {
-  /** Stands for the shortest latency objective where the settings have none. */
+  /** The shortest latency objective if the settings have none. */
   private static final long DEFAULT_OBJECTIVE_US = 1_000_000;
 
   private final QueryTable queries = new QueryTable();
@@ -41,10 +44,10 @@
   private final QueryCompletion completion;
   private final ActionEmitter emitter;
 
-  /** The time of the round that runs. */
+  /** The time of the current decision round, in microseconds. */
   private long now;
 
-  /** Creates the policy of one router; all its random choices follow from the seed. */
+  /** Creates the policy of one router. The seed determines all its random choices. */
   public RoutingPolicy(Settings settings, long seed) {
     long objectiveUs = settings.shortestObjectiveUs().orElse(DEFAULT_OBJECTIVE_US);
     SeededRandom random = new SeededRandom(seed);
@@ -77,10 +80,11 @@
   }
 
   /**
-   * Runs one decision round: takes what happened and returns what to do.
+   * Runs one decision round.
    *
-   * @param clock the time in microseconds, which never falls
-   * @param events what happened since the last round, in order
+   * @param clock the current time in microseconds, which must never decrease
+   * @param events the events since the last round, in order
+   * @return the actions to execute, in order
    */
   public List<Action> on(long clock, List<Event> events) {
     now = clock;
@@ -98,7 +102,7 @@
     return emitter.finishRound(now);
   }
 
-  /** Settles what is wanted of a query that is due for review. */
+  /** Reviews an open query: selects its requests, advances them, and answers it if possible. */
   private void decide(Query query) {
     for (ShardRequest request : query.requests()) {
       request.attempts().forEach(this::checkTimeout);
@@ -115,6 +119,7 @@
     }
   }
 
+  /** Selects the requests of a query to send, or gives the query up if it can't be answered. */
   private void select(Query query) {
     query.markSelected();
     if (query.requests().isEmpty() || isTooLateToAnswer(query)) {
@@ -124,13 +129,13 @@
     }
   }
 
-  /** Returns whether not even a quick response would be back in time. */
+  /** Returns whether even a quick response would arrive too late to be used. */
   private boolean isTooLateToAnswer(Query query) {
     double neededUs = deadlines.answerMarginUs(query.queryClass()) + latency.baselineResponseUs();
     return query.deadline() - now <= neededUs;
   }
 
-  /** Advances all requests of a selected query, else its canary alone. */
+  /** Advances all requests of a query, or only its canary if the others are held back. */
   private void advanceRequests(Query query) {
     List<ShardRequest> requests = query.requests();
     int count = query.isSelected() ? requests.size() : 1;
@@ -139,6 +144,7 @@
     }
   }
 
+  /** Records an attempt's timeout if it has passed, and schedules a review for it otherwise. */
   private void checkTimeout(Attempt attempt) {
     if (attempt.isInFlight() && now >= attempt.timeoutAt()) {
       feedback.recordTimeout(attempt, now);
@@ -147,7 +153,7 @@
     }
   }
 
-  /** Answers a decided query, and forgets it unless that begins its second stage. */
+  /** Answers a closed query. Its second stage begins if it has one; otherwise it is removed. */
   private void answer(Query query) {
     emitter.emitAnswer(query);
     if (query.isAnswered() && query.hasSecondStage()) {
--- a/router/src/main/java/tidebank/policy/ShardRequest.java
+++ b/router/src/main/java/tidebank/policy/ShardRequest.java
@@ -4,19 +4,16 @@
 import java.util.List;
 import tidebank.model.Outcome;
 
-/**
- * One of the requests of a query, to one shard. It is remembered as long as its query, or until the
- * last of its attempts has ended.
- */
+/** The state of one request of a query to one shard. */
 final class ShardRequest {
   private enum Stage {
-    /** To be sent. */
+    /** Its first attempt is not scheduled yet. */
     PENDING,
     SENT,
-    /** Left out on purpose. */
+    /** Not sent, to shed load. */
     SKIPPED,
     ANSWERED,
-    /** Nothing more can be done for it. */
+    /** No further attempt is made. */
     FAILED
   }
 
@@ -29,7 +26,7 @@
   private final List<Attempt> attempts = new ArrayList<>();
   private Stage stage = Stage.PENDING;
 
-  /** Creates a request of the query's present stage. */
+  /** Creates a request of the query's current stage. */
   ShardRequest(String id, Query query, int shard, double weight, String key) {
     this.id = id;
     this.query = query;
@@ -51,21 +48,22 @@
     return shard;
   }
 
-  /** Returns its share of its query stage, from 0 to 1. */
+  /** Returns its share of the total weight of its query stage, from 0 to 1. */
   double weight() {
     return weight;
   }
 
-  /** Returns its idempotency key, or an empty text. */
+  /** Returns its idempotency key, or an empty string if it has none. */
   String key() {
     return key;
   }
 
+  /** Returns the index of the query stage that it belongs to, from 0. */
   int queryStage() {
     return queryStage;
   }
 
-  /** Returns its attempts in the order in which they were decided. */
+  /** Returns its attempts in the order in which they were scheduled. */
   List<Attempt> attempts() {
     return attempts;
   }
@@ -82,7 +80,7 @@
     return stage == Stage.ANSWERED;
   }
 
-  /** Returns whether an answer may still come. */
+  /** Returns whether it may still be answered. */
   boolean isUnresolved() {
     return stage == Stage.PENDING || stage == Stage.SENT;
   }
@@ -91,7 +89,7 @@
     stage = Stage.SENT;
   }
 
-  /** Leaves it out of the query. */
+  /** Marks the request as not to be sent. */
   void skip() {
     stage = Stage.SKIPPED;
   }
@@ -100,7 +98,7 @@
     stage = Stage.ANSWERED;
   }
 
-  /** Nothing more is done for it; an answer that it has counts on. */
+  /** Marks the request as failed unless it is already answered. */
   void fail() {
     if (stage != Stage.ANSWERED) {
       stage = Stage.FAILED;
@@ -134,7 +132,7 @@
     return false;
   }
 
-  /** Returns whether all its attempts ended without reaching a server. */
+  /** Returns whether every attempt has ended without reaching a server. */
   boolean neverReachedServer() {
     for (Attempt attempt : attempts) {
       if (attempt.outcome() != Outcome.UNREACHABLE && attempt.outcome() != Outcome.NOT_SENT) {
@@ -144,7 +142,7 @@
     return true;
   }
 
-  /** Returns whether an attempt is not proved never to have executed. */
+  /** Returns whether the request may have been executed, as far as the outcomes tell. */
   boolean mayHaveExecuted() {
     for (Attempt attempt : attempts) {
       if (attempt.mayHaveExecuted()) {
--- a/router/src/main/java/tidebank/policy/ShardServer.java
+++ b/router/src/main/java/tidebank/policy/ShardServer.java
@@ -4,10 +4,13 @@
 import java.util.List;
 import tidebank.model.Settings;
 
-/** What a router knows of one shard server, as long as it is listed or something is in flight. */
+/**
+ * The state that a router keeps of one shard server, while the server is listed or has attempts of
+ * this router in flight.
+ */
 final class ShardServer {
   private static final long NEVER = Long.MIN_VALUE / 2;
-  private static final long SAMPLE_INTERVAL_US = 1_000_000;
+  private static final long CONGESTION_SAMPLE_INTERVAL_US = 1_000_000;
 
   private final String id;
   private final SlowStart slowStart;
@@ -17,7 +20,7 @@
   private double capacity;
   private boolean inService;
 
-  /** No bound before its first response. */
+  /** Unbounded until the first attempt has ended. */
   private double spilloverThreshold = Double.POSITIVE_INFINITY;
 
   private long batchAt = -1;
@@ -52,37 +55,41 @@
     return outlierDetector.isEjected();
   }
 
-  /** Returns this router's attempts in flight there. */
+  /** Returns this router's attempts in flight at the server. */
   List<Attempt> inFlight() {
     return inFlight;
   }
 
+  /** Returns its position on the ring, which determines the shards that it holds. */
   int position() {
     return position;
   }
 
-  void setPosition(int place) {
-    position = place;
+  void setPosition(int ringPosition) {
+    position = ringPosition;
   }
 
-  /** Returns its capacity as listed. */
+  /** Returns its capacity in the endpoint list, relative to other servers. */
   double capacity() {
     return capacity;
   }
 
-  void setCapacity(double listed) {
-    capacity = listed;
+  void setCapacity(double listedCapacity) {
+    capacity = listedCapacity;
   }
 
   boolean isInService() {
     return inService;
   }
 
-  void setInService(boolean listed) {
-    inService = listed;
+  void setInService(boolean listedInService) {
+    inService = listedInService;
   }
 
-  /** Returns how many requests it may hold as primary replica before others take over. */
+  /**
+   * Returns the load, in requests in flight, above which requests with this primary replica may go
+   * to other replicas.
+   */
   double spilloverThreshold() {
     return spilloverThreshold;
   }
@@ -93,7 +100,7 @@
 
   // ---- batches
 
-  /** Returns whether a request sent now needs a new batch. */
+  /** Returns whether a request that is sent now needs a new batch. */
   boolean needsBatch(int maxBatchSize, long now) {
     return batchAt != now || batchSize >= maxBatchSize;
   }
@@ -104,15 +111,15 @@
     batchSize = 0;
   }
 
-  /** Adds a request to the open batch and returns its number. */
+  /** Adds a request to the open batch and returns the number of the batch. */
   long joinBatch() {
     batchSize++;
     return batch;
   }
 
-  // ---- responses and silence
+  // ---- responses, timeouts and connection faults
 
-  /** Returns when it last responded, or 0. */
+  /** Returns the time of the last response, or 0 if there was none. */
   long lastResponseAt() {
     return lastResponseAt;
   }
@@ -122,7 +129,9 @@
     unreachableSince = Long.MAX_VALUE;
   }
 
-  /** Returns whether it could not be reached at that time or before, with no response since. */
+  /**
+   * Returns whether it became unreachable at or before the given time, without a response since.
+   */
   boolean wasUnreachableBy(double time) {
     return time >= unreachableSince;
   }
@@ -135,38 +144,45 @@
     connectionLostAt = now;
   }
 
-  /** Records a connection fault without requests in flight on it. */
+  /** Forgets the last lost connection, after a connection fault of another kind. */
   void clearConnectionLost() {
     connectionLostAt = NEVER;
   }
 
-  /** Returns whether its last connection fault was one with requests in flight, and recent. */
+  /**
+   * Returns whether its last connection fault was a connection lost with attempts in flight, less
+   * than the given time ago.
+   */
   boolean lostConnectionWithin(long us, long now) {
     return now - connectionLostAt < us;
   }
 
-  /** Records an attempt that timed out. */
+  /** Records that an attempt which was sent at the given time has timed out. */
   void recordTimeout(long sentAt) {
     lastTimedOutSentAt = Math.max(lastTimedOutSentAt, sentAt);
   }
 
-  /** Returns whether it has not responded since the latest timed-out attempt was sent. */
+  /** Returns whether it has not responded since the last timed-out attempt was sent. */
   boolean isSilent() {
     return lastTimedOutSentAt >= lastResponseAt;
   }
 
-  /** Forgets the timed-out attempts, as its connections are replaced. */
+  /** Forgets the timed-out attempts, when the connection for the next attempt has been chosen. */
   void clearSilence() {
     lastTimedOutSentAt = -1;
   }
 
   // ---- congestion
 
-  /** Returns whether a congestion sample is due, and takes note of it if so. */
+  /**
+   * Returns whether this observation counts as a congestion sample, and records it if so. One
+   * sample per second counts. A congested one counts sooner, unless there was another congested one
+   * within the last second.
+   */
   boolean takeCongestionSample(boolean congested, long now) {
     boolean due =
-        (congested && now - congestedAt >= SAMPLE_INTERVAL_US)
-            || now - congestionSampledAt >= SAMPLE_INTERVAL_US;
+        (congested && now - congestedAt >= CONGESTION_SAMPLE_INTERVAL_US)
+            || now - congestionSampledAt >= CONGESTION_SAMPLE_INTERVAL_US;
     if (due) {
       congestionSampledAt = now;
       congestedAt = congested ? now : congestedAt;
--- a/router/src/main/java/tidebank/policy/SlidingWindow.java
+++ b/router/src/main/java/tidebank/policy/SlidingWindow.java
@@ -3,21 +3,21 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** Counts how often something happened within a time span up to now. */
+/** A counter of events within a sliding time window that ends now. */
 final class SlidingWindow {
   private final Deque<Long> times = new ArrayDeque<>();
 
-  /** Returns how many events lie within the span up to now; older ones are forgotten. */
-  int count(long now, long span) {
-    while (!times.isEmpty() && times.peekFirst() <= now - span) {
+  /** Returns the number of events within the window; older ones are removed. */
+  int count(long now, long windowUs) {
+    while (!times.isEmpty() && times.peekFirst() <= now - windowUs) {
       times.removeFirst();
     }
     return times.size();
   }
 
-  /** Adds an event that happens now. */
-  void add(long now, long span) {
-    count(now, span);
+  /** Adds an event at the current time, and removes those outside the window. */
+  void add(long now, long windowUs) {
+    count(now, windowUs);
     times.addLast(now);
   }
 }
--- a/router/src/main/java/tidebank/policy/SlowStart.java
+++ b/router/src/main/java/tidebank/policy/SlowStart.java
@@ -4,36 +4,41 @@
 import tidebank.model.Settings;
 
 /**
- * Slow start of one shard server: limits what this router sends to a server that has just started.
- * A warm server is taken to bear what one core can, or as many cores as it is listed with, and a
- * starting one the initial share of that, rising evenly. This router's share is one part of as many
- * as there are routers, over any window.
+ * Slow start of one shard server: limits the requests that this router sends to a server that has
+ * just started. A warm server is assumed to sustain the load of as many cores as its listed
+ * capacity, and of one core at least. A starting server gets the initial share of that load, and
+ * the share rises linearly to 1. The routers divide the load evenly, over any overload window.
  *
- * <p>Where that is under one batch, the fleet's batches go round by router index, each slot lasting
- * until the next: chance alone lets a fleet exceed its budget, and so does a restarted router,
- * which forgot whether it sent. So only slots that begin after the notification of the start count.
+ * <p>If one router's part is less than one batch, the routers take turns: each may send one batch
+ * in its slot, in the order of the router indexes, and a slot lasts until the router's next one.
+ * Without turns the fleet could exceed its budget by chance. A restarted router does not know
+ * whether it has already sent in the current slot, so only slots that begin after the notification
+ * of the server's start count.
  */
 final class SlowStart {
-  /** How many standard deviations of chance a server's batches stay under what it bears. */
-  private static final double DEVIATIONS = 4;
+  /** The safety margin of the slots, in standard deviations of the number of batches. */
+  private static final double SAFETY_DEVIATIONS = 4;
 
-  private static final double MIN_BATCHES = 0.00005;
+  private static final double MIN_INITIAL_BATCHES = 0.00005;
 
   private final String serverId;
   private final Settings settings;
   private final Settings.Rules rules;
   private final SlidingWindow sends = new SlidingWindow();
 
-  /** When the server started, or 0 where that is long past. */
+  /** When the server started, or 0 if it started long ago. */
   private long startedAt;
 
-  /** How many batches it bears warm within the overload window, as known when it started. */
+  /**
+   * The number of batches per overload window that the server can sustain once it is warm, as
+   * estimated when it started.
+   */
   private double warmBatches;
 
-  /** The share of a round among the routers by which this router's slots come later. */
+  /** The offset of this router's slots, as a share of one round over all routers. */
   private double phase;
 
-  /** The latest slot that was used, or that ran when the start was notified. */
+  /** The last slot that was used, or the slot in which the start was notified. */
   private long lastSlot;
 
   SlowStart(String serverId, Settings settings) {
@@ -42,6 +47,7 @@
     this.rules = settings.rules();
   }
 
+  /** Returns when the server started, or 0 if it started long ago. */
   long startedAt() {
     return startedAt;
   }
@@ -49,17 +55,18 @@
   /**
    * Begins a slow start.
    *
-   * @param at when the server started
-   * @param capacity its cores as listed
-   * @param batchUs what one batch keeps a core busy for
+   * @param serverStartedAt when the server started
+   * @param capacity the server's listed capacity, in cores
+   * @param batchUs how long one batch keeps a core busy, in microseconds
    */
-  void begin(long at, double capacity, double batchUs, SeededRandom random, long now) {
-    startedAt = at;
+  void begin(long serverStartedAt, double capacity, double batchUs, SeededRandom random, long now) {
+    startedAt = serverStartedAt;
     double cores = Math.max(1, capacity);
     warmBatches = rules.overloadMultiple() * cores * rules.overloadWindowUs() / batchUs;
-    double turn =
+    double indexedPhase =
         SeededRandom.mixedHash(serverId) + settings.routerIndex() / (double) settings.routers();
-    phase = settings.routerIndex() < 0 ? random.nextDouble() : turn - Math.floor(turn);
+    phase =
+        settings.routerIndex() < 0 ? random.nextDouble() : indexedPhase - Math.floor(indexedPhase);
     lastSlot = slot(now);
   }
 
@@ -69,36 +76,51 @@
     if (startedAt == 0 || ageUs >= rules.slowStartUs()) {
       return true;
     }
-    // The window that ends now began when less was allowed.
-    double windowStart =
+    // The share at the start of the window that ends now applies: it is the lowest of the window.
+    double windowStartProgress =
         Math.max(0, ageUs - rules.overloadWindowUs()) / (double) rules.slowStartUs();
-    double initial = rules.slowStartInitialShare();
-    double fairShare = (initial + (1 - initial) * windowStart) * warmBatches / settings.routers();
-    return sends.count(now, rules.overloadWindowUs()) + 1 <= Math.max(1, fairShare)
-        && (fairShare >= 1 || slot(now) > lastSlot);
+    double initialShare = rules.slowStartInitialShare();
+    double allowedBatches =
+        (initialShare + (1 - initialShare) * windowStartProgress)
+            * warmBatches
+            / settings.routers();
+    return sends.count(now, rules.overloadWindowUs()) + 1 <= Math.max(1, allowedBatches)
+        && (allowedBatches >= 1 || slot(now) > lastSlot);
   }
 
-  /** Records that a request is sent to the server. */
+  /** Records that a request was sent to the server. */
   void recordSend(long now) {
     sends.add(now, rules.overloadWindowUs());
     lastSlot = startedAt == 0 ? 0 : slot(now);
   }
 
   /**
-   * Returns the number of this router's slot, by the batches that the fleet has been allowed since
-   * the start. When batches come is chance: their mean is kept so low that four deviations still
-   * lie under the budget and two of its own.
+   * Returns the number of this router's current slot, derived from the number of batches that the
+   * fleet has been allowed since the server's start. The number of batches that are really sent
+   * varies at random, and its standard deviation is the square root of its mean. The mean is
+   * therefore kept below the budget. At the start, {@code mean + 4 * sqrt(mean)} equals {@code
+   * budget + 2 * sqrt(budget) + 2}, with all numbers in batches per overload window.
    */
   private long slot(long now) {
-    double initial = rules.slowStartInitialShare();
+    double initialShare = rules.slowStartInitialShare();
     double ageUs = Math.max(0, now - startedAt);
-    double grownUs = initial * ageUs + (1 - initial) * ageUs * ageUs / 2 / rules.slowStartUs();
-    double least = Math.max(MIN_BATCHES, initial * warmBatches);
-    double root =
-        Math.sqrt(Math.pow(Math.sqrt(least) + 1, 2) + 1 + DEVIATIONS * DEVIATIONS / 4)
-            - DEVIATIONS / 2;
-    double batches =
-        grownUs / rules.overloadWindowUs() * warmBatches * root * root / Math.max(1, least);
-    return (long) Math.floor(batches / settings.routers() - phase);
+    // The integral of the allowed share over the time since the start.
+    double fullShareUs =
+        initialShare * ageUs + (1 - initialShare) * ageUs * ageUs / 2 / rules.slowStartUs();
+    double initialBatches = Math.max(MIN_INITIAL_BATCHES, initialShare * warmBatches);
+    double sqrtMean =
+        Math.sqrt(
+                Math.pow(Math.sqrt(initialBatches) + 1, 2)
+                    + 1
+                    + SAFETY_DEVIATIONS * SAFETY_DEVIATIONS / 4)
+            - SAFETY_DEVIATIONS / 2;
+    double fleetBatches =
+        fullShareUs
+            / rules.overloadWindowUs()
+            * warmBatches
+            * sqrtMean
+            * sqrtMean
+            / Math.max(1, initialBatches);
+    return (long) Math.floor(fleetBatches / settings.routers() - phase);
   }
 }
--- a/router/src/main/java/tidebank/simulation/ActionWriter.java
+++ b/router/src/main/java/tidebank/simulation/ActionWriter.java
@@ -6,7 +6,7 @@
 import tidebank.model.Action;
 import tidebank.simulation.SimulatorProtocol.ActionKind;
 
-/** Writes the actions of an instance as messages to the simulator. */
+/** Writes the actions of a policy instance as messages to the simulator. */
 final class ActionWriter {
   private ActionWriter() {}
 
@@ -52,7 +52,7 @@
     out.writeEndObject();
   }
 
-  /** Reports that an instance threw an exception. */
+  /** Writes a message which reports that a policy instance threw an exception. */
   static void writeInstanceFailed(JsonGenerator out, long instance, String error)
       throws IOException {
     begin(out, ActionKind.INSTANCE_FAILED, instance);
--- a/router/src/main/java/tidebank/simulation/EventReader.java
+++ b/router/src/main/java/tidebank/simulation/EventReader.java
@@ -13,16 +13,17 @@
 import tidebank.model.Outcome;
 import tidebank.simulation.SimulatorProtocol.EventKind;
 
-/** Reads messages of the simulator as events of the routing policy. */
+/** Reads messages from the simulator as events of the routing policy. */
 final class EventReader {
   private EventReader() {}
 
   /**
    * Reads one event.
    *
-   * @param now time of the batch, in microseconds
-   * @param pages the endpoint lists sent so far, by page; null where none was
-   * @return empty if the message has no meaning for the policy
+   * @param now the time of the batch, in microseconds
+   * @param pages the endpoint lists received so far, by page number; null for a page not received
+   * @return the event, or empty if the policy has no event for this kind of message
+   * @throws MalformedInputException if a field is missing or invalid
    */
   static Optional<Event> read(JsonNode message, long now, List<List<Endpoint>> pages)
       throws MalformedInputException {
@@ -41,7 +42,11 @@
     };
   }
 
-  /** Reads a page of an endpoint list. */
+  /**
+   * Reads the endpoints of one page.
+   *
+   * @throws MalformedInputException if a field is missing or invalid
+   */
   static List<Endpoint> readPage(JsonNode message) throws MalformedInputException {
     List<Endpoint> endpoints = new ArrayList<>();
     for (JsonNode item : JsonFields.required(message, SimulatorProtocol.ENDPOINTS)) {
@@ -64,11 +69,12 @@
     }
     long page = JsonFields.integer(message, SimulatorProtocol.PAGE);
     if (page < 0 || page >= pages.size() || pages.get((int) page) == null) {
-      throw new MalformedInputException("list page " + page + " was never sent");
+      throw new MalformedInputException("endpoint list page " + page + " was never sent");
     }
     return new Event.EndpointListReceived(update, pages.get((int) page));
   }
 
+  /** Reads a shard request, or a query if the shard number is negative. */
   private static Event readRequest(JsonNode message, long now) throws MalformedInputException {
     int shard = (int) JsonFields.integer(message, SimulatorProtocol.SHARD);
     String id = JsonFields.text(message, SimulatorProtocol.HANDLE);
@@ -110,18 +116,18 @@
         JsonFields.numbers(message.get(SimulatorProtocol.LOAD_REPORT)));
   }
 
-  private static ListUpdate listUpdate(String word) throws MalformedInputException {
-    return switch (word) {
+  private static ListUpdate listUpdate(String value) throws MalformedInputException {
+    return switch (value) {
       case "incr" -> ListUpdate.DELTA;
       case "total" -> ListUpdate.SNAPSHOT;
       case "warm_copy" -> ListUpdate.CACHED;
       case "lost" -> ListUpdate.WATCH_LOST;
-      default -> throw new MalformedInputException("unknown list mode '" + word + "'");
+      default -> throw new MalformedInputException("unknown endpoint list mode '" + value + "'");
     };
   }
 
-  private static Outcome outcome(String word) throws MalformedInputException {
-    return switch (word) {
+  private static Outcome outcome(String value) throws MalformedInputException {
+    return switch (value) {
       case "success" -> Outcome.COMPLETED;
       case "failure" -> Outcome.ERROR;
       case "overloaded" -> Outcome.OVERLOADED;
@@ -130,16 +136,16 @@
       case "broken" -> Outcome.CONNECTION_LOST;
       case "withdrawn" -> Outcome.CANCELLED;
       case "void" -> Outcome.NOT_SENT;
-      default -> throw new MalformedInputException("unknown outcome '" + word + "'");
+      default -> throw new MalformedInputException("unknown outcome '" + value + "'");
     };
   }
 
-  private static EndpointStatus status(String word) throws MalformedInputException {
-    return switch (word) {
+  private static EndpointStatus status(String value) throws MalformedInputException {
+    return switch (value) {
       case "in_service" -> EndpointStatus.IN_SERVICE;
       case "terminating" -> EndpointStatus.DRAINING;
       case "terminated" -> EndpointStatus.GONE;
-      default -> throw new MalformedInputException("unknown server status '" + word + "'");
+      default -> throw new MalformedInputException("unknown server status '" + value + "'");
     };
   }
 }
--- a/router/src/main/java/tidebank/simulation/SimulatorHost.java
+++ b/router/src/main/java/tidebank/simulation/SimulatorHost.java
@@ -27,8 +27,8 @@
 import tidebank.simulation.SimulatorProtocol.EventKind;
 
 /**
- * Hosts many routing policies for the simulator: reads one batch of events a line and writes one
- * line of actions for each. Not thread-safe.
+ * A host of many routing policy instances for the simulator. It reads one batch of messages per
+ * line and writes one line of actions for each batch. Not thread-safe.
  */
 public final class SimulatorHost {
   private static final int MAX_PAGES = 16;
@@ -38,9 +38,9 @@
   private final List<List<Endpoint>> pages = new ArrayList<>(Collections.nCopies(MAX_PAGES, null));
 
   /**
-   * Answers batches until the input ends.
+   * Processes batches until the end of the input.
    *
-   * @throws MalformedInputException if a line is not a batch of the protocol
+   * @throws MalformedInputException if a line is not a valid batch of the protocol
    * @throws IOException if reading or writing fails
    */
   public void run(InputStream in, OutputStream out) throws IOException {
@@ -59,7 +59,7 @@
     long now = JsonFields.micros(batch, SimulatorProtocol.TIME_MS);
     JsonNode messages = JsonFields.required(batch, SimulatorProtocol.MESSAGES);
     if (!messages.isArray()) {
-      throw new MalformedInputException("'" + SimulatorProtocol.MESSAGES + "' is no array");
+      throw new MalformedInputException("'" + SimulatorProtocol.MESSAGES + "' is not an array");
     }
     Map<Long, List<Event>> eventsByInstance = new LinkedHashMap<>();
     for (JsonNode message : messages) {
@@ -78,11 +78,11 @@
     JsonNode batch;
     try {
       batch = mapper.readTree(line);
-    } catch (JsonProcessingException fault) {
-      throw new MalformedInputException("a line is not JSON: " + fault.getOriginalMessage());
+    } catch (JsonProcessingException e) {
+      throw new MalformedInputException("input line is not JSON: " + e.getOriginalMessage());
     }
     if (batch == null || !batch.isObject()) {
-      throw new MalformedInputException("a line is no batch object");
+      throw new MalformedInputException("input line is not a batch: it is not a JSON object");
     }
     return batch;
   }
@@ -112,7 +112,7 @@
     long page = JsonFields.integer(message, SimulatorProtocol.PAGE);
     if (page < 0 || page >= MAX_PAGES) {
       throw new MalformedInputException(
-          "list page " + page + " is outside 0 to " + (MAX_PAGES - 1));
+          "endpoint list page " + page + " is outside the range 0 to " + (MAX_PAGES - 1));
     }
     pages.set((int) page, EventReader.readPage(message));
   }
@@ -136,19 +136,20 @@
       throw new MalformedInputException(
           "'" + kind + "' for instance " + instance + ", which was never attached");
     }
-    List<Event> events = eventsByInstance.computeIfAbsent(instance, absent -> new ArrayList<>());
+    List<Event> events = eventsByInstance.computeIfAbsent(instance, key -> new ArrayList<>());
     event.ifPresent(events::add);
   }
 
+  /** Runs a decision round of one instance and writes its actions, or the exception it threw. */
   private void decide(long instance, long now, List<Event> events, JsonGenerator reply)
       throws IOException {
     List<Action> actions;
     try {
       actions = instances.get(instance).on(now, events);
-    } catch (RuntimeException fault) {
-      StackTraceElement[] trace = fault.getStackTrace();
+    } catch (RuntimeException e) {
+      StackTraceElement[] trace = e.getStackTrace();
       ActionWriter.writeInstanceFailed(
-          reply, instance, fault + (trace.length > 0 ? " at " + trace[0] : ""));
+          reply, instance, e + (trace.length > 0 ? " at " + trace[0] : ""));
       return;
     }
     for (Action action : actions) {
--- a/router/src/main/java/tidebank/simulation/SimulatorProtocol.java
+++ b/router/src/main/java/tidebank/simulation/SimulatorProtocol.java
@@ -1,8 +1,9 @@
 package tidebank.simulation;
 
 /**
- * The words of the simulator's wire. Each message is a JSON object whose {@link #KIND} is one of
- * {@link EventKind} (simulator to host) or {@link ActionKind} (host to simulator).
+ * The field names and message kinds of the simulator protocol. Each message is a JSON object. Its
+ * field {@link #KIND} holds one of {@link EventKind} (simulator to host) or {@link ActionKind}
+ * (host to simulator).
  */
 final class SimulatorProtocol {
   // Fields of a batch.
@@ -22,7 +23,10 @@
   static final String TIMER_TOKEN = "label";
   static final String PAGE = "page";
 
-  /** In {@link ActionKind#RESPOND} and, with another meaning, in ActionKind.WATCH_ENDPOINTS. */
+  /**
+   * In {@link ActionKind#RESPOND}, whether the answer is complete; in {@link
+   * ActionKind#WATCH_ENDPOINTS}, whether the watch is enabled.
+   */
   static final String COMPLETE = "complete";
 
   // Fields of Attach.
@@ -67,7 +71,7 @@
     static final String ENDPOINT_PAGE = "Sheet";
     static final String ENDPOINT_LIST = "Announce";
 
-    /** A query, or a shard request if it names a shard. */
+    /** A shard request, or a query if its shard number is negative. */
     static final String REQUEST = "Knock";
 
     static final String ATTEMPT_COMPLETED = "Returned";
--- a/router/src/test/java/tidebank/SimulatorHostTest.java
+++ b/router/src/test/java/tidebank/SimulatorHostTest.java
@@ -10,23 +10,25 @@
 import org.junit.jupiter.api.Test;
 import tidebank.simulation.SimulatorHost;
 
+/** Tests {@link SimulatorHost} with messages in the format of the simulator. */
 class SimulatorHostTest {
-  private static final String SHEET =
+  private static final String ENDPOINT_PAGE =
       "{'kind':'Sheet','page':3,'items':[{'lastStartMs':null,'rating':1,'slotNo':0,"
           + "'status':'in_service','flavor':'x','campus':'y','server':'s0','new':1}]}";
   private static final String ATTACH =
       "{'kind':'Attach','who':1,'salt':5,'config':{'discovery':'ask','services':["
           + "{'name':'t','semantics':'read_like','onTimeMs':1000,'deadlineMs':3000,'worth':1}],"
           + "'specifics':{'slices':1,'positions':1,'width':1,'floorByClass':[0.5]},'unknown':{}}}";
-  private static final String LIST =
+  private static final String ENDPOINT_LIST =
       "{'kind':'Announce','who':1,'mode':'warm_copy','generation':1,'page':3}";
-  private static final String SCAN =
+  private static final String QUERY =
       "{'kind':'Knock','who':1,'handle':'aa','account':null,'notAfterMs':4000,'jobNo':1,"
           + "'resent':false,'lane':'t','subject':null,'slab':-1,'measure':1}";
-  private static final String PART =
+  private static final String SHARD_REQUEST =
       "{'kind':'Knock','who':1,'handle':'bb','notAfterMs':4000,'jobNo':1,"
           + "'lane':'t','slab':0,'measure':1.0}";
 
+  /** Runs a host over the batches and returns its output, with single quotes for double ones. */
   private static String run(String... batches) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     String in = String.join("\n", batches).replace('\'', '"');
@@ -34,8 +36,8 @@
     return out.toString(StandardCharsets.UTF_8).replace('"', '\'');
   }
 
-  private static String batch(double ms, String... messages) {
-    return "{'simTimeMs':" + ms + ",'msgs':[" + String.join(",", messages) + "]}";
+  private static String batch(double timeMs, String... messages) {
+    return "{'simTimeMs':" + timeMs + ",'msgs':[" + String.join(",", messages) + "]}";
   }
 
   @Test
@@ -44,10 +46,10 @@
   }
 
   @Test
-  void aScanIsSentAnsweredAndTimedInTheWiresWords() throws IOException {
+  void aQueryIsSentTimedAndAnsweredInTheSimulatorsFormat() throws IOException {
     String replies =
         run(
-            batch(1000, ATTACH, SHEET, LIST, SCAN, PART),
+            batch(1000, ATTACH, ENDPOINT_PAGE, ENDPOINT_LIST, QUERY, SHARD_REQUEST),
             batch(
                 1100.25,
                 "{'kind':'Returned','who':1,'handle':'bb','try':0,'server':'s0','disposition':'success',"
@@ -60,35 +62,50 @@
         .contains("{'kind':'WrapUp','who':1,'handle':'aa','complete':true}");
   }
 
+  /** Guards against an endpoint list that uses an outdated page with the same number. */
   @Test
-  void aPageSentAgainReplacesTheOneBeforeWithinABatch() throws IOException {
-    String other = SHEET.replace("'server':'s0'", "'server':'s9'");
-    assertThat(run(batch(1000, ATTACH, SHEET, LIST, other, LIST, SCAN, PART)))
+  void aPageWithTheSameNumberReplacesTheEarlierOneInABatch() throws IOException {
+    String replacement = ENDPOINT_PAGE.replace("'server':'s0'", "'server':'s9'");
+    assertThat(
+            run(
+                batch(
+                    1000,
+                    ATTACH,
+                    ENDPOINT_PAGE,
+                    ENDPOINT_LIST,
+                    replacement,
+                    ENDPOINT_LIST,
+                    QUERY,
+                    SHARD_REQUEST)))
         .contains("'server':'s9'");
   }
 
+  /**
+   * Guards against instances that share their endpoints: only instance 1 has received a list, so a
+   * query to instance 2 is throttled.
+   */
   @Test
-  void instancesShareNothingAndARetiredOneIsForgotten() throws IOException {
-    String second = ATTACH.replace("'who':1", "'who':2");
+  void instancesShareNoStateAndARetiredInstanceIsRemoved() throws IOException {
+    String secondAttach = ATTACH.replace("'who':1", "'who':2");
     String replies =
         run(
-            batch(1000, ATTACH, second, SHEET, LIST),
+            batch(1000, ATTACH, secondAttach, ENDPOINT_PAGE, ENDPOINT_LIST),
             batch(
                 1001,
                 "{'kind':'Retire','who':1}",
-                SCAN.replace("'who':1", "'who':2"),
-                PART.replace("'who':1", "'who':2")));
+                QUERY.replace("'who':1", "'who':2"),
+                SHARD_REQUEST.replace("'who':1", "'who':2")));
     assertThat(replies).doesNotContain("Assign").contains("{'kind':'Busy','who':2,'handle':'aa'");
   }
 
   @Test
-  void badInputEndsWithAMessageThatNamesTheFault() {
+  void invalidInputThrowsAnExceptionThatNamesTheProblem() {
     assertThatThrownBy(() -> run("{oops")).hasMessageContaining("not JSON");
-    assertThatThrownBy(() -> run("[]")).hasMessageContaining("no batch");
+    assertThatThrownBy(() -> run("[]")).hasMessageContaining("not a batch");
     assertThatThrownBy(() -> run("{'simTimeMs':1}")).hasMessageContaining("'msgs' is missing");
     assertThatThrownBy(() -> run(batch(1, "{'kind':'Lapsed','who':4,'handle':'a'}")))
         .hasMessageContaining("never attached");
-    assertThatThrownBy(() -> run(batch(1, ATTACH, LIST)))
+    assertThatThrownBy(() -> run(batch(1, ATTACH, ENDPOINT_LIST)))
         .hasMessageContaining("page 3 was never sent");
   }
 }
--- a/router/src/test/java/tidebank/policy/RoutingPolicyTest.java
+++ b/router/src/test/java/tidebank/policy/RoutingPolicyTest.java
@@ -23,14 +23,15 @@
 import tidebank.model.QueryClass;
 import tidebank.model.Settings;
 
+/** Tests the decisions of one {@link RoutingPolicy} on a virtual clock. */
 class RoutingPolicyTest {
   private final PolicyHarness harness = new PolicyHarness();
 
-  /** Starts with a query of four requests, of which these are rejected by overloaded servers. */
-  private List<Action> reject(String... parts) {
+  /** Starts a query "a" of four requests, of which overloaded servers reject the given ones. */
+  private List<Action> startWithRejections(String... requests) {
     harness.start();
     harness.query("a", "complete", 0.25, 0.25, 0.25, 0.25);
-    return harness.complete(Outcome.OVERLOADED, parts);
+    return harness.complete(Outcome.OVERLOADED, requests);
   }
 
   // ---- selection by rank and load
@@ -44,21 +45,28 @@
     assertThat(harness.answers()).containsExactly(new Action.Respond("q", true));
   }
 
+  /**
+   * Guards against overload: the lightest request is not sent while a shard has reduced its limit.
+   */
   @Test
   void afterARejectionLightRequestsAreSkippedAndTheAnswerIsPartial() {
-    reject("a0");
+    startWithRejections("a0");
     assertThat(sent(harness.query("q", "partial", 0.1, 0.4, 0.2, 0.3)))
         .containsExactly("q1", "q3", "q2");
     harness.complete(Outcome.COMPLETED, "q1", "q3", "q2");
     assertThat(harness.answers()).containsExactly(new Action.Respond("q", false));
   }
 
+  /** Guards against load shedding in a class that needs all requests: the query could only fail. */
   @Test
   void aClassWithoutPartialAnswersSendsAllRequestsUnderCongestion() {
-    reject("a0");
+    startWithRejections("a0");
     assertThat(sent(harness.query("q", "complete", 0.1, 0.4, 0.2, 0.3))).hasSize(4);
   }
 
+  /**
+   * Guards against a hot primary replica: five requests with one key go there, the sixth elsewhere.
+   */
   @Test
   void aRequestGoesToItsPrimaryReplicaUpToTheSpilloverThreshold() {
     harness.layout = new Settings.Layout(1, 3, 3, 1, 0);
@@ -92,10 +100,14 @@
     assertThat(servers(next)).doesNotContain(servers(harness.actions).get(0));
   }
 
-  // ---- rule 1: one final answer in time
+  // ---- rule 1: one final answer, in time
 
+  /**
+   * Guards against late answers: the time that a query waited before it was read counts towards its
+   * latency objective, and its response is expected to wait as long.
+   */
   @Test
-  void aQueryThatWaitedForTheEventLoopIsAnsweredByItsObjectiveAsItsClientCountsIt() {
+  void aQueryDelayedByTheEventLoopIsStillAnsweredByItsObjective() {
     harness.start();
     harness.round(
         new Event.QueryReceived(
@@ -110,28 +122,32 @@
         new Event.ShardRequestReceived("q0", 90, 0, 0.6, ""),
         new Event.ShardRequestReceived("q1", 90, 1, 0.4, ""));
     harness.complete(Outcome.COMPLETED, "q0");
-    // Of 1000 ms 40 are gone, and the answer may wait as long again: it is given within the 920
-    // between.
+    // 40 ms of the 1000 ms objective have passed, and the response may be delayed by 40 ms as well.
+    // The answer is due within the 920 ms between.
     harness.advance(890);
     assertThat(harness.answers()).isEmpty();
     harness.advance(30);
     assertThat(harness.answers()).containsExactly(new Action.Respond("q", false));
   }
 
+  /**
+   * Guards against an answer advance as long as the stall: queries with less time left than that
+   * would be throttled without an attempt.
+   */
   @Test
-  void aStallOfTheEventLoopDoesNotGiveUpTheQueriesAfterIt() {
+  void queriesAfterAnEventLoopStallAreStillSentAndAnswered() {
     harness.start();
     harness.query("a", "partial", 0.6, 0.4);
-    // The timer at the objective fires 2 s late.
+    // The timer that was set for the objective fires 2 s late.
     harness.nowMs += 3000;
     harness.advance(0);
     harness.actions.clear();
-    // One with less time left than the stall was long is sent all the same.
+    // A query with less time left than the stall lasted is sent nevertheless.
     assertThat(sent(harness.queryWithin(900, "q", "complete", 0.6, 0.4))).hasSize(2);
     assertThat(harness.answers()).isEmpty();
     harness.complete(Outcome.COMPLETED, "q0", "q1");
     assertThat(harness.answers()).containsExactly(new Action.Respond("q", true));
-    // A partial answer leaves early by at most a fifth of the objective.
+    // The stall advances a partial answer by at most a fifth of the objective.
     harness.query("r", "partial", 0.6, 0.4);
     harness.complete(Outcome.COMPLETED, "r0");
     harness.advance(780);
@@ -140,8 +156,12 @@
     assertThat(harness.answers()).contains(new Action.Respond("r", false));
   }
 
+  /**
+   * Guards against early partial answers long after a stall: the measured delay must decay by time,
+   * even if no query updates it.
+   */
   @Test
-  void aStallOfTheEventLoopIsForgottenWithTimeThoughNoQueryComesMeanwhile() {
+  void theEffectOfAnEventLoopStallDecaysWithoutQueries() {
     harness.start();
     harness.query("a", "partial", 0.6, 0.4);
     harness.nowMs += 3000;
@@ -156,8 +176,12 @@
     assertThat(harness.answers()).containsExactly(new Action.Respond("q", false));
   }
 
+  /**
+   * Guards against wasted work: no response could arrive within the 90 ms that are left, because
+   * responses take 100 ms.
+   */
   @Test
-  void aQueryWithLessTimeLeftThanAQuickResponseTakesIsThrottledAtOnceAndNothingIsSentForIt() {
+  void aQueryWithTooLittleTimeLeftIsThrottledWithoutAnAttempt() {
     harness.start();
     for (String id : List.of("a", "b", "c")) {
       harness.query(id, "complete", 1);
@@ -171,8 +195,12 @@
     assertThat(sent(harness.queryWithin(300, "r", "complete", 1))).containsExactly("r0");
   }
 
+  /**
+   * Guards against waiting for slow requests when the minimum weight is reached, and against
+   * attempts after the answer.
+   */
   @Test
-  void aQueryWhoseRequestsStayInFlightIsAnsweredPartiallyAtItsObjective() {
+  void aQueryWithRequestsInFlightIsAnsweredPartiallyAtItsObjective() {
     harness.start();
     harness.query("q", "partial", 0.4, 0.3, 0.2, 0.1);
     harness.complete(Outcome.COMPLETED, "q0", "q1");
@@ -183,6 +211,7 @@
     assertThat(sent(harness.advance(5000))).isEmpty();
   }
 
+  /** Guards against a query without a final answer when no response arrives. */
   @Test
   void aQueryWithoutAResponseFailsBeforeItsDeadline() {
     harness.start();
@@ -193,16 +222,21 @@
     assertThat(harness.answers()).containsExactly(new Action.Fail("q"));
   }
 
+  /** Guards against work on an answer that has no value after the latency objective. */
   @Test
-  void aQueryWithoutLateWeightIsThrottledAtItsObjectiveWithARetryAfter() {
+  void aQueryWithoutLateWeightIsThrottledAtItsObjective() {
     harness.start();
     harness.query("q", "strict", 1);
     harness.advance(1010);
     assertThat(harness.answers()).containsExactly(new Action.Throttle("q", 500 * MS));
   }
 
+  /**
+   * Guards against a retry or an answer for a client that disconnected in the round in which an
+   * attempt failed.
+   */
   @Test
-  void aQueryWhoseClientDisconnectsInTheSameRoundGetsNeitherAnswerNorAttempt() {
+  void aDisconnectInTheRoundOfAFailureCausesNoAnswerOrAttempt() {
     harness.start();
     harness.query("q", "complete", 0.5, 0.5);
     assertThat(
@@ -213,8 +247,12 @@
     assertThat(harness.answers()).isEmpty();
   }
 
+  /**
+   * Guards against queries without an answer: one has no requests, one has 2 ms left, and one has
+   * an unknown class and shard.
+   */
   @Test
-  void anInvalidQueryGetsItsFinalAnswerAtOnce() {
+  void queriesThatCannotBeExecutedStillGetOneFinalAnswer() {
     harness.start();
     harness.query("none", "complete");
     harness.queryWithin(2, "late", "complete", 0.5, 0.5);
@@ -227,16 +265,20 @@
     assertThat(harness.answers()).hasSize(3);
   }
 
+  /** Guards against waiting for a shard that no listed server holds. */
   @Test
-  void aQueryToAShardWithoutReplicasIsThrottledAtOnce() {
+  void aQueryToAShardWithoutReplicasIsThrottledImmediately() {
     harness.start();
     harness.updateList(ListUpdate.SNAPSHOT, endpoint("s2", 2, EndpointStatus.IN_SERVICE, 0));
     assertThat(harness.query("q", "complete", 0.5, 0.5))
         .contains(new Action.Throttle("q", 500 * MS));
   }
 
+  /**
+   * Guards against divisions by zero and missing answers when all figures of the settings are zero.
+   */
   @Test
-  void settingsOfZerosStillGiveOneFinalAnswer() {
+  void withAllSettingsZeroAQueryStillGetsOneFinalAnswer() {
     harness.layout = new Settings.Layout(0, 0, 0, 1, 0);
     harness.rules = new Settings.Rules(0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
     harness.addQueryClass("complete", Idempotency.IDEMPOTENT, 0, 0, 0);
@@ -248,6 +290,7 @@
 
   // ---- rule 2: nothing is executed twice
 
+  /** Guards against double execution: the connection was lost after the request was sent. */
   @Test
   void aNonIdempotentRequestIsNotRetriedOnceItMayHaveExecuted() {
     harness.start();
@@ -256,6 +299,7 @@
     assertThat(harness.answers()).containsExactly(new Action.Fail("q"));
   }
 
+  /** Guards against needless failures: no connection could be opened, so a retry is safe. */
   @Test
   void aNonIdempotentRequestIsRetriedWhenItsAttemptNeverExecuted() {
     harness.start();
@@ -263,17 +307,18 @@
     assertThat(sent(harness.complete(Outcome.UNREACHABLE, "q0"))).containsExactly("q0");
   }
 
+  /** Guards against double execution: after the window servers no longer recognize the key. */
   @Test
-  void aRequestWithAKeyIsNotRetriedPastItsIdempotencyWindow() {
+  void aRequestWithAKeyIsNotRetriedAfterItsIdempotencyWindow() {
     harness.queryClasses.computeIfPresent(
         "keyed",
-        (name, t) ->
+        (name, original) ->
             new QueryClass(
                 name,
-                t.idempotency(),
+                original.idempotency(),
                 300 * MS,
-                t.latencyObjectiveUs(),
-                t.timeoutUs(),
+                original.latencyObjectiveUs(),
+                original.timeoutUs(),
                 0.3,
                 1,
                 1,
@@ -285,6 +330,7 @@
     assertThat(harness.answers()).containsExactly(new Action.Fail("q"));
   }
 
+  /** Guards against a second attempt in flight where the deployment does not permit hedging. */
   @Test
   void withoutHedgingARequestHasOneAttemptInFlight() {
     harness.limits = new Settings.Limits(4, false, true, false, true, 0, 100, false);
@@ -293,24 +339,30 @@
     assertThat(sent(harness.advance(900))).isEmpty();
   }
 
+  /**
+   * Guards against waiting for an ejected server: without hedging, the retry must wait until the
+   * cancelled attempt has ended.
+   */
   @Test
-  void withoutHedgingATimedOutAttemptAtAnEjectedServerIsCancelledAndRetried() {
+  void withoutHedgingATimeoutAtAnEjectedServerIsCancelledAndRetried() {
     harness.limits = new Settings.Limits(4, false, true, false, true, 0, 100, false);
     harness.layout = new Settings.Layout(6, 6, 6, 1, 0);
     harness.start();
-    String sick = servers(harness.query("q", "complete", 1)).get(0);
-    for (int i = 0; !servers(harness.actions).subList(1, i + 1).contains(sick); i++) {
+    String ejected = servers(harness.query("q", "complete", 1)).get(0);
+    for (int i = 0; !servers(harness.actions).subList(1, i + 1).contains(ejected); i++) {
       harness.query("r" + i, "complete", 1);
     }
-    for (String part : List.copyOf(harness.attempts.keySet())) {
-      if (!servers(harness.actions).get(sent(harness.actions).indexOf(part)).equals(sick)) {
-        harness.complete(Outcome.COMPLETED, part);
+    for (String request : List.copyOf(harness.attempts.keySet())) {
+      if (!servers(harness.actions).get(sent(harness.actions).indexOf(request)).equals(ejected)) {
+        harness.complete(Outcome.COMPLETED, request);
       }
     }
     List<Action> later = harness.advance(700);
     assertThat(later).contains(new Action.CancelAttempt("q0", 0));
     assertThat(sent(later)).doesNotContain("q0");
-    assertThat(servers(harness.complete(Outcome.CANCELLED, "q0"))).hasSize(1).doesNotContain(sick);
+    assertThat(servers(harness.complete(Outcome.CANCELLED, "q0")))
+        .hasSize(1)
+        .doesNotContain(ejected);
   }
 
   // ---- rule 3: draining servers and the endpoint list
@@ -328,8 +380,12 @@
     }
   }
 
+  /**
+   * Guards against an outdated endpoint list after a watch has failed, and against a second watch
+   * beside an active router.
+   */
   @Test
-  void anEndpointListOnRequestIsWatchedAndWatchedAgainWhenTheCallFails() {
+  void theEndpointListWatchIsRestartedAfterAFailedCall() {
     harness.limits = new Settings.Limits(4, true, true, false, true, 0, 100, true);
     harness.start();
     assertThat(harness.actions).contains(new Action.WatchEndpoints(true));
@@ -339,8 +395,12 @@
     assertThat(harness.advance(60_000)).doesNotContain(new Action.WatchEndpoints(true));
   }
 
+  /**
+   * Guards against the long backoff of the old address: eight failed calls must not delay the watch
+   * at the new router.
+   */
   @Test
-  void movedDiscoveryIsWatchedAtOnceWithTheLeastBackoff() {
+  void afterDiscoveryMovesTheWatchRestartsWithTheShortestBackoff() {
     harness.limits = new Settings.Limits(4, true, true, false, true, 0, 100, true);
     harness.start();
     for (int i = 0; i < 8; i++) {
@@ -353,12 +413,15 @@
     assertThat(harness.advance(1000)).contains(new Action.WatchEndpoints(true));
   }
 
+  /**
+   * Guards against queries that are unanswered at shutdown, also those received after its
+   * announcement.
+   */
   @Test
   void pendingAndLaterQueriesAreAnsweredBeforeTheRouterShutsDown() {
     harness.start();
     harness.query("a", "non-idempotent", 1);
-    harness.round(
-        new tidebank.model.Event.ShutdownRequested((harness.nowMs + 700) * PolicyHarness.MS));
+    harness.round(new Event.ShutdownRequested((harness.nowMs + 700) * MS));
     harness.advance(100);
     harness.query("b", "non-idempotent", 1);
     harness.advance(599);
@@ -367,6 +430,10 @@
 
   // ---- rule 4: slow start
 
+  /**
+   * Guards against the overload of a cold server: of 40 queries it gets one or two, and more once
+   * it is warm.
+   */
   @Test
   void aServerInSlowStartGetsOnlyItsShareOverAnyWindow() {
     harness.layout = new Settings.Layout(1, 2, 2, 1, 0);
@@ -376,8 +443,8 @@
     for (int i = 0; i < 40; i++) {
       harness.query("q" + i, "complete", 1);
     }
-    // 0.2 of one core, twice over for a second, two routers: 0.2 s of work, two requests of a
-    // tenth of the objective.
+    // The initial share is 0.2 of one core. Twice that for 1 s, divided by two routers, is 0.2 s of
+    // work: two requests that take a tenth of the objective each.
     assertThat(servers(harness.actions)).filteredOn("s0"::equals).hasSizeBetween(1, 2);
     harness.advance(15_000);
     int before = servers(harness.actions).size();
@@ -389,7 +456,7 @@
         .hasSizeGreaterThan(5);
   }
 
-  // ---- rule 5: honest answers
+  // ---- rule 5: correctly marked answers
 
   @Test
   void noAnswerIsGivenBelowTheMinimumWeight() {
@@ -400,6 +467,7 @@
     assertThat(harness.answers()).containsExactly(new Action.Throttle("q", 500 * MS));
   }
 
+  /** Guards against a final answer marked as complete that is based on a partial first stage. */
   @Test
   void aSecondStageIsCompleteOnlyIfTheFirstWas() {
     harness.start();
@@ -415,6 +483,7 @@
 
   // ---- rule 6: the retry budget
 
+  /** Guards against a retry storm: of two failed requests only one may be retried. */
   @Test
   void retriesStayWithinTheRetryBudget() {
     harness.rules = new Settings.Rules(20 * MS, 10_000 * MS, 0, 0.2, 0, 2, 0, 1, 0, 10_000 * MS);
@@ -424,7 +493,7 @@
     assertThat(sent(harness.advance(500))).isEmpty();
   }
 
-  // ---- faults
+  // ---- overload and faults
 
   @Test
   void aTimedOutAttemptIsHedgedAtAnotherServer() {
@@ -436,6 +505,10 @@
     assertThat(servers(later)).doesNotContainAnyElementsOf(servers(first));
   }
 
+  /**
+   * Guards against one server that gets nearly all requests of a query because further requests of
+   * its batch do not count as load.
+   */
   @Test
   void furtherRequestsOfABatchCountHalfTowardsTheSpilloverThreshold() {
     harness.layout = new Settings.Layout(12, 3, 3, 8, 35 * MS);
@@ -448,8 +521,12 @@
     }
   }
 
+  /**
+   * Guards against a client retry that restarts the latency objective of its query and adds load
+   * under overload.
+   */
   @Test
-  void aClientRetryPastItsObjectiveIsThrottledUnderOverload() {
+  void aClientRetryAfterItsObjectiveIsThrottledUnderOverload() {
     harness.start();
     harness.queryWithin(2900, "q", "complete", 0.25, 0.25, 0.25, 0.25);
     harness.advance(10);
@@ -470,21 +547,26 @@
     assertThat(reply).contains(new Action.Throttle("again", 500 * MS));
   }
 
+  /**
+   * Guards against a constant load under overload: as rejections continue, the number of requests
+   * that a query sends falls to none.
+   */
   @Test
   void fewerTopRanksAreSentWhileOverloadLasts() {
     harness.start();
-    List<Integer> asked = new ArrayList<>();
-    for (String wave : List.of("a", "b", "c", "d")) {
-      harness.query(wave, "complete", 0.25, 0.25, 0.25, 0.25);
-      asked.add(sent(harness.query("q" + wave, "partial", 0.52, 0.2, 0.18, 0.1)).size());
-      harness.complete(Outcome.OVERLOADED, wave + 0, wave + 1, wave + 2, wave + 3);
+    List<Integer> sentCounts = new ArrayList<>();
+    for (String round : List.of("a", "b", "c", "d")) {
+      harness.query(round, "complete", 0.25, 0.25, 0.25, 0.25);
+      sentCounts.add(sent(harness.query("q" + round, "partial", 0.52, 0.2, 0.18, 0.1)).size());
+      harness.complete(Outcome.OVERLOADED, round + 0, round + 1, round + 2, round + 3);
       harness.advance(1005);
     }
-    assertThat(asked).startsWith(4, 1).endsWith(0);
+    assertThat(sentCounts).startsWith(4, 1).endsWith(0);
   }
 
+  /** Guards against load shedding at shards that are not congested. */
   @Test
-  void whileSomeServersAreCongestedLightRequestsStillGoToShardsWithLittleLoad() {
+  void lightRequestsStillGoToIdleShardsWhileOthersAreCongested() {
     harness.start();
     harness.query("a", "complete", 0.25, 0.25, 0.25, 0.25);
     harness.complete(Outcome.OVERLOADED, "a0", "a1");
@@ -493,135 +575,169 @@
     assertThat(sent(harness.query("q", "partial", 0.52, 0.2, 0.18, 0.1))).hasSizeGreaterThan(1);
   }
 
+  /** Guards against a faulty replica that keeps getting requests: it gets at most three of 31. */
   @Test
   void aServerThatRespondsWithErrorsIsEjected() {
     harness.start();
     harness.query("a", "complete", 1);
-    String bad = servers(harness.actions).get(0);
+    String faulty = servers(harness.actions).get(0);
     harness.complete(Outcome.ERROR, "a0");
     for (int i = 0; i < 30; i++) {
       int before = harness.actions.size();
       harness.query("b" + i, "complete", 1);
-      boolean struck =
-          servers(harness.actions.subList(before, harness.actions.size())).contains(bad);
-      harness.complete(struck ? Outcome.ERROR : Outcome.COMPLETED, "b" + i + 0);
+      boolean sentToFaulty =
+          servers(harness.actions.subList(before, harness.actions.size())).contains(faulty);
+      harness.complete(sentToFaulty ? Outcome.ERROR : Outcome.COMPLETED, "b" + i + 0);
     }
-    assertThat(servers(harness.actions)).filteredOn(bad::equals).hasSizeLessThanOrEqualTo(3);
+    assertThat(servers(harness.actions)).filteredOn(faulty::equals).hasSizeLessThanOrEqualTo(3);
   }
 
+  /**
+   * Guards against retries that prolong an overload: all four requests were rejected by overloaded
+   * servers.
+   */
   @Test
-  void underOverloadNothingIsRetried() {
-    assertThat(sent(reject("a0", "a1", "a2", "a3"))).isEmpty();
+  void rejectedRequestsAreNotRetriedUnderOverload() {
+    assertThat(sent(startWithRejections("a0", "a1", "a2", "a3"))).isEmpty();
     assertThat(sent(harness.advance(500))).isEmpty();
   }
 
+  /** Guards against needless failures: a request that no server received has added no load. */
   @Test
-  void aRequestThatReachedNoServerIsRetriedAlsoUnderOverload() {
-    reject("a0", "a1", "a2", "a3");
+  void aRequestThatReachedNoServerIsRetriedEvenUnderOverload() {
+    startWithRejections("a0", "a1", "a2", "a3");
     harness.query("b", "complete", 0.25, 0.25, 0.25, 0.25);
     assertThat(sent(harness.complete(Outcome.UNREACHABLE, "b0"))).containsExactly("b0");
   }
 
+  /**
+   * Guards against needless failures: with 60 routers, the own requests of one router fill no
+   * server. A request that timed out may have executed and is not retried.
+   */
   @Test
-  void inABigFleetARejectedRequestIsRetriedAlsoUnderOverload() {
+  void inALargeFleetARejectedRequestIsRetriedUnderOverload() {
     harness.routers = 60;
-    assertThat(sent(reject("a0", "a1", "a2", "a3"))).containsExactly("a0", "a1", "a2", "a3");
+    assertThat(sent(startWithRejections("a0", "a1", "a2", "a3")))
+        .containsExactly("a0", "a1", "a2", "a3");
     assertThat(sent(harness.complete(Outcome.TIMED_OUT, "a0"))).isEmpty();
   }
 
+  /**
+   * Guards against load shedding that only works in small fleets: one of 60 routers sees too little
+   * load of its own, so the congestion level stands in for it.
+   */
   @Test
-  void inABigFleetCongestionSkipsLightRequestsThoughThisRoutersAreFew() {
-    for (int instances : List.of(2, 60)) {
-      PolicyHarness one = new PolicyHarness();
-      one.routers = instances;
-      one.start();
-      assertThat(sent(one.query("q", "partial", 0.52, 0.2, 0.18, 0.1)))
-          .hasSize(instances == 2 ? 4 : 2)
+  void inALargeFleetCongestionSkipsLightRequestsDespiteLowLoad() {
+    for (int routers : List.of(2, 60)) {
+      PolicyHarness router = new PolicyHarness();
+      router.routers = routers;
+      router.start();
+      assertThat(sent(router.query("q", "partial", 0.52, 0.2, 0.18, 0.1)))
+          .hasSize(routers == 2 ? 4 : 2)
           .startsWith("q0", "q1");
     }
   }
 
+  /**
+   * Guards against the overload of a starting server by 60 routers that are notified of the start
+   * together.
+   */
   @Test
-  void routersNotifiedOfAStartTogetherDoNotAllSendAtOnce() {
+  void routersNotifiedOfAStartDoNotAllSendAtTheSameTime() {
     int sent = 0;
     for (int rank = 0; rank < 60; rank++) {
-      PolicyHarness one = new PolicyHarness();
-      one.routers = 60;
-      one.seed = rank * 0x9E3779B97F4A7C15L;
-      one.layout = new Settings.Layout(1, 1, 1, 1, 0);
-      one.start();
-      one.updateList(ListUpdate.DELTA, endpoint("s0", 0, EndpointStatus.IN_SERVICE, one.nowMs));
-      one.query("q", "strict", 1);
-      one.advance(1000);
-      sent += sent(one.actions).size();
+      PolicyHarness router = new PolicyHarness();
+      router.routers = 60;
+      router.seed = rank * 0x9E3779B97F4A7C15L;
+      router.layout = new Settings.Layout(1, 1, 1, 1, 0);
+      router.start();
+      router.updateList(
+          ListUpdate.DELTA, endpoint("s0", 0, EndpointStatus.IN_SERVICE, router.nowMs));
+      router.query("q", "strict", 1);
+      router.advance(1000);
+      sent += sent(router.actions).size();
     }
-    // One core executes ten requests a second; from a fifth of that, twice over: four.
+    // One core executes ten requests per second. Twice the initial share of 0.2 is four of them.
     assertThat(sent).isBetween(1, 8);
   }
 
+  /**
+   * Guards against synchronized routers: with the same events and different seeds, first attempts
+   * must spread over the servers, and calls to discovery over time.
+   */
   @Test
   void aHundredRoutersWithTheSameEventsSpreadOverReplicasAndOverTime() {
     int fleet = 100;
     int shards = 20;
     double[] weights = new double[shards];
     Arrays.fill(weights, 1.0 / shards);
-    Map<String, Integer> firsts = new HashMap<>();
-    List<Long> asks = new ArrayList<>();
+    Map<String, Integer> firstAttempts = new HashMap<>();
+    List<Long> watchTimes = new ArrayList<>();
     Random seeds = new Random(7);
     for (int i = 0; i < fleet; i++) {
-      PolicyHarness one = new PolicyHarness();
-      one.layout = new Settings.Layout(shards, shards, 5, 1, 0);
-      one.limits = new Settings.Limits(4, true, true, false, true, 500 * MS, 100, true);
-      one.routers = fleet;
-      one.seed = seeds.nextLong();
-      one.start();
-      servers(one.query("scan-" + i, "complete", weights))
-          .forEach(server -> firsts.merge(server, 1, Integer::sum));
-      // All lose discovery at one moment, five times in a row, and watch again after a backoff.
-      long lostAt = one.nowMs;
+      PolicyHarness router = new PolicyHarness();
+      router.layout = new Settings.Layout(shards, shards, 5, 1, 0);
+      router.limits = new Settings.Limits(4, true, true, false, true, 500 * MS, 100, true);
+      router.routers = fleet;
+      router.seed = seeds.nextLong();
+      router.start();
+      servers(router.query("scan-" + i, "complete", weights))
+          .forEach(server -> firstAttempts.merge(server, 1, Integer::sum));
+      // All routers lose the watch at the same time, five times in a row, and restart it after a
+      // backoff.
+      long lostAt = router.nowMs;
       for (int loss = 0; loss < 5; loss++) {
-        one.updateList(ListUpdate.WATCH_LOST);
-        long now = one.nowMs;
-        while (one.advance(1).stream().noneMatch(Action.WatchEndpoints.class::isInstance)) {
-          assertThat(one.nowMs - now).as("a wait is bounded").isLessThanOrEqualTo(10_000);
+        router.updateList(ListUpdate.WATCH_LOST);
+        long now = router.nowMs;
+        while (router.advance(1).stream().noneMatch(Action.WatchEndpoints.class::isInstance)) {
+          assertThat(router.nowMs - now).as("backoff in ms").isLessThanOrEqualTo(10_000);
         }
       }
-      asks.add(one.nowMs - lostAt);
+      watchTimes.add(router.nowMs - lostAt);
     }
-    // 2,000 first attempts at 20 servers: 100 each in the mean, with a deviation of 10.
-    assertThat(firsts).hasSize(shards);
-    assertThat(firsts.values()).allMatch(count -> count > 60 && count < 140);
-    // Within any tenth of the time over which the fifth calls spread there is no third of them.
-    Collections.sort(asks);
-    long tenth = (asks.get(fleet - 1) - asks.get(0)) / 10;
+    // 2,000 first attempts at 20 servers: 100 per server on average, with a standard deviation of
+    // 10.
+    assertThat(firstAttempts).hasSize(shards);
+    assertThat(firstAttempts.values()).allMatch(count -> count > 60 && count < 140);
+    // No tenth of the time over which the fifth calls spread contains a third of them.
+    Collections.sort(watchTimes);
+    long tenth = (watchTimes.get(fleet - 1) - watchTimes.get(0)) / 10;
     assertThat(tenth).isGreaterThan(50);
     for (int i = 0; i + fleet / 3 < fleet; i++) {
-      assertThat(asks.get(i + fleet / 3) - asks.get(i)).isGreaterThan(tenth);
+      assertThat(watchTimes.get(i + fleet / 3) - watchTimes.get(i)).isGreaterThan(tenth);
     }
   }
 
+  /**
+   * Guards against ejecting or slow-starting a healthy server because of one connection fault with
+   * four attempts in flight.
+   */
   @Test
-  void theEndOfALoneConnectionIsOneFailureAndNoSignOfARestart() {
+  void aSingleConnectionFaultIsOneFailureAndNoRestart() {
     for (Outcome outcome :
         List.of(Outcome.PROTOCOL_ERROR, Outcome.CONNECTION_LOST, Outcome.UNREACHABLE)) {
-      PolicyHarness one = new PolicyHarness();
-      one.layout = new Settings.Layout(2, 1, 1, 1, 0);
-      one.start();
+      PolicyHarness router = new PolicyHarness();
+      router.layout = new Settings.Layout(2, 1, 1, 1, 0);
+      router.start();
       for (int i = 0; i < 4; i++) {
-        one.query("a" + i, "complete", 1);
+        router.query("a" + i, "complete", 1);
       }
-      one.complete(outcome, "a00", "a10", "a20", "a30");
-      one.complete(Outcome.COMPLETED, "a00", "a10", "a20", "a30");
-      // Neither slow start nor a canary holds any of them back.
+      router.complete(outcome, "a00", "a10", "a20", "a30");
+      router.complete(Outcome.COMPLETED, "a00", "a10", "a20", "a30");
+      // Neither slow start nor a canary holds back any request.
       for (int i = 0; i < 8; i++) {
-        assertThat(sent(one.query("b" + i, "complete", 0.5, 0.5))).as(outcome.name()).hasSize(2);
-        one.complete(Outcome.COMPLETED, "b" + i + 0, "b" + i + 1);
+        assertThat(sent(router.query("b" + i, "complete", 0.5, 0.5))).as(outcome.name()).hasSize(2);
+        router.complete(Outcome.COMPLETED, "b" + i + 0, "b" + i + 1);
       }
     }
   }
 
+  /**
+   * Guards against attempts on a connection that was dropped without notice. A server that responds
+   * late is slow, and its connections are kept.
+   */
   @Test
-  void afterATimeoutWithoutAResponseSinceTheNextAttemptUsesANewConnection() {
+  void afterATimeoutAtAnUnresponsiveServerANewConnectionIsUsed() {
     harness.layout = new Settings.Layout(1, 1, 1, 1, 0);
     harness.start();
     harness.query("a", "non-idempotent", 1);
@@ -632,7 +748,7 @@
         .contains(new Action.RetireConnections("s0"));
     assertThat(harness.query("d", "non-idempotent", 1))
         .doesNotContain(new Action.RetireConnections("s0"));
-    // Late, but there is a response: the server is slow.
+    // A late response shows that the server is slow, not that its connection is lost.
     harness.complete(Outcome.COMPLETED, "c0");
     harness.query("e", "non-idempotent", 1);
     harness.advance(400);
@@ -642,8 +758,12 @@
         .doesNotContain(new Action.RetireConnections("s0"));
   }
 
+  /**
+   * Guards against the overload of a restarted server: discovery has not reported the restart, but
+   * the server was unreachable for 600 ms.
+   */
   @Test
-  void aServerThatWasUnreachableForLongGetsASlowStartOnceItResponds() {
+  void aServerThatRespondsAfterALongOutageGetsASlowStart() {
     harness.layout = new Settings.Layout(1, 1, 1, 1, 0);
     harness.start();
     harness.query("a", "complete", 1);
@@ -658,6 +778,7 @@
     assertThat(sent(harness.actions).size() - before).isLessThan(5);
   }
 
+  /** Guards against a query that crashes the servers of all its shards at once. */
   @Test
   void afterCrashesTheHeaviestRequestIsSentFirstAsACanary() {
     harness.layout = new Settings.Layout(3, 3, 1, 1, 0);
@@ -672,8 +793,9 @@
         .containsExactlyInAnyOrder("q0", "q2");
   }
 
+  /** Guards against retries of a query that crashes its servers. */
   @Test
-  void aQueryThatLosesConnectionsWithoutAResponseIsGivenUpAtOnce() {
+  void aQueryWithLostConnectionsAndNoResponseIsGivenUpImmediately() {
     harness.start();
     harness.query("a", "complete", 0.25, 0.25, 0.25, 0.25);
     harness.complete(Outcome.CONNECTION_LOST, "a0", "a1");
@@ -681,8 +803,12 @@
     assertThat(sent(harness.advance(2500))).isEmpty();
   }
 
+  /**
+   * Guards against giving up a query that has had responses, so that the lost connections have
+   * another cause.
+   */
   @Test
-  void aQueryWithAResponseGoesOnAfterLostConnections() {
+  void aQueryWithAResponseContinuesAfterLostConnections() {
     harness.start();
     harness.query("a", "complete", 0.25, 0.25, 0.25, 0.25);
     harness.complete(Outcome.COMPLETED, "a2", "a3");
@@ -690,8 +816,9 @@
         .containsExactlyInAnyOrder("a0", "a1");
   }
 
+  /** Guards against timeouts on idle connections that a firewall or a peer drops without notice. */
   @Test
-  void idleConnectionsThatFellSilentAreRetiredBeforeUse() {
+  void idleConnectionsThatWereProbablyDroppedAreRetiredBeforeUse() {
     harness.start();
     for (int i = 0; i < 8; i++) {
       harness.query("a" + i, "non-idempotent", 0.25, 0.25, 0.25, 0.25);
@@ -702,18 +829,19 @@
     harness.advance(900);
     harness.actions.clear();
     harness.query("q", "non-idempotent", 0.25, 0.25, 0.25, 0.25);
-    Action.RetireConnections close =
+    Action.RetireConnections retired =
         harness.actions.stream()
             .filter(Action.RetireConnections.class::isInstance)
             .map(Action.RetireConnections.class::cast)
             .findFirst()
             .orElseThrow();
-    Action next = harness.actions.get(harness.actions.indexOf(close) + 1);
-    assertThat(((Action.SendAttempt) next).server()).isEqualTo(close.server());
+    Action next = harness.actions.get(harness.actions.indexOf(retired) + 1);
+    assertThat(((Action.SendAttempt) next).server()).isEqualTo(retired.server());
   }
 
+  /** Guards against taking one unresponsive server for overload: its request must be retried. */
   @Test
-  void silenceWhileResponsesAreQuickIsNotOverload() {
+  void aTimeoutWhileOtherResponsesAreQuickIsNotOverload() {
     harness.layout = new Settings.Layout(4, 12, 2, 1, 0);
     harness.start();
     harness.query("a", "complete", 0.25, 0.25, 0.25, 0.25);
@@ -721,6 +849,10 @@
     assertThat(sent(harness.advance(900))).contains("a3");
   }
 
+  /**
+   * Guards against overload that servers do not report: all responses take 800 ms of the 1 s
+   * objective.
+   */
   @Test
   void slowResponsesFromAllServersAreOverload() {
     harness.start();
@@ -734,8 +866,9 @@
     assertThat(sent(harness.query("q", "partial", 0.52, 0.2, 0.18, 0.1))).hasSizeLessThan(2);
   }
 
+  /** Guards against requests to servers that were removed, while the list changes 50 times. */
   @Test
-  void aServerThatLeftTheListIsReplacedByAnother() {
+  void serversRemovedFromTheListAreReplacedByNewOnes() {
     harness.start();
     for (int i = 0; i < 50; i++) {
       harness.updateList(
@@ -763,7 +896,7 @@
   }
 
   @Test
-  void aListOfThousandsOfServersIsServed() {
+  void aListOfFiveThousandServersIsHandled() {
     harness.layout = new Settings.Layout(5000, 5000, 3, 1, 0);
     harness.start();
     assertThat(sent(harness.query("q", "complete", 0.5, 0.5))).hasSize(2);
--- a/router/src/test/java/tidebank/policy/SimulatedFleet.java
+++ b/router/src/test/java/tidebank/policy/SimulatedFleet.java
@@ -15,24 +15,24 @@
 import java.util.Set;
 
 /**
- * A small fleet of routers, shard servers and clients in a closed loop, on the simulator's wire. It
- * gives out one batch of events at a time and takes the reply to it; the same site and seed and the
- * same replies give the same batches. It serves to record streams of events, not to measure: its
- * servers fail, queue, restart and drain more often than real ones.
+ * A simulated fleet of routers, shard servers and clients that exchanges batches and replies in the
+ * format of the simulator. Each reply determines the batches after it; the same deployment, seed
+ * and replies always give the same batches. The fleet serves to record event streams, not to
+ * measure performance: its servers fail, queue, restart and drain more often than real ones.
  */
 final class SimulatedFleet {
   private static final long TICK_US = 5_000;
   private static final long MS = 1_000;
-  private static final long IDLE_US = 600 * MS;
-  private static final long QUEUE_MOST_US = 1_200 * MS;
+  private static final long IDLE_CONNECTION_US = 600 * MS;
+  private static final long MAX_QUEUE_US = 1_200 * MS;
   private static final int SHARDS = 12;
-  private static final int PAGES = 16;
-  private static final String[] CLASSES = {
+  private static final int MAX_PAGES = 16;
+  private static final String[] QUERY_CLASSES = {
     "part", "whole", "once", "keyed", "strict", "steps", "sample", "keyedpart"
   };
-  private static final int[] SECOND_STEP = {0, 0, 0, 0, 0, 2, 0, 0};
+  private static final int[] SECOND_STAGE_REQUESTS = {0, 0, 0, 0, 0, 2, 0, 0};
   private static final int[] TIMEOUT_MS = {3000, 3000, 4000, 3000, 2500, 5000, 3000, 3000};
-  private static final String SERVICES =
+  private static final String QUERY_CLASSES_JSON =
       "[{\"name\":\"part\",\"semantics\":\"read_like\",\"onTimeMs\":1000,\"deadlineMs\":3000,"
           + "\"lateWorth\":0.1},"
           + "{\"name\":\"whole\",\"semantics\":\"read_like\",\"onTimeMs\":1000,\"deadlineMs\":3000,"
@@ -50,52 +50,54 @@
           + "{\"name\":\"keyedpart\",\"semantics\":\"idempotency_key\",\"windowMs\":2000,"
           + "\"onTimeMs\":1000,\"deadlineMs\":3000,\"lateWorth\":0}]";
 
-  /** What a deployment permits and how large it is; figures that are left out have a default. */
+  /** The size and the limits of a deployment, by parameter name; absent ones have a default. */
   record Site(Map<String, Double> figures) {
+    /** Parses "name=value" pairs that are separated by spaces. */
     static Site of(String text) {
       Map<String, Double> figures = new LinkedHashMap<>();
       for (String pair : text.split(" ")) {
-        String[] sides = pair.split("=");
-        figures.put(sides[0], Double.valueOf(sides[1]));
+        String[] nameAndValue = pair.split("=");
+        figures.put(nameAndValue[0], Double.valueOf(nameAndValue[1]));
       }
       return new Site(figures);
     }
 
-    double get(String name, double absent) {
-      return figures.getOrDefault(name, absent);
+    double get(String name, double defaultValue) {
+      return figures.getOrDefault(name, defaultValue);
     }
 
+    /** Returns whether a parameter is set to a value above 0. */
     boolean on(String name) {
       return get(name, 0) > 0;
     }
   }
 
-  private record Due(long at, long order, Runnable task) {}
+  private record ScheduledTask(long time, long order, Runnable task) {}
 
   private enum Health {
-    SOUND,
+    HEALTHY,
     SLOW,
     FAILING,
-    REFUSING,
+    REJECTING,
     HANGING,
-    GARBLING,
+    CORRUPTING,
     DOWN
   }
 
   private static final class Server {
     final String id;
-    final double rating;
-    final List<Attempt> out = new ArrayList<>();
+    final double capacity;
+    final List<Attempt> inFlight = new ArrayList<>();
     int position;
     String status = "in_service";
     long startedAt;
-    Health health = Health.SOUND;
+    Health health = Health.HEALTHY;
     long busyUntil;
 
-    Server(String id, int position, double rating) {
+    Server(String id, int position, double capacity) {
       this.id = id;
       this.position = position;
-      this.rating = rating;
+      this.capacity = capacity;
     }
   }
 
@@ -103,271 +105,280 @@
     final List<Integer> shards = new ArrayList<>();
     String id;
     int router;
-    int life;
+    int routerGeneration;
     long number;
-    int type;
+    int classIndex;
     long deadline;
     String key;
-    boolean done;
-    boolean poison;
-    boolean second;
+    boolean closed;
+    boolean crashesServers;
+    boolean inSecondStage;
   }
 
-  private static final class Part {
+  private static final class ShardRequest {
     final List<Attempt> attempts = new ArrayList<>();
     final String id;
     final Query query;
     boolean closed;
 
-    Part(String id, Query query) {
+    ShardRequest(String id, Query query) {
       this.id = id;
       this.query = query;
     }
   }
 
   private static final class Attempt {
-    final Part part;
+    final ShardRequest request;
     final int number;
     final Server server;
     final long sentAt;
     boolean ended;
 
-    Attempt(Part part, int number, Server server, long sentAt) {
-      this.part = part;
+    Attempt(ShardRequest request, int number, Server server, long sentAt) {
+      this.request = request;
       this.number = number;
       this.server = server;
       this.sentAt = sentAt;
     }
   }
 
-  /** Pseudo random numbers by a seed: xorshift64*. */
-  private static final class Dice {
+  /** A pseudo-random number generator: xorshift64*. */
+  private static final class XorShiftRandom {
     private long state;
 
-    Dice(long seed) {
+    XorShiftRandom(long seed) {
       state = seed * 0x9E3779B97F4A7C15L | 1;
     }
 
-    long bits() {
+    long nextLong() {
       state ^= state >>> 12;
       state ^= state << 25;
       state ^= state >>> 27;
       return state * 0x2545F4914F6CDD1DL;
     }
 
-    int below(int bound) {
-      return (int) Long.remainderUnsigned(bits() >>> 8, bound);
+    /** Returns a number from 0 (inclusive) to the bound (exclusive). */
+    int nextInt(int bound) {
+      return (int) Long.remainderUnsigned(nextLong() >>> 8, bound);
     }
 
-    boolean chance(double share) {
-      return below(1_000_000) < share * 1_000_000;
+    /** Returns true with the given probability. */
+    boolean nextBoolean(double probability) {
+      return nextInt(1_000_000) < probability * 1_000_000;
     }
 
-    long between(long least, long most) {
-      return least + below((int) (most - least + 1));
+    /** Returns a number from the minimum to the maximum, both inclusive. */
+    long nextLongBetween(long min, long max) {
+      return min + nextInt((int) (max - min + 1));
     }
   }
 
   private final ObjectMapper mapper = new ObjectMapper();
-  private final Site site;
-  private final Dice dice;
+  private final Site deployment;
+  private final XorShiftRandom random;
   private final int routers;
   private final List<String> batch = new ArrayList<>();
-  private final PriorityQueue<Due> queue =
-      new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
+  private final PriorityQueue<ScheduledTask> tasks =
+      new PriorityQueue<>(
+          Comparator.comparingLong(ScheduledTask::time).thenComparingLong(ScheduledTask::order));
   private final Map<String, Server> servers = new LinkedHashMap<>();
   private final Map<String, Query> queries = new HashMap<>();
-  private final Map<String, Part> parts = new HashMap<>();
-  private final Map<String, Long> lastUse = new HashMap<>();
-  private final Set<String> reconnected = new HashSet<>();
-  private final int[] lives;
-  private final long[] numbers;
-  private final boolean[] following;
-  private final boolean[] ending;
+  private final Map<String, ShardRequest> requests = new HashMap<>();
+  private final Map<String, Long> lastUseTimes = new HashMap<>();
+  private final Set<String> retiredConnections = new HashSet<>();
+  private final int[] routerGenerations;
+  private final long[] lastQueryNumbers;
+  private final boolean[] watching;
+  private final boolean[] shuttingDown;
   private long now = 1_000_000;
-  private long order;
-  private long names;
-  private int page;
+  private long nextTaskOrder;
+  private long queryCount;
+  private int lastPage;
   private long messages;
-  private double load = 1;
-  private boolean silentIdle;
-  private boolean poisoned;
-
-  SimulatedFleet(Site site, long seed) {
-    this.site = site;
-    this.dice = new Dice(seed);
-    this.routers = (int) site.get("hosted", 2);
-    this.lives = new int[routers];
-    this.numbers = new long[routers];
-    this.following = new boolean[routers];
-    this.ending = new boolean[routers];
+  private double loadFactor = 1;
+  private boolean dropIdleConnections;
+  private boolean sendCrashingQueries;
+
+  SimulatedFleet(Site deployment, long seed) {
+    this.deployment = deployment;
+    this.random = new XorShiftRandom(seed);
+    this.routers = (int) deployment.get("hosted", 2);
+    this.routerGenerations = new int[routers];
+    this.lastQueryNumbers = new long[routers];
+    this.watching = new boolean[routers];
+    this.shuttingDown = new boolean[routers];
     int positions = positions();
-    int each = (int) site.get("each", 1);
-    for (int i = 0; i < positions * each; i++) {
-      double rating = site.on("sizes") ? 1 + i % 3 / 2.0 : 1;
-      servers.put("s" + i, new Server("s" + i, i % positions, rating));
+    int serversPerPosition = (int) deployment.get("each", 1);
+    for (int i = 0; i < positions * serversPerPosition; i++) {
+      double capacity = deployment.on("sizes") ? 1 + i % 3 / 2.0 : 1;
+      servers.put("s" + i, new Server("s" + i, i % positions, capacity));
     }
     for (int i = 0; i < routers; i++) {
       int router = i;
-      after(MS * (i + 1), () -> attach(router));
+      schedule(MS * (i + 1), () -> attachRouter(router));
     }
-    after(20 * MS, this::arrive);
-    after(500 * MS, this::fault);
+    schedule(20 * MS, this::generateQuery);
+    schedule(500 * MS, this::injectFault);
   }
 
-  /** How many messages were given out so far. */
+  /** Returns the number of messages in all batches so far. */
   long messages() {
     return messages;
   }
 
-  /** The next batch, as a line without its end. */
+  /** Returns the next batch, as a line without its line break. */
   String nextBatch() {
     batch.clear();
     while (batch.isEmpty()) {
-      Due first = queue.peek();
-      long tick = (first.at() + TICK_US - 1) / TICK_US * TICK_US;
-      now = Math.max(now + TICK_US, tick);
-      // The process stands still now and then: what is due meanwhile comes late and at once.
-      now += dice.chance(0.003) ? TICK_US * dice.below(160) : 0;
-      while (!queue.isEmpty() && queue.peek().at() <= now) {
-        queue.poll().task().run();
+      ScheduledTask first = tasks.peek();
+      long firstTick = (first.time() + TICK_US - 1) / TICK_US * TICK_US;
+      now = Math.max(now + TICK_US, firstTick);
+      // The process stalls now and then. Tasks that are due meanwhile run late and in one batch.
+      now += random.nextBoolean(0.003) ? TICK_US * random.nextInt(160) : 0;
+      while (!tasks.isEmpty() && tasks.peek().time() <= now) {
+        tasks.poll().task().run();
       }
     }
-    reconnected.clear();
+    retiredConnections.clear();
     messages += batch.size();
-    return "{\"simTimeMs\":" + ms(now) + ",\"msgs\":[" + String.join(",", batch) + "]}";
+    return "{\"simTimeMs\":" + millis(now) + ",\"msgs\":[" + String.join(",", batch) + "]}";
   }
 
-  /** Takes the reply to the latest batch. */
+  /** Executes the actions of the reply to the last batch. */
   void reply(String line) {
     JsonNode output;
     try {
       output = mapper.readTree(line).get("output");
-    } catch (IOException fault) {
-      throw new UncheckedIOException(fault);
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
     }
     for (JsonNode action : output) {
       int router = action.get("who").intValue();
-      String handle = action.path("handle").textValue();
+      String id = action.path("handle").textValue();
       switch (action.get("kind").textValue()) {
         case "Assign" ->
-            assign(
-                handle,
+            startAttempt(
+                id,
                 servers.get(action.get("server").textValue()),
                 Math.round(action.get("stopAtMs").doubleValue() * MS));
-        case "CallOff" -> callOff(parts.get(handle).attempts.get(action.get("try").intValue()));
-        case "WrapUp" -> wrapUp(queries.get(handle));
+        case "CallOff" ->
+            cancelAttempt(requests.get(id).attempts.get(action.get("try").intValue()));
+        case "WrapUp" -> handleAnswer(queries.get(id));
         case "Busy" ->
-            end(queries.get(handle), Math.round(action.get("holdOffMs").doubleValue() * MS));
-        case "ReportFailure" -> end(queries.get(handle), 100 * MS);
-        case "SetTimer" -> timer(router, action);
-        case "Follow" -> follow(router);
-        case "Disconnect" -> reconnected.add(router + "/" + action.get("server").textValue());
-        default -> throw new IllegalStateException(action.toString());
+            handleRejection(
+                queries.get(id), Math.round(action.get("holdOffMs").doubleValue() * MS));
+        case "ReportFailure" -> handleRejection(queries.get(id), 100 * MS);
+        case "SetTimer" -> setTimer(router, action);
+        case "Follow" -> startWatch(router);
+        case "Disconnect" ->
+            retiredConnections.add(router + "/" + action.get("server").textValue());
+        default -> throw new IllegalStateException("unknown action " + action);
       }
     }
   }
 
   private int positions() {
-    return (int) site.get("positions", 4);
+    return (int) deployment.get("positions", 4);
   }
 
-  private void after(long us, Runnable task) {
-    queue.add(new Due(now + Math.max(1, us), order++, task));
+  /** Schedules a task to run after a delay in microseconds. */
+  private void schedule(long us, Runnable task) {
+    tasks.add(new ScheduledTask(now + Math.max(1, us), nextTaskOrder++, task));
   }
 
-  /** Runs a task for a router unless it was killed meanwhile. */
-  private void after(long us, int router, Runnable task) {
-    int life = lives[router];
-    after(
+  /** Schedules a task of a router, which is dropped if the router is replaced before it runs. */
+  private void schedule(long us, int router, Runnable task) {
+    int routerGeneration = routerGenerations[router];
+    schedule(
         us,
         () -> {
-          if (lives[router] == life) {
+          if (routerGenerations[router] == routerGeneration) {
             task.run();
           }
         });
   }
 
-  private static String ms(long us) {
+  private static String millis(long us) {
     return us % MS == 0 ? Long.toString(us / MS) : Double.toString(us / (double) MS);
   }
 
-  private void say(String kind, int router, String fields) {
+  private void addMessage(String kind, int router, String fields) {
     batch.add("{\"kind\":\"" + kind + "\",\"who\":" + router + fields + "}");
   }
 
-  // ---- routers and lists
+  // ---- routers and endpoint lists
 
-  private void attach(int router) {
-    following[router] = false;
-    ending[router] = false;
-    String rank = site.on("ranks") ? "\"rank\":" + router + "," : "";
-    say(
+  private void attachRouter(int router) {
+    watching[router] = false;
+    shuttingDown[router] = false;
+    String rankField = deployment.on("ranks") ? "\"rank\":" + router + "," : "";
+    addMessage(
         "Attach",
         router,
         ",\"salt\":"
-            + (dice.bits() >>> 20)
+            + (random.nextLong() >>> 20)
             + ",\"config\":{\"instances\":"
-            + (int) site.get("instances", 2)
+            + (int) deployment.get("instances", 2)
             + ","
-            + rank
+            + rankField
             + "\"tickMs\":5,\"discovery\":\""
-            + (site.on("ask") ? "ask" : "push")
+            + (deployment.on("ask") ? "ask" : "push")
             + "\",\"services\":"
-            + SERVICES
+            + QUERY_CLASSES_JSON
             + ",\"specifics\":{\"slices\":"
             + SHARDS
             + ",\"positions\":"
             + positions()
             + ",\"width\":"
-            + (int) site.get("width", 2)
+            + (int) deployment.get("width", 2)
             + ",\"bundleMax\":"
-            + (int) site.get("bundle", 1)
+            + (int) deployment.get("bundle", 1)
             + ",\"callMs\":"
-            + site.get("call", 0)
+            + deployment.get("call", 0)
             + ",\"floorByClass\":[0.5,1,1,1,1,0.6,0.4,0.5],"
             + "\"classNeed\":[1,1,1,1,1,1,0.7,1],\"secondStep\":[0,0,0,0,0,2,0,0]},"
-            + limits()
+            + limitsJson()
             + "}");
-    String listed =
-        String.join(",", servers.values().stream().filter(this::known).map(this::entry).toList());
-    announce(router, "warm_copy", listed);
+    String endpoints =
+        String.join(
+            ",", servers.values().stream().filter(this::isListed).map(this::endpointJson).toList());
+    sendEndpointList(router, "warm_copy", endpoints);
   }
 
-  private String limits() {
-    String budget =
-        site.get("span", 0) > 0
+  private String limitsJson() {
+    String retryBudget =
+        deployment.get("span", 0) > 0
             ? ",\"freeResends\":"
-                + site.get("free", 0)
+                + deployment.get("free", 0)
                 + ",\"extraRatio\":"
-                + site.get("ratio", 0)
+                + deployment.get("ratio", 0)
                 + ",\"ratioSpanMs\":"
-                + site.get("span", 0)
+                + deployment.get("span", 0)
             : "";
     return "\"limits\":{\"maxAttempts\":"
-        + (int) site.get("attempts", 4)
+        + (int) deployment.get("attempts", 4)
         + ",\"secondCopies\":"
-        + site.on("hedging")
+        + deployment.on("hedging")
         + ",\"cancel\":"
-        + site.on("cancel")
+        + deployment.on("cancel")
         + ",\"mayProbe\":true,\"retryAfter\":"
-        + site.on("holdoff")
+        + deployment.on("holdoff")
         + ",\"maxRetryAfterMs\":400,\"mostHeld\":200},"
         + "\"guarantees\":{\"answerSlackMs\":20,\"askEveryMs\":10000,\"stopSendingWithinMs\":1000,"
         + "\"coldFrom\":0.2,\"coldMs\":10000,\"fallMultiple\":2,\"tipAfterMs\":1000"
-        + budget
+        + retryBudget
         + "}";
   }
 
-  private boolean known(Server server) {
+  private boolean isListed(Server server) {
     return !server.status.equals("terminated");
   }
 
-  private String entry(Server server) {
+  private String endpointJson(Server server) {
     return "{\"lastStartMs\":"
-        + (server.startedAt == 0 ? "null" : ms(server.startedAt))
+        + (server.startedAt == 0 ? "null" : millis(server.startedAt))
         + ",\"rating\":"
-        + server.rating
+        + server.capacity
         + ",\"slotNo\":"
         + server.position
         + ",\"status\":\""
@@ -377,147 +388,163 @@
         + "\"}";
   }
 
-  private void announce(int router, String mode, String entries) {
-    page = (page + 1) % PAGES;
-    batch.add("{\"kind\":\"Sheet\",\"page\":" + page + ",\"items\":[" + entries + "]}");
-    say("Announce", router, ",\"mode\":\"" + mode + "\",\"generation\":1,\"page\":" + page);
+  private void sendEndpointList(int router, String mode, String endpoints) {
+    lastPage = (lastPage + 1) % MAX_PAGES;
+    batch.add("{\"kind\":\"Sheet\",\"page\":" + lastPage + ",\"items\":[" + endpoints + "]}");
+    addMessage(
+        "Announce", router, ",\"mode\":\"" + mode + "\",\"generation\":1,\"page\":" + lastPage);
   }
 
-  private void lose(int router) {
-    following[router] = false;
-    say("Announce", router, ",\"mode\":\"lost\",\"generation\":1,\"page\":0");
+  private void loseWatch(int router) {
+    watching[router] = false;
+    addMessage("Announce", router, ",\"mode\":\"lost\",\"generation\":1,\"page\":0");
   }
 
-  private void total(int router) {
-    announce(
+  private void sendSnapshot(int router) {
+    sendEndpointList(
         router,
         "total",
-        String.join(",", servers.values().stream().filter(this::known).map(this::entry).toList()));
+        String.join(
+            ",",
+            servers.values().stream().filter(this::isListed).map(this::endpointJson).toList()));
   }
 
-  private void publish(Server server) {
-    String entry = entry(server);
+  private void publishChange(Server server) {
+    String endpoint = endpointJson(server);
     for (int i = 0; i < routers; i++) {
       int router = i;
-      if (!site.on("ask") || following[router]) {
-        after(300 * MS, router, () -> announce(router, "incr", entry));
+      if (!deployment.on("ask") || watching[router]) {
+        schedule(300 * MS, router, () -> sendEndpointList(router, "incr", endpoint));
       }
     }
   }
 
-  private void follow(int router) {
-    int way = dice.below(10);
-    if (way < 2) {
-      after(dice.between(5, 2500) * MS, router, () -> lose(router));
-    } else if (way > 2) {
-      after(
-          dice.between(5, 400) * MS,
+  /** Starts a watch of the endpoint list, which is lost, confirmed or never answered. */
+  private void startWatch(int router) {
+    int result = random.nextInt(10);
+    if (result < 2) {
+      schedule(random.nextLongBetween(5, 2500) * MS, router, () -> loseWatch(router));
+    } else if (result > 2) {
+      schedule(
+          random.nextLongBetween(5, 400) * MS,
           router,
           () -> {
-            following[router] = true;
-            if (dice.chance(0.5)) {
-              total(router);
+            watching[router] = true;
+            if (random.nextBoolean(0.5)) {
+              sendSnapshot(router);
             } else {
-              announce(router, "incr", "");
+              sendEndpointList(router, "incr", "");
             }
           });
     }
   }
 
-  private void timer(int router, JsonNode action) {
+  private void setTimer(int router, JsonNode action) {
     String label = action.get("label").asText();
-    after(
+    schedule(
         Math.round(action.get("waitMs").doubleValue() * MS),
         router,
-        () -> say("DeadlineHit", router, ",\"label\":" + label));
+        () -> addMessage("DeadlineHit", router, ",\"label\":" + label));
   }
 
-  private void kill(int router) {
-    say("Retire", router, "");
-    lives[router]++;
-    queries.values().stream().filter(q -> q.router == router).forEach(q -> q.done = true);
-    attach(router);
+  /** Removes a router and attaches a new one in its place. */
+  private void replaceRouter(int router) {
+    addMessage("Retire", router, "");
+    routerGenerations[router]++;
+    queries.values().stream().filter(q -> q.router == router).forEach(q -> q.closed = true);
+    attachRouter(router);
   }
 
   // ---- clients
 
-  private void arrive() {
-    after((long) (dice.between(1, 2 * 1000) * MS / (site.get("perS", 5) * load)), this::arrive);
-    int router = dice.below(routers);
-    int type = dice.below(CLASSES.length);
-    String key = dice.chance(0.6) ? "k" + dice.below(30) : "";
-    long time = TIMEOUT_MS[type] * MS;
-    if (dice.chance(0.1)) {
-      time = dice.chance(0.2) ? 2 * MS : dice.between(50, 900) * MS;
+  private void generateQuery() {
+    schedule(
+        (long)
+            (random.nextLongBetween(1, 2 * 1000) * MS / (deployment.get("perS", 5) * loadFactor)),
+        this::generateQuery);
+    int router = random.nextInt(routers);
+    int classIndex = random.nextInt(QUERY_CLASSES.length);
+    String key = random.nextBoolean(0.6) ? "k" + random.nextInt(30) : "";
+    long timeoutUs = TIMEOUT_MS[classIndex] * MS;
+    if (random.nextBoolean(0.1)) {
+      timeoutUs = random.nextBoolean(0.2) ? 2 * MS : random.nextLongBetween(50, 900) * MS;
     }
-    ask(router, type, key, now + time, false);
+    sendQuery(router, classIndex, key, now + timeoutUs, false);
   }
 
-  private void ask(int router, int type, String key, long deadline, boolean resent) {
+  private void sendQuery(
+      int router, int classIndex, String key, long deadline, boolean clientRetry) {
     Query query = new Query();
-    query.id = "q" + names++;
+    query.id = "q" + queryCount++;
     query.router = router;
-    query.life = lives[router];
-    query.number = ++numbers[router];
-    query.type = type;
+    query.routerGeneration = routerGenerations[router];
+    query.number = ++lastQueryNumbers[router];
+    query.classIndex = classIndex;
     query.deadline = deadline;
     query.key = key;
-    query.poison = poisoned && dice.chance(0.5);
+    query.crashesServers = sendCrashingQueries && random.nextBoolean(0.5);
     queries.put(query.id, query);
-    boolean odd = dice.chance(0.01);
-    long late = site.on("direct") && dice.chance(0.1) ? dice.between(1, 250) * MS : 0;
-    int shards = dice.chance(0.02) ? 0 : 1 + dice.below(8);
-    say(
+    boolean unknownClass = random.nextBoolean(0.01);
+    long readDelayUs =
+        deployment.on("direct") && random.nextBoolean(0.1)
+            ? random.nextLongBetween(1, 250) * MS
+            : 0;
+    int shards = random.nextBoolean(0.02) ? 0 : 1 + random.nextInt(8);
+    addMessage(
         "Knock",
         router,
         ",\"handle\":\""
             + query.id
             + "\",\"notAfterMs\":"
-            + ms(deadline)
-            + (late > 0 ? ",\"askedAtMs\":" + ms(now - late) : "")
+            + millis(deadline)
+            + (readDelayUs > 0 ? ",\"askedAtMs\":" + millis(now - readDelayUs) : "")
             + ",\"jobNo\":"
             + query.number
-            + (resent ? ",\"resent\":true" : "")
+            + (clientRetry ? ",\"resent\":true" : "")
             + ",\"lane\":\""
-            + (odd ? "odd" : CLASSES[type])
+            + (unknownClass ? "odd" : QUERY_CLASSES[classIndex])
             + "\""
             + (key.isEmpty() ? "" : ",\"subject\":\"" + key + "\"")
             + ",\"slab\":-1,\"measure\":"
             + shards);
-    List<Integer> all = new ArrayList<>();
+    List<Integer> candidates = new ArrayList<>();
     for (int shard = 0; shard < SHARDS; shard++) {
-      all.add(shard);
+      candidates.add(shard);
     }
     for (int i = 0; i < shards; i++) {
-      query.shards.add(all.remove(dice.below(all.size())));
+      query.shards.add(candidates.remove(random.nextInt(candidates.size())));
     }
-    step(query, query.shards, dice.chance(0.5));
-    if (dice.chance(0.04)) {
-      after(dice.between(5, 900) * MS, router, () -> lapse(query));
+    sendStage(query, query.shards, random.nextBoolean(0.5));
+    if (random.nextBoolean(0.04)) {
+      schedule(random.nextLongBetween(5, 900) * MS, router, () -> disconnectClient(query));
     }
-    after(deadline - now + 20 * MS, router, () -> lapse(query));
+    schedule(deadline - now + 20 * MS, router, () -> disconnectClient(query));
   }
 
-  /** The parts of one step: of equal weights, or falling ones. */
-  private void step(Query query, List<Integer> shards, boolean equal) {
-    int left = 1000;
+  /** Sends the shard requests of one stage, with equal or with decreasing weights. */
+  private void sendStage(Query query, List<Integer> shards, boolean equalWeights) {
+    int remaining = 1000;
     double sum = 0;
     for (int i = 0; i < shards.size(); i++) {
-      sum += equal ? 1 : 1.0 / (i + 1);
+      sum += equalWeights ? 1 : 1.0 / (i + 1);
     }
     for (int i = 0; i < shards.size(); i++) {
-      int share = i == shards.size() - 1 ? left : (int) (1000 * (equal ? 1 : 1.0 / (i + 1)) / sum);
-      left -= share;
-      Part part = new Part(query.id + (query.second ? "x" : ".") + shards.get(i), query);
-      parts.put(part.id, part);
+      int share =
+          i == shards.size() - 1
+              ? remaining
+              : (int) (1000 * (equalWeights ? 1 : 1.0 / (i + 1)) / sum);
+      remaining -= share;
+      ShardRequest request =
+          new ShardRequest(query.id + (query.inSecondStage ? "x" : ".") + shards.get(i), query);
+      requests.put(request.id, request);
       String key = query.key.isEmpty() ? "" : query.key + "." + shards.get(i);
-      say(
+      addMessage(
           "Knock",
           query.router,
           ",\"handle\":\""
-              + part.id
+              + request.id
               + "\",\"notAfterMs\":"
-              + ms(query.deadline)
+              + millis(query.deadline)
               + ",\"jobNo\":"
               + query.number
               + (key.isEmpty() ? "" : ",\"subject\":\"" + key + "\"")
@@ -528,35 +555,38 @@
     }
   }
 
-  private void lapse(Query query) {
-    if (!query.done) {
-      query.done = true;
-      say("Lapsed", query.router, ",\"handle\":\"" + query.id + "\"");
+  private void disconnectClient(Query query) {
+    if (!query.closed) {
+      query.closed = true;
+      addMessage("Lapsed", query.router, ",\"handle\":\"" + query.id + "\"");
     }
   }
 
-  private void wrapUp(Query query) {
-    if (!query.second && SECOND_STEP[query.type] > 0 && !query.done) {
-      query.second = true;
-      if (dice.chance(0.95)) {
+  /** Closes an answered query, or starts its second stage if its class has one. */
+  private void handleAnswer(Query query) {
+    if (!query.inSecondStage && SECOND_STAGE_REQUESTS[query.classIndex] > 0 && !query.closed) {
+      query.inSecondStage = true;
+      if (random.nextBoolean(0.95)) {
         List<Integer> next =
-            query.shards.subList(0, Math.min(SECOND_STEP[query.type], query.shards.size()));
-        after(MS, query.router, () -> step(query, next, true));
+            query.shards.subList(
+                0, Math.min(SECOND_STAGE_REQUESTS[query.classIndex], query.shards.size()));
+        schedule(MS, query.router, () -> sendStage(query, next, true));
       }
     } else {
-      query.done = true;
+      query.closed = true;
     }
   }
 
-  private void end(Query query, long holdOffUs) {
-    boolean again = !query.done && dice.chance(0.5);
-    query.done = true;
-    if (again) {
-      after(
-          holdOffUs + dice.between(10, 600) * MS,
+  /** Closes a throttled or failed query; the client may retry it after a delay. */
+  private void handleRejection(Query query, long holdOffUs) {
+    boolean retries = !query.closed && random.nextBoolean(0.5);
+    query.closed = true;
+    if (retries) {
+      schedule(
+          holdOffUs + random.nextLongBetween(10, 600) * MS,
           () -> {
             if (query.deadline > now + 5 * MS) {
-              ask(query.router, query.type, query.key, query.deadline, true);
+              sendQuery(query.router, query.classIndex, query.key, query.deadline, true);
             }
           });
     }
@@ -564,221 +594,242 @@
 
   // ---- shard servers
 
-  private void assign(String handle, Server server, long stopAt) {
-    Part part = parts.get(handle);
-    Query query = part.query;
-    Attempt attempt = new Attempt(part, part.attempts.size(), server, now);
-    part.attempts.add(attempt);
-    if (query.done || part.closed) {
-      finish(attempt, "void", MS);
+  private void startAttempt(String requestId, Server server, long stopAt) {
+    ShardRequest request = requests.get(requestId);
+    Query query = request.query;
+    Attempt attempt = new Attempt(request, request.attempts.size(), server, now);
+    request.attempts.add(attempt);
+    if (query.closed || request.closed) {
+      completeLater(attempt, "void", MS);
       return;
     }
     String connection = query.router + "/" + server.id;
-    boolean idle = now - lastUse.getOrDefault(connection, 0L) >= IDLE_US;
-    boolean fresh = reconnected.contains(connection);
-    lastUse.put(connection, now);
-    server.out.add(attempt);
-    after(
+    boolean idle = now - lastUseTimes.getOrDefault(connection, 0L) >= IDLE_CONNECTION_US;
+    boolean isNew = retiredConnections.contains(connection);
+    lastUseTimes.put(connection, now);
+    server.inFlight.add(attempt);
+    schedule(
         Math.max(1, Math.min(stopAt, query.deadline) - now),
         query.router,
-        () -> deliver(attempt, "timed_out"));
-    if (query.poison) {
-      after(30 * MS, () -> crash(server));
-    } else if (!(silentIdle && idle && !fresh)) {
-      serve(attempt);
+        () -> complete(attempt, "timed_out"));
+    if (query.crashesServers) {
+      schedule(30 * MS, () -> crash(server));
+    } else if (!(dropIdleConnections && idle && !isNew)) {
+      execute(attempt);
     }
   }
 
-  private void serve(Attempt attempt) {
+  /** Executes an attempt at its server, according to the health and the queue of the server. */
+  private void execute(Attempt attempt) {
     Server server = attempt.server;
-    boolean strikes = dice.chance(0.8);
+    boolean affected = random.nextBoolean(0.8);
     if (server.health == Health.DOWN) {
-      finish(attempt, "unreachable", dice.between(1, 50) * MS);
-    } else if (server.health == Health.FAILING && strikes) {
-      finish(attempt, "failure", dice.between(2, 40) * MS);
-    } else if (server.health == Health.GARBLING && strikes) {
-      finish(attempt, site.on("direct") ? "spoilt" : "broken", dice.between(2, 40) * MS);
-    } else if (server.health == Health.REFUSING && strikes || !server.status.equals("in_service")) {
-      finish(attempt, "overloaded", 2 * MS);
+      completeLater(attempt, "unreachable", random.nextLongBetween(1, 50) * MS);
+    } else if (server.health == Health.FAILING && affected) {
+      completeLater(attempt, "failure", random.nextLongBetween(2, 40) * MS);
+    } else if (server.health == Health.CORRUPTING && affected) {
+      completeLater(
+          attempt,
+          deployment.on("direct") ? "spoilt" : "broken",
+          random.nextLongBetween(2, 40) * MS);
+    } else if (server.health == Health.REJECTING && affected
+        || !server.status.equals("in_service")) {
+      completeLater(attempt, "overloaded", 2 * MS);
     } else if (server.health != Health.HANGING) {
-      double cold = Math.min(1, 0.2 + (now - server.startedAt) / 12e6);
-      double slow = server.health == Health.SLOW ? 8 : 1;
-      long work =
-          (long) (dice.between(50, 150) * site.get("work", 100) * 10 * slow / cold / server.rating);
+      double warmShare = Math.min(1, 0.2 + (now - server.startedAt) / 12e6);
+      double slowdown = server.health == Health.SLOW ? 8 : 1;
+      long workUs =
+          (long)
+              (random.nextLongBetween(50, 150)
+                  * deployment.get("work", 100)
+                  * 10
+                  * slowdown
+                  / warmShare
+                  / server.capacity);
       long start = Math.max(now, server.busyUntil);
-      if (start - now > QUEUE_MOST_US) {
-        finish(attempt, "overloaded", 2 * MS);
+      if (start - now > MAX_QUEUE_US) {
+        completeLater(attempt, "overloaded", 2 * MS);
       } else {
-        server.busyUntil = start + work;
-        finish(attempt, "success", start + work - now);
+        server.busyUntil = start + workUs;
+        completeLater(attempt, "success", start + workUs - now);
       }
     }
   }
 
-  private void finish(Attempt attempt, String disposition, long us) {
-    after(us, attempt.part.query.router, () -> deliver(attempt, disposition));
+  private void completeLater(Attempt attempt, String outcome, long us) {
+    schedule(us, attempt.request.query.router, () -> complete(attempt, outcome));
   }
 
-  private void callOff(Attempt attempt) {
-    finish(attempt, "withdrawn", MS);
+  private void cancelAttempt(Attempt attempt) {
+    completeLater(attempt, "withdrawn", MS);
   }
 
-  private void deliver(Attempt attempt, String disposition) {
-    Part part = attempt.part;
-    Query query = part.query;
-    attempt.server.out.remove(attempt);
-    if (attempt.ended || query.life != lives[query.router]) {
+  /** Reports the outcome of an attempt to its router, unless it has ended already. */
+  private void complete(Attempt attempt, String outcome) {
+    ShardRequest request = attempt.request;
+    Query query = request.query;
+    attempt.server.inFlight.remove(attempt);
+    if (attempt.ended || query.routerGeneration != routerGenerations[query.router]) {
       return;
     }
     attempt.ended = true;
-    boolean success = disposition.equals("success");
-    boolean closed = success || query.done || now >= query.deadline || dice.chance(0.02);
-    part.closed |= closed;
-    say(
+    boolean success = outcome.equals("success");
+    boolean closed = success || query.closed || now >= query.deadline || random.nextBoolean(0.02);
+    request.closed |= closed;
+    addMessage(
         "Returned",
         query.router,
         ",\"handle\":\""
-            + part.id
+            + request.id
             + "\",\"try\":"
             + attempt.number
             + ",\"server\":\""
             + attempt.server.id
             + "\",\"disposition\":\""
-            + disposition
+            + outcome
             + "\",\"costTimeMs\":"
-            + ms((now - attempt.sentAt) - dice.below(4) * 250)
+            + millis((now - attempt.sentAt) - random.nextInt(4) * 250)
             + (closed ? ",\"ended\":true" : "")
-            + (success && dice.chance(0.05) ? ",\"metrics\":{\"busy\":0.5}" : ""));
+            + (success && random.nextBoolean(0.05) ? ",\"metrics\":{\"busy\":0.5}" : ""));
   }
 
-  /** The process of a server ends and comes back after a while. */
+  /** Ends the process of a server and restarts it after a delay. */
   private void crash(Server server) {
-    if (server.health == Health.DOWN || !known(server)) {
+    if (server.health == Health.DOWN || !isListed(server)) {
       return;
     }
-    List.copyOf(server.out).forEach(attempt -> deliver(attempt, "broken"));
+    List.copyOf(server.inFlight).forEach(attempt -> complete(attempt, "broken"));
     server.health = Health.DOWN;
-    long down = dice.chance(0.5) ? dice.between(50, 500) : dice.between(500, 4000);
-    after(down * MS, () -> restart(server));
+    long downMs =
+        random.nextBoolean(0.5)
+            ? random.nextLongBetween(50, 500)
+            : random.nextLongBetween(500, 4000);
+    schedule(downMs * MS, () -> restart(server));
   }
 
   private void restart(Server server) {
-    server.health = Health.SOUND;
+    server.health = Health.HEALTHY;
     server.busyUntil = now;
     server.startedAt = now;
     server.status = "in_service";
-    if (dice.chance(0.2)) {
-      server.position = dice.below(positions());
+    if (random.nextBoolean(0.2)) {
+      server.position = random.nextInt(positions());
     }
-    publish(server);
+    publishChange(server);
   }
 
+  /** Drains a server, ends its process after a delay, and restarts it later. */
   private void drain(Server server) {
     server.status = "terminating";
-    publish(server);
-    after(
-        dice.between(200, 3000) * MS,
+    publishChange(server);
+    schedule(
+        random.nextLongBetween(200, 3000) * MS,
         () -> {
-          List.copyOf(server.out).forEach(attempt -> deliver(attempt, "broken"));
+          List.copyOf(server.inFlight).forEach(attempt -> complete(attempt, "broken"));
           server.status = "terminated";
           server.health = Health.DOWN;
-          publish(server);
-          after(dice.between(300, 5000) * MS, () -> restart(server));
+          publishChange(server);
+          schedule(random.nextLongBetween(300, 5000) * MS, () -> restart(server));
         });
   }
 
-  /** A lone connection ends: what this router had out on it breaks. */
-  private void disconnect(Server server) {
-    int router = dice.below(routers);
-    List.copyOf(server.out).stream()
-        .filter(attempt -> attempt.part.query.router == router)
-        .forEach(attempt -> deliver(attempt, "broken"));
+  /** Ends one connection to a server: attempts of one router on it lose their connection. */
+  private void loseConnection(Server server) {
+    int router = random.nextInt(routers);
+    List.copyOf(server.inFlight).stream()
+        .filter(attempt -> attempt.request.query.router == router)
+        .forEach(attempt -> complete(attempt, "broken"));
   }
 
-  private void fault() {
-    after(dice.between(100, (long) site.get("faultMs", 2500)) * MS, this::fault);
-    List<Server> sound =
+  /** Injects a random fault or change of load, and schedules the next one. */
+  private void injectFault() {
+    schedule(
+        random.nextLongBetween(100, (long) deployment.get("faultMs", 2500)) * MS,
+        this::injectFault);
+    List<Server> healthy =
         servers.values().stream()
-            .filter(s -> s.health == Health.SOUND && s.status.equals("in_service"))
+            .filter(s -> s.health == Health.HEALTHY && s.status.equals("in_service"))
             .toList();
-    int router = dice.below(routers);
-    if (sound.isEmpty()) {
+    int router = random.nextInt(routers);
+    if (healthy.isEmpty()) {
       return;
     }
-    Server server = sound.get(dice.below(sound.size()));
-    Health[] ills = {Health.SLOW, Health.FAILING, Health.REFUSING, Health.HANGING, Health.GARBLING};
-    switch (dice.below(16)) {
+    Server server = healthy.get(random.nextInt(healthy.size()));
+    Health[] faults = {
+      Health.SLOW, Health.FAILING, Health.REJECTING, Health.HANGING, Health.CORRUPTING
+    };
+    switch (random.nextInt(16)) {
       case 0, 1, 2, 3, 4, 5 -> {
-        server.health = ills[dice.below(ills.length)];
-        Health ill = server.health;
-        after(
-            dice.between(300, 5000) * MS,
-            () -> server.health = server.health == ill ? Health.SOUND : server.health);
+        server.health = faults[random.nextInt(faults.length)];
+        Health fault = server.health;
+        schedule(
+            random.nextLongBetween(300, 5000) * MS,
+            () -> server.health = server.health == fault ? Health.HEALTHY : server.health);
       }
       case 6 -> crash(server);
       case 7 -> drain(server);
-      case 8 -> disconnect(server);
+      case 8 -> loseConnection(server);
       case 9 -> {
-        poisoned = true;
-        after(dice.between(500, 4000) * MS, () -> poisoned = false);
+        sendCrashingQueries = true;
+        schedule(random.nextLongBetween(500, 4000) * MS, () -> sendCrashingQueries = false);
       }
       case 10 -> {
-        silentIdle = true;
-        after(dice.between(4000, 20_000) * MS, () -> silentIdle = false);
+        dropIdleConnections = true;
+        schedule(random.nextLongBetween(4000, 20_000) * MS, () -> dropIdleConnections = false);
       }
       case 11, 12 -> {
-        load = new double[] {0.1, 0.3, 1, 1, 3, 6}[dice.below(6)];
-        after(dice.between(500, 6000) * MS, () -> load = 1);
+        loadFactor = new double[] {0.1, 0.3, 1, 1, 3, 6}[random.nextInt(6)];
+        schedule(random.nextLongBetween(500, 6000) * MS, () -> loadFactor = 1);
       }
-      case 13 -> hearList(router);
-      case 14 -> meddle(router);
+      case 13 -> updateEndpointList(router);
+      case 14 -> sendUnexpectedMessage(router);
       default -> {
-        if (dice.chance(0.2)) {
-          stop(router);
+        if (random.nextBoolean(0.2)) {
+          stopRouter(router);
         }
       }
     }
   }
 
-  private void hearList(int router) {
-    if (site.on("direct") && dice.chance(0.4)) {
-      following[router] = false;
-      say("Announce", router, ",\"mode\":\"moved\",\"generation\":1,\"page\":0");
-    } else if (!site.on("ask")) {
-      total(router);
-    } else if (following[router]) {
-      lose(router);
+  private void updateEndpointList(int router) {
+    if (deployment.on("direct") && random.nextBoolean(0.4)) {
+      watching[router] = false;
+      addMessage("Announce", router, ",\"mode\":\"moved\",\"generation\":1,\"page\":0");
+    } else if (!deployment.on("ask")) {
+      sendSnapshot(router);
+    } else if (watching[router]) {
+      loseWatch(router);
     }
   }
 
-  /** What a correct host never says, and what means nothing to the decisions. */
-  private void meddle(int router) {
-    switch (dice.below(4)) {
-      case 0 -> say("Lapsed", router, ",\"handle\":\"nobody\"");
-      case 1 -> say("DeadlineHit", router, ",\"label\":999999999");
+  /** Sends a message that a correct simulator never sends, or that the policy has no use for. */
+  private void sendUnexpectedMessage(int router) {
+    switch (random.nextInt(4)) {
+      case 0 -> addMessage("Lapsed", router, ",\"handle\":\"nobody\"");
+      case 1 -> addMessage("DeadlineHit", router, ",\"label\":999999999");
       case 2 ->
-          say(
+          addMessage(
               "Returned",
               router,
               ",\"handle\":\"none\",\"try\":7,\"server\":\"s0\",\"disposition\":\"failure\","
                   + "\"costTimeMs\":3,\"ended\":false");
       default ->
-          say(
+          addMessage(
               "HealthResult",
               router,
               ",\"server\":\"s0\",\"disposition\":\"success\",\"costTimeMs\":3");
     }
   }
 
-  /** The router ends: killed at once, or told some time before. */
-  private void stop(int router) {
-    if (site.on("direct") && !ending[router]) {
-      ending[router] = true;
-      long at = now + dice.between(50, 1500) * MS;
-      say("Ending", router, ",\"atMs\":" + ms(at));
-      after(at - now + 500 * MS, router, () -> kill(router));
+  /** Stops a router, either immediately or some time after a shutdown event. */
+  private void stopRouter(int router) {
+    if (deployment.on("direct") && !shuttingDown[router]) {
+      shuttingDown[router] = true;
+      long deadline = now + random.nextLongBetween(50, 1500) * MS;
+      addMessage("Ending", router, ",\"atMs\":" + millis(deadline));
+      schedule(deadline - now + 500 * MS, router, () -> replaceRouter(router));
     } else {
-      kill(router);
+      replaceRouter(router);
     }
   }
 }
