--- a/router/src/main/java/tidebank/policy/ActionEmitter.java
+++ b/router/src/main/java/tidebank/policy/ActionEmitter.java
@@ -43,7 +43,7 @@
 
   /** Emits the answer to a query that was decided in this round, if its client still waits. */
   void emitAnswer(Query query) {
-    switch (query.verdict()) {
+    switch (query.status()) {
       case COMPLETE -> actions.add(new Action.Respond(query.id(), true));
       case PARTIAL -> actions.add(new Action.Respond(query.id(), false));
       case THROTTLED -> actions.add(new Action.Throttle(query.id(), retryAfterUs));
--- a/router/src/main/java/tidebank/policy/AttemptPlanner.java
+++ b/router/src/main/java/tidebank/policy/AttemptPlanner.java
@@ -73,7 +73,7 @@
   }
 
   private void retryOrHedge(ShardRequest request, long now) {
-    if (!retries.admitsNow(request, now)) {
+    if (!retries.allowsNow(request, now)) {
       return;
     }
     ShardServer server = replicas.select(request, now);
@@ -98,6 +98,6 @@
 
   private void scheduleReview(Query query, long now) {
     long timeoutUs = latency.attemptTimeoutUs(query.queryClass());
-    workQueue.reviewAt(now + timeoutUs / REVIEWS_PER_TIMEOUT, query);
+    workQueue.scheduleReview(now + timeoutUs / REVIEWS_PER_TIMEOUT, query);
   }
 }
--- a/router/src/main/java/tidebank/policy/AttemptScheduler.java
+++ b/router/src/main/java/tidebank/policy/AttemptScheduler.java
@@ -70,7 +70,7 @@
     server.slowStart().recordSend(now);
     server.inFlight().add(attempt);
     changedAttempts.add(attempt);
-    workQueue.reviewAt(attempt.timeoutAt(), query);
+    workQueue.scheduleReview(attempt.timeoutAt(), query);
   }
 
   /**
@@ -82,11 +82,11 @@
     ShardServer server = attempt.server();
     long lastResponseAt = server.lastResponseAt();
     attempt.setUsesIdleConnection(lastResponseAt > 0 && now - lastResponseAt >= idleAfterUs);
-    if (server.isSilent()
+    if (server.isUnresponsive()
         || (idleConnections.isProbablyDropped(attempt) && !probesIdleConnection(attempt))) {
       attempt.requireNewConnection();
     }
-    server.clearSilence();
+    server.clearTimeouts();
   }
 
   private boolean probesIdleConnection(Attempt attempt) {
--- a/router/src/main/java/tidebank/policy/CanaryGuard.java
+++ b/router/src/main/java/tidebank/policy/CanaryGuard.java
@@ -54,7 +54,7 @@
     List<Attempt> attempts = requests.get(0).attempts();
     long sentAt = attempts.isEmpty() ? now : attempts.get(0).sentAt();
     long until = sentAt + latency.canaryWaitUs(query.queryClass());
-    workQueue.reviewAt(until, query);
+    workQueue.scheduleReview(until, query);
     return query.connectionLosses() > 0 || now < until;
   }
 }
--- a/router/src/main/java/tidebank/policy/EndpointWatch.java
+++ b/router/src/main/java/tidebank/policy/EndpointWatch.java
@@ -45,13 +45,13 @@
       }
       case DISCOVERY_MOVED -> {
         state = State.INACTIVE;
-        timings.reset();
+        timings.resetBackoff();
         startAt = now;
       }
       case DELTA, SNAPSHOT -> {
         state = state == State.STARTING ? State.ACTIVE : state;
         callStartedAt = now;
-        timings.reset();
+        timings.resetBackoff();
       }
       case CACHED -> {
         // Handed over by the previous instance: it does not show that discovery responds.
--- a/router/src/main/java/tidebank/policy/HedgingPolicy.java
+++ b/router/src/main/java/tidebank/policy/HedgingPolicy.java
@@ -65,7 +65,7 @@
     Query query = attempt.query();
     long stragglerAt = attempt.sentAt() + latency.stragglerAgeUs(query.queryClass());
     if (now < stragglerAt) {
-      workQueue.reviewAt(stragglerAt, query);
+      workQueue.scheduleReview(stragglerAt, query);
       return false;
     }
     double lastRequests = Math.max(1, query.requests().size() * LAST_REQUESTS_SHARE);
--- a/router/src/main/java/tidebank/policy/Query.java
+++ b/router/src/main/java/tidebank/policy/Query.java
@@ -11,7 +11,7 @@
  */
 final class Query {
   /** The state of the query's current stage: open, or closed with a result. */
-  enum Verdict {
+  enum Status {
     OPEN,
     COMPLETE,
     PARTIAL,
@@ -31,13 +31,13 @@
   private long deadline;
   private long objectiveAt;
   private int stage;
-  private boolean selected;
+  private boolean requestsSelected;
   private boolean firstStageComplete;
-  private long reviewAt = Long.MAX_VALUE;
+  private long nextReviewAt = Long.MAX_VALUE;
   private int connectionLosses;
   private ShardServer lastLostServer;
   private int remainingRequests = Integer.MAX_VALUE;
-  private Verdict verdict = Verdict.OPEN;
+  private Status status = Status.OPEN;
 
   Query(String id, long number, QueryClass queryClass, long deadline, long objectiveAt) {
     this.id = id;
@@ -90,13 +90,13 @@
   }
 
   /** Returns whether the requests to send have been selected. */
-  boolean isSelected() {
-    return selected;
+  boolean hasSelectedRequests() {
+    return requestsSelected;
   }
 
   /** Records that the requests to send have been selected. */
-  void markSelected() {
-    selected = true;
+  void markRequestsSelected() {
+    requestsSelected = true;
   }
 
   /** Returns the index of the current stage, from 0. */
@@ -120,25 +120,25 @@
 
   /** Reopens an answered query for its second stage. */
   void beginSecondStage() {
-    firstStageComplete = verdict == Verdict.COMPLETE;
+    firstStageComplete = status == Status.COMPLETE;
     stage++;
-    verdict = Verdict.OPEN;
+    status = Status.OPEN;
   }
 
-  Verdict verdict() {
-    return verdict;
+  Status status() {
+    return status;
   }
 
   boolean isOpen() {
-    return verdict == Verdict.OPEN;
+    return status == Status.OPEN;
   }
 
   boolean isAnswered() {
-    return verdict == Verdict.COMPLETE || verdict == Verdict.PARTIAL;
+    return status == Status.COMPLETE || status == Status.PARTIAL;
   }
 
-  void decide(Verdict newStatus) {
-    verdict = newStatus;
+  void setStatus(Status newStatus) {
+    status = newStatus;
   }
 
   /** Returns the number of lost connections, as {@link #recordConnectionLoss} counts them. */
@@ -168,11 +168,11 @@
   }
 
   /** Returns the time of the next scheduled review, or {@link Long#MAX_VALUE} if there is none. */
-  long reviewAt() {
-    return reviewAt;
+  long nextReviewAt() {
+    return nextReviewAt;
   }
 
-  void setReviewAt(long time) {
-    reviewAt = time;
+  void setNextReviewAt(long time) {
+    nextReviewAt = time;
   }
 }
--- a/router/src/main/java/tidebank/policy/QueryCompletion.java
+++ b/router/src/main/java/tidebank/policy/QueryCompletion.java
@@ -22,7 +22,7 @@
   private final DeadlineBudget deadlines;
   private final AttemptScheduler attempts;
   private final QueryWorkQueue workQueue;
-  private final List<Query> decided = new ArrayList<>();
+  private final List<Query> closedQueries = new ArrayList<>();
   private final Progress progress = new Progress();
 
   QueryCompletion(DeadlineBudget deadlines, AttemptScheduler attempts, QueryWorkQueue workQueue) {
@@ -82,22 +82,22 @@
     long lastAnswerAt = query.deadline() - deadlines.answerMarginUs(query.queryClass());
     long partialAnswerAt = partialAnswerAt(query);
     if (progress.isEmpty() && now < lastAnswerAt) {
-      workQueue.reviewAt(lastAnswerAt, query);
+      workQueue.scheduleReview(lastAnswerAt, query);
     } else if (!progress.isEmpty() && isComplete(query)) {
-      close(query, Query.Verdict.COMPLETE);
+      close(query, Query.Status.COMPLETE);
     } else if (progress.answeredWeight >= minimumWeight(query) - WEIGHT_TOLERANCE
         && (progress.unresolvedWeight <= 0
             || progress.isAllAnswered()
             || now >= partialAnswerAt
             || now >= lastAnswerAt)) {
-      close(query, Query.Verdict.PARTIAL);
+      close(query, Query.Status.PARTIAL);
     } else if (cannotBeAnswered(query, now) || now >= lastAnswerAt) {
       giveUp(query);
     } else if (now < partialAnswerAt) {
-      workQueue.reviewAt(partialAnswerAt, query);
+      workQueue.scheduleReview(partialAnswerAt, query);
     } else {
       long objectiveAt = query.objectiveAt();
-      workQueue.reviewAt(now < objectiveAt ? objectiveAt : lastAnswerAt, query);
+      workQueue.scheduleReview(now < objectiveAt ? objectiveAt : lastAnswerAt, query);
     }
   }
 
@@ -148,7 +148,7 @@
 
   /** Throttles a query if its client may safely retry it, otherwise fails it. */
   void giveUp(Query query) {
-    close(query, isSafeToRetry(query) ? Query.Verdict.THROTTLED : Query.Verdict.FAILED);
+    close(query, isSafeToRetry(query) ? Query.Status.THROTTLED : Query.Status.FAILED);
   }
 
   /** Returns whether a retry by the client can't execute a non-idempotent request twice. */
@@ -165,9 +165,9 @@
   }
 
   /** Closes the current stage of a query with the given status, and gives up attempts in flight. */
-  void close(Query query, Query.Verdict status) {
-    query.decide(status);
-    decided.add(query);
+  void close(Query query, Query.Status status) {
+    query.setStatus(status);
+    closedQueries.add(query);
     for (ShardRequest request : query.requests()) {
       attempts.abandon(request);
     }
@@ -177,7 +177,7 @@
    * Returns the queries that were closed in this decision round, in order. The caller clears the
    * list.
    */
-  List<Query> decided() {
-    return decided;
+  List<Query> closedQueries() {
+    return closedQueries;
   }
 }
--- a/router/src/main/java/tidebank/policy/QueryWorkQueue.java
+++ b/router/src/main/java/tidebank/policy/QueryWorkQueue.java
@@ -24,9 +24,9 @@
   }
 
   /** Schedules a review at the given time, unless an earlier one is scheduled. */
-  void reviewAt(long time, Query query) {
-    if (time < query.reviewAt()) {
-      query.setReviewAt(time);
+  void scheduleReview(long time, Query query) {
+    if (time < query.nextReviewAt()) {
+      query.setNextReviewAt(time);
       byTime.add(new ScheduledReview(time, query));
     }
   }
@@ -41,7 +41,7 @@
     }
     Iterable<Query> due = changed.values();
     changed = new TreeMap<>();
-    due.forEach(query -> query.setReviewAt(Long.MAX_VALUE));
+    due.forEach(query -> query.setNextReviewAt(Long.MAX_VALUE));
     return due;
   }
 
@@ -55,6 +55,6 @@
 
   /** Returns whether the review of this query has not been rescheduled since. */
   private static boolean isCurrent(ScheduledReview review) {
-    return review.time() == review.query().reviewAt();
+    return review.time() == review.query().nextReviewAt();
   }
 }
--- a/router/src/main/java/tidebank/policy/ReplicaSelector.java
+++ b/router/src/main/java/tidebank/policy/ReplicaSelector.java
@@ -79,7 +79,8 @@
     String key = request.key().isEmpty() ? request.query().id() : request.key();
     String salt = key + '/' + request.shard() + '/';
     return endpoints.replicas(request.shard()).stream()
-        .filter(server -> !request.hasAttemptInFlightAt(server) && server.slowStart().admits(now))
+        .filter(
+            server -> !request.hasAttemptInFlightAt(server) && server.slowStart().allowsSend(now))
         .sorted(
             Comparator.comparingDouble(
                 (ShardServer server) -> -SeededRandom.crcHash(salt + server.id())))
--- a/router/src/main/java/tidebank/policy/RetryPolicy.java
+++ b/router/src/main/java/tidebank/policy/RetryPolicy.java
@@ -59,7 +59,7 @@
    * never reached a server. If each router's traffic is sparse, it is also allowed if the request
    * was never executed: this router's own requests can't have caused the overload then.
    */
-  boolean admitsNow(ShardRequest request, long now) {
+  boolean allowsNow(ShardRequest request, long now) {
     boolean allowedByLoad =
         !congestion.isOverloaded()
             || request.neverReachedServer()
--- a/router/src/main/java/tidebank/policy/RoutingPolicy.java
+++ b/router/src/main/java/tidebank/policy/RoutingPolicy.java
@@ -10,9 +10,9 @@
 import tidebank.model.Settings;
 
 /**
- * The routing decisions of one query router. Each call of {@link #on} runs one decision round: it
- * takes the current time and the events since the last round, and returns the actions to execute,
- * in order. The same settings, seed and events always give the same actions.
+ * The routing decisions of one query router. Each call of {@link #runRound} runs one decision
+ * round: it takes the current time and the events since the last round, and returns the actions to
+ * execute, in order. The same settings, seed and events always give the same actions.
  *
  * <p>The shard requests of a query are ranked by weight. The top T requests are sent unless their
  * shard is over its concurrency limit. A request of a lower rank is sent only if the load of its
@@ -86,7 +86,7 @@
    * @param events the events since the last round, in order
    * @return the actions to execute, in order
    */
-  public List<Action> on(long clock, List<Event> events) {
+  public List<Action> runRound(long clock, List<Event> events) {
     now = clock;
     emitter.beginRound();
     for (Event event : events) {
@@ -97,8 +97,8 @@
         decide(query);
       }
     }
-    completion.decided().forEach(this::answer);
-    completion.decided().clear();
+    completion.closedQueries().forEach(this::answer);
+    completion.closedQueries().clear();
     return emitter.finishRound(now);
   }
 
@@ -107,7 +107,7 @@
     for (ShardRequest request : query.requests()) {
       request.attempts().forEach(this::checkTimeout);
     }
-    if (!query.isSelected()) {
+    if (!query.hasSelectedRequests()) {
       query.rankRequests();
       if (!canaries.isAwaitingCanary(query, now)) {
         select(query);
@@ -121,7 +121,7 @@
 
   /** Selects the requests of a query to send, or gives the query up if it can't be answered. */
   private void select(Query query) {
-    query.markSelected();
+    query.markRequestsSelected();
     if (query.requests().isEmpty() || isTooLateToAnswer(query)) {
       completion.giveUp(query);
     } else {
@@ -138,7 +138,7 @@
   /** Advances all requests of a query, or only its canary if the others are held back. */
   private void advanceRequests(Query query) {
     List<ShardRequest> requests = query.requests();
-    int count = query.isSelected() ? requests.size() : 1;
+    int count = query.hasSelectedRequests() ? requests.size() : 1;
     for (int rank = 0; rank < count; rank++) {
       attempts.advance(requests.get(rank), now);
     }
@@ -149,7 +149,7 @@
     if (attempt.isInFlight() && now >= attempt.timeoutAt()) {
       feedback.recordTimeout(attempt, now);
     } else if (attempt.isInFlight()) {
-      workQueue.reviewAt(attempt.timeoutAt(), attempt.query());
+      workQueue.scheduleReview(attempt.timeoutAt(), attempt.query());
     }
   }
 
@@ -159,7 +159,7 @@
     if (query.isAnswered() && query.hasSecondStage()) {
       query.beginSecondStage();
       long advanceUs = deadlines.answerMarginUs(query.queryClass());
-      workQueue.reviewAt(query.deadline() - advanceUs, query);
+      workQueue.scheduleReview(query.deadline() - advanceUs, query);
     } else {
       queries.remove(query);
     }
@@ -179,7 +179,7 @@
     } else if (event instanceof Event.ClientDisconnected disconnected) {
       Query query = queries.openQuery(disconnected.query());
       if (query != null) {
-        completion.close(query, Query.Verdict.CLIENT_GONE);
+        completion.close(query, Query.Status.CLIENT_GONE);
       }
     } else if (event instanceof Event.TimerFired fired) {
       if (timer.isCurrent(fired.token())) {
--- a/router/src/main/java/tidebank/policy/ShardRequest.java
+++ b/router/src/main/java/tidebank/policy/ShardRequest.java
@@ -6,7 +6,7 @@
 
 /** The state of one request of a query to one shard. */
 final class ShardRequest {
-  private enum Stage {
+  private enum State {
     /** Its first attempt is not scheduled yet. */
     PENDING,
     SENT,
@@ -24,7 +24,7 @@
   private final String key;
   private final int queryStage;
   private final List<Attempt> attempts = new ArrayList<>();
-  private Stage stage = Stage.PENDING;
+  private State state = State.PENDING;
 
   /** Creates a request of the query's current stage. */
   ShardRequest(String id, Query query, int shard, double weight, String key) {
@@ -69,39 +69,39 @@
   }
 
   boolean isPending() {
-    return stage == Stage.PENDING;
+    return state == State.PENDING;
   }
 
   boolean isSent() {
-    return stage == Stage.SENT;
+    return state == State.SENT;
   }
 
   boolean isAnswered() {
-    return stage == Stage.ANSWERED;
+    return state == State.ANSWERED;
   }
 
   /** Returns whether it may still be answered. */
   boolean isUnresolved() {
-    return stage == Stage.PENDING || stage == Stage.SENT;
+    return state == State.PENDING || state == State.SENT;
   }
 
   void markSent() {
-    stage = Stage.SENT;
+    state = State.SENT;
   }
 
   /** Marks the request as not to be sent. */
   void skip() {
-    stage = Stage.SKIPPED;
+    state = State.SKIPPED;
   }
 
   void markAnswered() {
-    stage = Stage.ANSWERED;
+    state = State.ANSWERED;
   }
 
   /** Marks the request as failed unless it is already answered. */
   void fail() {
-    if (stage != Stage.ANSWERED) {
-      stage = Stage.FAILED;
+    if (state != State.ANSWERED) {
+      state = State.FAILED;
     }
   }
 
--- a/router/src/main/java/tidebank/policy/ShardServer.java
+++ b/router/src/main/java/tidebank/policy/ShardServer.java
@@ -163,12 +163,12 @@
   }
 
   /** Returns whether it has not responded since the last timed-out attempt was sent. */
-  boolean isSilent() {
+  boolean isUnresponsive() {
     return lastTimedOutSentAt >= lastResponseAt;
   }
 
   /** Forgets the timed-out attempts, when the connection for the next attempt has been chosen. */
-  void clearSilence() {
+  void clearTimeouts() {
     lastTimedOutSentAt = -1;
   }
 
--- a/router/src/main/java/tidebank/policy/SlowStart.java
+++ b/router/src/main/java/tidebank/policy/SlowStart.java
@@ -71,7 +71,7 @@
   }
 
   /** Returns whether one more request may be sent to the server now. */
-  boolean admits(long now) {
+  boolean allowsSend(long now) {
     long ageUs = now - startedAt;
     if (startedAt == 0 || ageUs >= rules.slowStartUs()) {
       return true;
--- a/router/src/main/java/tidebank/policy/WatchTimings.java
+++ b/router/src/main/java/tidebank/policy/WatchTimings.java
@@ -97,7 +97,7 @@
   }
 
   /** Resets the backoff after a response, or when discovery has moved to another address. */
-  public void reset() {
+  public void resetBackoff() {
     consecutiveFailures = 0;
   }
 
--- a/router/src/main/java/tidebank/policy/package-info.java
+++ b/router/src/main/java/tidebank/policy/package-info.java
@@ -7,12 +7,13 @@
  * random numbers follow from a seed, so that the same events always give the same actions. A policy
  * is not thread-safe; only the router's event loop calls it.
  *
- * <p>Start reading at {@code RoutingPolicy.on}. {@code LoadThresholds} selects a query's requests
- * by rank and load, {@code AttemptPlanner} decides on their attempts, {@code ReplicaSelector} on
- * the server, {@code QueryCompletion} on the answer, and {@code ActionEmitter} turns what changed
- * into actions. {@code AttemptFeedback} passes outcomes on to {@code OutlierDetector} and {@code
- * SlowStart} of each server, {@code ConcurrencyLimit} of each shard, and {@code LatencyTracker},
- * {@code CongestionDetector} and {@code IdleConnectionDetector} for all servers.
+ * <p>Start reading at {@code RoutingPolicy.runRound}. {@code LoadThresholds} selects a query's
+ * requests by rank and load, {@code AttemptPlanner} decides on their attempts, {@code
+ * ReplicaSelector} on the server, {@code QueryCompletion} on the answer, and {@code ActionEmitter}
+ * turns what changed into actions. {@code AttemptFeedback} passes outcomes on to {@code
+ * OutlierDetector} and {@code SlowStart} of each server, {@code ConcurrencyLimit} of each shard,
+ * and {@code LatencyTracker}, {@code CongestionDetector} and {@code IdleConnectionDetector} for all
+ * servers.
  *
  * <p>Times are whole microseconds of the caller's clock.
  */
--- a/router/src/main/java/tidebank/runtime/DecisionLoop.java
+++ b/router/src/main/java/tidebank/runtime/DecisionLoop.java
@@ -117,7 +117,7 @@
     counters.add("turns");
     long now = clock.now();
     try {
-      List<Action> decided = policy.on(now, round);
+      List<Action> decided = policy.runRound(now, round);
       log.roundDecided(now, round, decided);
       for (Action action : decided) {
         actions.execute(action);
--- a/router/src/main/java/tidebank/simulation/SimulatorHost.java
+++ b/router/src/main/java/tidebank/simulation/SimulatorHost.java
@@ -145,7 +145,7 @@
       throws IOException {
     List<Action> actions;
     try {
-      actions = instances.get(instance).on(now, events);
+      actions = instances.get(instance).runRound(now, events);
     } catch (RuntimeException e) {
       StackTraceElement[] trace = e.getStackTrace();
       ActionWriter.writeInstanceFailed(
--- a/router/src/test/java/tidebank/capture/BusyRun.java
+++ b/router/src/test/java/tidebank/capture/BusyRun.java
@@ -78,7 +78,7 @@
           events.add(event);
         }
       }
-      List<Action> actions = policy.on(now, events);
+      List<Action> actions = policy.runRound(now, events);
       recorder.roundDecided(now, events, actions);
       actions.forEach(this::carryOut);
     }
--- a/router/src/test/java/tidebank/capture/StoredCaptureTest.java
+++ b/router/src/test/java/tidebank/capture/StoredCaptureTest.java
@@ -124,7 +124,7 @@
             .isEqualTo(new CaptureRecord.PolicyStarted(CaptureFixtures.settings(), started.seed()));
         policy = new RoutingPolicy(started.settings(), started.seed());
       } else if (entry instanceof CaptureRecord.DecisionRound turn) {
-        var actions = policy.on(turn.nowUs(), turn.events());
+        var actions = policy.runRound(turn.nowUs(), turn.events());
         assertThat(ActionDigest.of(actions)).as(name + ", turn " + turns).isEqualTo(turn.digest());
         if (name.equals("whole")) {
           assertThat(turn.actions()).isEqualTo(actions);
--- a/router/src/test/java/tidebank/policy/DirectHost.java
+++ b/router/src/test/java/tidebank/policy/DirectHost.java
@@ -56,7 +56,7 @@
     List<String> output = new ArrayList<>();
     eventsByRouter.forEach(
         (router, events) ->
-            policies.get(router).on(now, events).forEach(a -> output.add(toJson(router, a))));
+            policies.get(router).runRound(now, events).forEach(a -> output.add(toJson(router, a))));
     return "{\"output\":[" + String.join(",", output) + "]}";
   }
 
--- a/router/src/test/java/tidebank/policy/PolicyHarness.java
+++ b/router/src/test/java/tidebank/policy/PolicyHarness.java
@@ -159,7 +159,7 @@
   /** Runs a decision round with the collected events and these, and returns its actions. */
   List<Action> round(Event... last) {
     events.addAll(List.of(last));
-    List<Action> decided = policy.on(nowMs * MS, List.copyOf(events));
+    List<Action> decided = policy.runRound(nowMs * MS, List.copyOf(events));
     events.clear();
     for (Action action : decided) {
       if (action instanceof Action.SendAttempt send) {
--- a/router/src/test/java/tidebank/policy/PolicyReplayTest.java
+++ b/router/src/test/java/tidebank/policy/PolicyReplayTest.java
@@ -42,7 +42,7 @@
   private static final int STORED_MESSAGES = 4_500;
   private static final int LONG_MESSAGES = 40_000;
   private static final int LONG_SEEDS = 2;
-  private static final Map<String, SimulatedFleet.Site> SITES = new LinkedHashMap<>();
+  private static final Map<String, SimulatedFleet.Deployment> SITES = new LinkedHashMap<>();
 
   static {
     site("hedging", "hedging=1 cancel=1 holdoff=1 ranks=1 each=2 perS=6");
@@ -64,7 +64,7 @@
   }
 
   private static void site(String name, String figures) {
-    SITES.put(name, SimulatedFleet.Site.of(figures));
+    SITES.put(name, SimulatedFleet.Deployment.parse(figures));
   }
 
   /** Batches of a run against a simulated fleet, and the replies to them, one a line. */
@@ -83,7 +83,7 @@
                     name,
                     () -> {
                       byte[] in = readStored(name + ".in.gz");
-                      byte[] out = site.on("direct") ? replayDirectly(in) : replayOnWire(in);
+                      byte[] out = site.isEnabled("direct") ? replayDirectly(in) : replayOnWire(in);
                       assertThat(new String(out, UTF_8).lines())
                           .containsExactlyElementsOf(
                               new String(readStored(name + ".out.gz"), UTF_8).lines().toList());
@@ -149,7 +149,7 @@
   void writeTheFixtures() throws IOException {
     Path folder = Files.createDirectories(Path.of("src/test/resources", FIXTURE_FOLDER));
     StringBuilder digests = new StringBuilder();
-    for (Map.Entry<String, SimulatedFleet.Site> entry : SITES.entrySet()) {
+    for (Map.Entry<String, SimulatedFleet.Deployment> entry : SITES.entrySet()) {
       Recording recording = record(entry.getValue(), 1, STORED_MESSAGES);
       Files.write(folder.resolve(entry.getKey() + ".in.gz"), gzip(recording.in));
       Files.write(folder.resolve(entry.getKey() + ".out.gz"), gzip(recording.out));
@@ -177,7 +177,8 @@
     return counts;
   }
 
-  private static String digestOfLongRun(SimulatedFleet.Site site, long seed) throws IOException {
+  private static String digestOfLongRun(SimulatedFleet.Deployment site, long seed)
+      throws IOException {
     try {
       byte[] out = record(site, seed, LONG_MESSAGES).out;
       return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(out));
@@ -186,19 +187,19 @@
     }
   }
 
-  private static Recording record(SimulatedFleet.Site site, long seed, int messages)
+  private static Recording record(SimulatedFleet.Deployment site, long seed, int messages)
       throws IOException {
     SimulatedFleet fleet = new SimulatedFleet(site, seed);
     ByteArrayOutputStream in = new ByteArrayOutputStream();
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    if (site.on("direct")) {
+    if (site.isEnabled("direct")) {
       DirectHost host = new DirectHost();
-      while (fleet.messages() < messages) {
+      while (fleet.messageCount() < messages) {
         String batch = fleet.nextBatch();
         in.writeBytes((batch + "\n").getBytes(UTF_8));
         String reply = host.process(batch);
         out.writeBytes((reply + "\n").getBytes(UTF_8));
-        fleet.reply(reply);
+        fleet.applyReply(reply);
       }
     } else {
       ByteArrayOutputStream reply = new ByteArrayOutputStream();
@@ -280,11 +281,11 @@
      */
     private boolean advance() {
       if (reply.size() > 0) {
-        fleet.reply(reply.toString(UTF_8));
+        fleet.applyReply(reply.toString(UTF_8));
         out.writeBytes(reply.toByteArray());
         reply.reset();
       }
-      if (fleet.messages() >= messages) {
+      if (fleet.messageCount() >= messages) {
         return false;
       }
       line = (fleet.nextBatch() + "\n").getBytes(UTF_8);
--- a/router/src/test/java/tidebank/policy/SimulatedFleet.java
+++ b/router/src/test/java/tidebank/policy/SimulatedFleet.java
@@ -51,24 +51,24 @@
           + "\"onTimeMs\":1000,\"deadlineMs\":3000,\"lateWorth\":0}]";
 
   /** The size and the limits of a deployment, by parameter name; absent ones have a default. */
-  record Site(Map<String, Double> figures) {
+  record Deployment(Map<String, Double> parameters) {
     /** Parses "name=value" pairs that are separated by spaces. */
-    static Site of(String text) {
-      Map<String, Double> figures = new LinkedHashMap<>();
+    static Deployment parse(String text) {
+      Map<String, Double> parameters = new LinkedHashMap<>();
       for (String pair : text.split(" ")) {
         String[] nameAndValue = pair.split("=");
-        figures.put(nameAndValue[0], Double.valueOf(nameAndValue[1]));
+        parameters.put(nameAndValue[0], Double.valueOf(nameAndValue[1]));
       }
-      return new Site(figures);
+      return new Deployment(parameters);
     }
 
-    double get(String name, double defaultValue) {
-      return figures.getOrDefault(name, defaultValue);
+    double valueOf(String name, double defaultValue) {
+      return parameters.getOrDefault(name, defaultValue);
     }
 
     /** Returns whether a parameter is set to a value above 0. */
-    boolean on(String name) {
-      return get(name, 0) > 0;
+    boolean isEnabled(String name) {
+      return valueOf(name, 0) > 0;
     }
   }
 
@@ -174,7 +174,7 @@
   }
 
   private final ObjectMapper mapper = new ObjectMapper();
-  private final Site deployment;
+  private final Deployment deployment;
   private final XorShiftRandom random;
   private final int routers;
   private final List<String> batch = new ArrayList<>();
@@ -194,23 +194,23 @@
   private long nextTaskOrder;
   private long queryCount;
   private int lastPage;
-  private long messages;
+  private long messageCount;
   private double loadFactor = 1;
   private boolean dropIdleConnections;
   private boolean sendCrashingQueries;
 
-  SimulatedFleet(Site deployment, long seed) {
+  SimulatedFleet(Deployment deployment, long seed) {
     this.deployment = deployment;
     this.random = new XorShiftRandom(seed);
-    this.routers = (int) deployment.get("hosted", 2);
+    this.routers = (int) deployment.valueOf("hosted", 2);
     this.routerGenerations = new int[routers];
     this.lastQueryNumbers = new long[routers];
     this.watching = new boolean[routers];
     this.shuttingDown = new boolean[routers];
     int positions = positions();
-    int serversPerPosition = (int) deployment.get("each", 1);
+    int serversPerPosition = (int) deployment.valueOf("each", 1);
     for (int i = 0; i < positions * serversPerPosition; i++) {
-      double capacity = deployment.on("sizes") ? 1 + i % 3 / 2.0 : 1;
+      double capacity = deployment.isEnabled("sizes") ? 1 + i % 3 / 2.0 : 1;
       servers.put("s" + i, new Server("s" + i, i % positions, capacity));
     }
     for (int i = 0; i < routers; i++) {
@@ -222,8 +222,8 @@
   }
 
   /** Returns the number of messages in all batches so far. */
-  long messages() {
-    return messages;
+  long messageCount() {
+    return messageCount;
   }
 
   /** Returns the next batch, as a line without its line break. */
@@ -240,12 +240,12 @@
       }
     }
     retiredConnections.clear();
-    messages += batch.size();
+    messageCount += batch.size();
     return "{\"simTimeMs\":" + millis(now) + ",\"msgs\":[" + String.join(",", batch) + "]}";
   }
 
   /** Executes the actions of the reply to the last batch. */
-  void reply(String line) {
+  void applyReply(String line) {
     JsonNode output;
     try {
       output = mapper.readTree(line).get("output");
@@ -278,7 +278,7 @@
   }
 
   private int positions() {
-    return (int) deployment.get("positions", 4);
+    return (int) deployment.valueOf("positions", 4);
   }
 
   /** Schedules a task to run after a delay in microseconds. */
@@ -311,18 +311,18 @@
   private void attachRouter(int router) {
     watching[router] = false;
     shuttingDown[router] = false;
-    String rankField = deployment.on("ranks") ? "\"rank\":" + router + "," : "";
+    String rankField = deployment.isEnabled("ranks") ? "\"rank\":" + router + "," : "";
     addMessage(
         "Attach",
         router,
         ",\"salt\":"
             + (random.nextLong() >>> 20)
             + ",\"config\":{\"instances\":"
-            + (int) deployment.get("instances", 2)
+            + (int) deployment.valueOf("instances", 2)
             + ","
             + rankField
             + "\"tickMs\":5,\"discovery\":\""
-            + (deployment.on("ask") ? "ask" : "push")
+            + (deployment.isEnabled("ask") ? "ask" : "push")
             + "\",\"services\":"
             + QUERY_CLASSES_JSON
             + ",\"specifics\":{\"slices\":"
@@ -330,11 +330,11 @@
             + ",\"positions\":"
             + positions()
             + ",\"width\":"
-            + (int) deployment.get("width", 2)
+            + (int) deployment.valueOf("width", 2)
             + ",\"bundleMax\":"
-            + (int) deployment.get("bundle", 1)
+            + (int) deployment.valueOf("bundle", 1)
             + ",\"callMs\":"
-            + deployment.get("call", 0)
+            + deployment.valueOf("call", 0)
             + ",\"floorByClass\":[0.5,1,1,1,1,0.6,0.4,0.5],"
             + "\"classNeed\":[1,1,1,1,1,1,0.7,1],\"secondStep\":[0,0,0,0,0,2,0,0]},"
             + limitsJson()
@@ -347,22 +347,22 @@
 
   private String limitsJson() {
     String retryBudget =
-        deployment.get("span", 0) > 0
+        deployment.valueOf("span", 0) > 0
             ? ",\"freeResends\":"
-                + deployment.get("free", 0)
+                + deployment.valueOf("free", 0)
                 + ",\"extraRatio\":"
-                + deployment.get("ratio", 0)
+                + deployment.valueOf("ratio", 0)
                 + ",\"ratioSpanMs\":"
-                + deployment.get("span", 0)
+                + deployment.valueOf("span", 0)
             : "";
     return "\"limits\":{\"maxAttempts\":"
-        + (int) deployment.get("attempts", 4)
+        + (int) deployment.valueOf("attempts", 4)
         + ",\"secondCopies\":"
-        + deployment.on("hedging")
+        + deployment.isEnabled("hedging")
         + ",\"cancel\":"
-        + deployment.on("cancel")
+        + deployment.isEnabled("cancel")
         + ",\"mayProbe\":true,\"retryAfter\":"
-        + deployment.on("holdoff")
+        + deployment.isEnabled("holdoff")
         + ",\"maxRetryAfterMs\":400,\"mostHeld\":200},"
         + "\"guarantees\":{\"answerSlackMs\":20,\"askEveryMs\":10000,\"stopSendingWithinMs\":1000,"
         + "\"coldFrom\":0.2,\"coldMs\":10000,\"fallMultiple\":2,\"tipAfterMs\":1000"
@@ -413,7 +413,7 @@
     String endpoint = endpointJson(server);
     for (int i = 0; i < routers; i++) {
       int router = i;
-      if (!deployment.on("ask") || watching[router]) {
+      if (!deployment.isEnabled("ask") || watching[router]) {
         schedule(300 * MS, router, () -> sendEndpointList(router, "incr", endpoint));
       }
     }
@@ -460,7 +460,9 @@
   private void generateQuery() {
     schedule(
         (long)
-            (random.nextLongBetween(1, 2 * 1000) * MS / (deployment.get("perS", 5) * loadFactor)),
+            (random.nextLongBetween(1, 2 * 1000)
+                * MS
+                / (deployment.valueOf("perS", 5) * loadFactor)),
         this::generateQuery);
     int router = random.nextInt(routers);
     int classIndex = random.nextInt(QUERY_CLASSES.length);
@@ -486,7 +488,7 @@
     queries.put(query.id, query);
     boolean unknownClass = random.nextBoolean(0.01);
     long readDelayUs =
-        deployment.on("direct") && random.nextBoolean(0.1)
+        deployment.isEnabled("direct") && random.nextBoolean(0.1)
             ? random.nextLongBetween(1, 250) * MS
             : 0;
     int shards = random.nextBoolean(0.02) ? 0 : 1 + random.nextInt(8);
@@ -630,7 +632,7 @@
     } else if (server.health == Health.CORRUPTING && affected) {
       completeLater(
           attempt,
-          deployment.on("direct") ? "spoilt" : "broken",
+          deployment.isEnabled("direct") ? "spoilt" : "broken",
           random.nextLongBetween(2, 40) * MS);
     } else if (server.health == Health.REJECTING && affected
         || !server.status.equals("in_service")) {
@@ -641,7 +643,7 @@
       long workUs =
           (long)
               (random.nextLongBetween(50, 150)
-                  * deployment.get("work", 100)
+                  * deployment.valueOf("work", 100)
                   * 10
                   * slowdown
                   / warmShare
@@ -744,7 +746,7 @@
   /** Injects a random fault or change of load, and schedules the next one. */
   private void injectFault() {
     schedule(
-        random.nextLongBetween(100, (long) deployment.get("faultMs", 2500)) * MS,
+        random.nextLongBetween(100, (long) deployment.valueOf("faultMs", 2500)) * MS,
         this::injectFault);
     List<Server> healthy =
         servers.values().stream()
@@ -792,10 +794,10 @@
   }
 
   private void updateEndpointList(int router) {
-    if (deployment.on("direct") && random.nextBoolean(0.4)) {
+    if (deployment.isEnabled("direct") && random.nextBoolean(0.4)) {
       watching[router] = false;
       addMessage("Announce", router, ",\"mode\":\"moved\",\"generation\":1,\"page\":0");
-    } else if (!deployment.on("ask")) {
+    } else if (!deployment.isEnabled("ask")) {
       sendSnapshot(router);
     } else if (watching[router]) {
       loseWatch(router);
@@ -823,7 +825,7 @@
 
   /** Stops a router, either immediately or some time after a shutdown event. */
   private void stopRouter(int router) {
-    if (deployment.on("direct") && !shuttingDown[router]) {
+    if (deployment.isEnabled("direct") && !shuttingDown[router]) {
       shuttingDown[router] = true;
       long deadline = now + random.nextLongBetween(50, 1500) * MS;
       addMessage("Ending", router, ",\"atMs\":" + millis(deadline));
--- a/testbed/src/main/java/tidebank/testbed/capture/CaptureReplay.java
+++ b/testbed/src/main/java/tidebank/testbed/capture/CaptureReplay.java
@@ -166,7 +166,7 @@
       skipped++;
       return;
     }
-    List<Action> actions = policy.on(round.nowUs(), round.events());
+    List<Action> actions = policy.runRound(round.nowUs(), round.events());
     int roundDigest = ActionDigest.of(actions);
     updateDigest(roundDigest);
     listener.roundReplayed(number, round, actions);
--- a/testbed/src/test/java/tidebank/testbed/CaptureReplayTest.java
+++ b/testbed/src/test/java/tidebank/testbed/CaptureReplayTest.java
@@ -117,7 +117,7 @@
   }
 
   private List<Action> turn(RoutingPolicy policy, CaptureRecorder recorder, List<Event> events) {
-    List<Action> actions = policy.on(now, events);
+    List<Action> actions = policy.runRound(now, events);
     recorder.roundDecided(now, events, actions);
     return actions;
   }
@@ -154,7 +154,7 @@
               new Event.EndpointListReceived(
                   ListUpdate.CACHED,
                   List.of(new Endpoint("s0", 0, EndpointStatus.IN_SERVICE, 0, 1))));
-      recorder.roundDecided(now, list, policy.on(now, list));
+      recorder.roundDecided(now, list, policy.runRound(now, list));
       List<Event> scan =
           List.of(
               new Event.QueryReceived("a", 1, "part", "", now, now + 3000 * MS, false, "k"),
