--- a/router/src/main/java/tidebank/backend/BatchWriter.java
+++ b/router/src/main/java/tidebank/backend/BatchWriter.java
@@ -44,7 +44,7 @@
       RequestBatch batch = waiting.poll();
       long now = context.clock().now();
       if (now >= pool.refusesNewFrom()) {
-        context.counters().add("shard.dropped-for-drain");
+        context.counters().increment("shard.dropped-for-drain");
         pool.completeAll(batch, Outcome.NOT_SENT);
       }
       // The policy may cancel attempts here, which removes them from the batch.
@@ -86,7 +86,7 @@
   /** Drops all batches that have not begun to be written. */
   void dropWaiting() {
     for (RequestBatch batch : List.copyOf(waiting)) {
-      context.counters().add("shard.dropped-for-drain");
+      context.counters().increment("shard.dropped-for-drain");
       pool.completeAll(batch, Outcome.NOT_SENT);
     }
   }
--- a/router/src/main/java/tidebank/backend/ResponseMatcher.java
+++ b/router/src/main/java/tidebank/backend/ResponseMatcher.java
@@ -61,7 +61,7 @@
       if (cancelledUntil.remove(response.requestId()) == null) {
         throw new MalformedInputException("response matches no request in flight");
       }
-      context.counters().add("shard.answers-not-awaited");
+      context.counters().increment("shard.answers-not-awaited");
       return;
     }
     pendingResponse = response;
--- a/router/src/main/java/tidebank/backend/ShardConnection.java
+++ b/router/src/main/java/tidebank/backend/ShardConnection.java
@@ -76,7 +76,7 @@
 
   private void connectCompleted(ChannelFuture connecting) {
     if (!connecting.isSuccess()) {
-      context.counters().add("shard.connect-failed");
+      context.counters().increment("shard.connect-failed");
       closed();
     }
   }
@@ -144,7 +144,7 @@
    */
   void closeIfWriting() {
     if (writer.isWriting()) {
-      context.counters().add("shard.closed-while-writing");
+      context.counters().increment("shard.closed-while-writing");
       close();
     }
   }
@@ -195,7 +195,7 @@
     if (state == State.CONNECTING) {
       state = State.CONNECTED;
     }
-    context.counters().add("shard.connections");
+    context.counters().increment("shard.connections");
     lastUsedAt = context.clock().now();
     healthChecks.writeAll(channel);
     writer.flush(channel);
@@ -302,7 +302,7 @@
 
   private void closeIfIdle() {
     if (isIdle()) {
-      context.counters().add("shard.closed-idle");
+      context.counters().increment("shard.closed-idle");
       close();
     }
   }
--- a/router/src/main/java/tidebank/discovery/DiscoveryClient.java
+++ b/router/src/main/java/tidebank/discovery/DiscoveryClient.java
@@ -182,7 +182,7 @@
     }
     EndpointList list;
     try (InputStream in = new ByteBufInputStream(response.content())) {
-      list = EndpointListParser.read(mapper.readTree(in));
+      list = EndpointListParser.parse(mapper.readTree(in));
     } catch (IOException invalid) {
       counters.recordFault("list.malformed", invalid.getMessage());
       versionLost("list is malformed");
@@ -207,10 +207,10 @@
 
   /** Reports a list to the policy, unless it is one more confirmation that nothing changed. */
   private void report(EndpointList list) {
-    if (state != WatchState.CONFIRMED || list.complete() || !list.members().isEmpty()) {
+    if (state != WatchState.CONFIRMED || list.complete() || !list.endpoints().isEmpty()) {
       state = WatchState.CONFIRMED;
       policy.endpointListReceived(
-          list.complete() ? ListUpdate.SNAPSHOT : ListUpdate.DELTA, list.members());
+          list.complete() ? ListUpdate.SNAPSHOT : ListUpdate.DELTA, list.endpoints());
     }
   }
 
@@ -236,7 +236,7 @@
     if (state == WatchState.STOPPED) {
       return;
     }
-    counters.add("list.calls-failed");
+    counters.increment("list.calls-failed");
     LOG.info("discovery watch lost: reason=" + reason);
     close();
     if (pushed) {
--- a/router/src/main/java/tidebank/discovery/EndpointListParser.java
+++ b/router/src/main/java/tidebank/discovery/EndpointListParser.java
@@ -27,9 +27,9 @@
    *
    * @param version the version of the list that this leads to
    * @param complete whether it names all endpoints, so that any other has left
-   * @param members the endpoints, each named once
+   * @param endpoints the endpoints, each named once
    */
-  public record EndpointList(long version, boolean complete, List<ResolvedEndpoint> members) {}
+  public record EndpointList(long version, boolean complete, List<ResolvedEndpoint> endpoints) {}
 
   private EndpointListParser() {}
 
@@ -38,7 +38,7 @@
    *
    * @throws MalformedInputException if a field is missing or invalid, or an endpoint is named twice
    */
-  public static EndpointList read(JsonNode list) throws MalformedInputException {
+  public static EndpointList parse(JsonNode list) throws MalformedInputException {
     JsonNode complete = JsonFields.required(list, "whole");
     JsonNode hosts = JsonFields.required(list, "hosts");
     if (!complete.isBoolean() || !hosts.isArray()) {
--- a/router/src/main/java/tidebank/frontend/ClientConnection.java
+++ b/router/src/main/java/tidebank/frontend/ClientConnection.java
@@ -140,10 +140,10 @@
         exchanges.size() >= context.config().budgets().maxPipelinedRequests()
             || !channel.isWritable();
     if (overBudget && message instanceof HttpRequest) {
-      context.counters().add("front.refused-connections");
+      context.counters().increment("front.refused-connections");
       refuse(HttpResponseStatus.SERVICE_UNAVAILABLE, "too many connections");
     } else if (isFull && message instanceof HttpRequest) {
-      context.counters().add("front.refused-at-once");
+      context.counters().increment("front.refused-at-once");
       refuse(HttpResponseStatus.SERVICE_UNAVAILABLE, "too many requests at once");
     } else if (message instanceof FullHttpRequest request) {
       requestBegan();
@@ -166,7 +166,7 @@
     try {
       server.router().route(this, exchange, request, beganAt, completeAt);
     } catch (RuntimeException | VirtualMachineError fault) {
-      context.counters().add("front.failed");
+      context.counters().increment("front.failed");
       LOG.error("request failed", fault);
       if (!exchange.hasResponse()) {
         exchange.respond(HttpResponseStatus.INTERNAL_SERVER_ERROR, "failed");
@@ -190,7 +190,7 @@
 
   /** Refuses a request with a body over the size limit. */
   void refuseOversizedBody() {
-    context.counters().add("front.rejected");
+    context.counters().increment("front.rejected");
     refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
   }
 
@@ -278,23 +278,23 @@
       return;
     }
     if (!hasIncompleteRequest() && !arrival.hasReceivedRequest()) {
-      context.counters().add("front.closed-silent");
+      context.counters().increment("front.closed-silent");
       close("no_request");
     } else if (hasIncompleteRequest()) {
-      context.counters().add("front.request-timeouts");
+      context.counters().increment("front.request-timeouts");
       refuse(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not come whole");
     }
   }
 
   @Override
   public void responsesNotRead() {
-    context.counters().add("front.closed-unread");
+    context.counters().increment("front.closed-unread");
     close("responses_not_read");
   }
 
   @Override
   public void lingeredTooLong() {
-    context.counters().add("front.closed-lingering");
+    context.counters().increment("front.closed-lingering");
     close("linger_timeout");
   }
 
--- a/router/src/main/java/tidebank/frontend/ConnectionBudget.java
+++ b/router/src/main/java/tidebank/frontend/ConnectionBudget.java
@@ -115,7 +115,7 @@
       requestBegan(connection);
       return false;
     }
-    context.counters().add(counter);
+    context.counters().increment(counter);
     connection.close(reason);
     return true;
   }
--- a/router/src/main/java/tidebank/frontend/RequestRouter.java
+++ b/router/src/main/java/tidebank/frontend/RequestRouter.java
@@ -36,7 +36,7 @@
     // Netty removes transfer codings that it has decoded, so a remaining one is not supported.
     if (request.decoderResult().isFailure()
         || request.headers().contains(HttpHeaderNames.TRANSFER_ENCODING)) {
-      context.counters().add("front.malformed");
+      context.counters().increment("front.malformed");
       connection.reject(exchange, HttpResponseStatus.BAD_REQUEST, "no valid HTTP");
       return;
     }
@@ -72,17 +72,17 @@
     try {
       query = parser.parse(request, queryClass, beganAt, completeAt);
     } catch (InvalidRequestException fault) {
-      context.counters().add("front.rejected");
+      context.counters().increment("front.rejected");
       connection.reject(exchange, fault.status(), fault.getMessage());
       return;
     }
     if (context.executor().isPending(query)) {
-      context.counters().add("front.rejected");
+      context.counters().increment("front.rejected");
       connection.reject(exchange, HttpResponseStatus.BAD_REQUEST, "X-Correlation-Id is in use");
     } else if (context.executor().submitQuery(query, exchange)) {
       exchange.markAccepted(query);
     } else {
-      context.counters().add("front.refused-full");
+      context.counters().increment("front.refused-full");
       exchange.respond(HttpResponseStatus.SERVICE_UNAVAILABLE, "as much is held as may be");
     }
   }
--- a/router/src/main/java/tidebank/frontend/RequestTrace.java
+++ b/router/src/main/java/tidebank/frontend/RequestTrace.java
@@ -33,7 +33,7 @@
 
   /** Records that a request was accepted as a query. */
   void recordQuery(QueryRequest query) {
-    context.counters().add("scans.taken");
+    context.counters().increment("scans.taken");
     if (LOG.isDebugEnabled()) {
       LOG.debug("query received: {}", describe(query, context.clock().now()));
     }
@@ -43,7 +43,7 @@
   void recordResponse(QueryRequest query, int status) {
     long now = context.clock().now();
     if (now >= query.deadline()) {
-      context.counters().add("front.answered-late");
+      context.counters().increment("front.answered-late");
       LOG.info("response after the deadline: status={} {}", status, describe(query, now));
     } else if (LOG.isDebugEnabled()) {
       LOG.debug("response: status={} {}", status, describe(query, now));
@@ -54,10 +54,10 @@
   void recordDisconnect(QueryRequest query) {
     long now = context.clock().now();
     if (now >= query.deadline()) {
-      context.counters().add("front.left-unanswered");
+      context.counters().increment("front.left-unanswered");
       LOG.info("client disconnected after the deadline: {}", describe(query, now));
     } else {
-      context.counters().add("front.left-early");
+      context.counters().increment("front.left-early");
       if (LOG.isDebugEnabled()) {
         LOG.debug("client disconnected before the response: {}", describe(query, now));
       }
--- a/router/src/main/java/tidebank/metrics/Counters.java
+++ b/router/src/main/java/tidebank/metrics/Counters.java
@@ -13,7 +13,7 @@
   private final Map<String, long[]> counts = new TreeMap<>();
 
   /** Adds one to a counter and returns its new value. */
-  public long add(String name) {
+  public long increment(String name) {
     return ++counts.computeIfAbsent(name, absent -> new long[1])[0];
   }
 
@@ -24,7 +24,7 @@
   }
 
   /** Returns a copy of all counters. */
-  public SortedMap<String, Long> all() {
+  public SortedMap<String, Long> toMap() {
     SortedMap<String, Long> all = new TreeMap<>();
     counts.forEach((name, count) -> all.put(name, count[0]));
     return all;
@@ -32,7 +32,7 @@
 
   /** Counts a fault. Only the first one of a counter is logged, with its details. */
   public void recordFault(String name, String details) {
-    if (add(name) == 1) {
+    if (increment(name) == 1) {
       LOG.warn(name + ": " + details + " (further ones are only counted)");
     }
   }
--- a/router/src/main/java/tidebank/runtime/ActionExecutor.java
+++ b/router/src/main/java/tidebank/runtime/ActionExecutor.java
@@ -118,7 +118,7 @@
     PendingQuery query = queries.find(respond.query());
     if (query != null) {
       ResponseCallback callback = queries.close(query);
-      counters.add(respond.complete() ? "scans.whole" : "scans.partial");
+      counters.increment(respond.complete() ? "scans.whole" : "scans.partial");
       callback.onResponse(respond.complete(), query.values());
     }
   }
@@ -127,7 +127,7 @@
     PendingQuery query = queries.find(throttle.query());
     if (query != null) {
       ResponseCallback callback = queries.close(query);
-      counters.add("scans.throttled");
+      counters.increment("scans.throttled");
       callback.onThrottled(throttle.retryAfterUs());
     }
   }
@@ -136,7 +136,7 @@
     PendingQuery query = queries.find(fail.query());
     if (query != null) {
       ResponseCallback callback = queries.close(query);
-      counters.add("scans.abandoned");
+      counters.increment("scans.abandoned");
       callback.onFailed();
     }
   }
--- a/router/src/main/java/tidebank/runtime/DecisionLoop.java
+++ b/router/src/main/java/tidebank/runtime/DecisionLoop.java
@@ -114,7 +114,7 @@
   private void runRound() {
     List<Event> round = events;
     events = new ArrayList<>();
-    counters.add("turns");
+    counters.increment("turns");
     long now = clock.now();
     try {
       List<Action> decided = policy.runRound(now, round);
@@ -126,7 +126,7 @@
     } catch (RuntimeException | VirtualMachineError fault) {
       LOG.error(
           "decision round failed, failing all pending queries: events={}", round.size(), fault);
-      counters.add("turns.failed");
+      counters.increment("turns.failed");
       log.roundFailed(now, round, fault);
       restartPolicy();
     }
--- a/router/src/main/java/tidebank/runtime/EventLoopStallLogger.java
+++ b/router/src/main/java/tidebank/runtime/EventLoopStallLogger.java
@@ -23,7 +23,7 @@
   /** Records by how much the earliest timer fired late, in microseconds. */
   void recordTimerDelay(long lateUs) {
     if (lateUs >= MIN_LOGGED_US) {
-      counters.add("timers.late");
+      counters.increment("timers.late");
       LOG.info("event loop late: late_ms={}", lateUs / 1000);
     }
   }
@@ -31,7 +31,7 @@
   /** Records the duration of an event loop pass during which queries were pending. */
   void recordPass(long durationUs) {
     if (durationUs >= MIN_LOGGED_US) {
-      counters.add("passes.long");
+      counters.increment("passes.long");
       LOG.info("event loop pass slow: duration_ms={}", durationUs / 1000);
     }
   }
--- a/router/src/main/java/tidebank/runtime/PolicyExecutor.java
+++ b/router/src/main/java/tidebank/runtime/PolicyExecutor.java
@@ -105,7 +105,7 @@
   public void clientDisconnected(String id) {
     PendingQuery query = queries.find(id);
     if (query != null) {
-      counters.add("scans.lapsed");
+      counters.increment("scans.lapsed");
       queries.close(query);
       enqueue(new Event.ClientDisconnected(id));
     }
@@ -118,7 +118,7 @@
    */
   public void checkClientBeforeWrite(AttemptRequest attempt) {
     if (attempt.shardRequest().query().closeIfClientDisconnected(clock.now())) {
-      counters.add("scans.lapsed-before-writing");
+      counters.increment("scans.lapsed-before-writing");
     }
   }
 
@@ -137,7 +137,7 @@
     attempt.markCompleted();
     PendingShardRequest shardRequest = attempt.shardRequest();
     shardRequest.offerValue(value);
-    counters.add(CounterNames.attempts(outcome));
+    counters.increment(CounterNames.attempts(outcome));
     enqueue(
         new Event.AttemptCompleted(
             shardRequest.id(),
@@ -152,7 +152,7 @@
   /** Handles the outcome of a health check. */
   public void healthCheckCompleted(
       String server, Outcome outcome, long durationUs, Map<String, Double> loadReport) {
-    counters.add(CounterNames.healthChecks(outcome));
+    counters.increment(CounterNames.healthChecks(outcome));
     enqueue(new Event.HealthCheckCompleted(server, outcome, durationUs, loadReport));
   }
 
@@ -162,7 +162,7 @@
       endpoints.apply(update, listed);
       backend.updateEndpoints(listed, update != ListUpdate.DELTA);
     }
-    counters.add(CounterNames.listUpdates(update));
+    counters.increment(CounterNames.listUpdates(update));
     enqueue(new Event.EndpointListReceived(update, KnownEndpoints.withoutAddresses(listed)));
   }
 
--- a/router/src/main/java/tidebank/runtime/QueryRouter.java
+++ b/router/src/main/java/tidebank/runtime/QueryRouter.java
@@ -125,7 +125,7 @@
   /** Starts the fleet agent; called last, so that the agent never delays listening. */
   private void startAgent(FleetAgent.Config fleet) {
     if (fleet != null) {
-      agent = new FleetAgent(fleet, config.name(), counters::all, loop).start();
+      agent = new FleetAgent(fleet, config.name(), counters::toMap, loop).start();
     }
   }
 
@@ -133,8 +133,8 @@
     EndpointListParser.EndpointList cached = cachedEndpoints();
     loop.submit(
             () -> {
-              executor.endpointListReceived(ListUpdate.CACHED, cached.members());
-              discovery.start(cached.members().isEmpty() ? -1 : cached.version());
+              executor.endpointListReceived(ListUpdate.CACHED, cached.endpoints());
+              discovery.start(cached.endpoints().isEmpty() ? -1 : cached.version());
             })
         .syncUninterruptibly();
     ChannelFuture binding = clients.listen(netty.serverBootstrap()).awaitUninterruptibly();
@@ -145,7 +145,7 @@
     address = (InetSocketAddress) binding.channel().localAddress();
     loop.execute(this::scheduleCounters);
     LOG.info(
-        "router {} listens on {}: endpoints={}", config.name(), address, cached.members().size());
+        "router {} listens on {}: endpoints={}", config.name(), address, cached.endpoints().size());
   }
 
   /** Returns the endpoint list of the configuration, or an empty one. */
@@ -154,7 +154,7 @@
       return new EndpointListParser.EndpointList(0, true, List.of());
     }
     try {
-      return EndpointListParser.read(config.cachedList());
+      return EndpointListParser.parse(config.cachedList());
     } catch (MalformedInputException fault) {
       throw new MalformedInputException("known: " + fault.getMessage());
     }
@@ -193,7 +193,7 @@
   public void reload(RouterConfig fresh) {
     loop.execute(
         () -> {
-          counters.add("config.reloaded");
+          counters.increment("config.reloaded");
           if (!shutdown.isComplete()) {
             discovery.changeAddress(fresh.discovery());
           }
@@ -202,7 +202,7 @@
 
   /** Reports that a new configuration is malformed; the current one stays in effect. */
   public void reloadFailed(MalformedInputException fault) {
-    loop.execute(() -> counters.add("config.faulty"));
+    loop.execute(() -> counters.increment("config.faulty"));
     LOG.warn("the configuration stays as it was: {}", fault.getMessage());
   }
 
--- a/router/src/main/java/tidebank/runtime/TimerQueue.java
+++ b/router/src/main/java/tidebank/runtime/TimerQueue.java
@@ -142,7 +142,7 @@
     try {
       due.fire();
     } catch (RuntimeException | VirtualMachineError fault) {
-      counters.add("timers.failed");
+      counters.increment("timers.failed");
       LOG.error("timer failed", fault);
     }
   }
--- a/router/src/test/java/tidebank/CounterNamesFixtureTest.java
+++ b/router/src/test/java/tidebank/CounterNamesFixtureTest.java
@@ -131,7 +131,7 @@
   }
 
   private void receiveList(ListUpdate update) throws Exception {
-    List<ResolvedEndpoint> endpoints = EndpointListParser.read(config.cachedList()).members();
+    List<ResolvedEndpoint> endpoints = EndpointListParser.parse(config.cachedList()).endpoints();
     onLoop(
         () -> {
           executor.endpointListReceived(update, endpoints);
@@ -166,7 +166,7 @@
   }
 
   private SortedMap<String, Long> readCounters() throws Exception {
-    return onLoop(counters::all);
+    return onLoop(counters::toMap);
   }
 
   /** Returns the name of the only counter with this prefix that has increased since then. */
--- a/router/src/test/java/tidebank/DiscoveryCallsFixtureTest.java
+++ b/router/src/test/java/tidebank/DiscoveryCallsFixtureTest.java
@@ -87,6 +87,7 @@
       answer(third, http(site.discovery.list(true)));
       calls.append("behind a whole list:\n").append(request(third));
     }
-    StoredCases.isText("discovery/calls.txt", calls.toString().replace(address, "ADDRESS"));
+    StoredCases.assertMatchesFile(
+        "discovery/calls.txt", calls.toString().replace(address, "ADDRESS"));
   }
 }
--- a/router/src/test/java/tidebank/ErrorsFixtureTest.java
+++ b/router/src/test/java/tidebank/ErrorsFixtureTest.java
@@ -60,7 +60,7 @@
 
   @Test
   void textsForPeopleAreTheStoredOnes() throws Exception {
-    StoredCases.isText(
+    StoredCases.assertMatchesFile(
         "errors/lines.txt",
         SAMPLES.stream()
             .map(fault -> fault.details().lines() + "\n")
@@ -77,7 +77,7 @@
           .isEqualTo(fault.details());
       text.append(json).append('\n');
     }
-    StoredCases.isText("errors/details.jsonl", text.toString());
+    StoredCases.assertMatchesFile("errors/details.jsonl", text.toString());
   }
 
   @Test
@@ -91,6 +91,6 @@
       assertThat(new TidebankException.RequestRejected(read).details()).isEqualTo(read);
       text.append(new String(json, UTF_8)).append('\n');
     }
-    StoredCases.isText("errors/answers.jsonl", text.toString());
+    StoredCases.assertMatchesFile("errors/answers.jsonl", text.toString());
   }
 }
--- a/router/src/test/java/tidebank/LogLinesFixtureTest.java
+++ b/router/src/test/java/tidebank/LogLinesFixtureTest.java
@@ -67,11 +67,11 @@
 
   @Test
   void textLinesAreTheStoredOnes() throws Exception {
-    StoredCases.isText("logging/lines.txt", lines(Log.Format.TEXT));
+    StoredCases.assertMatchesFile("logging/lines.txt", lines(Log.Format.TEXT));
   }
 
   @Test
   void jsonLinesAreTheStoredOnes() throws Exception {
-    StoredCases.isText("logging/lines.jsonl", lines(Log.Format.JSON));
+    StoredCases.assertMatchesFile("logging/lines.jsonl", lines(Log.Format.JSON));
   }
 }
--- a/router/src/test/java/tidebank/backend/FramesFixtureTest.java
+++ b/router/src/test/java/tidebank/backend/FramesFixtureTest.java
@@ -49,7 +49,7 @@
             attempt("9b1f03aa", 0, "{\"predicate\":\"c41e77d0\"}", now + 1_000_000),
             attempt("scan-2", 17, "", now + 999),
             attempt("scan.3", 1, "text\nof lines ä€", now - 5_000_000));
-    StoredCases.isText(
+    StoredCases.assertMatchesFile(
         "frames/written.txt",
         String.join(
             "\n",
@@ -63,7 +63,7 @@
 
   @Test
   void responsesDecodeAsStored() throws Exception {
-    StoredCases.readAsStored(
+    StoredCases.assertParsedAsStored(
         "frames/answers.txt",
         input -> {
           try {
@@ -84,7 +84,7 @@
 
   @Test
   void loadReportsParseAsStored() throws Exception {
-    StoredCases.readAsStored(
+    StoredCases.assertParsedAsStored(
         "frames/reports.txt",
         input -> FrameCodec.parseLoadReport(new String(input, UTF_8)).toString());
   }
--- a/router/src/test/java/tidebank/config/ConfigFixtureTest.java
+++ b/router/src/test/java/tidebank/config/ConfigFixtureTest.java
@@ -177,23 +177,23 @@
 
   @Test
   void everyFieldOfAFullConfigurationIsReadAsStored() throws Exception {
-    byte[] full = StoredCases.text("config/node-full.json").getBytes(UTF_8);
-    StoredCases.isText("config/node-full.txt", describe(read(full, Map.of())));
+    byte[] full = StoredCases.readText("config/node-full.json").getBytes(UTF_8);
+    StoredCases.assertMatchesFile("config/node-full.txt", describe(read(full, Map.of())));
   }
 
   @Test
   void whatALeastConfigurationLeavesOutHasTheStoredDefaults() throws Exception {
-    byte[] least = StoredCases.text("config/node-least.json").getBytes(UTF_8);
+    byte[] least = StoredCases.readText("config/node-least.json").getBytes(UTF_8);
     Map<String, String> env =
         Map.of("NODE_NAME", "n7", "NODE_LISTEN", "0.0.0.0:80", "NODE_DISCOVERY", "10.1.2.3:4");
-    StoredCases.isText("config/node-least.txt", describe(read(least, env)));
+    StoredCases.assertMatchesFile("config/node-least.txt", describe(read(least, env)));
   }
 
   /** Each input is a replacement in the full configuration. */
   @Test
   void faultsOfAConfigurationHaveTheStoredMessages() throws Exception {
-    String full = StoredCases.text("config/node-full.json");
-    StoredCases.readAsStored(
+    String full = StoredCases.readText("config/node-full.json");
+    StoredCases.assertParsedAsStored(
         "config/node-faults.txt",
         input -> {
           String[] change = new String(input, UTF_8).split(" => ", -1);
@@ -211,14 +211,14 @@
 
   @Test
   void everyFieldOfAnOperatorsFileIsReadAsStored() throws Exception {
-    String full = StoredCases.text("config/operator-full.toml");
-    StoredCases.isText(
+    String full = StoredCases.readText("config/operator-full.toml");
+    StoredCases.assertMatchesFile(
         "config/operator-full.txt", describe(OperatorConfig.read(Toml.read("own.toml", full))));
   }
 
   @Test
   void operatorsFilesAreReadAsStored() throws Exception {
-    StoredCases.readAsStored(
+    StoredCases.assertParsedAsStored(
         "config/operator-files.txt",
         input -> {
           try {
--- a/router/src/test/java/tidebank/discovery/ListFixtureTest.java
+++ b/router/src/test/java/tidebank/discovery/ListFixtureTest.java
@@ -21,17 +21,17 @@
 
   @Test
   void listsAreReadAsStored() throws Exception {
-    StoredCases.readAsStored(
+    StoredCases.assertParsedAsStored(
         "discovery/lists.txt",
         input -> {
           try {
             EndpointListParser.EndpointList list =
-                EndpointListParser.read(new ObjectMapper().readTree(input));
+                EndpointListParser.parse(new ObjectMapper().readTree(input));
             return "seq="
                 + list.version()
                 + " whole="
                 + list.complete()
-                + list.members().stream()
+                + list.endpoints().stream()
                     .map(
                         member ->
                             " | host="
