--- a/router/src/main/java/tidebank/frontend/QueryRequestParser.java
+++ b/router/src/main/java/tidebank/frontend/QueryRequestParser.java
@@ -84,7 +84,7 @@
         headers.get("X-Repeat", "").equals("1"),
         headers.get("X-Session-Key", ""),
         predicate.textValue().getBytes(UTF_8),
-        shardTargets(body.path("ranges")));
+        parseShardTargets(body.path("ranges")));
   }
 
   private static long parseTimeLeftUs(String text) throws InvalidRequestException {
@@ -108,7 +108,7 @@
     }
   }
 
-  private List<ShardTarget> shardTargets(JsonNode list) throws InvalidRequestException {
+  private List<ShardTarget> parseShardTargets(JsonNode list) throws InvalidRequestException {
     if (!list.isArray() || list.isEmpty()) {
       throw invalid("ranges is missing or empty");
     }
@@ -116,7 +116,7 @@
     Set<Integer> seen = new HashSet<>();
     double sum = 0;
     for (JsonNode element : list) {
-      ShardTarget target = shardTarget(element, seen);
+      ShardTarget target = parseShardTarget(element, seen);
       sum += target.weight();
       targets.add(target);
     }
@@ -126,7 +126,7 @@
     return targets;
   }
 
-  private ShardTarget shardTarget(JsonNode element, Set<Integer> seen)
+  private ShardTarget parseShardTarget(JsonNode element, Set<Integer> seen)
       throws InvalidRequestException {
     JsonNode shard = element.path("range");
     if (!shard.isIntegralNumber()
--- a/router/src/main/java/tidebank/frontend/RequestTrace.java
+++ b/router/src/main/java/tidebank/frontend/RequestTrace.java
@@ -65,23 +65,24 @@
   }
 
   /** Records that the router closes the connection. */
-  void recordClose(String reason, int pendingRequests, boolean incompleteRequest) {
+  void recordClose(String reason, int pendingRequests, boolean hasIncompleteRequest) {
     if (LOG.isDebugEnabled()) {
       LOG.debug(
           "client connection closed: reason={} {}",
           reason,
-          describeConnection(pendingRequests, incompleteRequest));
+          describeConnection(pendingRequests, hasIncompleteRequest));
     }
   }
 
   /** Logs that the client disconnected, if a request was pending or none was ever complete. */
-  void recordDisconnect(int pendingRequests, boolean incompleteRequest) {
-    if (LOG.isDebugEnabled() && (pendingRequests > 0 || incompleteRequest || requests == 0)) {
-      LOG.debug("client disconnected: {}", describeConnection(pendingRequests, incompleteRequest));
+  void recordDisconnect(int pendingRequests, boolean hasIncompleteRequest) {
+    if (LOG.isDebugEnabled() && (pendingRequests > 0 || hasIncompleteRequest || requests == 0)) {
+      LOG.debug(
+          "client disconnected: {}", describeConnection(pendingRequests, hasIncompleteRequest));
     }
   }
 
-  private String describeConnection(int pendingRequests, boolean incompleteRequest) {
+  private String describeConnection(int pendingRequests, boolean hasIncompleteRequest) {
     return String.format(
         Locale.ROOT,
         "peer=%s age_ms=%d requests=%d pending_requests=%d incomplete_request=%b",
@@ -89,7 +90,7 @@
         (context.clock().now() - connectedAt) / 1000,
         requests,
         pendingRequests,
-        incompleteRequest);
+        hasIncompleteRequest);
   }
 
   private String describe(QueryRequest query, long now) {
--- a/router/src/main/java/tidebank/runtime/ActionExecutor.java
+++ b/router/src/main/java/tidebank/runtime/ActionExecutor.java
@@ -93,10 +93,10 @@
         "only parts of an open scan are sent")) {
       return;
     }
-    int number = shardRequest.attempts().size();
+    int index = shardRequest.attempts().size();
     long now = clock.now();
     AttemptRequest attempt =
-        new AttemptRequest(shardRequest, number, send.server(), send.deadline(), now);
+        new AttemptRequest(shardRequest, index, send.server(), send.deadline(), now);
     shardRequest.attempts().add(attempt);
     shardRequest.query().recordAttempt(now);
     try {
--- a/router/src/main/java/tidebank/runtime/AttemptRequest.java
+++ b/router/src/main/java/tidebank/runtime/AttemptRequest.java
@@ -14,9 +14,9 @@
   private boolean completed;
 
   AttemptRequest(
-      PendingShardRequest shardRequest, int number, String server, long deadline, long createdAt) {
+      PendingShardRequest shardRequest, int index, String server, long deadline, long createdAt) {
     this.shardRequest = shardRequest;
-    this.index = number;
+    this.index = index;
     this.server = server;
     this.deadline = deadline;
     this.createdAt = createdAt;
--- a/router/src/main/java/tidebank/runtime/BackendPort.java
+++ b/router/src/main/java/tidebank/runtime/BackendPort.java
@@ -6,7 +6,7 @@
 
 /** The client of the shard servers, as far as the policy's actions and endpoint lists need it. */
 public interface BackendPort {
-  /** Applies a complete endpoint list, in which absent servers are gone, or a delta. */
+  /** Applies an endpoint list. If {@code full}, servers that are not listed are gone. */
   void updateEndpoints(List<ResolvedEndpoint> endpoints, boolean full);
 
   /**
--- a/router/src/main/java/tidebank/runtime/PolicyExecutor.java
+++ b/router/src/main/java/tidebank/runtime/PolicyExecutor.java
@@ -126,7 +126,7 @@
    * Handles the outcome of an attempt; called exactly once for each attempt.
    *
    * @param value the value that the server returned, or null unless the attempt was successful
-   * @param loadReport the server's load report by name of the figure, or empty
+   * @param loadReport the server's load report by metric name, or empty
    */
   public void attemptCompleted(
       AttemptRequest attempt, Outcome outcome, byte[] value, Map<String, Double> loadReport) {
@@ -189,7 +189,7 @@
   /**
    * Returns the earliest time at which bytes read now may have arrived, in microseconds. This is
    * the estimate of {@link ReadDelayEstimator}, or the time at which an overdue timer was due if
-   * that is earlier, as the whole process has been stalled since then.
+   * that is earlier, as the whole process may have been stalled since then.
    */
   public long earliestArrivalTime() {
     return Math.min(decisions.earliestArrivalTime(), clock.now() - timers.overdueUs());
--- a/router/src/main/java/tidebank/runtime/QueryRequest.java
+++ b/router/src/main/java/tidebank/runtime/QueryRequest.java
@@ -7,7 +7,7 @@
  *
  * @param id the id that the client gave it
  * @param queryClass the name of its query class
- * @param tenant the tenant that is charged for it, or an empty string
+ * @param tenant the tenant for quota accounting, or an empty string
  * @param receivedAt the earliest time at which its last byte may have arrived
  * @param deadline when its client stops waiting
  * @param clientRetry whether the client marked it as a retry
--- a/router/src/main/java/tidebank/runtime/QueryRouter.java
+++ b/router/src/main/java/tidebank/runtime/QueryRouter.java
@@ -190,12 +190,12 @@
    * Applies the address of discovery of a new configuration. Changes of other settings need a
    * restart.
    */
-  public void reload(RouterConfig fresh) {
+  public void reload(RouterConfig newConfig) {
     loop.execute(
         () -> {
           counters.increment("config.reloaded");
           if (!shutdown.isComplete()) {
-            discovery.changeAddress(fresh.discovery());
+            discovery.changeAddress(newConfig.discovery());
           }
         });
   }
@@ -206,7 +206,7 @@
     LOG.warn("the configuration stays as it was: {}", fault.getMessage());
   }
 
-  /** Closes the remaining sockets; called by {@link GracefulShutdown} after the last client. */
+  /** Closes the remaining sockets; called once no client is connected. */
   private void closeSockets(long deadline) {
     shards.close();
     discovery.close();
--- a/router/src/main/java/tidebank/runtime/ReadDelayEstimator.java
+++ b/router/src/main/java/tidebank/runtime/ReadDelayEstimator.java
@@ -8,7 +8,7 @@
  * microseconds.
  */
 final class ReadDelayEstimator {
-  /** The longest gap after the end of a pass for which the loop is assumed not to be idle. */
+  /** The longest gap between two passes for which the loop is assumed not to have been idle. */
   private final long maxGapUs;
 
   private boolean passActive;
--- a/router/src/main/java/tidebank/runtime/TimerQueue.java
+++ b/router/src/main/java/tidebank/runtime/TimerQueue.java
@@ -17,9 +17,9 @@
   private static final Logger LOG = LoggerFactory.getLogger(TimerQueue.class);
 
   /**
-   * How much earlier than the earliest timer the wake-up may be before it is rescheduled. Under
-   * load the earliest timer changes with every query, and a wake-up that finds nothing due saves
-   * rescheduling for each change.
+   * How much earlier than the earliest timer the wake-up may be without being rescheduled. Under
+   * load the earliest timer changes with every query; rather than rescheduling each time, a wake-up
+   * may find nothing due.
    */
   private static final long MAX_EARLY_WAKE_UP_US = 1_000_000;
 
@@ -87,8 +87,8 @@
   }
 
   /**
-   * Returns how late timers are, in microseconds: by how much the earliest is overdue, or the
-   * latest one was late if it fired no longer ago than that. The process was stalled, or too busy
+   * Returns how late timers are, in microseconds: how long the earliest one is overdue, or how late
+   * the last wake-up was, if it was no longer ago than that. The process was stalled, or too busy
    * to read its sockets, for this time.
    */
   public long latenessUs() {
