--- a/router/src/main/java/tidebank/policy/Query.java
+++ b/router/src/main/java/tidebank/policy/Query.java
@@ -17,6 +17,7 @@
     PARTIAL,
     THROTTLED,
     FAILED,
+    /** Closed without an answer, because its client disconnected. */
     CLIENT_GONE
   }
 
@@ -68,7 +69,7 @@
     return requests;
   }
 
-  /** Returns the time at which the client stops waiting. */
+  /** Returns the time by which the query needs its final answer. */
   long deadline() {
     return deadline;
   }
--- a/router/src/main/java/tidebank/policy/QueryCompletion.java
+++ b/router/src/main/java/tidebank/policy/QueryCompletion.java
@@ -91,7 +91,7 @@
             || now >= partialAnswerAt
             || now >= lastAnswerAt)) {
       close(query, Query.Status.PARTIAL);
-    } else if (cannotBeAnswered(query, now) || now >= lastAnswerAt) {
+    } else if (shouldGiveUp(query, now) || now >= lastAnswerAt) {
       giveUp(query);
     } else if (now < partialAnswerAt) {
       workQueue.scheduleReview(partialAnswerAt, query);
@@ -131,10 +131,10 @@
   }
 
   /**
-   * Returns whether the query can't reach its minimum weight, has no value after its latency
+   * Returns whether the query can't reach its minimum weight, has lost its value with its latency
    * objective, or is assumed to crash its servers.
    */
-  private boolean cannotBeAnswered(Query query, long now) {
+  private boolean shouldGiveUp(Query query, long now) {
     boolean crashesServers =
         query.connectionLosses() >= CRASHING_CONNECTION_LOSSES
             && query.isFirstStage()
@@ -164,7 +164,7 @@
     return true;
   }
 
-  /** Closes the current stage of a query with the given status, and gives up attempts in flight. */
+  /** Closes the current stage of a query with the given status, and abandons attempts in flight. */
   void close(Query query, Query.Status status) {
     query.setStatus(status);
     closedQueries.add(query);
--- a/router/src/main/java/tidebank/policy/QueryTable.java
+++ b/router/src/main/java/tidebank/policy/QueryTable.java
@@ -58,11 +58,11 @@
   void remove(Query query) {
     byId.remove(query.id());
     byNumber.remove(query.number());
-    query.requests().forEach(this::forgetIfDone);
+    query.requests().forEach(this::removeIfDone);
   }
 
   /** Removes a request if its query is closed and none of its attempts is in flight. */
-  void forgetIfDone(ShardRequest request) {
+  void removeIfDone(ShardRequest request) {
     if (!request.query().isOpen() && !request.hasAttemptInFlight()) {
       requests.remove(request.id());
     }
--- a/router/src/main/java/tidebank/policy/RoutingPolicy.java
+++ b/router/src/main/java/tidebank/policy/RoutingPolicy.java
@@ -24,7 +24,7 @@
  * it is answered. {@link ActionEmitter} emits the difference to the earlier decisions as actions.
  */
 public final class RoutingPolicy {
-  /** The shortest latency objective if the settings have none. */
+  /** Stands in for the shortest latency objective if no query class has one. */
   private static final long DEFAULT_OBJECTIVE_US = 1_000_000;
 
   private final QueryTable queries = new QueryTable();
@@ -158,8 +158,8 @@
     emitter.emitAnswer(query);
     if (query.isAnswered() && query.hasSecondStage()) {
       query.beginSecondStage();
-      long advanceUs = deadlines.answerMarginUs(query.queryClass());
-      workQueue.scheduleReview(query.deadline() - advanceUs, query);
+      long marginUs = deadlines.answerMarginUs(query.queryClass());
+      workQueue.scheduleReview(query.deadline() - marginUs, query);
     } else {
       queries.remove(query);
     }
@@ -191,6 +191,7 @@
     }
   }
 
+  /** Applies an endpoint list update, and begins the slow start of restarted servers. */
   private void applyList(Event.EndpointListReceived list) {
     endpointWatch.recordUpdate(list.update(), now);
     if (list.update() == ListUpdate.WATCH_LOST || list.update() == ListUpdate.DISCOVERY_MOVED) {
@@ -206,6 +207,9 @@
     }
   }
 
+  /**
+   * Applies the outcome of an attempt that is in flight; outcomes of other attempts are ignored.
+   */
   private void completeAttempt(Event.AttemptCompleted event) {
     Attempt attempt = queries.attemptInFlight(event.shardRequest(), event.attempt());
     if (attempt == null) {
@@ -225,6 +229,6 @@
     } else if (query.isOpen() && event.requestClosed()) {
       request.fail();
     }
-    queries.forgetIfDone(request);
+    queries.removeIfDone(request);
   }
 }
--- a/router/src/main/java/tidebank/policy/ShardServer.java
+++ b/router/src/main/java/tidebank/policy/ShardServer.java
@@ -167,7 +167,7 @@
     return lastTimedOutSentAt >= lastResponseAt;
   }
 
-  /** Forgets the timed-out attempts, when the connection for the next attempt has been chosen. */
+  /** Forgets the timed-out attempts, once the connection for the next attempt has been chosen. */
   void clearTimeouts() {
     lastTimedOutSentAt = -1;
   }
--- a/router/src/test/java/tidebank/SimulatorHostTest.java
+++ b/router/src/test/java/tidebank/SimulatorHostTest.java
@@ -40,11 +40,13 @@
     return "{'simTimeMs':" + timeMs + ",'msgs':[" + String.join(",", messages) + "]}";
   }
 
+  /** Guards against a missing reply line, for which the simulator would wait. */
   @Test
   void anEmptyBatchGetsAnEmptyReply() throws IOException {
     assertThat(run(batch(1))).isEqualTo("{'output':[]}\n");
   }
 
+  /** Guards against changed field names or values, which the simulator would not understand. */
   @Test
   void aQueryIsSentTimedAndAnsweredInTheSimulatorsFormat() throws IOException {
     String replies =
@@ -98,6 +100,7 @@
     assertThat(replies).doesNotContain("Assign").contains("{'kind':'Busy','who':2,'handle':'aa'");
   }
 
+  /** Guards against errors that do not tell the user of the simulator what is wrong. */
   @Test
   void invalidInputThrowsAnExceptionThatNamesTheProblem() {
     assertThatThrownBy(() -> run("{oops")).hasMessageContaining("not JSON");
--- a/router/src/test/java/tidebank/policy/RoutingPolicyTest.java
+++ b/router/src/test/java/tidebank/policy/RoutingPolicyTest.java
@@ -36,6 +36,10 @@
 
   // ---- selection by rank and load
 
+  /**
+   * Guards against needless load shedding: a partial answer would be allowed, but no server is
+   * loaded.
+   */
   @Test
   void withoutCongestionAllRequestsAreSentAndTheAnswerIsComplete() {
     harness.start();
@@ -131,7 +135,7 @@
   }
 
   /**
-   * Guards against an answer advance as long as the stall: queries with less time left than that
+   * Guards against an answer margin as long as the stall: queries with less time left than that
    * would be throttled without an attempt.
    */
   @Test
@@ -147,7 +151,7 @@
     assertThat(harness.answers()).isEmpty();
     harness.complete(Outcome.COMPLETED, "q0", "q1");
     assertThat(harness.answers()).containsExactly(new Action.Respond("q", true));
-    // The stall advances a partial answer by at most a fifth of the objective.
+    // After the stall, a partial answer is earlier by at most a fifth of the objective.
     harness.query("r", "partial", 0.6, 0.4);
     harness.complete(Outcome.COMPLETED, "r0");
     harness.advance(780);
@@ -367,6 +371,7 @@
 
   // ---- rule 3: draining servers and the endpoint list
 
+  /** Guards against requests that fail because their server is about to stop, or has stopped. */
   @Test
   void nothingIsSentToADrainingServer() {
     harness.start();
@@ -382,7 +387,7 @@
 
   /**
    * Guards against an outdated endpoint list after a watch has failed, and against a second watch
-   * beside an active router.
+   * beside an active one.
    */
   @Test
   void theEndpointListWatchIsRestartedAfterAFailedCall() {
@@ -397,7 +402,7 @@
 
   /**
    * Guards against the long backoff of the old address: eight failed calls must not delay the watch
-   * at the new router.
+   * at the new address.
    */
   @Test
   void afterDiscoveryMovesTheWatchRestartsWithTheShortestBackoff() {
@@ -458,6 +463,7 @@
 
   // ---- rule 5: correctly marked answers
 
+  /** Guards against an answer from too little data: 0.4 was answered, and the class needs 0.5. */
   @Test
   void noAnswerIsGivenBelowTheMinimumWeight() {
     harness.start();
@@ -495,6 +501,9 @@
 
   // ---- overload and faults
 
+  /**
+   * Guards against waiting for a slow server until the deadline while another replica is available.
+   */
   @Test
   void aTimedOutAttemptIsHedgedAtAnotherServer() {
     harness.start();
@@ -611,8 +620,8 @@
   }
 
   /**
-   * Guards against needless failures: with 60 routers, the own requests of one router fill no
-   * server. A request that timed out may have executed and is not retried.
+   * Guards against needless failures: the requests of one of 60 routers can't fill a server, so a
+   * retry adds little load. A request that timed out may have executed and is not retried.
    */
   @Test
   void inALargeFleetARejectedRequestIsRetriedUnderOverload() {
@@ -778,7 +787,7 @@
     assertThat(sent(harness.actions).size() - before).isLessThan(5);
   }
 
-  /** Guards against a query that crashes the servers of all its shards at once. */
+  /** Guards against a query that crashes the servers of all its shards at the same time. */
   @Test
   void afterCrashesTheHeaviestRequestIsSentFirstAsACanary() {
     harness.layout = new Settings.Layout(3, 3, 1, 1, 0);
@@ -881,6 +890,7 @@
     assertThat(servers(harness.query("q", "complete", 1))).containsExactly("n49");
   }
 
+  /** Guards against a second answer to a query after unexpected events. */
   @Test
   void clockJumpsAndUnknownOrRepeatedOutcomesGiveOneFinalAnswer() {
     harness.start();
@@ -895,6 +905,7 @@
     assertThat(harness.answers()).hasSize(1);
   }
 
+  /** Guards against failures with a large endpoint list. */
   @Test
   void aListOfFiveThousandServersIsHandled() {
     harness.layout = new Settings.Layout(5000, 5000, 3, 1, 0);
