--- a/router/src/main/java/tidebank/backend/BackendContext.java
+++ b/router/src/main/java/tidebank/backend/BackendContext.java
@@ -7,16 +7,16 @@
 import tidebank.runtime.TimerQueue;
 
 /**
- * The collaborators and settings that all classes of this package share.
+ * Collaborators and settings shared by the classes of this package.
  *
  * @param policy receives the outcome of each attempt and health check
  * @param clock the router's clock, in microseconds
  * @param timers the event loop's timers
  * @param counters the router's counters
- * @param transport the settings of sockets
+ * @param transport the socket settings
  * @param cancellation whether shard servers accept a cancel frame
- * @param lateResponseWindowUs how long the response to a cancelled attempt may still arrive without
- *     being a protocol error, in microseconds
+ * @param lateResponseWindowUs how long after the cancellation of an attempt a response to it is not
+ *     a protocol error, in microseconds
  */
 record BackendContext(
     PolicyExecutor policy,
--- a/router/src/main/java/tidebank/backend/BatchWriter.java
+++ b/router/src/main/java/tidebank/backend/BatchWriter.java
@@ -8,16 +8,16 @@
 import tidebank.model.Outcome;
 
 /**
- * The write queue of a connection. Netty holds at most one batch that is not completely written.
- * The others wait here, where they can still be dropped and are known not to have executed.
+ * The write queue of a connection. Netty is given one batch at a time. The others wait here, where
+ * they can still be dropped and are known not to have executed.
  */
 final class BatchWriter {
   private final ShardConnection connection;
   private final ConnectionPool pool;
   private final BackendContext context;
   private final ChannelFutureListener writeListener = this::writeCompleted;
-  private final ArrayDeque<RequestBatch> waiting = new ArrayDeque<>();
-  private RequestBatch writing;
+  private final ArrayDeque<RequestBatch> queuedBatches = new ArrayDeque<>();
+  private RequestBatch currentBatch;
 
   BatchWriter(ShardConnection connection, ConnectionPool pool, BackendContext context) {
     this.connection = connection;
@@ -26,24 +26,24 @@
   }
 
   void enqueue(RequestBatch batch) {
-    waiting.add(batch);
+    queuedBatches.add(batch);
   }
 
   /** Removes a batch whose attempts have all completed. */
   void remove(RequestBatch batch) {
-    waiting.remove(batch);
+    queuedBatches.remove(batch);
   }
 
   boolean isWriting() {
-    return writing != null;
+    return currentBatch != null;
   }
 
-  /** Writes the next batch unless one is still being written. */
+  /** Writes queued batches in order, as long as no write is in progress. */
   void flush(Channel channel) {
-    while (writing == null && !waiting.isEmpty() && !connection.isClosed()) {
-      RequestBatch batch = waiting.poll();
+    while (currentBatch == null && !queuedBatches.isEmpty() && !connection.isClosed()) {
+      RequestBatch batch = queuedBatches.poll();
       long now = context.clock().now();
-      if (now >= pool.refusesNewFrom()) {
+      if (now >= pool.drainGraceEndsAt()) {
         context.counters().increment("shard.dropped-for-drain");
         pool.completeAll(batch, Outcome.NOT_SENT);
       }
@@ -58,17 +58,17 @@
   }
 
   private void write(Channel channel, RequestBatch batch, long now) {
-    writing = batch;
-    connection.writing(batch, now);
+    currentBatch = batch;
+    connection.writeStarted(batch, now);
     channel
         .writeAndFlush(FrameCodec.encodeBatch(channel.alloc(), batch.attempts(), now))
         .addListener(writeListener);
   }
 
-  /** Handles that the frame being written has been written completely, or never will be. */
+  /** Handles the end of a write: the frame was written completely, or the write failed. */
   private void writeCompleted(ChannelFuture write) {
-    RequestBatch batch = writing;
-    writing = null;
+    RequestBatch batch = currentBatch;
+    currentBatch = null;
     if (batch == null) {
       return;
     }
@@ -83,9 +83,9 @@
     flush(write.channel());
   }
 
-  /** Drops all batches that have not begun to be written. */
-  void dropWaiting() {
-    for (RequestBatch batch : List.copyOf(waiting)) {
+  /** Drops all queued batches and reports their attempts as not sent. */
+  void dropUnwritten() {
+    for (RequestBatch batch : List.copyOf(queuedBatches)) {
       context.counters().increment("shard.dropped-for-drain");
       pool.completeAll(batch, Outcome.NOT_SENT);
     }
--- a/router/src/main/java/tidebank/backend/ConnectionPool.java
+++ b/router/src/main/java/tidebank/backend/ConnectionPool.java
@@ -10,8 +10,8 @@
 import tidebank.runtime.TimerQueue;
 
 /**
- * The connections to one shard server, the batch that collects the attempts of the current decision
- * round, and whether the server is draining.
+ * The connections to one shard server, with the open batch of the current decision round and the
+ * server's drain state.
  */
 final class ConnectionPool {
   private static final long NEVER = Long.MAX_VALUE;
@@ -22,11 +22,11 @@
   private final List<ShardConnection> connections = new ArrayList<>();
   private final TimerQueue.Timer drainTimer = TimerQueue.timer(this::drainGraceEnded);
 
-  /** Null until the endpoint list names the server. */
+  /** The server's address; null until the endpoint list contains the server. */
   private InetSocketAddress address;
 
-  /** From when on nothing may begin to be sent, in microseconds. */
-  private long refusesNewFrom = NEVER;
+  /** When the drain grace ends, in microseconds. No write starts after it. */
+  private long drainGraceEndsAt = NEVER;
 
   private boolean gone;
   private RequestBatch openBatch;
@@ -41,36 +41,34 @@
     return server;
   }
 
-  long refusesNewFrom() {
-    return refusesNewFrom;
+  long drainGraceEndsAt() {
+    return drainGraceEndsAt;
   }
 
-  /**
-   * Handles that the server is in service at this address. Connections to another address are
-   * retired.
-   */
-  void inService(InetSocketAddress current) {
-    refusesNewFrom = NEVER;
+  /** Marks the server as in service at this address. Connections to another address are retired. */
+  void markInService(InetSocketAddress newAddress) {
+    drainGraceEndsAt = NEVER;
     context.timers().cancel(drainTimer);
     gone = false;
-    if (!current.equals(address)) {
-      address = current;
+    if (!newAddress.equals(address)) {
+      address = newAddress;
       retireConnections();
     }
   }
 
   /**
-   * Handles that the server is draining or gone. It gets nothing new after the grace.
+   * Marks the server as draining or gone. No write to it starts after the drain grace.
    *
-   * @param graceEndsAt when the grace of this notification ends, in microseconds; an earlier end
-   *     stands
+   * @param graceEndsAt when the drain grace ends according to this notification, in microseconds;
+   *     ignored if an earlier end is already set
+   * @param isGone whether discovery lists the server as gone or no longer lists it
    */
-  void draining(long graceEndsAt, boolean isGone) {
-    refusesNewFrom = Math.min(refusesNewFrom, graceEndsAt);
-    context.timers().schedule(drainTimer, refusesNewFrom);
-    // The grace counts from when discovery wrote this, and this process may have stood still since:
-    // what is waiting must not wait for the end of the grace.
-    List.copyOf(connections).forEach(ShardConnection::dropWaiting);
+  void markDraining(long graceEndsAt, boolean isGone) {
+    drainGraceEndsAt = Math.min(drainGraceEndsAt, graceEndsAt);
+    context.timers().schedule(drainTimer, drainGraceEndsAt);
+    // The grace counts from when discovery recorded the change, and this process may have stalled
+    // since then. Queued batches are therefore dropped at once, not at the end of the grace.
+    List.copyOf(connections).forEach(ShardConnection::dropUnwritten);
     gone = isGone;
     client.removeIfUnused(this);
   }
@@ -78,11 +76,11 @@
   private void drainGraceEnded() {
     for (ShardConnection connection : List.copyOf(connections)) {
       connection.closeIfWriting();
-      connection.dropWaiting();
+      connection.dropUnwritten();
     }
   }
 
-  /** Returns whether the server has left, or was never listed, and no connection is left. */
+  /** Returns whether no connection is left and the server is gone or was never listed. */
   boolean isUnused() {
     return (gone || address == null) && connections.isEmpty();
   }
@@ -91,7 +89,7 @@
     return connections.size();
   }
 
-  /** Adds an attempt to the batch of this decision round. */
+  /** Adds an attempt to the open batch, or to a new one if there is none or it is full. */
   InFlightAttempt add(AttemptRequest request) {
     if (openBatch == null || openBatch.attempts().size() >= client.maxBatchSize()) {
       openBatch = new RequestBatch(this);
@@ -108,12 +106,12 @@
     openBatch = null;
   }
 
-  /** Assigns a batch to a connection with capacity, or to a new one. */
+  /** Assigns a batch to a connection with capacity; fails its attempts if there is none. */
   void dispatch(RequestBatch batch) {
     if (batch.isEmpty()) {
       return;
     }
-    ShardConnection connection = connectionWithCapacity();
+    ShardConnection connection = findOrAddConnection();
     if (connection == null) {
       context.counters().recordFault("shard.no-connection-to-spare", "server=" + server);
       completeAll(batch, Outcome.UNREACHABLE);
@@ -126,7 +124,7 @@
 
   /** Sends a health check of this frame type. */
   void checkHealth(byte type) {
-    ShardConnection connection = connectionWithCapacity();
+    ShardConnection connection = findOrAddConnection();
     if (connection == null) {
       context.policy().healthCheckCompleted(server, Outcome.UNREACHABLE, 0, Map.of());
       return;
@@ -135,14 +133,14 @@
     connection.connect();
   }
 
-  /** Returns a connection with capacity, or a new one; null where none may be opened. */
-  private ShardConnection connectionWithCapacity() {
+  /** Returns a connection with capacity, or a new one; null if none may be opened. */
+  private ShardConnection findOrAddConnection() {
     for (ShardConnection connection : connections) {
       if (connection.hasCapacity()) {
         return connection;
       }
     }
-    if (address == null || !client.mayOpenConnection(this)) {
+    if (address == null || !client.allowsNewConnection(this)) {
       return null;
     }
     ShardConnection connection = new ShardConnection(this, context);
@@ -152,7 +150,7 @@
   }
 
   ChannelFuture connect(ShardConnection connection) {
-    return client.bootstrap(connection).connect(address);
+    return client.createBootstrap(connection).connect(address);
   }
 
   void completeAll(RequestBatch batch, Outcome outcome) {
@@ -165,11 +163,11 @@
     complete(attempt, outcome, value, Map.of());
   }
 
-  /** Removes an attempt and reports its outcome to the policy, once. */
+  /** Removes an attempt and reports its outcome to the policy; does nothing on repeated calls. */
   void complete(
       InFlightAttempt attempt, Outcome outcome, byte[] value, Map<String, Double> loadReport) {
-    // A write that fails at once may close its connection, and so complete all attempts on it,
-    // before it returns.
+    // A write that fails immediately may close its connection before the call returns, which
+    // completes all attempts on that connection.
     if (!attempt.markCompleted()) {
       return;
     }
--- a/router/src/main/java/tidebank/backend/FrameCodec.java
+++ b/router/src/main/java/tidebank/backend/FrameCodec.java
@@ -24,12 +24,15 @@
   static final byte RESPONSE = 'q';
   static final byte REJECTED_FRAME = 'r';
 
-  /** The longest header line of a response; a frame may be longer than its body by this. */
+  /**
+   * The maximum length of a response's header line, in bytes. A frame may exceed the maximum body
+   * size by this much.
+   */
   static final int MAX_HEADER_BYTES = 1024;
 
   private static final String UNHEALTHY = "bad";
   private static final String NO_LOAD_REPORT = "-";
-  private static final int HEADER_FIELDS = 4;
+  private static final int HEADER_FIELD_COUNT = 4;
   private static final int INITIAL_BATCH_BYTES = 256;
   private static final long US_PER_MS = 1000;
 
@@ -47,7 +50,7 @@
       this.value = value;
     }
 
-    /** Returns the shard request that this answers. */
+    /** Returns the id of the shard request that this answers. */
     String requestId() {
       return requestId;
     }
@@ -57,12 +60,12 @@
       return outcome;
     }
 
-    /** Returns the server's load by name, empty if it sent no report that can be read. */
+    /** Returns the reported load values by name; empty if the server sent no valid report. */
     Map<String, Double> loadReport() {
       return loadReport;
     }
 
-    /** Returns the result, copied out of the network buffer; null unless the request completed. */
+    /** Returns the result, copied from the network buffer; null unless the request completed. */
     byte[] value() {
       return value;
     }
@@ -71,25 +74,33 @@
   private FrameCodec() {}
 
   /**
-   * Encodes a batch.
+   * Encodes a batch frame.
    *
-   * @param now the current time in microseconds; each attempt's wait is what is left from then to
-   *     its deadline, and at least 1 ms
+   * @param now the current time in microseconds; each attempt is sent with the time left until its
+   *     deadline as its timeout, at least 1 ms
    */
   static ByteBuf encodeBatch(ByteBufAllocator allocator, List<InFlightAttempt> attempts, long now) {
     ByteBuf frame = allocator.directBuffer(INITIAL_BATCH_BYTES);
     frame.writeByte(BATCH);
     for (InFlightAttempt attempt : attempts) {
-      long waitMs = Math.max(1, (attempt.deadline() - now) / US_PER_MS);
+      long timeoutMs = Math.max(1, (attempt.deadline() - now) / US_PER_MS);
       byte[] body = attempt.body();
       ByteBufUtil.writeAscii(
           frame,
-          attempt.requestId() + ' ' + attempt.shard() + " d=" + waitMs + ' ' + body.length + '\n');
+          attempt.requestId()
+              + ' '
+              + attempt.shard()
+              + " d="
+              + timeoutMs
+              + ' '
+              + body.length
+              + '\n');
       frame.writeBytes(body);
     }
     return frame;
   }
 
+  /** Encodes a cancel frame for a shard request. */
   static ByteBuf encodeCancel(ByteBufAllocator allocator, String requestId) {
     ByteBuf frame = allocator.directBuffer(1 + requestId.length());
     frame.writeByte(CANCEL);
@@ -97,24 +108,28 @@
     return frame;
   }
 
-  /** Encodes a health check; {@code type} is one of the two health check frame types. */
+  /**
+   * Encodes a health check frame.
+   *
+   * @param type {@link #HEALTH_CHECK} or {@link #HEALTH_CHECK_WITH_LOAD}
+   */
   static ByteBuf encodeHealthCheck(ByteBufAllocator allocator, byte type) {
     return allocator.directBuffer(1).writeByte(type);
   }
 
   /**
-   * Decodes a response frame after its type byte.
+   * Decodes a response frame, starting after its type byte.
    *
    * @throws MalformedInputException if the header line is missing or invalid, or the value is not
    *     UTF-8
    */
   static Response decodeResponse(ByteBuf frame) throws MalformedInputException {
     String header = readHeader(frame);
-    String[] fields = header.split(" ", HEADER_FIELDS);
-    if (fields.length != HEADER_FIELDS || fields[0].isEmpty()) {
+    String[] fields = header.split(" ", HEADER_FIELD_COUNT);
+    if (fields.length != HEADER_FIELD_COUNT || fields[0].isEmpty()) {
       throw new MalformedInputException("response header is invalid: '" + header + "'");
     }
-    Outcome outcome = outcome(fields[1]);
+    Outcome outcome = parseOutcome(fields[1]);
     boolean completed = outcome == Outcome.COMPLETED;
     if (completed && !ByteBufUtil.isText(frame, UTF_8)) {
       throw new MalformedInputException("response value is not UTF-8");
@@ -122,7 +137,7 @@
     return new Response(
         fields[0],
         outcome,
-        parseLoadReport(fields[HEADER_FIELDS - 1]),
+        parseLoadReport(fields[HEADER_FIELD_COUNT - 1]),
         completed ? ByteBufUtil.getBytes(frame) : null);
   }
 
@@ -136,7 +151,7 @@
     return header;
   }
 
-  private static Outcome outcome(String status) throws MalformedInputException {
+  private static Outcome parseOutcome(String status) throws MalformedInputException {
     return switch (status) {
       case "good" -> Outcome.COMPLETED;
       case "bad" -> Outcome.ERROR;
@@ -145,14 +160,14 @@
     };
   }
 
-  /** Returns whether the text of a health check's response says that the server is healthy. */
+  /** Returns whether the text of a health check response reports a healthy server. */
   static boolean isHealthy(String text) {
     return !text.equals(UNHEALTHY);
   }
 
   /**
    * Parses a load report such as {@code inflight=7,util=0.61}. Returns an empty map if there is
-   * none or any part of it is invalid, as a load report is only a hint.
+   * none or any part of it is invalid, because a load report is only a hint.
    */
   static Map<String, Double> parseLoadReport(String text) {
     Map<String, Double> report = new LinkedHashMap<>();
@@ -172,7 +187,7 @@
     return report;
   }
 
-  /** Returns the rest of a frame as text, cut to the length of a header line. */
+  /** Returns the rest of a frame as text, truncated to {@link #MAX_HEADER_BYTES} bytes. */
   static String remainingText(ByteBuf frame) {
     int length = Math.min(frame.readableBytes(), MAX_HEADER_BYTES);
     return frame.toString(frame.readerIndex(), length, UTF_8);
--- a/router/src/main/java/tidebank/backend/HealthCheckQueue.java
+++ b/router/src/main/java/tidebank/backend/HealthCheckQueue.java
@@ -7,7 +7,7 @@
 import tidebank.model.Outcome;
 import tidebank.runtime.TimerQueue;
 
-/** The health checks that are outstanding on one connection; responses come in order. */
+/** The outstanding health checks of one connection, in the order that responses arrive. */
 final class HealthCheckQueue {
   private record HealthCheck(byte type, long requestedAt) {}
 
@@ -34,7 +34,7 @@
     }
   }
 
-  /** Writes all health checks that were requested before the connection was established. */
+  /** Writes all health checks that were added before the connection was established. */
   void writeAll(Channel channel) {
     for (HealthCheck check : outstanding) {
       write(channel, check.type());
@@ -49,7 +49,8 @@
   /**
    * Handles a response.
    *
-   * @throws MalformedInputException if no health check of this type is the oldest outstanding one
+   * @throws MalformedInputException if there is no outstanding health check, or the oldest is of
+   *     another type
    */
   void receive(byte type, String text) throws MalformedInputException {
     HealthCheck check = outstanding.poll();
@@ -87,7 +88,7 @@
     context.timers().cancel(timeout);
   }
 
-  /** Reports this outcome for all outstanding health checks. */
+  /** Reports this outcome for all outstanding health checks and removes them. */
   void failAll(Outcome outcome) {
     for (HealthCheck check : outstanding) {
       report(check, outcome, Map.of());
--- a/router/src/main/java/tidebank/backend/InFlightAttempt.java
+++ b/router/src/main/java/tidebank/backend/InFlightAttempt.java
@@ -5,12 +5,12 @@
 import tidebank.runtime.TimerQueue;
 
 /**
- * An attempt from the moment the policy sends it until its outcome is known. It is itself the timer
- * of its deadline, which saves an object for each attempt.
+ * An attempt that the policy has sent and that has no outcome yet. It is its own deadline timer,
+ * which saves one object per attempt.
  */
 final class InFlightAttempt extends TimerQueue.Timer implements AttemptRequest.Handle {
   private enum Stage {
-    WAITING,
+    QUEUED,
     WRITING,
     SENT,
     COMPLETED
@@ -18,7 +18,7 @@
 
   private final AttemptRequest request;
   private final RequestBatch batch;
-  private Stage stage = Stage.WAITING;
+  private Stage stage = Stage.QUEUED;
 
   InFlightAttempt(AttemptRequest request, RequestBatch batch) {
     this.request = request;
@@ -46,7 +46,7 @@
     return request.body();
   }
 
-  /** Returns when the attempt is cancelled at the latest, in microseconds. */
+  /** Returns when the attempt times out, in microseconds. */
   long deadline() {
     return request.deadline();
   }
@@ -59,7 +59,7 @@
     stage = Stage.SENT;
   }
 
-  /** Returns whether the frame was written completely, so that the attempt may have executed. */
+  /** Returns whether the frame was written completely and the attempt may have executed. */
   boolean isSent() {
     return stage == Stage.SENT;
   }
@@ -73,7 +73,7 @@
     return true;
   }
 
-  /** The deadline has passed. */
+  /** Aborts the attempt, as its deadline has passed. */
   @Override
   protected void fire() {
     abort(Outcome.TIMED_OUT);
@@ -85,7 +85,7 @@
   }
 
   private void abort(Outcome outcomeIfWritten) {
-    if (stage == Stage.WAITING) {
+    if (stage == Stage.QUEUED) {
       batch.pool().complete(this, Outcome.NOT_SENT, null);
     } else if (stage != Stage.COMPLETED) {
       batch.connection().cancel(this);
@@ -95,7 +95,7 @@
 
   @Override
   public void dropUnsent() {
-    if (stage == Stage.WAITING) {
+    if (stage == Stage.QUEUED) {
       batch.pool().complete(this, Outcome.NOT_SENT, null);
     } else if (stage == Stage.WRITING) {
       batch.connection().closeIfWriting();
--- a/router/src/main/java/tidebank/backend/RequestBatch.java
+++ b/router/src/main/java/tidebank/backend/RequestBatch.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * A batch of shard requests sent in one frame. Occupies one stream slot of its connection until its
- * last attempt completes.
+ * A batch of attempts sent in one frame. Occupies one stream slot of its connection until its last
+ * attempt completes.
  */
 final class RequestBatch {
   private final ConnectionPool pool;
@@ -27,7 +27,7 @@
     return attemptsView;
   }
 
-  /** Returns a copy of {@link #attempts()}, to be iterated while attempts complete. */
+  /** Returns a copy of {@link #attempts()} that is safe to iterate while attempts complete. */
   List<InFlightAttempt> copyOfAttempts() {
     return List.copyOf(attempts);
   }
@@ -44,7 +44,7 @@
     return attempts.isEmpty();
   }
 
-  /** Returns the connection that this batch was assigned to, or null before that. */
+  /** Returns the connection that this batch is assigned to, or null if there is none yet. */
   ShardConnection connection() {
     return connection;
   }
--- a/router/src/main/java/tidebank/backend/ResponseMatcher.java
+++ b/router/src/main/java/tidebank/backend/ResponseMatcher.java
@@ -14,14 +14,14 @@
   private final Map<String, InFlightAttempt> inFlight = new HashMap<>();
 
   /**
-   * Cancelled shard requests that may still be answered, and until when, in microseconds; the
-   * oldest first.
+   * The ids of cancelled shard requests, mapped to the time in microseconds until which a response
+   * is not a protocol error; the oldest first.
    */
   private final Map<String, Long> cancelledUntil = new LinkedHashMap<>();
 
   /**
-   * The latest response, until what was read after it shows that its frame was as long as its
-   * length field said.
+   * A response held back until the data after it shows that its frame ended where its length field
+   * said; null if there is none.
    */
   private FrameCodec.Response pendingResponse;
 
@@ -38,23 +38,25 @@
     inFlight.remove(attempt.requestId(), attempt);
   }
 
-  /** Notes that a shard request was cancelled, so that a late response to it is no error. */
-  void cancelled(String requestId, long now) {
+  /** Records a cancelled shard request, so that a late response to it is not an error. */
+  void expectLateResponse(String requestId, long now) {
     cancelledUntil.values().removeIf(until -> until <= now);
     cancelledUntil.put(requestId, now + context.lateResponseWindowUs());
   }
 
-  /** Returns whether a late response to a cancelled shard request may still come. */
+  /** Returns whether a late response to a cancelled shard request may still arrive. */
   boolean expectsLateResponses() {
     return !cancelledUntil.isEmpty();
   }
 
   /**
-   * Takes a response. While others are outstanding it is delivered only once the next frame, or the
-   * end of what could be read, shows that it ends where its length field says. What follows the
-   * last outstanding response cannot be its fault, so that one is delivered at once.
+   * Handles a response. While other requests are in flight, it is delivered only once the next
+   * frame, or the end of the available data, shows that its frame ended where its length field
+   * said. The response to the last request in flight is delivered at once, because data after it is
+   * not attributed to it.
    *
-   * @throws MalformedInputException if it answers no shard request that is in flight here
+   * @throws MalformedInputException if it matches no shard request that is in flight or was
+   *     cancelled on this connection
    */
   void receive(FrameCodec.Response response) throws MalformedInputException {
     if (!inFlight.containsKey(response.requestId())) {
@@ -80,7 +82,7 @@
     }
   }
 
-  /** Fails all attempts that were sent; they may have executed. */
+  /** Completes all sent attempts with this outcome; they may have executed. */
   void failSent(Outcome outcome) {
     pendingResponse = null;
     for (InFlightAttempt attempt : List.copyOf(inFlight.values())) {
--- a/router/src/main/java/tidebank/backend/ShardClient.java
+++ b/router/src/main/java/tidebank/backend/ShardClient.java
@@ -22,33 +22,33 @@
 import tidebank.runtime.TimerQueue;
 
 /**
- * The client of all shard servers. It carries out the attempts that the policy sends and reports
- * their outcomes to it. Belongs to the event loop.
+ * The client of all shard servers. Carries out the attempts that the policy sends and reports their
+ * outcomes to it. Confined to the event loop.
  */
 public final class ShardClient implements BackendPort {
   private final BackendContext context;
   private final RouterConfig config;
-  private final Bootstrap template;
+  private final Bootstrap bootstrapTemplate;
   private final Map<String, ConnectionPool> pools = new HashMap<>();
   private final List<RequestBatch> pendingBatches = new ArrayList<>();
 
-  /** Connections that are established or connecting. */
+  /** The number of connections to all servers that are established or connecting. */
   private int connectionCount;
 
   /**
    * Creates a client without connections.
    *
-   * @param template the bootstrap of connections, to which each adds its own pipeline
+   * @param bootstrapTemplate the bootstrap that is cloned for each connection
    */
   public ShardClient(
       RouterConfig config,
-      Bootstrap template,
+      Bootstrap bootstrapTemplate,
       PolicyExecutor policy,
       Clock clock,
       TimerQueue timers,
       Counters counters) {
     this.config = config;
-    this.template = template;
+    this.bootstrapTemplate = bootstrapTemplate;
     this.context =
         new BackendContext(
             policy,
@@ -60,9 +60,9 @@
             config.settings().longestTimeoutUs());
   }
 
-  /** Returns a bootstrap whose channels are handled by this connection. */
-  Bootstrap bootstrap(ShardConnection connection) {
-    return template
+  /** Returns a bootstrap that makes this connection the handler of its channels. */
+  Bootstrap createBootstrap(ShardConnection connection) {
+    return bootstrapTemplate
         .clone()
         .handler(
             new ChannelInitializer<Channel>() {
@@ -82,12 +82,12 @@
     return config.settings().layout().maxBatchSize();
   }
 
-  /** Takes a batch that goes out with the next {@link #flush}. */
+  /** Queues a batch until the next {@link #flush}. */
   void enqueue(RequestBatch batch) {
     pendingBatches.add(batch);
   }
 
-  boolean mayOpenConnection(ConnectionPool pool) {
+  boolean allowsNewConnection(ConnectionPool pool) {
     return connectionCount < config.budgets().maxServerConnections()
         && pool.connectionCount() < config.budgets().maxConnectionsPerServer();
   }
@@ -100,38 +100,38 @@
     connectionCount--;
   }
 
-  private ConnectionPool pool(String server) {
+  private ConnectionPool getOrCreatePool(String server) {
     return pools.computeIfAbsent(server, absent -> new ConnectionPool(server, this, context));
   }
 
   @Override
-  public void updateEndpoints(List<ResolvedEndpoint> members, boolean full) {
+  public void updateEndpoints(List<ResolvedEndpoint> endpoints, boolean full) {
     long now = context.clock().now();
     Set<String> listed = new HashSet<>();
-    for (ResolvedEndpoint member : members) {
-      Endpoint endpoint = member.endpoint();
+    for (ResolvedEndpoint resolved : endpoints) {
+      Endpoint endpoint = resolved.endpoint();
       listed.add(endpoint.server());
-      ConnectionPool pool = pool(endpoint.server());
+      ConnectionPool pool = getOrCreatePool(endpoint.server());
       if (endpoint.status() == EndpointStatus.IN_SERVICE) {
-        pool.inService(member.address());
+        pool.markInService(resolved.address());
       } else {
-        drain(pool, now, endpoint.status() == EndpointStatus.GONE);
+        markDraining(pool, now, endpoint.status() == EndpointStatus.GONE);
       }
     }
     if (full) {
       for (ConnectionPool pool : List.copyOf(pools.values())) {
         if (!listed.contains(pool.server())) {
-          drain(pool, now, true);
+          markDraining(pool, now, true);
         }
       }
     }
   }
 
-  private void drain(ConnectionPool pool, long now, boolean gone) {
-    pool.draining(now + config.settings().rules().drainGraceUs(), gone);
+  private void markDraining(ConnectionPool pool, long now, boolean gone) {
+    pool.markDraining(now + config.settings().rules().drainGraceUs(), gone);
   }
 
-  /** Forgets a pool that has no connection and whose server has left. */
+  /** Removes a pool without connections if its server is gone or was never listed. */
   void removeIfUnused(ConnectionPool pool) {
     if (pool.isUnused()) {
       pools.remove(pool.server(), pool);
@@ -140,7 +140,7 @@
 
   @Override
   public AttemptRequest.Handle send(AttemptRequest request) {
-    return pool(request.server()).add(request);
+    return getOrCreatePool(request.server()).add(request);
   }
 
   @Override
@@ -178,7 +178,7 @@
 
   /** Closes all connections. */
   public void close() {
-    // A pool leaves the map with its last connection, hence the copy.
+    // Closing its last connection can remove a pool from the map, hence the copy.
     List.copyOf(pools.values()).forEach(ConnectionPool::close);
   }
 }
--- a/router/src/main/java/tidebank/backend/ShardConnection.java
+++ b/router/src/main/java/tidebank/backend/ShardConnection.java
@@ -15,9 +15,9 @@
 import tidebank.runtime.TimerQueue;
 
 /**
- * One connection to a shard server: its life cycle and the dispatch of what is read from it.
- * Writing batches, matching responses and health checks are the tasks of {@link BatchWriter},
- * {@link ResponseMatcher} and {@link HealthCheckQueue}.
+ * One connection to a shard server: its life cycle and the dispatch of received frames. {@link
+ * BatchWriter} writes the batches, {@link ResponseMatcher} matches the responses, and {@link
+ * HealthCheckQueue} tracks the health checks.
  */
 final class ShardConnection extends SimpleChannelInboundHandler<ByteBuf> {
   private enum State {
@@ -40,7 +40,7 @@
   private Channel channel;
   private State state = State.CONNECTING;
 
-  /** Whether no further batch may be assigned; it closes once it is idle. */
+  /** Whether the connection takes no further batches and closes once it is idle. */
   private boolean retired;
 
   private long lastUsedAt;
@@ -55,7 +55,7 @@
     this.healthChecks = new HealthCheckQueue(this, pool.server(), context);
   }
 
-  /** Returns the decoder that belongs in front of this handler in the pipeline. */
+  /** Returns the decoder that precedes this handler in the pipeline. */
   FrameDecoder decoder() {
     return decoder;
   }
@@ -64,7 +64,7 @@
     return state == State.CLOSED;
   }
 
-  /** Starts to connect, once. What was assigned before is written when it is connected. */
+  /** Connects on the first call. Batches assigned before are written once it is connected. */
   void connect() {
     if (channel != null) {
       return;
@@ -82,8 +82,8 @@
   }
 
   /**
-   * Returns whether a batch can be assigned: the connection is open, has a free stream slot and was
-   * used recently enough that the server has not closed it as idle.
+   * Returns whether a batch can be assigned: the connection is neither closed nor retired, has a
+   * free stream slot and, if idle, was used recently enough that the server has not closed it.
    */
   boolean hasCapacity() {
     return state != State.CLOSED
@@ -99,8 +99,8 @@
   }
 
   /**
-   * Lets the connection finish its work and close. One that is still connecting is as new as could
-   * be wanted and stays.
+   * Closes the connection once it is idle, and takes no further batches until then. A connection
+   * that is still connecting is new enough and stays in use.
    */
   void retire() {
     retired = state == State.CONNECTED;
@@ -110,15 +110,15 @@
   }
 
   /**
-   * Returns when the connection is too old to be used if it stays idle. A write after the
-   * keep-alive is lost, so the last use is earlier by as long as connecting may take.
+   * Returns when a connection that stays idle can no longer be used, in microseconds. A write after
+   * the keep-alive is lost, so this is earlier than its end by the connect timeout.
    */
   private long idleDeadline() {
     long keepaliveUs = context.transport().keepaliveUs();
     return lastUsedAt + Math.max(0, keepaliveUs - context.transport().connectTimeoutUs());
   }
 
-  /** Takes a batch and writes it as soon as possible. */
+  /** Assigns a batch to this connection, which writes it as soon as possible. */
   void assign(RequestBatch batch) {
     context.timers().cancel(idleTimer);
     batch.assignTo(this);
@@ -129,8 +129,8 @@
     }
   }
 
-  /** Notes that the writer starts to write a batch. */
-  void writing(RequestBatch batch, long now) {
+  /** Handles the start of a write: the attempts of the batch may be answered from now on. */
+  void writeStarted(RequestBatch batch, long now) {
     for (InFlightAttempt attempt : batch.attempts()) {
       attempt.markWriting();
       responses.add(attempt);
@@ -139,8 +139,8 @@
   }
 
   /**
-   * Closes the connection if a frame is written in part: only closing keeps the server from getting
-   * the rest.
+   * Closes the connection if a frame is partly written: only closing keeps the server from
+   * receiving the rest.
    */
   void closeIfWriting() {
     if (writer.isWriting()) {
@@ -149,15 +149,15 @@
     }
   }
 
-  /** Drops all batches that have not begun to be written. */
-  void dropWaiting() {
-    writer.dropWaiting();
+  /** Drops all queued batches and reports their attempts as not sent. */
+  void dropUnwritten() {
+    writer.dropUnwritten();
   }
 
-  /** Notifies the shard server that an attempt is cancelled, where the deployment permits that. */
+  /** Notifies the shard server of a cancelled attempt if the deployment permits cancellation. */
   void cancel(InFlightAttempt attempt) {
     long now = context.clock().now();
-    responses.cancelled(attempt.requestId(), now);
+    responses.expectLateResponse(attempt.requestId(), now);
     if (context.cancellation() && channel.isActive()) {
       lastUsedAt = now;
       channel.writeAndFlush(
@@ -181,7 +181,7 @@
     }
   }
 
-  /** Sends a health check now, or once connected. */
+  /** Sends a health check of this frame type, now or once connected. */
   void checkHealth(byte type) {
     healthChecks.add(type);
     if (state == State.CONNECTED) {
@@ -252,8 +252,8 @@
   }
 
   /**
-   * Closes the connection because what was read is invalid, and so is whatever would follow it. The
-   * attempts that were sent have failed and may have executed.
+   * Closes the connection because it received invalid data, after which no further data can be
+   * trusted. The sent attempts fail; they may have executed.
    */
   private void protocolError(String message) {
     if (state != State.CLOSED) {
@@ -278,8 +278,8 @@
   }
 
   /**
-   * Completes whatever is left on the connection: what was sent may have executed, the rest never
-   * did.
+   * Completes all attempts left on the connection: those that were sent may have executed, the
+   * others have not.
    */
   private void closed() {
     if (state == State.CLOSED) {
--- a/router/src/main/java/tidebank/discovery/DiscoveryClient.java
+++ b/router/src/main/java/tidebank/discovery/DiscoveryClient.java
@@ -23,27 +23,28 @@
 import tidebank.runtime.TimerQueue;
 
 /**
- * Watches discovery by long polling on one connection: each call waits for a change and is renewed
- * at once. A watch continues from the version that is known, also from before a start or a loss: a
- * complete list is expensive, as all routers of a fleet would wait for theirs in turn. It is
- * requested only if no version is known or a response did not fit.
+ * The discovery client. It watches the endpoint list by long polling on one connection: each call
+ * waits for a change, and the next one follows its response. A watch continues from the known
+ * version, even across a restart or a lost watch, because complete lists are expensive: all routers
+ * of a fleet would have to wait for theirs in turn. A complete list is requested only if no version
+ * is known or a response did not fit the known one.
  *
- * <p>Any call that fails ends the watch and is reported; when to start again is the policy's
- * decision. Where the settings promise that changes are pushed, this client keeps that promise: it
- * starts by itself, and again after each failure. {@link WatchTimings} decides how long it waits.
+ * <p>A failed call ends the watch and is reported to the policy, which decides when to start again.
+ * If the settings say that changes are pushed, the client instead starts by itself, and again after
+ * each failure. {@link WatchTimings} determines the timeouts and delays.
  */
 public final class DiscoveryClient implements DiscoveryPort {
   private static final Logger LOG = LoggerFactory.getLogger(DiscoveryClient.class);
   private static final String PATH = "/registry/instances";
-  private static final long NO_VERSION = -1;
+  private static final long UNKNOWN_VERSION = -1;
   private static final long US_PER_MS = 1000;
 
-  /** A list may be longer than any other body by this factor. */
+  /** The maximum size of a list, as a multiple of that of other bodies. */
   private static final int LIST_BODY_FACTOR = 16;
 
   private enum WatchState {
     STOPPED,
-    /** Started, and no call has been answered yet. */
+    /** Started, but no call has been answered yet. */
     UNCONFIRMED,
     CONFIRMED
   }
@@ -51,7 +52,7 @@
   private final ObjectMapper mapper = new ObjectMapper();
   private final DiscoveryConnection.Listener connectionListener = new ConnectionListener();
   private final RouterConfig.Transport transport;
-  private final Bootstrap template;
+  private final Bootstrap bootstrapTemplate;
   private final PolicyExecutor policy;
   private final Clock clock;
   private final TimerQueue timers;
@@ -60,7 +61,7 @@
       TimerQueue.timer(() -> watchLost("response timed out"));
   private final TimerQueue.Timer retryTimer = TimerQueue.timer(() -> watch(true));
   private final TimerQueue.Timer renewalTimer = TimerQueue.timer(this::call);
-  private final boolean pushed;
+  private final boolean changesPushed;
   private final WatchTimings timings;
   private final SeededRandom random;
   private InetSocketAddress address;
@@ -73,17 +74,17 @@
   /** How long the latest call may wait for a change, in microseconds; 0 for a complete list. */
   private long waitUs;
 
-  /** The version that is known, from the current watch or from before it. */
-  private long version = NO_VERSION;
+  /** The version of the latest known list, which may be from before the current watch. */
+  private long knownVersion = UNKNOWN_VERSION;
 
   /**
    * Creates a client that does not watch yet.
    *
-   * @param template the bootstrap of its connections, to which each adds its own pipeline
+   * @param bootstrapTemplate the bootstrap that is cloned for each connection
    */
   public DiscoveryClient(
       RouterConfig config,
-      Bootstrap template,
+      Bootstrap bootstrapTemplate,
       PolicyExecutor policy,
       Clock clock,
       TimerQueue timers,
@@ -92,8 +93,8 @@
     this.address = config.discovery();
     this.timings = new WatchTimings(config.settings());
     this.random = new SeededRandom(config.seed());
-    this.pushed = !config.settings().limits().watchOnRequest();
-    this.template = template;
+    this.changesPushed = !config.settings().limits().watchOnRequest();
+    this.bootstrapTemplate = bootstrapTemplate;
     this.policy = policy;
     this.clock = clock;
     this.timers = timers;
@@ -101,18 +102,18 @@
   }
 
   /**
-   * Sets the version of the cached list that the router was started with, and starts to watch where
+   * Sets the version of the cached list that the router was started with, and starts the watch if
    * changes are pushed.
    *
    * @param cachedVersion the version, or below 0 if there is no cached list
    */
   public void start(long cachedVersion) {
-    version = cachedVersion;
-    watchIfPushed();
+    knownVersion = cachedVersion;
+    watchIfChangesPushed();
   }
 
-  private void watchIfPushed() {
-    if (pushed) {
+  private void watchIfChangesPushed() {
+    if (changesPushed) {
       watch(true);
     }
   }
@@ -127,8 +128,8 @@
   }
 
   /**
-   * Moves to another address of discovery. Its versions may count anew, so the known one is
-   * forgotten, and a watch of the old address ends.
+   * Switches to another address of discovery. Versions there may be numbered differently, so the
+   * known version is discarded. A watch of the old address ends.
    */
   public void changeAddress(InetSocketAddress newAddress) {
     if (newAddress.equals(address)) {
@@ -136,10 +137,10 @@
     }
     LOG.info("discovery address changed: address=" + newAddress);
     address = newAddress;
-    version = NO_VERSION;
+    knownVersion = UNKNOWN_VERSION;
     close();
     policy.endpointListReceived(ListUpdate.DISCOVERY_MOVED, List.of());
-    watchIfPushed();
+    watchIfChangesPushed();
   }
 
   /** Ends the watch without reporting it. */
@@ -162,20 +163,22 @@
   /** Requests the changes after the known version, or the complete list if none is known. */
   private void call() {
     boolean confirmed = state == WatchState.CONFIRMED;
-    boolean forChanges = version >= 0;
+    boolean forChanges = knownVersion >= 0;
     calledAt = clock.now();
     waitUs = forChanges ? timings.watchTimeoutUs(confirmed) : 0;
     timers.schedule(responseTimeout, calledAt + waitUs + timings.responseTimeoutUs(confirmed));
-    String path = forChanges ? PATH + "?after=" + version + "&wait_ms=" + waitUs / US_PER_MS : PATH;
+    String path =
+        forChanges ? PATH + "?after=" + knownVersion + "&wait_ms=" + waitUs / US_PER_MS : PATH;
     if (connection == null) {
       connection = new DiscoveryConnection(address, connectionListener);
-      connection.connectAndCall(template, LIST_BODY_FACTOR * transport.maxBodyBytes(), path);
+      connection.connectAndCall(
+          bootstrapTemplate, LIST_BODY_FACTOR * transport.maxBodyBytes(), path);
     } else {
       connection.call(path);
     }
   }
 
-  private void handle(FullHttpResponse response) {
+  private void handleResponse(FullHttpResponse response) {
     if (response.status().code() != HttpResponseStatus.OK.code()) {
       watchLost("status " + response.status().code());
       return;
@@ -185,19 +188,20 @@
       list = EndpointListParser.parse(mapper.readTree(in));
     } catch (IOException invalid) {
       counters.recordFault("list.malformed", invalid.getMessage());
-      versionLost("list is malformed");
+      handleUnusableList("list is malformed");
       return;
     }
-    if (!list.complete() && list.version() < version) {
-      versionLost("changes of version " + list.version() + " after " + version);
+    if (!list.complete() && list.version() < knownVersion) {
+      handleUnusableList(
+          "delta version " + list.version() + " is below known version " + knownVersion);
       return;
     }
-    if (!list.complete() && version < 0) {
-      versionLost("changes in place of the complete list");
+    if (!list.complete() && knownVersion < 0) {
+      handleUnusableList("delta received instead of a complete list");
       return;
     }
-    boolean changed = list.version() != version;
-    version = list.version();
+    boolean changed = list.version() != knownVersion;
+    knownVersion = list.version();
     report(list);
     if (!connection.canCallAfter(response)) {
       closeConnection();
@@ -205,7 +209,7 @@
     renew(changed);
   }
 
-  /** Reports a list to the policy, unless it is one more confirmation that nothing changed. */
+  /** Reports a list to the policy, unless the watch is confirmed and nothing changed. */
   private void report(EndpointList list) {
     if (state != WatchState.CONFIRMED || list.complete() || !list.endpoints().isEmpty()) {
       state = WatchState.CONFIRMED;
@@ -214,7 +218,7 @@
     }
   }
 
-  /** Makes the next call at once, or after a delay if responses come early without a change. */
+  /** Makes the next call at once, or after a delay if the response came early without a change. */
   private void renew(boolean changed) {
     timers.cancel(responseTimeout);
     long delayUs =
@@ -226,9 +230,11 @@
     }
   }
 
-  /** Handles a response that does not fit the known version: only a complete list helps. */
-  private void versionLost(String reason) {
-    version = NO_VERSION;
+  /**
+   * Handles a list that is malformed or does not fit: the next call must be for a complete list.
+   */
+  private void handleUnusableList(String reason) {
+    knownVersion = UNKNOWN_VERSION;
     watchLost(reason);
   }
 
@@ -239,18 +245,18 @@
     counters.increment("list.calls-failed");
     LOG.info("discovery watch lost: reason=" + reason);
     close();
-    if (pushed) {
+    if (changesPushed) {
       timers.schedule(retryTimer, clock.now() + timings.pushedBackoffUs(random.nextDouble()));
     } else {
       policy.endpointListReceived(ListUpdate.WATCH_LOST, List.of());
     }
   }
 
-  /** Passes on the results of calls. */
+  /** Handles the results of calls on the connection. */
   private final class ConnectionListener implements DiscoveryConnection.Listener {
     @Override
     public void responseReceived(FullHttpResponse response) {
-      handle(response);
+      handleResponse(response);
     }
 
     @Override
--- a/router/src/main/java/tidebank/discovery/DiscoveryConnection.java
+++ b/router/src/main/java/tidebank/discovery/DiscoveryConnection.java
@@ -19,16 +19,16 @@
 import java.net.InetSocketAddress;
 
 /**
- * A connection to discovery that has one call outstanding at a time. Once it is closed its listener
- * hears nothing more.
+ * A connection to discovery with at most one outstanding call. Its listener is not called after
+ * {@link #close}.
  */
 final class DiscoveryConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
   /** Receives the result of each call. */
   interface Listener {
-    /** A response arrived; its content is released when this returns. */
+    /** Handles a response, the content of which is released when this method returns. */
     void responseReceived(FullHttpResponse response);
 
-    /** The call failed, and so has the connection. */
+    /** Handles a failed call; the connection cannot be used again. */
     void callFailed(String reason);
   }
 
@@ -44,13 +44,14 @@
   }
 
   /**
-   * Connects and makes a first call.
+   * Connects and makes the first call.
    *
-   * @param maxBodyBytes the longest body of a response
+   * @param maxBodyBytes the maximum size of a response body
    */
-  void connectAndCall(Bootstrap template, int maxBodyBytes, String firstPath) {
+  void connectAndCall(Bootstrap bootstrapTemplate, int maxBodyBytes, String firstPath) {
     path = firstPath;
-    ChannelFuture connecting = template.clone().handler(pipeline(maxBodyBytes)).connect(address);
+    ChannelFuture connecting =
+        bootstrapTemplate.clone().handler(createInitializer(maxBodyBytes)).connect(address);
     channel = connecting.channel();
     connecting.addListener(
         (ChannelFutureListener)
@@ -61,7 +62,7 @@
             });
   }
 
-  private ChannelInitializer<Channel> pipeline(int maxBodyBytes) {
+  private ChannelInitializer<Channel> createInitializer(int maxBodyBytes) {
     return new ChannelInitializer<>() {
       @Override
       protected void initChannel(Channel created) {
@@ -75,7 +76,7 @@
     };
   }
 
-  /** Makes the next call, after the response to the one before. */
+  /** Makes the next call, once the previous one was answered. */
   void call(String nextPath) {
     path = nextPath;
     DefaultFullHttpRequest request =
@@ -85,7 +86,7 @@
     channel.writeAndFlush(request, channel.voidPromise());
   }
 
-  /** Returns whether another call can follow this response on the same connection. */
+  /** Returns whether the connection can be used for another call after this response. */
   boolean canCallAfter(FullHttpResponse response) {
     return HttpUtil.isKeepAlive(response) && channel.isActive();
   }
--- a/router/src/main/java/tidebank/discovery/EndpointListParser.java
+++ b/router/src/main/java/tidebank/discovery/EndpointListParser.java
@@ -14,20 +14,20 @@
 import tidebank.runtime.Clock;
 
 /**
- * Parses endpoint lists in discovery's form. A list with any fault is rejected as a whole.
+ * A parser of endpoint lists in discovery's format. A list with any fault is rejected entirely.
  *
- * <p>This is the only class that knows discovery's words: {@code whole}, {@code hosts}, {@code
- * health} and so on.
+ * <p>This is the only class that knows discovery's field names and values: {@code whole}, {@code
+ * hosts}, {@code health} and so on.
  */
 public final class EndpointListParser {
   private static final double DEFAULT_CAPACITY = 1;
 
   /**
-   * An endpoint list, or the changes in it.
+   * An endpoint list, or the changes to one.
    *
-   * @param version the version of the list that this leads to
-   * @param complete whether it names all endpoints, so that any other has left
-   * @param endpoints the endpoints, each named once
+   * @param version the version of the list, with these changes applied
+   * @param complete whether all endpoints are included, so that any other is gone
+   * @param endpoints the endpoints, without duplicates
    */
   public record EndpointList(long version, boolean complete, List<ResolvedEndpoint> endpoints) {}
 
@@ -36,7 +36,8 @@
   /**
    * Parses a list.
    *
-   * @throws MalformedInputException if a field is missing or invalid, or an endpoint is named twice
+   * @throws MalformedInputException if a field is missing or invalid, or an endpoint is listed
+   *     twice
    */
   public static EndpointList parse(JsonNode list) throws MalformedInputException {
     JsonNode complete = JsonFields.required(list, "whole");
@@ -45,35 +46,35 @@
       throw new MalformedInputException(
           "field 'whole' is not true or false, or 'hosts' is not a list");
     }
-    List<ResolvedEndpoint> members = new ArrayList<>();
+    List<ResolvedEndpoint> endpoints = new ArrayList<>();
     Set<String> servers = new HashSet<>();
     for (JsonNode host : hosts) {
-      ResolvedEndpoint member = member(host);
-      String server = member.endpoint().server();
+      ResolvedEndpoint resolved = parseHost(host);
+      String server = resolved.endpoint().server();
       if (!servers.add(server)) {
         throw new MalformedInputException("host '" + server + "' is listed twice");
       }
-      members.add(member);
+      endpoints.add(resolved);
     }
-    return new EndpointList(JsonFields.integer(list, "seq"), complete.booleanValue(), members);
+    return new EndpointList(JsonFields.integer(list, "seq"), complete.booleanValue(), endpoints);
   }
 
-  private static ResolvedEndpoint member(JsonNode host) throws MalformedInputException {
+  private static ResolvedEndpoint parseHost(JsonNode host) throws MalformedInputException {
     String server = JsonFields.text(host, "host");
-    EndpointStatus status = status(server, JsonFields.text(host, "health"));
+    EndpointStatus status = parseStatus(server, JsonFields.text(host, "health"));
     Endpoint endpoint =
         new Endpoint(
             server,
             (int) JsonFields.integer(host, "block"),
             status,
-            startedAt(host),
+            parseStartedAt(host),
             JsonFields.number(host, "share", DEFAULT_CAPACITY));
     return new ResolvedEndpoint(
         endpoint,
         RouterConfig.address("dial of host '" + server + "'", JsonFields.text(host, "dial")));
   }
 
-  private static EndpointStatus status(String server, String health)
+  private static EndpointStatus parseStatus(String server, String health)
       throws MalformedInputException {
     return switch (health) {
       case "Ready" -> EndpointStatus.IN_SERVICE;
@@ -83,8 +84,8 @@
     };
   }
 
-  /** Returns when the server was started, in microseconds; 0 if that is long ago or unknown. */
-  private static long startedAt(JsonNode host) throws MalformedInputException {
+  /** Returns when the server was started, in microseconds; 0 if that is unknown or long ago. */
+  private static long parseStartedAt(JsonNode host) throws MalformedInputException {
     long startedAtMs = Math.round(JsonFields.number(host, "born_ms", 0));
     return Clock.ofUnixMillis(Math.max(0, startedAtMs));
   }
--- a/router/src/main/java/tidebank/logging/Log.java
+++ b/router/src/main/java/tidebank/logging/Log.java
@@ -14,51 +14,49 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Configures the log of a process that serves: one line for each entry on standard error, as text
- * or as JSON. Lines over a limit per second are dropped and counted.
+ * The logging configuration of a long-running process: one line per entry on standard error, as
+ * text or JSON. Lines over a limit per second are dropped and counted.
  */
 public final class Log {
   /** The format of a line. */
   public enum Format {
-    /** A line for people. */
+    /** A human-readable line. */
     TEXT,
     /** A JSON object. */
     JSON
   }
 
   /**
-   * What is logged, and how.
+   * The level, format and rate limit of the log.
    *
-   * @param minLevel the least level of the router's own entries
+   * @param minLevel the lowest level at which this project's classes log
    * @param format the format of a line
-   * @param maxLinesPerSecond the most lines per second; others are dropped
+   * @param maxLinesPerSecond the maximum lines per second; further ones are dropped
    */
   public record Settings(org.slf4j.event.Level minLevel, Format format, int maxLinesPerSecond) {
-    /** The settings until others are applied. */
+    /** The settings until {@link #configure} applies others. */
     public static final Settings DEFAULT =
         new Settings(org.slf4j.event.Level.INFO, Format.TEXT, 50);
   }
 
-  /** The system property that marks a process whose log is configured by this class. */
-  static final String USED_PROPERTY = "tidebank.log.own";
+  /** The system property that marks a process in which this class configures the log. */
+  static final String ENABLED_PROPERTY = "tidebank.log.own";
 
-  private static final String OWN_LOGGERS = "tidebank";
+  private static final String PROJECT_LOGGER = "tidebank";
 
   private Log() {}
 
   /**
-   * Makes this class configure the log of this process, and Netty log to it. To be called before
-   * the first logger is created.
+   * Lets this class configure the log of this process, and makes Netty log through SLF4J. Must be
+   * called before the first logger is created.
    */
   public static void useForProcess() {
-    System.setProperty(USED_PROPERTY, "true");
+    System.setProperty(ENABLED_PROPERTY, "true");
     System.setProperty("slf4j.internal.verbosity", "WARN");
     InternalLoggerFactory.setDefaultFactory(Slf4JLoggerFactory.INSTANCE);
   }
 
-  /**
-   * Applies settings at once. Does nothing in a process whose log is not configured by this class.
-   */
+  /** Applies settings at once. Does nothing unless {@link #useForProcess} was called. */
   public static void configure(Settings settings) {
     ILoggerFactory factory = LoggerFactory.getILoggerFactory();
     if (factory instanceof LoggerContext context && isUsedForProcess()) {
@@ -67,23 +65,24 @@
   }
 
   static boolean isUsedForProcess() {
-    return Boolean.getBoolean(USED_PROPERTY);
+    return Boolean.getBoolean(ENABLED_PROPERTY);
   }
 
   static void configure(LoggerContext context, Settings settings) {
     context.reset();
     Logger root = context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
-    root.setLevel(levelOfLibraries(settings.minLevel()));
-    root.addAppender(appender(context, settings));
-    context.getLogger(OWN_LOGGERS).setLevel(Level.convertAnSLF4JLevel(settings.minLevel()));
+    root.setLevel(libraryLevel(settings.minLevel()));
+    root.addAppender(createAppender(context, settings));
+    context.getLogger(PROJECT_LOGGER).setLevel(Level.convertAnSLF4JLevel(settings.minLevel()));
   }
 
-  /** Libraries log warnings and errors, and at a finer level also information. */
-  private static Level levelOfLibraries(org.slf4j.event.Level minLevel) {
+  /** Returns the level of libraries: WARN, or INFO if the project's level is finer than INFO. */
+  private static Level libraryLevel(org.slf4j.event.Level minLevel) {
     return minLevel.toInt() < org.slf4j.event.Level.INFO.toInt() ? Level.INFO : Level.WARN;
   }
 
-  private static ConsoleAppender<ILoggingEvent> appender(LoggerContext context, Settings settings) {
+  private static ConsoleAppender<ILoggingEvent> createAppender(
+      LoggerContext context, Settings settings) {
     ConsoleAppender<ILoggingEvent> appender = new ConsoleAppender<>();
     appender.setContext(context);
     appender.setTarget("System.err");
@@ -91,7 +90,7 @@
     filter.start();
     appender.addFilter(filter);
     Encoder<ILoggingEvent> encoder =
-        settings.format() == Format.JSON ? jsonEncoder() : textEncoder();
+        settings.format() == Format.JSON ? createJsonEncoder() : createTextEncoder();
     encoder.setContext(context);
     encoder.start();
     appender.setEncoder(encoder);
@@ -99,9 +98,9 @@
     return appender;
   }
 
-  private static Encoder<ILoggingEvent> jsonEncoder() {
+  private static Encoder<ILoggingEvent> createJsonEncoder() {
     JsonEncoder encoder = new JsonEncoder();
-    // Fields that no reader of these lines needs.
+    // No consumer of these lines needs these fields.
     encoder.setWithContext(false);
     encoder.setWithMDC(false);
     encoder.setWithSequenceNumber(false);
@@ -110,7 +109,7 @@
     return encoder;
   }
 
-  private static Encoder<ILoggingEvent> textEncoder() {
+  private static Encoder<ILoggingEvent> createTextEncoder() {
     LayoutWrappingEncoder<ILoggingEvent> encoder = new LayoutWrappingEncoder<>();
     TextLayout layout = new TextLayout();
     layout.start();
--- a/router/src/main/java/tidebank/logging/LogRateLimiter.java
+++ b/router/src/main/java/tidebank/logging/LogRateLimiter.java
@@ -1,9 +1,9 @@
 package tidebank.logging;
 
 /**
- * Limits the log lines per second. Thread-safe, as all threads log, Netty's among them. Each line
- * is either admitted, or denied and reported exactly once, and no second admits more lines than the
- * limit.
+ * A limiter of the log lines per second. Thread-safe, because all threads log, including Netty's.
+ * Each line is either admitted, or denied and included in exactly one reported count. No second
+ * admits more lines than the limit.
  */
 public final class LogRateLimiter {
   /** The result of {@link #tryAcquire} for a line over the limit. */
@@ -20,10 +20,11 @@
   }
 
   /**
-   * Asks to log a line.
+   * Requests to log a line.
    *
-   * @param second the second the line belongs to; one that went back counts as a new one
-   * @return {@link #DENIED}, or the number of denied lines that are to be reported now
+   * @param second the second that the line belongs to; any change of it, even backwards, resets the
+   *     count
+   * @return {@link #DENIED}, or the number of denied lines not reported before, to be reported now
    */
   public synchronized long tryAcquire(long second) {
     if (second != currentSecond) {
--- a/router/src/main/java/tidebank/logging/LogSetup.java
+++ b/router/src/main/java/tidebank/logging/LogSetup.java
@@ -5,8 +5,8 @@
 import ch.qos.logback.core.spi.ContextAwareBase;
 
 /**
- * Configures Logback at its start; found by it as a service. Leaves it to others in a process whose
- * log is not configured by {@link Log}, such as the command line tools.
+ * The Logback configurator, loaded as a service at startup. Defers to the next configurator in a
+ * process that does not use {@link Log}, such as the command line tools.
  */
 public final class LogSetup extends ContextAwareBase implements Configurator {
   @Override
--- a/router/src/main/java/tidebank/logging/RateLimitFilter.java
+++ b/router/src/main/java/tidebank/logging/RateLimitFilter.java
@@ -6,8 +6,8 @@
 import java.time.Instant;
 
 /**
- * Drops entries over a limit per second. The next entry that passes is preceded by a line that says
- * how many were dropped.
+ * A filter that drops log entries over a limit per second. The next admitted entry is preceded by a
+ * line with the number of dropped ones.
  */
 final class RateLimitFilter extends Filter<ILoggingEvent> {
   private static final long MS_PER_SECOND = 1000;
@@ -27,7 +27,7 @@
       return FilterReply.DENY;
     }
     if (dropped > 0) {
-      // Past the appender, whose filter this is.
+      // Bypasses the appender, which would call this filter again.
       System.err.println(droppedLine(event.getTimeStamp(), dropped));
     }
     return FilterReply.NEUTRAL;
--- a/router/src/main/java/tidebank/logging/TextLayout.java
+++ b/router/src/main/java/tidebank/logging/TextLayout.java
@@ -8,8 +8,8 @@
 import org.slf4j.event.KeyValuePair;
 
 /**
- * Formats an entry as one line of text. Written by hand because a Logback pattern would have to be
- * compiled at each start.
+ * A layout that formats an entry as one line of text. Written by hand because Logback would compile
+ * a pattern at each start of the process.
  */
 final class TextLayout extends LayoutBase<ILoggingEvent> {
   private static final int TYPICAL_LINE_LENGTH = 160;
@@ -21,7 +21,7 @@
         .append(' ')
         .append(event.getLevel())
         .append(' ')
-        .append(onOneLine(event.getFormattedMessage()));
+        .append(joinLines(event.getFormattedMessage()));
     appendFields(line, event);
     appendCause(line, event.getThrowableProxy());
     return line.append('\n').toString();
@@ -32,7 +32,7 @@
       return;
     }
     for (KeyValuePair field : event.getKeyValuePairs()) {
-      line.append(' ').append(field.key).append('=').append(onOneLine(String.valueOf(field.value)));
+      line.append(' ').append(field.key).append('=').append(joinLines(String.valueOf(field.value)));
     }
   }
 
@@ -43,13 +43,13 @@
     line.append(": ")
         .append(cause.getClassName())
         .append(": ")
-        .append(onOneLine(String.valueOf(cause.getMessage())));
+        .append(joinLines(String.valueOf(cause.getMessage())));
     if (cause.getStackTraceElementProxyArray().length > 0) {
       line.append(' ').append(cause.getStackTraceElementProxyArray()[0].getSTEAsString());
     }
   }
 
-  private static String onOneLine(String text) {
+  private static String joinLines(String text) {
     return text.replace('\n', ' ');
   }
 }
--- a/router/src/main/java/tidebank/logging/package-info.java
+++ b/router/src/main/java/tidebank/logging/package-info.java
@@ -1,12 +1,12 @@
 /**
- * The log of a process that serves: Logback, configured in code because reading its XML would take
- * a share of the start time.
+ * Logging of a long-running process: Logback, configured in code because reading its XML would slow
+ * down the start.
  *
- * <p>{@link tidebank.logging.Log} configures it, as text or JSON lines on standard error. {@link
+ * <p>{@link tidebank.logging.Log} configures text or JSON lines on standard error. {@link
  * tidebank.logging.LogRateLimiter} bounds the lines per second and is the only state of the
- * package; it is used by all threads that log, Netty's among them, and is thread-safe. {@link
- * tidebank.logging.LogSetup} is found by Logback at its start.
+ * package; it is thread-safe, because all threads log, including Netty's. {@link
+ * tidebank.logging.LogSetup} is the service that Logback loads at startup.
  *
- * <p>A process that configures its log otherwise, such as the command line tools, is left alone.
+ * <p>Processes that do not use {@code Log}, such as the command line tools, are not affected.
  */
 package tidebank.logging;
