--- a/testbed/src/main/java/tidebank/testbed/explore/StateSpaceExplorer.java
+++ b/testbed/src/main/java/tidebank/testbed/explore/StateSpaceExplorer.java
@@ -33,7 +33,9 @@
     /** Returns a description of the invariant that a state violates, or null. */
     String findViolation(S state);
 
-    /** Returns a text that is equal for two states only if they cannot be told apart later. */
+    /**
+     * Returns a text that two states share only if they have the same successors and violations.
+     */
     String stateKey(S state);
   }
 
--- a/testbed/src/main/java/tidebank/testbed/fleet/CoordinatorLoad.java
+++ b/testbed/src/main/java/tidebank/testbed/fleet/CoordinatorLoad.java
@@ -118,9 +118,9 @@
         commandsPerSecond,
         latencyUs.getValueAtPercentile(50),
         latencyUs.getValueAtPercentile(99),
-        residentKb(coordinators.process(leaderIndex).pid()),
-        largestResidentKb(coordinators),
-        sizeOf(coordinators.dataDirectory(leaderIndex)));
+        residentMemoryKb(coordinators.process(leaderIndex).pid()),
+        largestResidentMemoryKb(coordinators),
+        directoryBytes(coordinators.dataDirectory(leaderIndex)));
   }
 
   private void awaitCommands(long maxCommands, long deadline) throws IOException {
@@ -192,16 +192,17 @@
     }
   }
 
-  private static long largestResidentKb(CoordinatorProcesses coordinators) throws IOException {
+  private static long largestResidentMemoryKb(CoordinatorProcesses coordinators)
+      throws IOException {
     long largest = 0;
     for (int i = 0; i < coordinators.count(); i++) {
-      largest = Math.max(largest, residentKb(coordinators.process(i).pid()));
+      largest = Math.max(largest, residentMemoryKb(coordinators.process(i).pid()));
     }
     return largest;
   }
 
   /** Returns the resident memory (VmRSS) of a process in KB, from /proc; Linux only. */
-  private static long residentKb(long pid) throws IOException {
+  private static long residentMemoryKb(long pid) throws IOException {
     return Files.readAllLines(Path.of("/proc/" + pid + "/status")).stream()
         .filter(line -> line.startsWith("VmRSS"))
         .mapToLong(line -> Long.parseLong(line.replaceAll("\\D", "")))
@@ -209,7 +210,7 @@
         .orElse(0);
   }
 
-  private static long sizeOf(Path folder) throws IOException {
+  private static long directoryBytes(Path folder) throws IOException {
     try (Stream<Path> files = Files.walk(folder)) {
       return files.mapToLong(file -> file.toFile().isFile() ? file.toFile().length() : 0).sum();
     }
--- a/testbed/src/test/java/tidebank/coordinator/CoordinatorFixturesTest.java
+++ b/testbed/src/test/java/tidebank/coordinator/CoordinatorFixturesTest.java
@@ -82,7 +82,7 @@
     }
   }
 
-  /** Waits until the coordinator leads and has published the tasks of its file. */
+  /** Waits until the coordinator serves a state that contains the tasks of its file. */
   private void awaitReady(CoordinatorProcesses coordinators) throws Exception {
     pollUntil(
         coordinators.addresses().get(0),
@@ -267,7 +267,7 @@
     }
   }
 
-  /** Guards against clients that ask a follower and are not told where the leader is. */
+  /** Guards against a follower that does not redirect clients to the leader. */
   @Test
   void followerRespondsMisdirectedWithTheLeadersLocation() throws Exception {
     try (CoordinatorProcesses coordinators = new CoordinatorProcesses(folder, 3, SETTINGS)) {
--- a/testbed/src/test/java/tidebank/testbed/fleet/CoordinatorProcessesTest.java
+++ b/testbed/src/test/java/tidebank/testbed/fleet/CoordinatorProcessesTest.java
@@ -394,7 +394,7 @@
 
   /**
    * Guards against a coordinator that goes on after a failed write of its log, or that acknowledged
-   * a command before it was on disk. A limit on the file size stands for the full disk.
+   * a command before it was on disk. A limit on the file size simulates a full disk.
    */
   @Test
   void fullDiskEndsCoordinatorAndKeepsAcknowledgedCommands() throws Exception {
