--- a/router/src/test/java/tidebank/DiscoveryReloadTest.java
+++ b/router/src/test/java/tidebank/DiscoveryReloadTest.java
@@ -15,13 +15,16 @@
 import tidebank.FakeSite.FakeShardServer;
 import tidebank.config.RouterConfig;
 
-/** Discovery moves to another address while shard servers drain, and answers without a change. */
+/**
+ * Guards against lost drains when discovery moves to another address, and against calls in a tight
+ * loop when it responds early without a change.
+ */
 @Timeout(30)
 class DiscoveryReloadTest {
   private static final int QUERIES = 8;
 
-  /** The least sum of the delays after four early responses without a change. */
-  private static final long FOUR_DELAYS_MS = 1_875;
+  /** The minimum sum of the delays after four early responses: 125 + 250 + 500 + 1000 ms. */
+  private static final long MIN_FOUR_DELAYS_MS = 1_875;
 
   private final FakeSite site = new FakeSite();
   private final FakeDiscovery newDiscovery = new FakeDiscovery(site);
@@ -50,7 +53,7 @@
                     "NODE_DISCOVERY", newDiscovery.address())));
   }
 
-  /** Returns the complete list of the new address without this server. */
+  /** Returns the complete list of the new address, without this server. */
   private String listWithout(FakeShardServer server) {
     return newDiscovery.list(true).replace(FakeDiscovery.line(server) + ",", "");
   }
@@ -71,14 +74,17 @@
     }
   }
 
+  /**
+   * A drain during the move is visible only as an absence from the new address's complete list; a
+   * router that asked there for changes would keep sending to the server.
+   */
   @Test
-  void aServerMissingFromTheCompleteListOfTheNewAddressGetsNothingMore() throws Exception {
+  void serverMissingFromTheNewCompleteListGetsNoRequests() throws Exception {
     site.start();
     site.discovery.call("after=41");
     site.discovery.change(server(0), "Terminating");
     site.discovery.call("after=42");
-    // This one drains while the address changes: the old one never reports it, the new one omits
-    // it.
+    // Server 2 drains during the move: the old address never reports it, the new one omits it.
     newDiscovery.instead = http(listWithout(server(2)));
     reload();
     assertThat(newDiscovery.call("")).isEqualTo("/registry/instances");
@@ -88,23 +94,25 @@
     assertQueriesCompleteWithout(server(0), server(2));
   }
 
+  /** A router that still watched the old address would miss the drain, or take it back. */
   @Test
-  void aDrainReportedByTheNewAddressTakesEffect() throws Exception {
+  void drainReportedByTheNewAddressTakesEffect() throws Exception {
     site.start();
     site.discovery.call("after=41");
     reload();
     newDiscovery.call("after=7");
     newDiscovery.change(server(0), "Terminating");
     newDiscovery.call("after=8");
-    // What the old address still reports is ignored.
+    // Changes at the old address are ignored.
     site.discovery.change(server(0), "Ready");
     server(0).health = "Terminating";
 
     assertQueriesCompleteWithout(server(0));
   }
 
+  /** A router that forgot the drain when the address changed would send to a draining server. */
   @Test
-  void aDrainReportedByTheOldAddressStandsWhileTheNewOneIsUnavailable() throws Exception {
+  void drainFromOldAddressHoldsWhileNewOneIsUnavailable() throws Exception {
     site.start();
     site.discovery.call("after=41");
     site.discovery.change(server(0), "Terminating");
@@ -120,8 +128,9 @@
     assertQueriesCompleteWithout(server(0));
   }
 
+  /** Without growing delays, a discovery that responds at once would be called in a tight loop. */
   @Test
-  void callsBackOffWhileDiscoveryAnswersAtOnceWithoutAChange() throws Exception {
+  void callsBackOffWhileDiscoveryRespondsWithoutAChange() throws Exception {
     site.discovery.instead = http(site.discovery.list(true));
     site.start();
     site.discovery.call("after=41");
@@ -130,8 +139,8 @@
       site.discovery.call("after=41");
     }
     long elapsedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAtNanos);
-    assertThat(elapsedMs).isGreaterThanOrEqualTo(FOUR_DELAYS_MS);
-    // The next call reports a change, and the one after it is made at once.
+    assertThat(elapsedMs).isGreaterThanOrEqualTo(MIN_FOUR_DELAYS_MS);
+    // The next response contains a change, so the call after it is made at once.
     site.discovery.instead = null;
     site.discovery.change(server(0), "Terminating");
     site.discovery.call("after=42");
--- a/router/src/test/java/tidebank/DrainedServerGoneTest.java
+++ b/router/src/test/java/tidebank/DrainedServerGoneTest.java
@@ -16,18 +16,17 @@
 import tidebank.FakeSite.FakeShardServer;
 
 /**
- * A server that has drained for seconds and is then listed as gone must not look like a stall of
- * the event loop. The end of its drain grace, seconds ago, used to be scheduled as a timer once
- * more, and an overdue timer is how a router detects that it has stood still. Requests that came
- * with that list were taken to be as old and were rejected, and a shutdown within the next seconds
- * was cut short.
+ * Guards against mistaking a server that drained for seconds and is then listed as gone for a stall
+ * of the event loop. Its drain grace, over for seconds, was scheduled once more as an overdue
+ * timer, which a router takes for a stall: it rejected requests that arrived with the list as too
+ * old, and cut short a shutdown in the next seconds.
  */
 @Timeout(30)
 class DrainedServerGoneTest {
-  /** Longer than the drain grace of the settings and the deadline of the requests. */
+  /** Longer than the configured drain grace and the timeout of the requests. */
   private static final long DRAINED_MS = 2000;
 
-  private static final int DEADLINE_MS = 900;
+  private static final int TIMEOUT_MS = 900;
   private static final int CLIENTS = 10;
   private static final long STALL_MS = 100;
 
@@ -42,7 +41,7 @@
     site.close();
   }
 
-  /** What happens when the router gets the list. */
+  /** What happens next to the router that receives the list. */
   enum NextEvent {
     REQUESTS_ARRIVE,
     SHUTDOWN_BEGINS
@@ -64,7 +63,7 @@
     if (nextEvent == NextEvent.REQUESTS_ARRIVE) {
       CountDownLatch resume = site.stallEventLoop();
       site.discovery.change(drained, "Gone");
-      // The list arrives first, so that it is read before the requests.
+      // Lets the list arrive first, so that it is read before the requests.
       TimeUnit.MILLISECONDS.sleep(STALL_MS);
       sendRequests();
       resume.countDown();
@@ -72,7 +71,7 @@
       site.discovery.change(drained, "Gone");
       site.discovery.call("after=43");
       site.gatherer().stop();
-      // Well within the 0.6 s for which connected clients are still served.
+      // Well within the 0.6 s in which connected clients are still served.
       TimeUnit.MILLISECONDS.sleep(STALL_MS);
       sendRequests();
     }
@@ -83,7 +82,7 @@
 
   private void sendRequests() throws IOException {
     for (FakeClient client : clients) {
-      client.send(scan("whole", "with" + clients.indexOf(client), DEADLINE_MS, 1));
+      client.send(scan("whole", "with" + clients.indexOf(client), TIMEOUT_MS, 1));
     }
   }
 }
--- a/router/src/test/java/tidebank/LogLinesFixtureTest.java
+++ b/router/src/test/java/tidebank/LogLinesFixtureTest.java
@@ -16,62 +16,63 @@
 import tidebank.fixtures.StoredCases;
 import tidebank.logging.Log;
 
-/** Log lines have the form that they had. */
+/** Guards the layout of log lines, as text and JSON, against unintended changes. */
 class LogLinesFixtureTest {
-  private static final long AT_MS = 1_700_000_000_123L;
-  private static final int MOST = 4;
+  private static final long TIMESTAMP_MS = 1_700_000_000_123L;
+  private static final int MAX_LINES_PER_SECOND = 4;
 
-  private final PrintStream errors = System.err;
-  private final ByteArrayOutputStream written = new ByteArrayOutputStream();
+  private final PrintStream originalErr = System.err;
+  private final ByteArrayOutputStream output = new ByteArrayOutputStream();
 
   @AfterEach
   void restore() {
-    System.setErr(errors);
+    System.setErr(originalErr);
     Log.configure(Log.Settings.DEFAULT);
   }
 
-  private static void write(Level level, long atMs, String text, Throwable cause, Object... args) {
+  private static void write(
+      Level level, long timestampMs, String message, Throwable cause, Object... args) {
     Logger logger = (Logger) LoggerFactory.getLogger("tidebank.sample");
     LoggingEvent event =
         new LoggingEvent(
             Logger.FQCN,
             logger,
             ch.qos.logback.classic.Level.convertAnSLF4JLevel(level),
-            text,
+            message,
             cause,
             args);
     event.setThreadName("main");
-    event.setTimeStamp(atMs);
-    if (text.contains("fields")) {
+    event.setTimeStamp(timestampMs);
+    if (message.contains("fields")) {
       event.setKeyValuePairs(
           List.of(new KeyValuePair("scan", "9b1f03aa"), new KeyValuePair("parts", 3)));
     }
     logger.callAppenders(event);
   }
 
-  private String lines(Log.Format form) {
-    System.setErr(new PrintStream(written, true, UTF_8));
-    Log.configure(new Log.Settings(Level.INFO, form, MOST));
+  private String logLines(Log.Format format) {
+    System.setErr(new PrintStream(output, true, UTF_8));
+    Log.configure(new Log.Settings(Level.INFO, format, MAX_LINES_PER_SECOND));
     IOException cause = new IOException("it is \"full\"\nand closed");
     cause.setStackTrace(
         new StackTraceElement[] {new StackTraceElement("tidebank.X", "run", "X.java", 7)});
-    write(Level.INFO, AT_MS, "plain {} of\ntwo lines", null, 42);
-    write(Level.WARN, AT_MS, "with fields", null);
-    write(Level.ERROR, AT_MS, "with a \"cause\"", cause);
-    write(Level.INFO, AT_MS + 1, "the last one of this second", null);
-    write(Level.INFO, AT_MS + 2, "left out", null);
-    write(Level.INFO, AT_MS + 3, "left out", null);
-    write(Level.INFO, AT_MS + 1000, "in the next second", null);
-    return written.toString(UTF_8);
+    write(Level.INFO, TIMESTAMP_MS, "plain {} of\ntwo lines", null, 42);
+    write(Level.WARN, TIMESTAMP_MS, "with fields", null);
+    write(Level.ERROR, TIMESTAMP_MS, "with a \"cause\"", cause);
+    write(Level.INFO, TIMESTAMP_MS + 1, "the last one of this second", null);
+    write(Level.INFO, TIMESTAMP_MS + 2, "left out", null);
+    write(Level.INFO, TIMESTAMP_MS + 3, "left out", null);
+    write(Level.INFO, TIMESTAMP_MS + 1000, "in the next second", null);
+    return output.toString(UTF_8);
   }
 
   @Test
-  void textLinesAreTheStoredOnes() throws Exception {
-    StoredCases.assertMatchesFile("logging/lines.txt", lines(Log.Format.TEXT));
+  void textLinesAreAsStored() throws Exception {
+    StoredCases.assertMatchesFile("logging/lines.txt", logLines(Log.Format.TEXT));
   }
 
   @Test
-  void jsonLinesAreTheStoredOnes() throws Exception {
-    StoredCases.assertMatchesFile("logging/lines.jsonl", lines(Log.Format.JSON));
+  void jsonLinesAreAsStored() throws Exception {
+    StoredCases.assertMatchesFile("logging/lines.jsonl", logLines(Log.Format.JSON));
   }
 }
--- a/router/src/test/java/tidebank/backend/FramesFixtureTest.java
+++ b/router/src/test/java/tidebank/backend/FramesFixtureTest.java
@@ -17,34 +17,34 @@
 import tidebank.model.Outcome;
 import tidebank.runtime.SampleRequests;
 
-/** Frames are written and read byte for byte as they were. */
+/** Guards the wire format of frames against unintended changes, byte for byte. */
 class FramesFixtureTest {
   private static final UnpooledByteBufAllocator ALLOCATOR = UnpooledByteBufAllocator.DEFAULT;
-  private static final Map<Outcome, String> STATUSES =
+  private static final Map<Outcome, String> STATUS_BY_OUTCOME =
       Map.of(Outcome.COMPLETED, "good", Outcome.ERROR, "bad", Outcome.OVERLOADED, "later");
 
-  private static InFlightAttempt attempt(String scan, int shard, String text, long deadline) {
+  private static InFlightAttempt attempt(String queryId, int shard, String body, long deadline) {
     return new InFlightAttempt(
-        SampleRequests.request(scan, shard, text.getBytes(UTF_8), deadline), null);
+        SampleRequests.request(queryId, shard, body.getBytes(UTF_8), deadline), null);
   }
 
-  private static String onTheWire(ByteBuf frame) {
+  private static String wireBytes(ByteBuf frame) {
     EmbeddedChannel channel =
         new EmbeddedChannel(new LengthFieldPrepender(FrameDecoder.LENGTH_BYTES));
     channel.writeOutbound(frame);
-    ByteBuf all = Unpooled.buffer();
+    ByteBuf bytes = Unpooled.buffer();
     for (ByteBuf part = channel.readOutbound(); part != null; part = channel.readOutbound()) {
-      all.writeBytes(part);
+      bytes.writeBytes(part);
       part.release();
     }
-    return StoredCases.escape(ByteBufUtil.getBytes(all));
+    return StoredCases.escape(ByteBufUtil.getBytes(bytes));
   }
 
   @Test
   void encodedFramesEqualTheStoredBytes() throws Exception {
     long now = 1_700_000_000_000_000L;
-    List<InFlightAttempt> one = List.of(attempt("9b1f03aa", 3, "{\"a\":1}", now + 250_999));
-    List<InFlightAttempt> several =
+    List<InFlightAttempt> single = List.of(attempt("9b1f03aa", 3, "{\"a\":1}", now + 250_999));
+    List<InFlightAttempt> multiple =
         List.of(
             attempt("9b1f03aa", 0, "{\"predicate\":\"c41e77d0\"}", now + 1_000_000),
             attempt("scan-2", 17, "", now + 999),
@@ -53,11 +53,11 @@
         "frames/written.txt",
         String.join(
             "\n",
-            onTheWire(FrameCodec.encodeBatch(ALLOCATOR, one, now)),
-            onTheWire(FrameCodec.encodeBatch(ALLOCATOR, several, now)),
-            onTheWire(FrameCodec.encodeCancel(ALLOCATOR, "9b1f03aa.3")),
-            onTheWire(FrameCodec.encodeHealthCheck(ALLOCATOR, FrameCodec.HEALTH_CHECK)),
-            onTheWire(FrameCodec.encodeHealthCheck(ALLOCATOR, FrameCodec.HEALTH_CHECK_WITH_LOAD)),
+            wireBytes(FrameCodec.encodeBatch(ALLOCATOR, single, now)),
+            wireBytes(FrameCodec.encodeBatch(ALLOCATOR, multiple, now)),
+            wireBytes(FrameCodec.encodeCancel(ALLOCATOR, "9b1f03aa.3")),
+            wireBytes(FrameCodec.encodeHealthCheck(ALLOCATOR, FrameCodec.HEALTH_CHECK)),
+            wireBytes(FrameCodec.encodeHealthCheck(ALLOCATOR, FrameCodec.HEALTH_CHECK_WITH_LOAD)),
             ""));
   }
 
@@ -71,13 +71,13 @@
             return "id="
                 + response.requestId()
                 + " end="
-                + STATUSES.get(response.outcome())
+                + STATUS_BY_OUTCOME.get(response.outcome())
                 + " report="
                 + new TreeMap<>(response.loadReport())
                 + " value="
                 + (response.value() == null ? "none" : new String(response.value(), UTF_8));
-          } catch (MalformedInputException fault) {
-            return "fault: " + fault.getMessage();
+          } catch (MalformedInputException malformed) {
+            return "fault: " + malformed.getMessage();
           }
         });
   }
--- a/router/src/test/java/tidebank/discovery/ListFixtureTest.java
+++ b/router/src/test/java/tidebank/discovery/ListFixtureTest.java
@@ -8,9 +8,9 @@
 import tidebank.fixtures.StoredCases;
 import tidebank.model.Event.EndpointStatus;
 
-/** Lists of discovery are read as they were. */
+/** Guards the parsing of discovery's endpoint lists against unintended changes. */
 class ListFixtureTest {
-  private static final Map<EndpointStatus, String> HEALTH =
+  private static final Map<EndpointStatus, String> HEALTH_BY_STATUS =
       Map.of(
           EndpointStatus.IN_SERVICE,
           "Ready",
@@ -20,7 +20,7 @@
           "Gone");
 
   @Test
-  void listsAreReadAsStored() throws Exception {
+  void listsParseAsStored() throws Exception {
     StoredCases.assertParsedAsStored(
         "discovery/lists.txt",
         input -> {
@@ -33,22 +33,22 @@
                 + list.complete()
                 + list.endpoints().stream()
                     .map(
-                        member ->
+                        resolved ->
                             " | host="
-                                + member.endpoint().server()
+                                + resolved.endpoint().server()
                                 + " block="
-                                + member.endpoint().position()
+                                + resolved.endpoint().position()
                                 + " health="
-                                + HEALTH.get(member.endpoint().status())
+                                + HEALTH_BY_STATUS.get(resolved.endpoint().status())
                                 + " born_us="
-                                + member.endpoint().startedAt()
+                                + resolved.endpoint().startedAt()
                                 + " share="
-                                + member.endpoint().capacity()
+                                + resolved.endpoint().capacity()
                                 + " dial="
-                                + member.address())
+                                + resolved.address())
                     .collect(Collectors.joining());
-          } catch (MalformedInputException fault) {
-            return "fault: " + fault.getMessage();
+          } catch (MalformedInputException malformed) {
+            return "fault: " + malformed.getMessage();
           }
         });
   }
