--- a/cli/src/main/java/tidebank/cli/CaptureInfoCommand.java
+++ b/cli/src/main/java/tidebank/cli/CaptureInfoCommand.java
@@ -31,7 +31,7 @@
   private record SegmentSummary(String file, long bytes, int blocks, int records, String damage) {}
 
   @Parameters(paramLabel = "CAPTURE", description = "a folder of segments, or one segment")
-  Path place;
+  Path capture;
 
   private final List<SegmentSummary> segments = new ArrayList<>();
   private final Map<String, Long> eventsByKind = new TreeMap<>();
@@ -43,7 +43,7 @@
 
   @Override
   public Integer call() throws IOException {
-    for (Path file : CaptureReplay.segments(place)) {
+    for (Path file : CaptureReplay.listSegments(capture)) {
       add(file);
     }
     if (json) {
@@ -83,7 +83,7 @@
     round.events().forEach(event -> eventsByKind.merge(EventKind.of(event), 1L, Long::sum));
   }
 
-  private double seconds() {
+  private double durationSeconds() {
     return (lastUs - firstUs) / US_PER_S;
   }
 
@@ -102,7 +102,7 @@
         .put("turns", rounds)
         .put("missing_turns", missingRounds)
         .put("bytes", bytes)
-        .put("seconds", seconds());
+        .put("seconds", durationSeconds());
     ObjectNode byKind = result.putObject("events");
     eventsByKind.forEach(byKind::put);
     return result;
@@ -115,7 +115,7 @@
             Locale.ROOT,
             "%,d turns over %.1f s in %d segments, %,d bytes%s%n",
             rounds,
-            seconds(),
+            durationSeconds(),
             segments.size(),
             bytes,
             queries == 0
--- a/cli/src/main/java/tidebank/cli/CaptureReplayCommand.java
+++ b/cli/src/main/java/tidebank/cli/CaptureReplayCommand.java
@@ -24,12 +24,12 @@
   private static final double NS_PER_S = 1e9;
 
   @Parameters(paramLabel = "CAPTURE", description = "a folder of segments, or one segment")
-  Path place;
+  Path capture;
 
   @Override
   public Integer call() throws IOException {
     long begin = System.nanoTime();
-    CaptureReplay.Result result = CaptureReplay.replay(place, (number, round, actions) -> {});
+    CaptureReplay.Result result = CaptureReplay.replay(capture, (number, round, actions) -> {});
     double replaySeconds = (System.nanoTime() - begin) / NS_PER_S;
     double recordedSeconds = (result.lastUs() - result.firstUs()) / US_PER_S;
     if (json) {
--- a/cli/src/main/java/tidebank/cli/CaptureShowCommand.java
+++ b/cli/src/main/java/tidebank/cli/CaptureShowCommand.java
@@ -25,7 +25,7 @@
   private static final double US_PER_S = 1e6;
 
   @Parameters(paramLabel = "CAPTURE", description = "a folder of segments, or one segment")
-  Path place;
+  Path capture;
 
   @Option(
       names = "--about",
@@ -46,15 +46,15 @@
       description = "so many rounds at most (default: ${DEFAULT-VALUE})")
   long maxRounds;
 
-  private final ArrayNode shown = ResultCommand.JSON.createArrayNode();
+  private final ArrayNode jsonRounds = ResultCommand.JSON.createArrayNode();
   private long matchingRounds;
   private long firstUs = -1;
 
   @Override
   public Integer call() throws IOException {
-    CaptureReplay.replay(place, this::show);
+    CaptureReplay.replay(capture, this::show);
     if (json) {
-      out().println(ResultCommand.JSON.writeValueAsString(shown));
+      out().println(ResultCommand.JSON.writeValueAsString(jsonRounds));
     }
     out().flush();
     return Tidebank.DONE;
@@ -68,7 +68,7 @@
     }
     double second = (round.nowUs() - firstUs) / US_PER_S;
     if (json) {
-      ObjectNode result = shown.addObject().put("turn", number).put("second", second);
+      ObjectNode result = jsonRounds.addObject().put("turn", number).put("second", second);
       lines.forEach(line -> result.withArray("lines").add(line.trim()));
     } else {
       out().printf(Locale.ROOT, "turn %d, %.6f s%n", number, second);
--- a/router/src/main/java/tidebank/capture/CaptureDecoder.java
+++ b/router/src/main/java/tidebank/capture/CaptureDecoder.java
@@ -23,14 +23,14 @@
   private static final int MAX_INITIAL_CAPACITY = 1024;
 
   private final BlockReader in;
-  private long now;
+  private long roundTimeUs;
 
   CaptureDecoder(byte[] block) {
     in = new BlockReader(block);
   }
 
   /** Decodes all records; throws {@link UnreadableCaptureException} if the block has others. */
-  List<CaptureRecord> records() {
+  List<CaptureRecord> readRecords() {
     List<CaptureRecord> records = new ArrayList<>();
     while (in.hasRemaining()) {
       int outerLimit = in.limit();
@@ -50,8 +50,8 @@
       case RecordKind.POLICY_STARTED -> readStarted();
       case RecordKind.DECISION_ROUND -> readRound();
       case RecordKind.ROUND_FAILED -> {
-        now += in.readSignedVarint();
-        yield new CaptureRecord.RoundFailed(now, readEvents(), in.readString());
+        roundTimeUs += in.readSignedVarint();
+        yield new CaptureRecord.RoundFailed(roundTimeUs, readEvents(), in.readString());
       }
       case RecordKind.GAP -> new CaptureRecord.Gap(in.readVarint());
       default -> null;
@@ -67,12 +67,12 @@
   }
 
   private CaptureRecord.DecisionRound readRound() {
-    now += in.readSignedVarint();
+    roundTimeUs += in.readSignedVarint();
     List<Event> events = readEvents();
     int digest = (int) in.readLong();
     int count = in.readCount();
     return new CaptureRecord.DecisionRound(
-        now, events, digest, count == 0 ? null : readActions(count - 1));
+        roundTimeUs, events, digest, count == 0 ? null : readActions(count - 1));
   }
 
   private List<Action> readActions(int count) {
@@ -123,7 +123,7 @@
                   readLoadReport());
           case EventKind.CLIENT_DISCONNECTED -> new Event.ClientDisconnected(in.readString());
           case EventKind.SHUTDOWN_REQUESTED ->
-              new Event.ShutdownRequested(now + in.readSignedVarint());
+              new Event.ShutdownRequested(roundTimeUs + in.readSignedVarint());
           case EventKind.TIMER_FIRED -> new Event.TimerFired(in.readSignedVarint());
           case EventKind.HEALTH_CHECK_COMPLETED ->
               new Event.HealthCheckCompleted(
@@ -162,11 +162,11 @@
     long number = in.readSignedVarint();
     String queryClass = in.readString();
     String tenant = in.readString();
-    long deadline = now + in.readSignedVarint();
+    long deadline = roundTimeUs + in.readSignedVarint();
     boolean clientRetry = in.readBoolean();
     String key = in.readString();
     // The earliest captures of 0.2.0 end here: the query counts as received in this round.
-    long receivedAt = in.position() == end ? now : now - in.readSignedVarint();
+    long receivedAt = in.position() == end ? roundTimeUs : roundTimeUs - in.readSignedVarint();
     return new Event.QueryReceived(
         id, number, queryClass, tenant, receivedAt, deadline, clientRetry, key);
   }
@@ -187,7 +187,8 @@
     Action action =
         switch (kind) {
           case ActionKind.SEND_ATTEMPT ->
-              new Action.SendAttempt(in.readString(), in.readString(), now + in.readSignedVarint());
+              new Action.SendAttempt(
+                  in.readString(), in.readString(), roundTimeUs + in.readSignedVarint());
           case ActionKind.CANCEL_ATTEMPT ->
               new Action.CancelAttempt(in.readString(), (int) in.readSignedVarint());
           case ActionKind.RESPOND -> new Action.Respond(in.readString(), in.readBoolean());
--- a/router/src/main/java/tidebank/capture/CaptureEncoder.java
+++ b/router/src/main/java/tidebank/capture/CaptureEncoder.java
@@ -17,7 +17,7 @@
 @SuppressWarnings("EnumOrdinal") // the stored form, see CaptureFormat
 final class CaptureEncoder {
   private final BlockWriter out = new BlockWriter();
-  private long now;
+  private long roundTimeUs;
 
   /** Bytes of the block so far. */
   int length() {
@@ -76,8 +76,8 @@
   }
 
   private void writeTime(long nowUs) {
-    out.writeSignedVarint(nowUs - now);
-    now = nowUs;
+    out.writeSignedVarint(nowUs - roundTimeUs);
+    roundTimeUs = nowUs;
   }
 
   private void writeEvents(List<Event> events) {
@@ -104,7 +104,7 @@
       out.writeString(disconnected.query());
     } else if (event instanceof Event.ShutdownRequested shutdown) {
       frame = out.beginFrame(EventKind.SHUTDOWN_REQUESTED);
-      out.writeSignedVarint(shutdown.deadline() - now);
+      out.writeSignedVarint(shutdown.deadline() - roundTimeUs);
     } else if (event instanceof Event.TimerFired timer) {
       frame = out.beginFrame(EventKind.TIMER_FIRED);
       out.writeSignedVarint(timer.token());
@@ -139,10 +139,10 @@
     out.writeSignedVarint(query.number());
     out.writeString(query.queryClass());
     out.writeString(query.tenant());
-    out.writeSignedVarint(query.deadline() - now);
+    out.writeSignedVarint(query.deadline() - roundTimeUs);
     out.writeBoolean(query.clientRetry());
     out.writeString(query.key());
-    out.writeSignedVarint(now - query.receivedAt());
+    out.writeSignedVarint(roundTimeUs - query.receivedAt());
   }
 
   private void writeShardRequest(Event.ShardRequestReceived request) {
@@ -177,7 +177,7 @@
       frame = out.beginFrame(ActionKind.SEND_ATTEMPT);
       out.writeString(send.shardRequest());
       out.writeString(send.server());
-      out.writeSignedVarint(send.deadline() - now);
+      out.writeSignedVarint(send.deadline() - roundTimeUs);
     } else if (action instanceof Action.CancelAttempt cancel) {
       frame = out.beginFrame(ActionKind.CANCEL_ATTEMPT);
       out.writeString(cancel.shardRequest());
--- a/router/src/main/java/tidebank/capture/CaptureRecorder.java
+++ b/router/src/main/java/tidebank/capture/CaptureRecorder.java
@@ -49,17 +49,17 @@
    * A record on its way to the writer.
    *
    * @param actions of a decision round, digested by the writer; else null
-   * @param weight events and actions, by which the queue is bounded
+   * @param itemCount events and actions, by which the queue is bounded
    */
-  private record Queued(CaptureRecord entry, List<Action> actions, int weight) {}
+  private record QueuedRecord(CaptureRecord record, List<Action> actions, int itemCount) {}
 
   private final Config config;
   private final LongSupplier clock;
   private final SegmentRetention retention;
-  private final BlockingQueue<Queued> queue;
+  private final BlockingQueue<QueuedRecord> queue;
   private final Thread writer;
-  private final AtomicLong dropped = new AtomicLong();
-  private final AtomicLong queuedWeight = new AtomicLong();
+  private final AtomicLong droppedRounds = new AtomicLong();
+  private final AtomicLong queuedItemCount = new AtomicLong();
 
   /**
    * Rounds that found no room since the last gap record was queued; the last ones are recorded on
@@ -71,12 +71,12 @@
 
   // The writer thread's alone.
   private CaptureEncoder block = new CaptureEncoder();
-  private long blockRecords;
-  private long blockStartedAt;
+  private long blockRecordCount;
+  private long blockStartedAtUs;
   private CaptureSegments.SegmentWriter segment;
-  private long segmentStartedAt;
-  private long nextSegment;
-  private long unwrittenRecords;
+  private long segmentStartedAtUs;
+  private long nextSegmentNumber;
+  private long droppedBlockRecords;
 
   /**
    * Starts the writer thread.
@@ -93,7 +93,7 @@
     queue = new ArrayBlockingQueue<>(config.queueCapacity());
     Files.createDirectories(config.directory());
     for (Path old : CaptureSegments.list(config.directory())) {
-      nextSegment = Math.max(nextSegment, CaptureSegments.number(old) + 1);
+      nextSegmentNumber = Math.max(nextSegmentNumber, CaptureSegments.parseNumber(old) + 1);
     }
     writer = new Thread(this::run, "capture");
     writer.setDaemon(true);
@@ -102,13 +102,13 @@
 
   @Override
   public void policyStarted(Settings settings, long seed) {
-    enqueue(new Queued(new CaptureRecord.PolicyStarted(settings, seed), null, 1));
+    enqueue(new QueuedRecord(new CaptureRecord.PolicyStarted(settings, seed), null, 1));
   }
 
   @Override
   public void roundDecided(long nowUs, List<Event> events, List<Action> actions) {
     enqueue(
-        new Queued(
+        new QueuedRecord(
             new CaptureRecord.DecisionRound(nowUs, events, 0, null),
             actions,
             events.size() + actions.size()));
@@ -117,51 +117,51 @@
   @Override
   public void roundFailed(long nowUs, List<Event> events, Throwable cause) {
     enqueue(
-        new Queued(
+        new QueuedRecord(
             new CaptureRecord.RoundFailed(nowUs, events, String.valueOf(cause)),
             null,
             events.size()));
   }
 
-  private void enqueue(Queued item) {
+  private void enqueue(QueuedRecord item) {
     boolean room =
-        SegmentRetention.hasRoomFor(queuedWeight.get(), item.weight, config.queueCapacity());
+        SegmentRetention.hasRoomFor(queuedItemCount.get(), item.itemCount, config.queueCapacity());
     if (room
         && droppedSinceGap.get() > 0
-        && queue.offer(new Queued(new CaptureRecord.Gap(droppedSinceGap.get()), null, 0))) {
+        && queue.offer(new QueuedRecord(new CaptureRecord.Gap(droppedSinceGap.get()), null, 0))) {
       droppedSinceGap.set(0);
     }
     if (!room || droppedSinceGap.get() > 0 || !queue.offer(item)) {
       droppedSinceGap.incrementAndGet();
-      dropped.incrementAndGet();
+      droppedRounds.incrementAndGet();
     } else {
-      queuedWeight.addAndGet(item.weight);
+      queuedItemCount.addAndGet(item.itemCount);
     }
   }
 
   /** Returns how many rounds are in no capture, as the queue was full or the disk failed. */
   public long droppedRounds() {
-    return dropped.get();
+    return droppedRounds.get();
   }
 
   /** Returns how many events and actions wait for the writer. */
   public long queuedItems() {
-    return queuedWeight.get();
+    return queuedItemCount.get();
   }
 
   private void run() {
     try {
       while (true) {
-        Queued item = queue.poll(POLL_MS, TimeUnit.MILLISECONDS);
+        QueuedRecord item = queue.poll(POLL_MS, TimeUnit.MILLISECONDS);
         if (item != null) {
-          queuedWeight.addAndGet(-item.weight);
+          queuedItemCount.addAndGet(-item.itemCount);
           append(item);
         }
         long now = clock.getAsLong();
         if (closing && queue.isEmpty() && droppedSinceGap.get() > 0) {
           block.write(new CaptureRecord.Gap(droppedSinceGap.getAndSet(0)));
         }
-        if (retention.shouldFlushBlock(block.length(), blockStartedAt, now)
+        if (retention.shouldFlushBlock(block.length(), blockStartedAtUs, now)
             || (closing && queue.isEmpty())) {
           flush(now);
         }
@@ -177,11 +177,11 @@
     }
   }
 
-  private void append(Queued item) {
+  private void append(QueuedRecord item) {
     if (block.length() == 0) {
-      blockStartedAt = clock.getAsLong();
+      blockStartedAtUs = clock.getAsLong();
     }
-    CaptureRecord entry = item.entry;
+    CaptureRecord entry = item.record;
     if (entry instanceof CaptureRecord.DecisionRound round) {
       entry =
           new CaptureRecord.DecisionRound(
@@ -191,7 +191,7 @@
               config.keepActions() ? item.actions : null);
     }
     block.write(entry);
-    blockRecords++;
+    blockRecordCount++;
   }
 
   private void flush(long now) {
@@ -218,17 +218,17 @@
   }
 
   private void writeBlock(long now) throws IOException {
-    if (segment != null && retention.shouldRollSegment(segment.bytes(), segmentStartedAt, now)) {
+    if (segment != null && retention.shouldRollSegment(segment.bytes(), segmentStartedAtUs, now)) {
       endSegment();
     }
     if (segment == null) {
       openSegment(now);
     }
-    if (unwrittenRecords > 0) {
+    if (droppedBlockRecords > 0) {
       CaptureEncoder gap = new CaptureEncoder();
-      gap.write(new CaptureRecord.Gap(unwrittenRecords));
+      gap.write(new CaptureRecord.Gap(droppedBlockRecords));
       segment.writeBlock(gap.toByteArray());
-      unwrittenRecords = 0;
+      droppedBlockRecords = 0;
     }
     segment.writeBlock(block.toByteArray());
     if (config.syncEveryBlock()) {
@@ -238,25 +238,26 @@
 
   private void startBlock() {
     block = new CaptureEncoder();
-    blockRecords = 0;
+    blockRecordCount = 0;
   }
 
   private void dropBlock() {
-    unwrittenRecords += blockRecords;
-    dropped.addAndGet(blockRecords);
+    droppedBlockRecords += blockRecordCount;
+    droppedRounds.addAndGet(blockRecordCount);
     startBlock();
   }
 
   private void openSegment(long now) throws IOException {
     List<SegmentRetention.Segment> existing = new ArrayList<>();
     for (Path file : CaptureSegments.list(config.directory())) {
-      existing.add(new SegmentRetention.Segment(CaptureSegments.number(file), Files.size(file)));
+      existing.add(
+          new SegmentRetention.Segment(CaptureSegments.parseNumber(file), Files.size(file)));
     }
     for (SegmentRetention.Segment expired : retention.segmentsToDelete(existing)) {
       Files.deleteIfExists(CaptureSegments.path(config.directory(), expired.number()));
     }
-    segment = new CaptureSegments.SegmentWriter(config.directory(), nextSegment++);
-    segmentStartedAt = now;
+    segment = new CaptureSegments.SegmentWriter(config.directory(), nextSegmentNumber++);
+    segmentStartedAtUs = now;
   }
 
   private void endSegment() {
--- a/router/src/main/java/tidebank/capture/CaptureSegments.java
+++ b/router/src/main/java/tidebank/capture/CaptureSegments.java
@@ -54,7 +54,7 @@
   }
 
   /** Returns the number in a segment's name, or -1 if the file is named otherwise. */
-  static long number(Path file) {
+  static long parseNumber(Path file) {
     Matcher name = FILE_NAME.matcher(file.getFileName().toString());
     return name.matches() ? Long.parseLong(name.group(1)) : -1;
   }
@@ -131,11 +131,11 @@
    * @param number in the file's name, or -1
    * @param records of all complete blocks, in order
    * @param blocks number of complete blocks
-   * @param bytes of the file up to the end of the last complete block
+   * @param validBytes of the file up to the end of the last complete block
    * @param damage describes what could not be read; "" if everything was
    */
   public record SegmentContent(
-      long number, List<CaptureRecord> records, int blocks, long bytes, String damage) {}
+      long number, List<CaptureRecord> records, int blocks, long validBytes, String damage) {}
 
   /**
    * Reads a segment up to the first block that is incomplete or damaged.
@@ -148,7 +148,7 @@
     if (bytes.length < HEADER_BYTES
         || in.getLong(0) != MAGIC
         || in.getInt(CHECKSUM_OFFSET) != headerChecksum(bytes)) {
-      return new SegmentContent(number(file), List.of(), 0, 0, "no whole head of a capture");
+      return new SegmentContent(parseNumber(file), List.of(), 0, 0, "no whole head of a capture");
     }
     if (in.getInt(VERSION_OFFSET) > VERSION) {
       throw new IOException(
@@ -174,7 +174,7 @@
                 + " on are not read";
       }
     }
-    return new SegmentContent(number(file), records, blocks, in.position(), damage);
+    return new SegmentContent(parseNumber(file), records, blocks, in.position(), damage);
   }
 
   private static List<CaptureRecord> readBlock(ByteBuffer in) throws DamagedBlockException {
@@ -196,7 +196,7 @@
       throw new DamagedBlockException("a block is damaged");
     }
     try {
-      return new CaptureDecoder(decompress(compressed, length)).records();
+      return new CaptureDecoder(decompress(compressed, length)).readRecords();
     } catch (UnreadableCaptureException | DataFormatException fault) {
       throw new DamagedBlockException("a block can't be understood: " + fault.getMessage());
     }
--- a/router/src/main/java/tidebank/capture/SegmentRetention.java
+++ b/router/src/main/java/tidebank/capture/SegmentRetention.java
@@ -53,7 +53,7 @@
   }
 
   private final Limits limits;
-  private long retryAt = Long.MIN_VALUE;
+  private long retryAtUs = Long.MIN_VALUE;
   private long backoffUs = INITIAL_BACKOFF_US;
 
   SegmentRetention(Limits limits) {
@@ -97,18 +97,18 @@
   }
 
   boolean canWrite(long now) {
-    return now >= retryAt;
+    return now >= retryAtUs;
   }
 
   /** Doubles the backoff; returns the time before which nothing is to be written. */
   long recordFailure(long now) {
-    retryAt = now + backoffUs;
+    retryAtUs = now + backoffUs;
     backoffUs = Math.min(MAX_BACKOFF_US, 2 * backoffUs);
-    return retryAt;
+    return retryAtUs;
   }
 
   void recordSuccess() {
     backoffUs = INITIAL_BACKOFF_US;
-    retryAt = Long.MIN_VALUE;
+    retryAtUs = Long.MIN_VALUE;
   }
 }
--- a/router/src/test/java/tidebank/CaptureTest.java
+++ b/router/src/test/java/tidebank/CaptureTest.java
@@ -109,7 +109,7 @@
       Files.write(file, java.util.Arrays.copyOf(whole, length));
       CaptureSegments.SegmentContent read = CaptureSegments.read(file);
       assertThat(all.subList(0, read.records().size())).isEqualTo(read.records());
-      boolean atAnEnd = read.bytes() == length && read.bytes() > 0;
+      boolean atAnEnd = read.validBytes() == length && read.validBytes() > 0;
       assertThat(read.damage().isEmpty()).as("cut at " + length).isEqualTo(atAnEnd);
     }
   }
--- a/router/src/test/java/tidebank/capture/CaptureFixtures.java
+++ b/router/src/test/java/tidebank/capture/CaptureFixtures.java
@@ -167,7 +167,7 @@
         new CaptureRecorder.Config(folder, whole, RING, SEGMENT_BYTES, BUDGET_BYTES, false);
     // A clock that stands still: blocks end by their size, not by the speed of the machine.
     CaptureRecorder recorder = new CaptureRecorder(plan, () -> 0);
-    new BusyRun(settings(), SEED, seed, recorder).run(turns);
+    new FaultyClusterSimulation(settings(), SEED, seed, recorder).run(turns);
     recorder.close(60_000);
     if (recorder.droppedRounds() > 0) {
       throw new IllegalStateException(recorder.droppedRounds() + " turns found no room");
--- a/router/src/test/java/tidebank/capture/BusyRun.java
+++ b/router/src/test/java/tidebank/capture/FaultyClusterSimulation.java
@@ -23,7 +23,7 @@
  * slow, refused, lost and late, cancellations, clients that leave, shard servers that drain, go,
  * come back cold, endpoint lists that get lost, and the end of the instance.
  */
-final class BusyRun {
+final class FaultyClusterSimulation {
   private static final long MS = 1000;
   private static final int SERVERS = 6;
   private static final int SHARDS = 8;
@@ -50,7 +50,7 @@
   private long scans;
   private boolean ending;
 
-  BusyRun(Settings settings, long policySeed, long seed, CaptureRecorder recorder) {
+  FaultyClusterSimulation(Settings settings, long policySeed, long seed, CaptureRecorder recorder) {
     policy = new RoutingPolicy(settings, policySeed);
     random = new SplittableRandom(seed);
     this.recorder = recorder;
--- a/router/src/test/java/tidebank/capture/StoredCaptureTest.java
+++ b/router/src/test/java/tidebank/capture/StoredCaptureTest.java
@@ -79,7 +79,7 @@
       assertThat(blocks).isNotEmpty();
       for (byte[] plain : blocks) {
         CaptureEncoder encoder = new CaptureEncoder();
-        new CaptureDecoder(plain).records().forEach(encoder::write);
+        new CaptureDecoder(plain).readRecords().forEach(encoder::write);
         assertThat(encoder.toByteArray()).as(file.toString()).isEqualTo(plain);
       }
     }
--- a/testbed/src/main/java/tidebank/testbed/capture/CaptureReplay.java
+++ b/testbed/src/main/java/tidebank/testbed/capture/CaptureReplay.java
@@ -99,7 +99,7 @@
    * @param capture a directory of segments, or one segment
    * @throws IOException if there is none
    */
-  public static List<Path> segments(Path capture) throws IOException {
+  public static List<Path> listSegments(Path capture) throws IOException {
     if (!Files.exists(capture)) {
       throw new IOException(capture + ": there is no such capture");
     }
@@ -121,7 +121,7 @@
   public static Result replay(Path capture, Listener listener) throws IOException {
     CaptureReplay replay = new CaptureReplay(listener);
     long lastNumber = -1;
-    for (Path file : segments(capture)) {
+    for (Path file : listSegments(capture)) {
       CaptureSegments.SegmentContent content = CaptureSegments.read(file);
       if (lastNumber >= 0 && content.number() != lastNumber + 1) {
         replay.reportDamage(file, "segments before it are missing");
@@ -134,7 +134,7 @@
         replay.reportDamage(file, content.damage());
       }
     }
-    return replay.result();
+    return replay.toResult();
   }
 
   private void reportDamage(Path file, String what) {
@@ -183,7 +183,7 @@
     }
   }
 
-  private Result result() {
+  private Result toResult() {
     return new Result(
         rounds,
         matching,
