--- a/router/src/main/java/tidebank/fleet/AgentErrorLogger.java
+++ b/router/src/main/java/tidebank/fleet/AgentErrorLogger.java
@@ -4,7 +4,7 @@
 import org.slf4j.LoggerFactory;
 import tidebank.errors.TidebankException;
 
-/** Logs an error that repeats only once, until a command succeeds. Confined to the agent thread. */
+/** Logs a repeating error only once, until a command succeeds. Confined to the agent thread. */
 final class AgentErrorLogger {
   private static final Logger LOG = LoggerFactory.getLogger(FleetAgent.class);
 
--- a/router/src/main/java/tidebank/fleet/CoordinatorHttpClient.java
+++ b/router/src/main/java/tidebank/fleet/CoordinatorHttpClient.java
@@ -51,10 +51,10 @@
   }
 
   /**
-   * Waits until no member holds some task that is assigned to this one, or until the time is up.
+   * Waits for a task that is assigned to the member and that no member holds.
    *
    * @param waitMs the longest time to wait, in milliseconds
-   * @return whether there is such a task
+   * @return whether there is such a task; false also if no coordinator answered
    */
   boolean awaitUnclaimedTask(String member, int waitMs) throws IOException {
     String query =
--- a/router/src/main/java/tidebank/fleet/FleetAgent.java
+++ b/router/src/main/java/tidebank/fleet/FleetAgent.java
@@ -13,10 +13,10 @@
 import tidebank.errors.TidebankException;
 
 /**
- * A query router's agent in the fleet, on a thread of its own: keeps the router's membership and
- * leases, and runs the tasks that it holds the leases of. It shares only an {@link AgentMailbox}
- * with the event loop, and neither waits for the other. If no coordinator answers, the agent stops
- * its tasks and keeps retrying; queries are not affected.
+ * A query router's agent in the fleet. On a thread of its own, it keeps the router's membership and
+ * leases, writes the router's counters, and runs the singleton tasks under its leases. It shares
+ * only an {@link AgentMailbox} with the event loop, and neither waits for the other. If no
+ * coordinator answers, the agent stops its tasks and keeps retrying; queries are not affected.
  */
 public final class FleetAgent {
   private static final Logger LOG = LoggerFactory.getLogger(FleetAgent.class);
--- a/router/src/main/java/tidebank/fleet/LeaseClient.java
+++ b/router/src/main/java/tidebank/fleet/LeaseClient.java
@@ -75,8 +75,8 @@
   }
 
   /**
-   * Sends a command until it is answered. Gives up if it is not answered and the member was asked
-   * to leave, unless the command does that.
+   * Sends a command until it is answered. Throws CoordinatorUnavailable if it is not answered and
+   * the member was asked to leave, unless the command is LEAVE.
    */
   private CommandResult send(LeaseCommand command) throws IOException {
     while (true) {
--- a/router/src/main/java/tidebank/fleet/LeaseCodec.java
+++ b/router/src/main/java/tidebank/fleet/LeaseCodec.java
@@ -39,9 +39,9 @@
   }
 
   /**
-   * Reads a command sent by a client, which may contain anything. Throws if a field is missing that
-   * every command of its kind needs, or if the kind is PLAN, which only leaders use. Text fields
-   * that are absent become empty.
+   * Reads a command sent by a client. Throws if its kind, session, sequence number or member's name
+   * is missing or invalid; MOVE needs no member's name, and PLAN is invalid because only leaders
+   * create it. Absent text fields become empty.
    */
   public static LeaseCommand readCommand(byte[] body) throws CoordinatorException.MalformedRequest {
     LeaseCommand command;
--- a/router/src/main/java/tidebank/fleet/RemovalList.java
+++ b/router/src/main/java/tidebank/fleet/RemovalList.java
@@ -9,9 +9,9 @@
  * A list of stored files to remove because they are too old or exceed the total size limit. A
  * removal has two steps: the list is published with the task's fencing token, and only then are the
  * files on it removed. The member that made the list removes them or, if it died in between, the
- * next lease holder does before it makes its own list. File names are never reused. A member that
- * was paused after publishing its list removes only files that had to go anyway, and one that had
- * its list rejected removes nothing.
+ * next lease holder does before it makes its own list. File names are never reused: a member that
+ * is paused after publishing its list later removes only files that had to be removed anyway. A
+ * member that had its list rejected removes nothing.
  *
  * @param number the number of the list, 1 for the first
  * @param previous the file name of the list published before; empty in the first
--- a/router/src/main/java/tidebank/fleet/SharedFolder.java
+++ b/router/src/main/java/tidebank/fleet/SharedFolder.java
@@ -81,8 +81,9 @@
   // ---- reports and removal lists
 
   /**
-   * Writes a report to a file and returns the file's name, which no other fencing token ever has.
-   * The report counts only once the coordinator has published the name.
+   * Writes a report to a file and returns the file's name. The name contains the fencing token, so
+   * that no other lease holder writes a file of this name. The report counts only once the
+   * coordinator has published the name.
    */
   String write(FleetReport report) throws IOException {
     String name = "report-" + report.number() + "-by-" + report.fencingToken() + JSON_SUFFIX;
@@ -98,8 +99,9 @@
   }
 
   /**
-   * Writes a removal list to a file and returns the file's name, which no other fencing token ever
-   * has. Nothing is removed before the coordinator has published the name.
+   * Writes a removal list to a file and returns the file's name. The name contains the fencing
+   * token, so that no other lease holder writes a file of this name. Nothing is removed before the
+   * coordinator has published the name.
    */
   String write(RemovalList list) throws IOException {
     String name = "removal-" + list.number() + "-by-" + list.fencingToken() + JSON_SUFFIX;
@@ -115,9 +117,9 @@
   }
 
   /**
-   * Removes reports long before the published one, and those with the same numbers that were never
-   * published. A late or repeated call does no harm, because none of the removed names can be
-   * published any more.
+   * Removes all reports with a number that is {@link #FILES_RETAINED} or more below that of the
+   * published one, whether they were published or not. A late or repeated call does no harm,
+   * because none of the removed names can be published any more.
    */
   void removeOldReports(FleetReport published) throws IOException {
     removeOldFiles(reports, published.number());
--- a/router/src/main/java/tidebank/lease/MemberTable.java
+++ b/router/src/main/java/tidebank/lease/MemberTable.java
@@ -13,7 +13,8 @@
 final class MemberTable {
   /**
    * The greatest flap count. A flapping member is held off for one lease, and for twice as long
-   * with each further flap.
+   * with each further flap. An absence of 2^MAX_FLAP_COUNT leases or more is no flap and resets the
+   * count.
    */
   private static final int MAX_FLAP_COUNT = 5;
 
@@ -38,8 +39,8 @@
   }
 
   /**
-   * Returns the member that sent a command. Throws if it is not registered, joined under another
-   * session since, or is retired.
+   * Returns the member that sent a command. Throws if the command's session is not the one that
+   * joined last under the name, or if the member is retired.
    */
   Member requireSender(LeaseCommand command) throws TidebankException {
     Member member = find(command.member());
@@ -120,8 +121,8 @@
   }
 
   /**
-   * Removes the member that expired longest ago if the table is full. Throws if all are alive or
-   * retired.
+   * Removes the member that expired longest ago if the table is full. Throws if every member is
+   * alive or retired.
    */
   private void evictIfFull(long leaderClock, LeaseConfig config) throws TidebankException {
     if (members.size() < config.maxMembers()) {
--- a/testbed/src/test/java/tidebank/lease/InjectedFault.java
+++ b/testbed/src/test/java/tidebank/lease/InjectedFault.java
@@ -22,11 +22,11 @@
   /** How long before its expiry a lease counts as expired, in microseconds. */
   private static final long EARLY_EXPIRY_US = 1_000_000;
 
-  LeaseTable table(LeaseTableState state) {
+  LeaseTable createTable(LeaseTableState state) {
     return new FaultyTable(state, this);
   }
 
-  LeaseHolder holder(String member, String session) {
+  LeaseHolder createHolder(String member, String session) {
     return new FaultyHolder(member, session, this);
   }
 
--- a/testbed/src/test/java/tidebank/lease/LeaseModel.java
+++ b/testbed/src/test/java/tidebank/lease/LeaseModel.java
@@ -195,7 +195,7 @@
             0,
             new TreeMap<>(),
             null);
-    LeaseTable table = fault.table(state.table);
+    LeaseTable table = fault.createTable(state.table);
     LeaseCommand.Plan plan = new LeaseCommand.Plan(CONFIG, TASKS);
     table.apply(
         1,
@@ -203,7 +203,7 @@
         new LeaseCommand(LeaseCommand.Kind.PLAN, "leader", 1, "", "", 0, 0, "", plan));
     List<LeaseHolder> holders = new ArrayList<>();
     for (int i = 0; i < MEMBERS; i++) {
-      LeaseHolder holder = fault.holder("m" + i, "s" + i);
+      LeaseHolder holder = fault.createHolder("m" + i, "s" + i);
       LeaseCommand join = holder.nextCommand(memberClock(state, i));
       CommandResult joinResult = table.apply(1, leaderClock(state), join);
       holder.handleResult(join.sequence(), joinResult, memberClock(state, i));
@@ -254,7 +254,7 @@
     LeaseHolder publisher = state.holders.get(member).copy();
     addSendSteps(state, member, publisher, publishCommand(state, member, publisher), next);
     if (state.disturbances == 0) {
-      LeaseHolder restarted = fault.holder("m" + member, "s" + member + "'");
+      LeaseHolder restarted = fault.createHolder("m" + member, "s" + member + "'");
       next.accept(
           "m" + member + " is killed and restarts",
           state.withHolder(member, restarted).withDisturbance());
@@ -318,7 +318,7 @@
    * and after.
    */
   private ApplyResult apply(State state, LeaseCommand command) {
-    LeaseTable table = fault.table(state.table);
+    LeaseTable table = fault.createTable(state.table);
     CommandResult result = table.apply(state.term, leaderClock(state), command);
     LeaseTableState after = table.state();
     TreeMap<String, String> outcomes = new TreeMap<>(state.outcomes);
