--- a/router/src/main/java/tidebank/backend/BatchWriter.java
+++ b/router/src/main/java/tidebank/backend/BatchWriter.java
@@ -29,7 +29,7 @@
     queuedBatches.add(batch);
   }
 
-  /** Removes a batch whose attempts have all completed. */
+  /** Removes a batch that has no attempts left. */
   void remove(RequestBatch batch) {
     queuedBatches.remove(batch);
   }
--- a/router/src/main/java/tidebank/discovery/DiscoveryClient.java
+++ b/router/src/main/java/tidebank/discovery/DiscoveryClient.java
@@ -39,7 +39,7 @@
   private static final long UNKNOWN_VERSION = -1;
   private static final long US_PER_MS = 1000;
 
-  /** The maximum size of a list, as a multiple of that of other bodies. */
+  /** The maximum size of a list, as a multiple of the maximum size of other bodies. */
   private static final int LIST_BODY_FACTOR = 16;
 
   private enum WatchState {
@@ -209,7 +209,7 @@
     renew(changed);
   }
 
-  /** Reports a list to the policy, unless the watch is confirmed and nothing changed. */
+  /** Reports a list to the policy, unless it is an empty delta of a confirmed watch. */
   private void report(EndpointList list) {
     if (state != WatchState.CONFIRMED || list.complete() || !list.endpoints().isEmpty()) {
       state = WatchState.CONFIRMED;
@@ -230,9 +230,7 @@
     }
   }
 
-  /**
-   * Handles a list that is malformed or does not fit: the next call must be for a complete list.
-   */
+  /** Handles a list that cannot be applied: the next call requests a complete list. */
   private void handleUnusableList(String reason) {
     knownVersion = UNKNOWN_VERSION;
     watchLost(reason);
