--- a/cli/src/main/java/tidebank/cli/Tidebank.java
+++ b/cli/src/main/java/tidebank/cli/Tidebank.java
@@ -91,7 +91,7 @@
                     json
                         ? LeaseJson.configure(new ObjectMapper())
                             .writeValueAsString(known.details())
-                        : known.details().lines());
+                        : known.details().toText());
             return FAILED;
           }
           String text =
--- a/cli/src/main/java/tidebank/cli/TraceMappingCommand.java
+++ b/cli/src/main/java/tidebank/cli/TraceMappingCommand.java
@@ -38,7 +38,7 @@
     Layout found = Layouts.named(name);
     if (found == null) {
       List<String> known = Layouts.all().stream().map(Layout::name).toList();
-      String near = Toml.nearest(name, known);
+      String near = Toml.findNearest(name, known);
       throw new MalformedInputException(
           "unknown layout \""
               + name
--- a/cli/src/main/java/tidebank/cli/Watch.java
+++ b/cli/src/main/java/tidebank/cli/Watch.java
@@ -43,7 +43,7 @@
     try {
       shown.once();
     } catch (TidebankException fault) {
-      return fault.details().lines().lines().toList();
+      return fault.details().toText().lines().toList();
     } finally {
       line.setOut(before);
     }
--- a/coordinator/src/main/java/tidebank/coordinator/CoordinatorConfig.java
+++ b/coordinator/src/main/java/tidebank/coordinator/CoordinatorConfig.java
@@ -92,7 +92,7 @@
             Path.of(dataDirectory),
             peers,
             readListen(root, name, peers),
-            OperatorConfig.logging(root.table("log")),
+            OperatorConfig.readLogSettings(root.table("log")),
             leaseConfig,
             tasks,
             root.table("election").integer("ms", 500, 50, 60_000) * 1000,
@@ -111,7 +111,7 @@
     Set<String> names = new HashSet<>();
     peers.forEach(peer -> names.add(peer.name()));
     if (peers.isEmpty() || names.size() < peers.size() || peers.size() % 2 == 0) {
-      file.fault(
+      file.addFault(
           "peers",
           "found "
               + peers.size()
@@ -119,7 +119,7 @@
               + names.size()
               + " distinct names, wanted an odd number of peers with distinct names");
     } else if (!names.contains(ownName)) {
-      file.fault(
+      file.addFault(
           "name", "found " + ownName + ", wanted one of the peers: " + String.join(", ", names));
     }
     return peers;
@@ -129,7 +129,7 @@
     List<String> tasks = file.root().table("duties").texts("names");
     for (String task : tasks) {
       if (!TASK_NAME.matcher(task).matches()) {
-        file.fault(
+        file.addFault(
             "duties.names",
             "found "
                 + task
@@ -159,7 +159,7 @@
     } catch (NumberFormatException exception) {
       // Reported below, like any other malformed address.
     }
-    table.fault(key, "found " + text + ", wanted an address such as 127.0.0.1:7100");
+    table.addFault(key, "found " + text + ", wanted an address such as 127.0.0.1:7100");
     return null;
   }
 }
--- a/coordinator/src/main/java/tidebank/coordinator/CoordinatorMain.java
+++ b/coordinator/src/main/java/tidebank/coordinator/CoordinatorMain.java
@@ -31,7 +31,7 @@
     } catch (IOException exception) {
       System.err.println(
           exception instanceof TidebankException known
-              ? known.details().lines()
+              ? known.details().toText()
               : "tidebank: " + exception);
       System.exit(EXIT_FAILED);
     }
@@ -57,7 +57,7 @@
                 }));
     // On SIGTERM the hook ends the process; this completes only if the coordinator has failed.
     TidebankException failure = coordinator.failure().join();
-    System.err.println(failure.details().lines());
+    System.err.println(failure.details().toText());
     Runtime.getRuntime().halt(EXIT_FAILED);
     return EXIT_FAILED;
   }
--- a/coordinator/src/main/java/tidebank/coordinator/RaftReplica.java
+++ b/coordinator/src/main/java/tidebank/coordinator/RaftReplica.java
@@ -169,7 +169,7 @@
         new StorageException.DataDirectoryUnusable(
             config.dataDirectory().toString(), "cannot write the replicated log: " + root);
     if (failure.complete(exception)) {
-      LOG.error(exception.details().lines().replace('\n', ' '));
+      LOG.error(exception.details().toText().replace('\n', ' '));
     }
   }
 
--- a/router/src/main/java/tidebank/config/JsonFields.java
+++ b/router/src/main/java/tidebank/config/JsonFields.java
@@ -18,7 +18,7 @@
    *
    * @throws MalformedInputException if it is absent
    */
-  public static JsonNode required(JsonNode node, String field) throws MalformedInputException {
+  public static JsonNode requiredField(JsonNode node, String field) throws MalformedInputException {
     JsonNode value = node.get(field);
     if (isAbsent(value)) {
       throw new MalformedInputException("field '" + field + "' is missing in " + quoted(node));
@@ -32,7 +32,7 @@
    * @throws MalformedInputException if it is absent or not a text
    */
   public static String text(JsonNode node, String field) throws MalformedInputException {
-    JsonNode value = required(node, field);
+    JsonNode value = requiredField(node, field);
     if (!value.isTextual()) {
       throw wrongType(field, value, "a text");
     }
@@ -51,7 +51,7 @@
    * @throws MalformedInputException if it is absent or not a number
    */
   public static double number(JsonNode node, String field) throws MalformedInputException {
-    JsonNode value = required(node, field);
+    JsonNode value = requiredField(node, field);
     if (!value.isNumber()) {
       throw wrongType(field, value, "a number");
     }
@@ -101,7 +101,7 @@
   }
 
   /** Converts milliseconds to whole microseconds. */
-  public static long micros(double ms) {
+  public static long toMicros(double ms) {
     return Math.round(ms * US_PER_MS);
   }
 
@@ -111,7 +111,7 @@
    * @throws MalformedInputException if it is absent or not a number
    */
   public static long micros(JsonNode node, String field) throws MalformedInputException {
-    return micros(number(node, field));
+    return toMicros(number(node, field));
   }
 
   /**
@@ -121,7 +121,7 @@
    */
   public static long micros(JsonNode node, String field, double defaultMs)
       throws MalformedInputException {
-    return micros(number(node, field, defaultMs));
+    return toMicros(number(node, field, defaultMs));
   }
 
   /**
@@ -139,7 +139,7 @@
   }
 
   /** Converts microseconds to milliseconds. */
-  public static double millis(long micros) {
+  public static double toMillis(long micros) {
     return micros / US_PER_MS;
   }
 
--- a/router/src/main/java/tidebank/config/KeySuggestions.java
+++ b/router/src/main/java/tidebank/config/KeySuggestions.java
@@ -12,7 +12,7 @@
   private KeySuggestions() {}
 
   /** Returns the known word nearest to an unknown one, if any is near. */
-  public static Optional<String> nearest(String word, Collection<String> known) {
+  public static Optional<String> findNearest(String word, Collection<String> known) {
     String lowerCaseWord = word.toLowerCase(Locale.ROOT);
     String best = null;
     int bestDistance = Math.max(1, word.length() / LENGTH_PER_EDIT) + 1;
@@ -34,13 +34,13 @@
     int[][] edits = new int[a.length() + 1][b.length() + 1];
     for (int i = 0; i <= a.length(); i++) {
       for (int j = 0; j <= b.length(); j++) {
-        edits[i][j] = i == 0 || j == 0 ? i + j : leastEdits(edits, a, b, i, j);
+        edits[i][j] = i == 0 || j == 0 ? i + j : minEdits(edits, a, b, i, j);
       }
     }
     return edits[a.length()][b.length()];
   }
 
-  private static int leastEdits(int[][] edits, String a, String b, int i, int j) {
+  private static int minEdits(int[][] edits, String a, String b, int i, int j) {
     int substitution = a.charAt(i - 1) == b.charAt(j - 1) ? 0 : 1;
     int least =
         Math.min(
--- a/router/src/main/java/tidebank/config/OperatorConfig.java
+++ b/router/src/main/java/tidebank/config/OperatorConfig.java
@@ -65,18 +65,18 @@
 
   static OperatorConfig read(Toml file) throws MalformedInputException {
     Toml.Table root = file.root();
-    Log.Settings logging = logging(root.table("log"));
+    Log.Settings logging = readLogSettings(root.table("log"));
     long counterLogIntervalS =
         root.table("report")
             .integer("counters_every_s", DEFAULT_COUNTER_LOG_INTERVAL_S, 1, SECONDS_PER_DAY);
-    CaptureRecorder.Config capture = capture(root.table("capture"));
-    FleetAgent.Config fleet = fleet(root.table("fleet"));
+    CaptureRecorder.Config capture = readCapture(root.table("capture"));
+    FleetAgent.Config fleet = readFleet(root.table("fleet"));
     file.check();
     return new OperatorConfig(logging, counterLogIntervalS * US_PER_SECOND, capture, fleet);
   }
 
   /** Reads how a process logs from the table {@code log} of its file. */
-  public static Log.Settings logging(Toml.Table table) {
+  public static Log.Settings readLogSettings(Toml.Table table) {
     LogLevel level = table.choice("level", LogLevel.INFO, LogLevel.class);
     Log.Format format = table.choice("form", Log.Format.TEXT, Log.Format.class);
     int defaultLines = Log.Settings.DEFAULT.maxLinesPerSecond();
@@ -84,7 +84,7 @@
     return new Log.Settings(level.level, format, maxLinesPerSecond);
   }
 
-  private static CaptureRecorder.Config capture(Toml.Table table) {
+  private static CaptureRecorder.Config readCapture(Toml.Table table) {
     String folder = table.text("folder", "");
     CaptureRecorder.Config config =
         new CaptureRecorder.Config(
@@ -96,12 +96,12 @@
             table.integer("budget_mb", 200, 2, 1 << 20) * BYTES_PER_MB,
             table.flag("force", false));
     if (config.maxTotalBytes() < 2 * config.segmentBytes()) {
-      table.fault("budget_mb", "is less than two segments of segment_mb");
+      table.addFault("budget_mb", "is less than two segments of segment_mb");
     }
     return folder.isEmpty() ? null : config;
   }
 
-  private static FleetAgent.Config fleet(Toml.Table table) {
+  private static FleetAgent.Config readFleet(Toml.Table table) {
     List<String> coordinators = table.texts("stewards");
     String folder = table.text("folder", "");
     long intervalUs = table.integer("every_ms", 60_000, 100, SECONDS_PER_DAY * 1000) * US_PER_MS;
@@ -111,7 +111,7 @@
             table.integer("keep_mb", 1000, 1, 1 << 30) * BYTES_PER_MB);
     for (String coordinator : coordinators) {
       if (!coordinator.matches(ADDRESS_PATTERN)) {
-        table.fault(
+        table.addFault(
             "stewards", "found " + coordinator + ", wanted addresses such as 127.0.0.1:7200");
       }
     }
@@ -119,7 +119,7 @@
       return null;
     }
     if (folder.isEmpty()) {
-      table.fault("folder", "is missing, wanted the folder that all members share");
+      table.addFault("folder", "is missing, wanted the folder that all members share");
     }
     return new FleetAgent.Config(coordinators, Path.of(folder), intervalUs, retention);
   }
--- a/router/src/main/java/tidebank/config/RouterConfig.java
+++ b/router/src/main/java/tidebank/config/RouterConfig.java
@@ -21,7 +21,8 @@
  * @param seed the seed of all random decisions
  * @param budgets how the file descriptors and buffers are shared out
  * @param transport the settings of sockets
- * @param cachedList the endpoint list as the router last had it, in discovery's form, or null
+ * @param cachedEndpointList the endpoint list as the router last had it, in discovery's form, or
+ *     null
  * @param settings the settings of the deployment
  */
 public record RouterConfig(
@@ -31,7 +32,7 @@
     long seed,
     Budgets budgets,
     Transport transport,
-    JsonNode cachedList,
+    JsonNode cachedEndpointList,
     Settings settings) {
   private static final String CONFIG_VARIABLE = "NODE_CONFIG";
   private static final String DISCOVERY_VARIABLE = "NODE_DISCOVERY";
@@ -144,7 +145,7 @@
    * @throws MalformedInputException if anything is missing or invalid
    */
   public static RouterConfig read(Map<String, String> environment) throws MalformedInputException {
-    return read(environment, file(environment));
+    return read(environment, readFile(environment));
   }
 
   /**
@@ -155,7 +156,7 @@
    */
   public static RouterConfig reread(Map<String, String> environment)
       throws MalformedInputException {
-    JsonNode file = file(environment);
+    JsonNode file = readFile(environment);
     Map<String, String> remaining = new HashMap<>(environment);
     if (!file.path("discovery").asText("").isEmpty()) {
       remaining.remove(DISCOVERY_VARIABLE);
@@ -174,24 +175,24 @@
     } catch (MalformedInputException fault) {
       throw new MalformedInputException("settings: " + fault.getMessage());
     }
-    check(settings);
+    checkSettings(settings);
     JsonNode cachedList = file.path("known");
     return new RouterConfig(
-        text(environment, "NODE_NAME", file, "name"),
-        address("NODE_LISTEN or listen", text(environment, "NODE_LISTEN", file, "listen")),
-        address(
+        readText(environment, "NODE_NAME", file, "name"),
+        parseAddress("NODE_LISTEN or listen", readText(environment, "NODE_LISTEN", file, "listen")),
+        parseAddress(
             "NODE_DISCOVERY or discovery",
-            text(environment, DISCOVERY_VARIABLE, file, "discovery")),
-        seed(file.path("seed")),
-        budgets(file.path("limits")),
+            readText(environment, DISCOVERY_VARIABLE, file, "discovery")),
+        parseSeed(file.path("seed")),
+        readBudgets(file.path("limits")),
         transport,
         cachedList.isObject() ? cachedList : null,
         settings);
   }
 
-  private static void check(Settings settings) throws MalformedInputException {
+  private static void checkSettings(Settings settings) throws MalformedInputException {
     if (settings.queryClasses().isEmpty()) {
-      throw wrong("settings.services", "none", "a list of table types");
+      throw malformed("settings.services", "none", "a list of table types");
     }
     Settings.Layout layout = settings.layout();
     if (layout.shards() < 1 || layout.positions() < 1 || layout.replicationSpan() < 1) {
@@ -202,26 +203,26 @@
               + layout.positions()
               + " width="
               + layout.replicationSpan();
-      throw wrong("settings.specifics", found, "slices, positions and width from 1");
+      throw malformed("settings.specifics", found, "slices, positions and width from 1");
     }
   }
 
-  private static JsonNode file(Map<String, String> environment) throws MalformedInputException {
+  private static JsonNode readFile(Map<String, String> environment) throws MalformedInputException {
     String path = environment.getOrDefault(CONFIG_VARIABLE, "");
     if (path.isEmpty()) {
-      throw wrong(CONFIG_VARIABLE, "nothing", "the path of a JSON file");
+      throw malformed(CONFIG_VARIABLE, "nothing", "the path of a JSON file");
     }
     JsonNode file;
     try {
       file = new ObjectMapper().readTree(Files.readAllBytes(Path.of(path)));
     } catch (JsonProcessingException invalid) {
       String found = path + ": " + invalid.getOriginalMessage();
-      throw wrong(CONFIG_VARIABLE, found, "a file that holds a JSON object");
+      throw malformed(CONFIG_VARIABLE, found, "a file that holds a JSON object");
     } catch (IOException | RuntimeException unreadable) {
-      throw wrong(CONFIG_VARIABLE, path, "a file that can be read");
+      throw malformed(CONFIG_VARIABLE, path, "a file that can be read");
     }
     if (file == null || !file.isObject()) {
-      throw wrong(CONFIG_VARIABLE, path, "a file that holds a JSON object");
+      throw malformed(CONFIG_VARIABLE, path, "a file that holds a JSON object");
     }
     return file;
   }
@@ -229,18 +230,18 @@
   private static JsonNode settingsNode(JsonNode file) throws MalformedInputException {
     JsonNode settings = file.path("settings");
     if (!settings.isObject()) {
-      throw wrong("settings", textOf(settings), "an object");
+      throw malformed("settings", describe(settings), "an object");
     }
     return settings;
   }
 
-  private static String text(
+  private static String readText(
       Map<String, String> environment, String variable, JsonNode file, String key)
       throws MalformedInputException {
     String fromEnvironment = environment.getOrDefault(variable, "");
     String value = fromEnvironment.isEmpty() ? file.path(key).asText("") : fromEnvironment;
     if (value.isEmpty()) {
-      throw wrong(variable + " or " + key, "nothing", "a text");
+      throw malformed(variable + " or " + key, "nothing", "a text");
     }
     return value;
   }
@@ -251,7 +252,8 @@
    * @param key what a message calls the address
    * @throws MalformedInputException if it is not of that form
    */
-  public static InetSocketAddress address(String key, String value) throws MalformedInputException {
+  public static InetSocketAddress parseAddress(String key, String value)
+      throws MalformedInputException {
     int colon = value.lastIndexOf(':');
     String host = colon < 0 ? "" : value.substring(0, colon);
     try {
@@ -262,37 +264,37 @@
     } catch (NumberFormatException invalidPort) {
       // Falls through to the message below.
     }
-    throw wrong(key, value, "an address such as 127.0.0.1:3000");
+    throw malformed(key, value, "an address such as 127.0.0.1:3000");
   }
 
-  private static long seed(JsonNode value) throws MalformedInputException {
+  private static long parseSeed(JsonNode value) throws MalformedInputException {
     try {
       return Long.parseUnsignedLong(value.asText(""), HEX_RADIX);
     } catch (NumberFormatException invalid) {
-      throw wrong("seed", textOf(value), "16 hex digits");
+      throw malformed("seed", describe(value), "16 hex digits");
     }
   }
 
-  private static Budgets budgets(JsonNode limits) throws MalformedInputException {
-    limit(limits, "memory_mb", MIN_MEMORY_MB, MIN_MEMORY_MB);
-    return Budgets.of(limit(limits, "sockets", MIN_SOCKETS, DEFAULT_SOCKETS));
+  private static Budgets readBudgets(JsonNode limits) throws MalformedInputException {
+    readLimit(limits, "memory_mb", MIN_MEMORY_MB, MIN_MEMORY_MB);
+    return Budgets.of(readLimit(limits, "sockets", MIN_SOCKETS, DEFAULT_SOCKETS));
   }
 
   /** Reads a limit of the platform; one that is too small to run in is a fault. */
-  private static int limit(JsonNode limits, String key, int min, int defaultValue)
+  private static int readLimit(JsonNode limits, String key, int min, int defaultValue)
       throws MalformedInputException {
     JsonNode value = limits.path(key);
     if (!value.isMissingNode() && (!value.canConvertToInt() || value.intValue() < min)) {
-      throw wrong("limits." + key, value.toString(), "a whole number from " + min);
+      throw malformed("limits." + key, value.toString(), "a whole number from " + min);
     }
     return value.asInt(defaultValue);
   }
 
-  private static String textOf(JsonNode value) {
+  private static String describe(JsonNode value) {
     return value.isMissingNode() ? "nothing" : value.toString();
   }
 
-  private static MalformedInputException wrong(String key, String found, String wanted) {
+  private static MalformedInputException malformed(String key, String found, String wanted) {
     return new MalformedInputException(key + ": found " + found + ", wanted " + wanted);
   }
 }
--- a/router/src/main/java/tidebank/config/SettingsReader.java
+++ b/router/src/main/java/tidebank/config/SettingsReader.java
@@ -27,9 +27,10 @@
    * @throws MalformedInputException if a value has the wrong type or is out of range
    */
   public static Settings read(JsonNode config) throws MalformedInputException {
-    JsonNode layout = object(config, "specifics");
-    Map<String, QueryClass> queryClasses = queryClasses(object(config, "services"), layout);
-    Map<String, Double> quotas = quotas(object(config, "tenants"));
+    JsonNode layout = childOrMissing(config, "specifics");
+    Map<String, QueryClass> queryClasses =
+        readQueryClasses(childOrMissing(config, "services"), layout);
+    Map<String, Double> quotas = readQuotas(childOrMissing(config, "tenants"));
     return new Settings(
         Math.max(1, JsonFields.integer(config, "instances", 1)),
         JsonFields.integer(config, "rank", -1),
@@ -37,36 +38,36 @@
         queryClasses,
         quotas,
         JsonFields.number(config, "overShareWorth", 1),
-        layout(layout),
-        limits(object(config, "limits"), isWatchOnRequest(config)),
-        rules(object(config, "guarantees")));
+        readLayout(layout),
+        readLimits(childOrMissing(config, "limits"), isWatchOnRequest(config)),
+        readRules(childOrMissing(config, "guarantees")));
   }
 
-  private static Map<String, QueryClass> queryClasses(JsonNode services, JsonNode layout)
+  private static Map<String, QueryClass> readQueryClasses(JsonNode services, JsonNode layout)
       throws MalformedInputException {
     Map<String, QueryClass> queryClasses = new LinkedHashMap<>();
     for (int row = 0; row < services.size(); row++) {
-      QueryClass queryClass = queryClass(services.get(row), layout, row);
+      QueryClass queryClass = readQueryClass(services.get(row), layout, row);
       queryClasses.put(queryClass.name(), queryClass);
     }
     return queryClasses;
   }
 
-  private static QueryClass queryClass(JsonNode service, JsonNode layout, int row)
+  private static QueryClass readQueryClass(JsonNode service, JsonNode layout, int row)
       throws MalformedInputException {
     return new QueryClass(
         JsonFields.text(service, "name"),
-        idempotency(JsonFields.text(service, "semantics", "")),
+        parseIdempotency(JsonFields.text(service, "semantics", "")),
         JsonFields.duration(service, "windowMs", 0),
         JsonFields.duration(service, "onTimeMs", JsonFields.number(service, "deadlineMs", 0)),
         JsonFields.duration(service, "deadlineMs", 0),
         JsonFields.number(service, "lateWorth", 0),
-        valueOfRow(layout, "floorByClass", row, 1),
-        valueOfRow(layout, "classNeed", row, 1),
-        (int) valueOfRow(layout, "secondStep", row, 0));
+        readRowValue(layout, "floorByClass", row, 1),
+        readRowValue(layout, "classNeed", row, 1),
+        (int) readRowValue(layout, "secondStep", row, 0));
   }
 
-  private static Idempotency idempotency(String semantics) {
+  private static Idempotency parseIdempotency(String semantics) {
     return switch (semantics) {
       case "read_like" -> Idempotency.IDEMPOTENT;
       case "idempotency_key" -> Idempotency.WITH_KEY;
@@ -75,12 +76,12 @@
   }
 
   /** Returns the value of a query class in an array, or the default if there is no number. */
-  private static double valueOfRow(JsonNode layout, String field, int row, double defaultValue) {
-    JsonNode value = object(layout, field).get(row);
+  private static double readRowValue(JsonNode layout, String field, int row, double defaultValue) {
+    JsonNode value = childOrMissing(layout, field).get(row);
     return value == null || !value.isNumber() ? defaultValue : value.doubleValue();
   }
 
-  private static Map<String, Double> quotas(JsonNode tenants) throws MalformedInputException {
+  private static Map<String, Double> readQuotas(JsonNode tenants) throws MalformedInputException {
     Map<String, Double> quotas = new LinkedHashMap<>();
     for (JsonNode tenant : tenants) {
       double perSecond = JsonFields.number(tenant, "allowancePerS", 0);
@@ -91,7 +92,7 @@
     return quotas;
   }
 
-  private static Settings.Layout layout(JsonNode layout) throws MalformedInputException {
+  private static Settings.Layout readLayout(JsonNode layout) throws MalformedInputException {
     return new Settings.Layout(
         Math.max(0, JsonFields.integer(layout, "slices", 0)),
         Math.max(0, JsonFields.integer(layout, "positions", 0)),
@@ -104,7 +105,7 @@
     return JsonFields.text(config, "discovery", "push").equals("ask");
   }
 
-  private static Settings.Limits limits(JsonNode limits, boolean watchOnRequest)
+  private static Settings.Limits readLimits(JsonNode limits, boolean watchOnRequest)
       throws MalformedInputException {
     return new Settings.Limits(
         Math.max(1, JsonFields.integer(limits, "maxAttempts", 1)),
@@ -117,7 +118,7 @@
         watchOnRequest);
   }
 
-  private static Settings.Rules rules(JsonNode rules) throws MalformedInputException {
+  private static Settings.Rules readRules(JsonNode rules) throws MalformedInputException {
     return new Settings.Rules(
         JsonFields.duration(rules, "answerSlackMs", 0),
         JsonFields.duration(rules, "askEveryMs", NEVER_MS),
@@ -131,7 +132,7 @@
         JsonFields.duration(rules, "ratioSpanMs", 0));
   }
 
-  private static JsonNode object(JsonNode node, String field) {
+  private static JsonNode childOrMissing(JsonNode node, String field) {
     JsonNode value = node.get(field);
     return value == null || value.isNull() ? MissingNode.getInstance() : value;
   }
--- a/router/src/main/java/tidebank/config/Toml.java
+++ b/router/src/main/java/tidebank/config/Toml.java
@@ -82,7 +82,7 @@
   }
 
   /** Adds a fault that the caller found, at the line of a key. */
-  public void fault(String key, String description) {
+  public void addFault(String key, String description) {
     faults.add(name + ":" + lines.lineOf(key) + ": " + key + ": " + description);
   }
 
@@ -93,7 +93,7 @@
    */
   public void check() throws MalformedInputException {
     for (Table table : List.copyOf(openedTables)) {
-      table.addFaultsOfUnknownKeys();
+      table.addUnknownKeyFaults();
     }
     if (!faults.isEmpty()) {
       throw new MalformedInputException(String.join("\n", new LinkedHashSet<>(faults)));
@@ -101,8 +101,8 @@
   }
 
   /** Returns the known word nearest to an unknown one, or null if none is near. */
-  public static String nearest(String word, Collection<String> known) {
-    return KeySuggestions.nearest(word, known).orElse(null);
+  public static String findNearest(String word, Collection<String> known) {
+    return KeySuggestions.findNearest(word, known).orElse(null);
   }
 
   /**
@@ -141,8 +141,8 @@
     }
 
     /** Adds a fault that the caller found, at the line of a key of this table. */
-    public void fault(String key, String description) {
-      Toml.this.fault(pathOf(key), description);
+    public void addFault(String key, String description) {
+      Toml.this.addFault(pathOf(key), description);
     }
 
     /** Returns a value that {@code reader} can read; it returns null for any other. */
@@ -153,14 +153,14 @@
       }
       T result = reader.apply(value);
       if (result == null) {
-        addFaultOfType(key, value, wanted);
+        addTypeFault(key, value, wanted);
         return defaultValue;
       }
       return result;
     }
 
-    private void addFaultOfType(String key, JsonNode value, String wanted) {
-      fault(key, "found " + value + ", wanted " + wanted);
+    private void addTypeFault(String key, JsonNode value, String wanted) {
+      addFault(key, "found " + value + ", wanted " + wanted);
     }
 
     /** Returns a text, or the default if the key is absent. */
@@ -172,7 +172,7 @@
     /** Returns a text; it is a fault if the key is absent. */
     public String requiredText(String key) {
       if (!has(key)) {
-        fault(key, "is missing, wanted a text");
+        addFault(key, "is missing, wanted a text");
       }
       return text(key, "");
     }
@@ -237,15 +237,16 @@
 
     /** Returns a list of texts, empty if the key is absent. */
     public List<String> texts(String key) {
-      return list(key, "a list of texts", item -> item.isTextual() ? item.textValue() : null);
+      return readList(key, "a list of texts", item -> item.isTextual() ? item.textValue() : null);
     }
 
     /** Returns a list of numbers, empty if the key is absent. */
     public List<Double> numbers(String key) {
-      return list(key, "a list of numbers", item -> item.isNumber() ? item.doubleValue() : null);
+      return readList(
+          key, "a list of numbers", item -> item.isNumber() ? item.doubleValue() : null);
     }
 
-    private <T> List<T> list(String key, String wanted, Function<JsonNode, T> itemReader) {
+    private <T> List<T> readList(String key, String wanted, Function<JsonNode, T> itemReader) {
       return read(
           key,
           List.of(),
@@ -267,7 +268,7 @@
     public Table table(String key) {
       JsonNode value = value(key);
       if (!value.isMissingNode() && !value.isObject()) {
-        addFaultOfType(key, value, "a table");
+        addTypeFault(key, value, "a table");
       }
       return new Table(pathOf(key), value);
     }
@@ -277,7 +278,7 @@
       JsonNode value = value(key);
       List<Table> tables = new ArrayList<>();
       if (!value.isMissingNode() && !value.isArray()) {
-        addFaultOfType(key, value, "tables [[" + pathOf(key) + "]]");
+        addTypeFault(key, value, "tables [[" + pathOf(key) + "]]");
       }
       for (int i = 0; value.isArray() && i < value.size(); i++) {
         tables.add(new Table(pathOf(key) + "[" + i + "]", value.get(i)));
@@ -286,7 +287,7 @@
     }
 
     /** Returns each key's value as a text; the table may have any keys. */
-    public Map<String, String> freeTexts() {
+    public Map<String, String> textsByKey() {
       anyKeyAllowed = true;
       Map<String, String> values = new LinkedHashMap<>();
       node.fields()
@@ -296,13 +297,13 @@
                 if (value.isValueNode()) {
                   values.put(entry.getKey(), value.asText());
                 } else {
-                  addFaultOfType(entry.getKey(), value, "a text");
+                  addTypeFault(entry.getKey(), value, "a text");
                 }
               });
       return values;
     }
 
-    private void addFaultsOfUnknownKeys() {
+    private void addUnknownKeyFaults() {
       if (anyKeyAllowed || !node.isObject()) {
         return;
       }
@@ -310,13 +311,13 @@
           .forEachRemaining(
               key -> {
                 if (!knownKeys.contains(key)) {
-                  fault(key, "unknown key" + suggestion(key));
+                  addFault(key, "unknown key" + suggestion(key));
                 }
               });
     }
 
     private String suggestion(String key) {
-      Optional<String> near = KeySuggestions.nearest(key, knownKeys);
+      Optional<String> near = KeySuggestions.findNearest(key, knownKeys);
       return near.isPresent()
           ? "; did you mean \"" + near.get() + "\"?"
           : "; known are " + String.join(", ", knownKeys);
--- a/router/src/main/java/tidebank/config/TomlLineIndex.java
+++ b/router/src/main/java/tidebank/config/TomlLineIndex.java
@@ -35,18 +35,19 @@
       Matcher header = HEADER.matcher(line);
       Matcher key = KEY.matcher(line);
       if (header.matches()) {
-        String path = tablePath(line, unquoted(header.group(1)), arrayLengths);
+        String path = resolveTablePath(line, unquote(header.group(1)), arrayLengths);
         lineByPath.putIfAbsent(path, number);
         tablePrefix = path + ".";
       } else if (key.matches()) {
-        lineByPath.putIfAbsent(tablePrefix + unquoted(key.group(1)), number);
-        openQuotes = openQuotes(line);
+        lineByPath.putIfAbsent(tablePrefix + unquote(key.group(1)), number);
+        openQuotes = findOpenQuotes(line);
       }
     }
   }
 
   /** Returns the path of a table; that of an array's table ends in its index. */
-  private static String tablePath(String line, String name, Map<String, Integer> arrayLengths) {
+  private static String resolveTablePath(
+      String line, String name, Map<String, Integer> arrayLengths) {
     if (!line.trim().startsWith("[[")) {
       return name;
     }
@@ -55,7 +56,7 @@
   }
 
   /** Returns the quotes of a multi-line string that begins in this line and does not end in it. */
-  private static String openQuotes(String line) {
+  private static String findOpenQuotes(String line) {
     String open = null;
     for (String quotes : MULTI_LINE_QUOTES) {
       int start = line.indexOf(quotes);
@@ -66,13 +67,13 @@
     return open;
   }
 
-  private static String unquoted(String key) {
+  private static String unquote(String key) {
     return key.replaceAll("\\s*\\.\\s*", ".").replace("\"", "").replace("'", "");
   }
 
   /** Returns the line of a key, or of the innermost table around it that has one; 1 if none has. */
   int lineOf(String path) {
-    for (String at = path; !at.isEmpty(); at = parent(at)) {
+    for (String at = path; !at.isEmpty(); at = parentOf(at)) {
       Integer line = lineByPath.get(at);
       if (line != null) {
         return line;
@@ -81,7 +82,7 @@
     return 1;
   }
 
-  private static String parent(String path) {
+  private static String parentOf(String path) {
     int end = Math.max(path.lastIndexOf('.'), path.lastIndexOf('['));
     return end < 0 ? "" : path.substring(0, end);
   }
--- a/router/src/main/java/tidebank/discovery/EndpointListParser.java
+++ b/router/src/main/java/tidebank/discovery/EndpointListParser.java
@@ -40,8 +40,8 @@
    *     twice
    */
   public static EndpointList parse(JsonNode list) throws MalformedInputException {
-    JsonNode complete = JsonFields.required(list, "whole");
-    JsonNode hosts = JsonFields.required(list, "hosts");
+    JsonNode complete = JsonFields.requiredField(list, "whole");
+    JsonNode hosts = JsonFields.requiredField(list, "hosts");
     if (!complete.isBoolean() || !hosts.isArray()) {
       throw new MalformedInputException(
           "field 'whole' is not true or false, or 'hosts' is not a list");
@@ -71,7 +71,7 @@
             JsonFields.number(host, "share", DEFAULT_CAPACITY));
     return new ResolvedEndpoint(
         endpoint,
-        RouterConfig.address("dial of host '" + server + "'", JsonFields.text(host, "dial")));
+        RouterConfig.parseAddress("dial of host '" + server + "'", JsonFields.text(host, "dial")));
   }
 
   private static EndpointStatus parseStatus(String server, String health)
--- a/router/src/main/java/tidebank/errors/TidebankException.java
+++ b/router/src/main/java/tidebank/errors/TidebankException.java
@@ -43,7 +43,7 @@
     }
 
     /** Returns a text for people, one line for each field. */
-    public String lines() {
+    public String toText() {
       String retryText =
           switch (retry) {
             case NO -> "does not help";
@@ -90,7 +90,7 @@
   }
 
   /** Returns the condition with this code, if there is one. */
-  public static Optional<ErrorCondition> condition(String code) {
+  public static Optional<ErrorCondition> findCondition(String code) {
     return conditions().stream().filter(condition -> condition.code().equals(code)).findFirst();
   }
 
--- a/router/src/main/java/tidebank/fleet/AgentErrorLogger.java
+++ b/router/src/main/java/tidebank/fleet/AgentErrorLogger.java
@@ -13,7 +13,7 @@
   void log(TidebankException.Details error) {
     if (!error.code().equals(lastCode)) {
       lastCode = error.code();
-      LOG.warn(error.lines().replace('\n', ' '));
+      LOG.warn(error.toText().replace('\n', ' '));
     }
   }
 
--- a/router/src/main/java/tidebank/runtime/QueryRouter.java
+++ b/router/src/main/java/tidebank/runtime/QueryRouter.java
@@ -150,11 +150,11 @@
 
   /** Returns the endpoint list of the configuration, or an empty one. */
   private EndpointListParser.EndpointList cachedEndpoints() throws MalformedInputException {
-    if (config.cachedList() == null) {
+    if (config.cachedEndpointList() == null) {
       return new EndpointListParser.EndpointList(0, true, List.of());
     }
     try {
-      return EndpointListParser.parse(config.cachedList());
+      return EndpointListParser.parse(config.cachedEndpointList());
     } catch (MalformedInputException fault) {
       throw new MalformedInputException("known: " + fault.getMessage());
     }
--- a/router/src/main/java/tidebank/simulation/ActionWriter.java
+++ b/router/src/main/java/tidebank/simulation/ActionWriter.java
@@ -15,7 +15,7 @@
       begin(out, ActionKind.SEND_ATTEMPT, instance);
       out.writeStringField(SimulatorProtocol.HANDLE, send.shardRequest());
       out.writeStringField(SimulatorProtocol.SERVER, send.server());
-      out.writeNumberField(SimulatorProtocol.STOP_AT_MS, JsonFields.millis(send.deadline()));
+      out.writeNumberField(SimulatorProtocol.STOP_AT_MS, JsonFields.toMillis(send.deadline()));
     } else if (action instanceof Action.CancelAttempt cancel) {
       begin(out, ActionKind.CANCEL_ATTEMPT, instance);
       out.writeStringField(SimulatorProtocol.HANDLE, cancel.shardRequest());
@@ -28,13 +28,13 @@
       begin(out, ActionKind.THROTTLE, instance);
       out.writeStringField(SimulatorProtocol.HANDLE, throttle.query());
       out.writeNumberField(
-          SimulatorProtocol.RETRY_AFTER_MS, JsonFields.millis(throttle.retryAfterUs()));
+          SimulatorProtocol.RETRY_AFTER_MS, JsonFields.toMillis(throttle.retryAfterUs()));
     } else if (action instanceof Action.Fail fail) {
       begin(out, ActionKind.FAIL, instance);
       out.writeStringField(SimulatorProtocol.HANDLE, fail.query());
     } else if (action instanceof Action.SetTimer timer) {
       begin(out, ActionKind.SET_TIMER, instance);
-      out.writeNumberField(SimulatorProtocol.DELAY_MS, JsonFields.millis(timer.delayUs()));
+      out.writeNumberField(SimulatorProtocol.DELAY_MS, JsonFields.toMillis(timer.delayUs()));
       out.writeNumberField(SimulatorProtocol.TIMER_TOKEN, timer.token());
     } else if (action instanceof Action.CheckHealth check) {
       begin(out, ActionKind.CHECK_HEALTH, instance);
--- a/router/src/main/java/tidebank/simulation/EventReader.java
+++ b/router/src/main/java/tidebank/simulation/EventReader.java
@@ -49,7 +49,7 @@
    */
   static List<Endpoint> readPage(JsonNode message) throws MalformedInputException {
     List<Endpoint> endpoints = new ArrayList<>();
-    for (JsonNode item : JsonFields.required(message, SimulatorProtocol.ENDPOINTS)) {
+    for (JsonNode item : JsonFields.requiredField(message, SimulatorProtocol.ENDPOINTS)) {
       endpoints.add(
           new Endpoint(
               JsonFields.text(item, SimulatorProtocol.SERVER),
--- a/router/src/main/java/tidebank/simulation/SimulatorHost.java
+++ b/router/src/main/java/tidebank/simulation/SimulatorHost.java
@@ -57,7 +57,7 @@
   private void handleBatch(String line, JsonGenerator reply) throws IOException {
     JsonNode batch = parse(line);
     long now = JsonFields.micros(batch, SimulatorProtocol.TIME_MS);
-    JsonNode messages = JsonFields.required(batch, SimulatorProtocol.MESSAGES);
+    JsonNode messages = JsonFields.requiredField(batch, SimulatorProtocol.MESSAGES);
     if (!messages.isArray()) {
       throw new MalformedInputException("'" + SimulatorProtocol.MESSAGES + "' is not an array");
     }
@@ -118,9 +118,9 @@
   }
 
   private static RoutingPolicy attach(JsonNode message) throws IOException {
-    JsonNode seed = JsonFields.required(message, SimulatorProtocol.SEED);
+    JsonNode seed = JsonFields.requiredField(message, SimulatorProtocol.SEED);
     return new RoutingPolicy(
-        SettingsReader.read(JsonFields.required(message, SimulatorProtocol.SETTINGS)),
+        SettingsReader.read(JsonFields.requiredField(message, SimulatorProtocol.SETTINGS)),
         seed.longValue());
   }
 
--- a/router/src/test/java/tidebank/CounterNamesFixtureTest.java
+++ b/router/src/test/java/tidebank/CounterNamesFixtureTest.java
@@ -131,7 +131,8 @@
   }
 
   private void receiveList(ListUpdate update) throws Exception {
-    List<ResolvedEndpoint> endpoints = EndpointListParser.parse(config.cachedList()).endpoints();
+    List<ResolvedEndpoint> endpoints =
+        EndpointListParser.parse(config.cachedEndpointList()).endpoints();
     onLoop(
         () -> {
           executor.endpointListReceived(update, endpoints);
--- a/router/src/test/java/tidebank/ErrorsFixtureTest.java
+++ b/router/src/test/java/tidebank/ErrorsFixtureTest.java
@@ -63,7 +63,7 @@
     StoredCases.assertMatchesFile(
         "errors/lines.txt",
         SAMPLES.stream()
-            .map(fault -> fault.details().lines() + "\n")
+            .map(fault -> fault.details().toText() + "\n")
             .collect(Collectors.joining()));
   }
 
--- a/router/src/test/java/tidebank/PolicyExecutorTest.java
+++ b/router/src/test/java/tidebank/PolicyExecutorTest.java
@@ -82,7 +82,7 @@
   }
 
   private void receiveList() throws Exception {
-    var endpoints = EndpointListParser.parse(config.cachedList()).endpoints();
+    var endpoints = EndpointListParser.parse(config.cachedEndpointList()).endpoints();
     onLoop(
         () -> {
           executor.endpointListReceived(ListUpdate.CACHED, endpoints);
--- a/router/src/test/java/tidebank/config/ConfigFixtureTest.java
+++ b/router/src/test/java/tidebank/config/ConfigFixtureTest.java
@@ -119,7 +119,7 @@
             .put("listen", address(config.listen()))
             .put("discovery", address(config.discovery()))
             .put("seed", Long.toHexString(config.seed()))
-            .put("known", config.cachedList());
+            .put("known", config.cachedEndpointList());
     settings(fields, config.settings());
     RouterConfig.Budgets budgets = config.budgets();
     fields
--- a/testbed/src/main/java/tidebank/testbed/chaos/ScriptReader.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/ScriptReader.java
@@ -58,7 +58,7 @@
             clockRates,
             steps);
     if (script.coordinators() % 2 == 0) {
-      root.fault("stewards", "found " + script.coordinators() + ", wanted an odd number");
+      root.addFault("stewards", "found " + script.coordinators() + ", wanted an odd number");
     }
     file.check();
     return script;
@@ -67,13 +67,13 @@
   private Map<String, Double> readClockRates(Toml.Table root) {
     Map<String, Double> rates = new TreeMap<>();
     root.table("clocks")
-        .freeTexts()
+        .textsByKey()
         .forEach(
             (process, rate) -> {
               if (PROCESS.matcher(process).matches() && CLOCK_RATE.matcher(rate).matches()) {
                 rates.put(process, Double.parseDouble(rate));
               } else {
-                file.fault(
+                file.addFault(
                     "clocks." + process,
                     "found "
                         + rate
@@ -101,7 +101,7 @@
             table.number("clock", 1, 0.5, 2));
     boolean link = step.operation() == Operation.LINK;
     if (link && (step.fault() == null || step.linkTarget().isEmpty())) {
-      table.fault("do", "a link needs `to` and `fault`");
+      table.addFault("do", "a link needs `to` and `fault`");
     }
     if (step.operation().needsTarget() || !step.target().isEmpty()) {
       checkProcess(table, "who", step.target());
@@ -119,7 +119,7 @@
 
   private void checkAlias(Toml.Table table, String alias) {
     if (!alias.isEmpty() && (!ALIAS.matcher(alias).matches() || ROLES.contains(alias))) {
-      table.fault(
+      table.addFault(
           "as",
           "found '"
               + alias
@@ -132,8 +132,8 @@
     if (PROCESS.matcher(name).matches() || knownNames.contains(name)) {
       return;
     }
-    String suggestion = Toml.nearest(name, knownNames);
-    table.fault(
+    String suggestion = Toml.findNearest(name, knownNames);
+    table.addFault(
         key,
         "found '"
             + name
--- a/testbed/src/main/java/tidebank/testbed/deployment/Deployment.java
+++ b/testbed/src/main/java/tidebank/testbed/deployment/Deployment.java
@@ -154,13 +154,13 @@
               row.number("partial_share", 1, 0, 1),
               row.number("benefit", 1, 0, 1e6));
       if (type.timeoutUs() < target) {
-        row.fault("timeout_ms", "is below target_ms");
+        row.addFault("timeout_ms", "is below target_ms");
       }
       if (type.repeat() == Idempotency.WITH_KEY) {
-        row.fault("repeat", "keyed table types have no place in the platform's frames yet");
+        row.addFault("repeat", "keyed table types have no place in the platform's frames yet");
       }
       if (types.put(type.name(), type) != null) {
-        row.fault("name", "stands twice");
+        row.addFault("name", "stands twice");
       }
     }
     Toml.Table servers = root.table("servers");
--- a/testbed/src/main/java/tidebank/testbed/scale/Profile.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/Profile.java
@@ -46,7 +46,7 @@
     Toml.Table servers = root.table("shard_servers");
     int changes = (int) root.integer("list_changes", 20, 2, CHANGES_MOST);
     if (changes % 2 != 0) {
-      root.fault("list_changes", "found " + changes + ", wanted an even number");
+      root.addFault("list_changes", "found " + changes + ", wanted an even number");
     }
     Profile profile =
         new Profile(
@@ -71,7 +71,7 @@
       sizes.add(before);
     }
     if (!ascending || sizes.size() < SIZES_LEAST) {
-      table.fault(
+      table.addFault(
           "sizes",
           "found "
               + sizes
--- a/testbed/src/main/java/tidebank/testbed/scale/Target.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/Target.java
@@ -92,7 +92,7 @@
   /** A figure above 0; there is no default for what the operators state. */
   private static double need(Toml.Table table, String key) {
     if (!table.has(key)) {
-      table.fault(key, "is missing, wanted a number above 0");
+      table.addFault(key, "is missing, wanted a number above 0");
       return 1;
     }
     return table.number(key, 1, Double.MIN_NORMAL, MOST);
--- a/testbed/src/main/java/tidebank/testbed/trace/expr/Compiler.java
+++ b/testbed/src/main/java/tidebank/testbed/trace/expr/Compiler.java
@@ -263,7 +263,7 @@
   }
 
   private static String near(String name, Collection<String> known) {
-    String near = Toml.nearest(name, known);
+    String near = Toml.findNearest(name, known);
     return near == null
         ? "; known are " + String.join(", ", known.stream().sorted().toList())
         : "; did you mean \"" + near + "\"?";
--- a/testbed/src/main/java/tidebank/testbed/trace/mapping/Mapping.java
+++ b/testbed/src/main/java/tidebank/testbed/trace/mapping/Mapping.java
@@ -70,8 +70,8 @@
     layout = Layouts.named(layoutName);
     if (layout == null && !layoutName.isEmpty()) {
       List<String> known = Layouts.all().stream().map(Layout::name).toList();
-      String near = Toml.nearest(layoutName, known);
-      root.fault(
+      String near = Toml.findNearest(layoutName, known);
+      root.addFault(
           "layout",
           "unknown layout \""
               + layoutName
@@ -83,7 +83,7 @@
     depots = (int) root.integer("depots", DEPOTS_DEFAULT, 1, DEPOTS_MOST);
     nonReplayable = Set.copyOf(root.texts("non_replayable"));
     order = root.texts("order");
-    renamed = root.table("columns").freeTexts();
+    renamed = root.table("columns").textsByKey();
     Toml.Table timeTable = root.table("time");
     time = expression(timeTable, "value", null);
     timeUnitUs =
@@ -93,7 +93,7 @@
           case "s" -> 1e6;
           case "min" -> 60e6;
           default -> {
-            timeTable.fault("unit", "wanted us, ms, s or min");
+            timeTable.addFault("unit", "wanted us, ms, s or min");
             yield 1;
           }
         };
@@ -101,10 +101,10 @@
     where = expression(root, "where", null);
     Toml.Table map = root.table("map");
     if (!map.has("table_type")) {
-      map.fault("table_type", "is missing, wanted an expression such as '\"depot-manifest\"'");
+      map.addFault("table_type", "is missing, wanted an expression such as '\"depot-manifest\"'");
     }
     if (!map.has("depot")) {
-      map.fault("depot", "is missing, wanted an expression such as 'job_id'");
+      map.addFault("depot", "is missing, wanted an expression such as 'job_id'");
     }
     tableType = expression(map, "table_type", "\"\"");
     depot = expression(map, "depot", "0");
@@ -247,7 +247,7 @@
       Value value = Compiler.compile(expression.source, columns, quantiles);
       if (wanted != null && value.type() != wanted
           || wanted == null && value.type() == Value.Type.TRUTH) {
-        file.fault(
+        file.addFault(
             expression.key,
             "gives "
                 + said(value.type())
@@ -257,7 +257,7 @@
       }
       return value;
     } catch (ExpressionException fault) {
-      file.fault(expression.key, fault.getMessage());
+      file.addFault(expression.key, fault.getMessage());
       return null;
     }
   }
--- a/testbed/src/test/java/tidebank/testbed/ErrorsTest.java
+++ b/testbed/src/test/java/tidebank/testbed/ErrorsTest.java
@@ -52,8 +52,8 @@
 
   @Test
   void conditionsAreFoundByTheirCode() {
-    assertThat(TidebankException.condition("TB-1002")).isPresent();
-    assertThat(TidebankException.condition("TB-9999")).isEmpty();
+    assertThat(TidebankException.findCondition("TB-1002")).isPresent();
+    assertThat(TidebankException.findCondition("TB-9999")).isEmpty();
   }
 
   private static String page() throws IOException {
