--- a/cli/src/main/java/tidebank/cli/CaptureCommands.java
+++ b/cli/src/main/java/tidebank/cli/CaptureCommands.java
@@ -6,12 +6,12 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The group of commands on captures of routing decisions. */
+/** The commands that read captures of routing decisions. */
 @Command(
     name = "capture",
     description =
-        "Reads and replays the events and decisions that a query router recorded, as [capture] in"
-            + " its operator's file configures it.",
+        "Reads and replays the decision rounds that a query router recorded, as configured under"
+            + " [capture] in its operator configuration file.",
     mixinStandardHelpOptions = true,
     synopsisSubcommandLabel = "COMMAND",
     subcommands = {CaptureInfoCommand.class, CaptureShowCommand.class, CaptureReplayCommand.class})
--- a/cli/src/main/java/tidebank/cli/CaptureInfoCommand.java
+++ b/cli/src/main/java/tidebank/cli/CaptureInfoCommand.java
@@ -17,20 +17,28 @@
 import tidebank.testbed.capture.CaptureReplay;
 import tidebank.testbed.capture.EventKind;
 
-/** Summarizes a capture. */
+/** The command that summarizes a capture. */
 @Command(
     name = "info",
     description =
-        "Summarizes a capture: segments, decision rounds, events by kind, what is missing or"
-            + " damaged.",
+        "Summarizes a capture: segments, decision rounds, events by kind, missing rounds and"
+            + " damage.",
     mixinStandardHelpOptions = true)
 final class CaptureInfoCommand extends ResultCommand {
   private static final double US_PER_S = 1e6;
 
-  /** What was counted in one segment. */
+  /**
+   * The summary of a segment.
+   *
+   * @param file the name of the file
+   * @param bytes the size of the file
+   * @param blocks number of complete blocks
+   * @param records number of records in them
+   * @param damage describes the unreadable part; "" if there is none
+   */
   private record SegmentSummary(String file, long bytes, int blocks, int records, String damage) {}
 
-  @Parameters(paramLabel = "CAPTURE", description = "a folder of segments, or one segment")
+  @Parameters(paramLabel = "CAPTURE", description = "a directory of segments, or a single segment")
   Path capture;
 
   private final List<SegmentSummary> segments = new ArrayList<>();
@@ -44,7 +52,7 @@
   @Override
   public Integer call() throws IOException {
     for (Path file : CaptureReplay.listSegments(capture)) {
-      add(file);
+      addSegment(file);
     }
     if (json) {
       print(toJson());
@@ -55,7 +63,7 @@
     return undamaged ? Tidebank.DONE : Tidebank.FAILED;
   }
 
-  private void add(Path file) throws IOException {
+  private void addSegment(Path file) throws IOException {
     CaptureSegments.SegmentContent content = CaptureSegments.read(file);
     long size = Files.size(file);
     bytes += size;
@@ -66,16 +74,16 @@
             content.blocks(),
             content.records().size(),
             content.damage()));
-    for (CaptureRecord entry : content.records()) {
-      if (entry instanceof CaptureRecord.DecisionRound round) {
-        add(round);
-      } else if (entry instanceof CaptureRecord.Gap gap) {
+    for (CaptureRecord record : content.records()) {
+      if (record instanceof CaptureRecord.DecisionRound round) {
+        addRound(round);
+      } else if (record instanceof CaptureRecord.Gap gap) {
         missingRounds += gap.rounds();
       }
     }
   }
 
-  private void add(CaptureRecord.DecisionRound round) {
+  private void addRound(CaptureRecord.DecisionRound round) {
     if (rounds++ == 0) {
       firstUs = round.nowUs();
     }
@@ -89,9 +97,10 @@
 
   private ObjectNode toJson() {
     ObjectNode result = ResultCommand.JSON.createObjectNode();
-    ArrayNode list = result.putArray("segments");
+    ArrayNode segmentsJson = result.putArray("segments");
     for (SegmentSummary segment : segments) {
-      list.addObject()
+      segmentsJson
+          .addObject()
           .put("file", segment.file())
           .put("bytes", segment.bytes())
           .put("blocks", segment.blocks())
--- a/cli/src/main/java/tidebank/cli/CaptureReplayCommand.java
+++ b/cli/src/main/java/tidebank/cli/CaptureReplayCommand.java
@@ -8,29 +8,30 @@
 import picocli.CommandLine.Parameters;
 import tidebank.testbed.capture.CaptureReplay;
 
-/** Replays a capture through the routing policy of this build. */
+/** The command that replays a capture through the routing policy of this build. */
 @Command(
     name = "replay",
     description =
-        "Replays a capture through a new routing policy and compares its decisions, round by"
-            + " round.",
+        "Replays a capture through the routing policy of this build and compares its actions with"
+            + " the recorded ones, round by round.",
     mixinStandardHelpOptions = true,
     footer = {
       "",
-      "Exit code 1: a round was decided otherwise than recorded, or none could be replayed."
+      "Exit code 1: the actions of a round differ from the recorded ones, or no round could be"
+          + " replayed."
     })
 final class CaptureReplayCommand extends ResultCommand {
   private static final double US_PER_S = 1e6;
   private static final double NS_PER_S = 1e9;
 
-  @Parameters(paramLabel = "CAPTURE", description = "a folder of segments, or one segment")
+  @Parameters(paramLabel = "CAPTURE", description = "a directory of segments, or a single segment")
   Path capture;
 
   @Override
   public Integer call() throws IOException {
-    long begin = System.nanoTime();
+    long startNs = System.nanoTime();
     CaptureReplay.Result result = CaptureReplay.replay(capture, (number, round, actions) -> {});
-    double replaySeconds = (System.nanoTime() - begin) / NS_PER_S;
+    double replaySeconds = (System.nanoTime() - startNs) / NS_PER_S;
     double recordedSeconds = (result.lastUs() - result.firstUs()) / US_PER_S;
     if (json) {
       print(toJson(result, recordedSeconds / replaySeconds));
@@ -80,7 +81,7 @@
           .printf(
               "%,d turns had failed, %,d are missing%n", result.failures(), result.missingRounds());
     }
-    result.damage().forEach(text -> out().println("torn: " + text));
+    result.damage().forEach(damage -> out().println("torn: " + damage));
     if (result.divergence() != null) {
       printDivergence(result.divergence());
     }
--- a/cli/src/main/java/tidebank/cli/CaptureShowCommand.java
+++ b/cli/src/main/java/tidebank/cli/CaptureShowCommand.java
@@ -16,34 +16,35 @@
 import tidebank.testbed.capture.CaptureReplay;
 import tidebank.testbed.capture.EventKind;
 
-/** Prints decision rounds of a capture. */
+/** The command that prints decision rounds of a capture. */
 @Command(
     name = "show",
-    description = "Shows decision rounds, filtered by a query, a server or a kind of event.",
+    description =
+        "Shows decision rounds, filtered by query, shard request, server or kind of event.",
     mixinStandardHelpOptions = true)
 final class CaptureShowCommand extends ResultCommand {
   private static final double US_PER_S = 1e6;
 
-  @Parameters(paramLabel = "CAPTURE", description = "a folder of segments, or one segment")
+  @Parameters(paramLabel = "CAPTURE", description = "a directory of segments, or a single segment")
   Path capture;
 
   @Option(
       names = "--about",
       paramLabel = "WORD",
-      description = "only events and actions that name this query, shard request or server")
+      description = "show only events and actions that mention this query, shard request or server")
   String about = "";
 
   @Option(
       names = "--kind",
       paramLabel = "KIND",
-      description = "only events of this kind, such as AttemptCompleted")
+      description = "show only events of this kind, such as AttemptCompleted, and no actions")
   String kind = "";
 
   @Option(
       names = "--turns",
       paramLabel = "N",
       defaultValue = "20",
-      description = "so many rounds at most (default: ${DEFAULT-VALUE})")
+      description = "maximum number of rounds to show (default: ${DEFAULT-VALUE})")
   long maxRounds;
 
   private final ArrayNode jsonRounds = ResultCommand.JSON.createArrayNode();
--- a/router/src/main/java/tidebank/capture/ActionDigest.java
+++ b/router/src/main/java/tidebank/capture/ActionDigest.java
@@ -4,11 +4,11 @@
 import java.util.zip.CRC32C;
 import tidebank.model.Action;
 
-/** Digest over the actions of a decision round, as captures store it. */
+/** The digest of the actions of a decision round that captures store. */
 public final class ActionDigest {
   private ActionDigest() {}
 
-  /** Returns the CRC32C of the encoded actions: equal for equal actions in the same order. */
+  /** Returns the CRC32C of the encoded actions. Equal actions in equal order have equal digests. */
   public static int of(List<Action> actions) {
     CaptureEncoder encoder = new CaptureEncoder();
     for (Action action : actions) {
--- a/router/src/main/java/tidebank/capture/BlockReader.java
+++ b/router/src/main/java/tidebank/capture/BlockReader.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * Reads the primitives that {@link BlockWriter} writes. Never reads beyond the end of the innermost
- * open frame; bytes that don't fit the format throw {@link UnreadableCaptureException}.
+ * Reads the primitive values that {@link BlockWriter} writes. Never reads beyond the end of the
+ * innermost open frame. Throws {@link UnreadableCaptureException} on bytes that violate the format.
  */
 final class BlockReader {
   private final List<String> strings = new ArrayList<>();
@@ -28,14 +28,14 @@
     return position;
   }
 
-  /** End of the innermost open frame. */
+  /** Returns the end of the innermost open frame. */
   int limit() {
     return limit;
   }
 
-  /** Reads the length of a frame and opens it; returns its end. */
+  /** Reads the length of a frame, opens the frame and returns the position of its end. */
   int openFrame() {
-    require(CaptureFormat.LENGTH_BYTES);
+    requireAvailable(CaptureFormat.LENGTH_BYTES);
     int size = 0;
     for (int i = 0; i < CaptureFormat.LENGTH_BYTES; i++) {
       size = (size << 8) | (bytes[position++] & 0xff);
@@ -47,7 +47,12 @@
     return limit;
   }
 
-  /** Goes to the end of a frame, over fields of a later version, and back into the outer one. */
+  /**
+   * Closes a frame. Skips to its end, past any fields that a later version added.
+   *
+   * @param end the end of the frame, as {@link #openFrame} returned it
+   * @param outerLimit the {@link #limit} before the frame was opened
+   */
   void closeFrame(int end, int outerLimit) {
     position = end;
     limit = outerLimit;
@@ -70,13 +75,13 @@
     return strings.get((int) index);
   }
 
-  /** Reads a length and so many bytes. */
+  /** Reads a length and that number of bytes. */
   byte[] readBytes() {
     long size = readVarint();
     if (size < 0 || size > Math.max(CaptureFormat.MAX_STRING_BYTES, bytes.length)) {
       throw new UnreadableCaptureException("a string that is too long");
     }
-    require((int) size);
+    requireAvailable((int) size);
     byte[] content = Arrays.copyOfRange(bytes, position, position + (int) size);
     position += (int) size;
     return content;
@@ -105,7 +110,7 @@
   }
 
   long readLong() {
-    require(Long.BYTES);
+    requireAvailable(Long.BYTES);
     long value = 0;
     for (int i = 0; i < Long.BYTES; i++) {
       value = (value << 8) | (bytes[position++] & 0xff);
@@ -135,12 +140,12 @@
   }
 
   int readByte() {
-    require(1);
+    requireAvailable(1);
     return bytes[position++] & 0xff;
   }
 
-  private void require(int more) {
-    if (more < 0 || position + more > limit) {
+  private void requireAvailable(int count) {
+    if (count < 0 || position + count > limit) {
       throw new UnreadableCaptureException("a frame that ends too soon");
     }
   }
--- a/router/src/main/java/tidebank/capture/BlockWriter.java
+++ b/router/src/main/java/tidebank/capture/BlockWriter.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 
 /**
- * A growing byte buffer with the primitives of the capture format: varints, zigzag varints, fixed
- * eight-byte numbers, strings that are numbered when they first occur, and frames, which are a kind
- * and a length followed by the content.
+ * A growing byte buffer that encodes the primitive values of the capture format: varints, zigzag
+ * varints, eight-byte numbers, strings and frames. A string is written in full once per block and
+ * by its index after that. A frame is a kind, a length and the content.
  */
 final class BlockWriter {
   private static final int INITIAL_BYTES = 4096;
@@ -26,12 +26,12 @@
     return Arrays.copyOf(bytes, length);
   }
 
-  /** The buffer itself, valid up to {@link #length()}; it is not copied. */
+  /** Returns the underlying buffer, not a copy. It is valid up to {@link #length()}. */
   byte[] array() {
     return bytes;
   }
 
-  /** Opens a frame; the returned position goes to {@link #endFrame}. */
+  /** Opens a frame and returns the position of its length field, for {@link #endFrame}. */
   int beginFrame(int kind) {
     writeByte(kind);
     int lengthPosition = length;
@@ -40,7 +40,7 @@
     return lengthPosition;
   }
 
-  /** Closes a frame: fills in the length of what was written since it was opened. */
+  /** Closes a frame: writes the size of its content into the length field. */
   void endFrame(int lengthPosition) {
     int size = length - lengthPosition - CaptureFormat.LENGTH_BYTES;
     for (int i = 0; i < CaptureFormat.LENGTH_BYTES; i++) {
@@ -53,9 +53,9 @@
       writeVarint(CaptureFormat.STRING_NULL);
       return;
     }
-    Integer known = strings.get(text);
-    if (known != null) {
-      writeVarint(known + CaptureFormat.STRING_FIRST_KNOWN);
+    Integer index = strings.get(text);
+    if (index != null) {
+      writeVarint(index + CaptureFormat.STRING_FIRST_KNOWN);
       return;
     }
     strings.put(text, strings.size());
@@ -63,7 +63,7 @@
     writeBytes(text.getBytes(StandardCharsets.UTF_8));
   }
 
-  /** Writes the length and the bytes. */
+  /** Writes the length of the content, then the content. */
   void writeBytes(byte[] content) {
     writeVarint(content.length);
     ensureCapacity(content.length);
@@ -75,7 +75,7 @@
     writeLong(Double.doubleToLongBits(value));
   }
 
-  /** Writes eight bytes, the highest first. */
+  /** Writes eight bytes in big-endian order. */
   void writeLong(long value) {
     ensureCapacity(Long.BYTES);
     for (int i = Long.BYTES - 1; i >= 0; i--) {
@@ -83,19 +83,19 @@
     }
   }
 
-  /** Writes a number of either sign in zigzag form. */
+  /** Writes a signed number as a zigzag varint. */
   void writeSignedVarint(long value) {
     writeVarint((value << 1) ^ (value >> 63));
   }
 
   void writeVarint(long value) {
     ensureCapacity(MAX_VARINT_BYTES);
-    long rest = value;
-    while ((rest & ~0x7fL) != 0) {
-      bytes[length++] = (byte) ((rest & 0x7f) | 0x80);
-      rest >>>= 7;
+    long remaining = value;
+    while ((remaining & ~0x7fL) != 0) {
+      bytes[length++] = (byte) ((remaining & 0x7f) | 0x80);
+      remaining >>>= 7;
     }
-    bytes[length++] = (byte) rest;
+    bytes[length++] = (byte) remaining;
   }
 
   void writeBoolean(boolean value) {
@@ -107,9 +107,9 @@
     bytes[length++] = (byte) value;
   }
 
-  private void ensureCapacity(int more) {
-    if (length + more > bytes.length) {
-      bytes = Arrays.copyOf(bytes, Math.max(length + more, 2 * bytes.length));
+  private void ensureCapacity(int additionalBytes) {
+    if (length + additionalBytes > bytes.length) {
+      bytes = Arrays.copyOf(bytes, Math.max(length + additionalBytes, 2 * bytes.length));
     }
   }
 }
--- a/router/src/main/java/tidebank/capture/CaptureDecoder.java
+++ b/router/src/main/java/tidebank/capture/CaptureDecoder.java
@@ -16,8 +16,8 @@
 import tidebank.model.Outcome;
 
 /**
- * Decodes the records of one block. Skips kinds that it does not know, and fields that a later
- * version has added at the end of a frame. Pure: does no I/O.
+ * Decodes the records of one block. Skips unknown kinds and fields that a later version added at
+ * the end of a frame. Does no I/O.
  */
 final class CaptureDecoder {
   private static final int MAX_INITIAL_CAPACITY = 1024;
@@ -29,16 +29,20 @@
     in = new BlockReader(block);
   }
 
-  /** Decodes all records; throws {@link UnreadableCaptureException} if the block has others. */
+  /**
+   * Decodes all records of the block.
+   *
+   * @throws UnreadableCaptureException if the bytes are not valid capture records
+   */
   List<CaptureRecord> readRecords() {
     List<CaptureRecord> records = new ArrayList<>();
     while (in.hasRemaining()) {
       int outerLimit = in.limit();
       int kind = in.readByte();
       int end = in.openFrame();
-      CaptureRecord entry = readRecord(kind);
-      if (entry != null) {
-        records.add(entry);
+      CaptureRecord record = readRecord(kind);
+      if (record != null) {
+        records.add(record);
       }
       in.closeFrame(end, outerLimit);
     }
@@ -61,8 +65,9 @@
   private CaptureRecord.PolicyStarted readStarted() {
     try {
       return new CaptureRecord.PolicyStarted(SettingsJson.read(in.readBytes()), in.readLong());
-    } catch (IOException fault) {
-      throw new UnreadableCaptureException("settings that can't be read: " + fault.getMessage());
+    } catch (IOException exception) {
+      throw new UnreadableCaptureException(
+          "settings that can't be read: " + exception.getMessage());
     }
   }
 
@@ -165,7 +170,7 @@
     long deadline = roundTimeUs + in.readSignedVarint();
     boolean clientRetry = in.readBoolean();
     String key = in.readString();
-    // The earliest captures of 0.2.0 end here: the query counts as received in this round.
+    // Early captures of 0.2.0 lack this field: their queries count as received in this round.
     long receivedAt = in.position() == end ? roundTimeUs : roundTimeUs - in.readSignedVarint();
     return new Event.QueryReceived(
         id, number, queryClass, tenant, receivedAt, deadline, clientRetry, key);
--- a/router/src/main/java/tidebank/capture/CaptureEncoder.java
+++ b/router/src/main/java/tidebank/capture/CaptureEncoder.java
@@ -11,15 +11,16 @@
 import tidebank.model.Event.Endpoint;
 
 /**
- * Encodes capture records into one block. Times are stored as differences to the time of the round
- * before; a block can be decoded without any other. Pure: does no I/O.
+ * Encodes capture records into one block. Times of rounds are stored as differences from the
+ * previous round, times within a round as differences from the round's time. A block can be decoded
+ * independently of other blocks. Does no I/O.
  */
-@SuppressWarnings("EnumOrdinal") // the stored form, see CaptureFormat
+@SuppressWarnings("EnumOrdinal") // ordinals are stored, see CaptureFormat
 final class CaptureEncoder {
   private final BlockWriter out = new BlockWriter();
   private long roundTimeUs;
 
-  /** Bytes of the block so far. */
+  /** Returns the current size of the block, in bytes. */
   int length() {
     return out.length();
   }
@@ -28,23 +29,23 @@
     return out.toByteArray();
   }
 
-  /** The buffer itself, valid up to {@link #length()}. */
+  /** Returns the underlying buffer, not a copy. It is valid up to {@link #length()}. */
   byte[] array() {
     return out.array();
   }
 
-  void write(CaptureRecord entry) {
-    if (entry instanceof CaptureRecord.PolicyStarted started) {
+  void write(CaptureRecord record) {
+    if (record instanceof CaptureRecord.PolicyStarted started) {
       writeStarted(started);
-    } else if (entry instanceof CaptureRecord.DecisionRound round) {
+    } else if (record instanceof CaptureRecord.DecisionRound round) {
       writeRound(round);
-    } else if (entry instanceof CaptureRecord.RoundFailed failed) {
+    } else if (record instanceof CaptureRecord.RoundFailed failed) {
       int frame = out.beginFrame(RecordKind.ROUND_FAILED);
       writeTime(failed.nowUs());
       writeEvents(failed.events());
       out.writeString(failed.cause());
       out.endFrame(frame);
-    } else if (entry instanceof CaptureRecord.Gap gap) {
+    } else if (record instanceof CaptureRecord.Gap gap) {
       int frame = out.beginFrame(RecordKind.GAP);
       out.writeVarint(gap.rounds());
       out.endFrame(frame);
@@ -55,8 +56,8 @@
     int frame = out.beginFrame(RecordKind.POLICY_STARTED);
     try {
       out.writeBytes(SettingsJson.write(started.settings()));
-    } catch (JsonProcessingException fault) {
-      throw new IllegalStateException("settings can't be written as JSON", fault);
+    } catch (JsonProcessingException exception) {
+      throw new IllegalStateException("settings cannot be written as JSON", exception);
     }
     out.writeLong(started.seed());
     out.endFrame(frame);
@@ -67,7 +68,7 @@
     writeTime(round.nowUs());
     writeEvents(round.events());
     out.writeLong(round.digest());
-    // 0 where only the digest is kept, else one more than there are actions.
+    // 0 if only the digest is stored, else the number of actions plus 1.
     out.writeVarint(round.actions() == null ? 0 : 1 + round.actions().size());
     if (round.actions() != null) {
       round.actions().forEach(this::writeAction);
@@ -115,7 +116,7 @@
       out.writeSignedVarint(check.durationUs());
       writeLoadReport(check.loadReport());
     } else {
-      throw new IllegalStateException("no capture format for event " + event);
+      throw new IllegalStateException("event has no capture format: " + event);
     }
     out.endFrame(frame);
   }
@@ -210,7 +211,7 @@
       frame = out.beginFrame(ActionKind.LOG_NOTE);
       out.writeString(note.message());
     } else {
-      throw new IllegalStateException("no capture format for action " + action);
+      throw new IllegalStateException("action has no capture format: " + action);
     }
     out.endFrame(frame);
   }
--- a/router/src/main/java/tidebank/capture/CaptureFormat.java
+++ b/router/src/main/java/tidebank/capture/CaptureFormat.java
@@ -1,29 +1,29 @@
 package tidebank.capture;
 
 /**
- * Numbers of the capture format, shared by the encoder and the decoder. A number that was ever
- * written keeps its meaning; new kinds get new numbers.
+ * Constants of the capture format, shared by the encoder and the decoder. Existing values never
+ * change their meaning, so that stored captures remain readable; new kinds get new numbers.
  *
  * <p>The enums {@code Outcome}, {@code ListUpdate} and {@code EndpointStatus} are stored by
- * ordinal, so their constants keep their order and new ones go to the end.
+ * ordinal: keep the order of their constants and append new ones.
  */
 final class CaptureFormat {
-  /** Bytes of the length in front of the content of each record, event and action. */
+  /** Size in bytes of the length field of a frame, which precedes the content. */
   static final int LENGTH_BYTES = 4;
 
   /** Code of a null string. */
   static final long STRING_NULL = 1;
 
-  /** Code of a string that is new in its block; its length and its bytes follow. */
+  /** Code of the first occurrence of a string in a block; its length and bytes follow. */
   static final long STRING_NEW = 0;
 
-  /** Code of the first string of a block; later strings count up from here. */
+  /** Code of a repeated string is this value plus its index in the block, counted from 0. */
   static final long STRING_FIRST_KNOWN = 2;
 
-  /** Most bytes of one string. */
+  /** Maximum size of a string, in bytes. */
   static final int MAX_STRING_BYTES = 1 << 16;
 
-  /** Most elements of one list. */
+  /** Maximum number of elements of a list. */
   static final int MAX_COUNT = 1 << 22;
 
   private CaptureFormat() {}
@@ -49,7 +49,7 @@
     static final int TIMER_FIRED = 7;
     static final int HEALTH_CHECK_COMPLETED = 8;
 
-    /** One line of an endpoint list. */
+    /** An endpoint in an endpoint list; not an event. */
     static final int ENDPOINT = 0;
 
     private EventKind() {}
--- a/router/src/main/java/tidebank/capture/CaptureRecord.java
+++ b/router/src/main/java/tidebank/capture/CaptureRecord.java
@@ -5,41 +5,43 @@
 import tidebank.model.Event;
 import tidebank.model.Settings;
 
-/** One record of a capture. Records are stored in the order in which things happened. */
+/** A record of a capture. Records are stored in the order in which they occurred. */
 public sealed interface CaptureRecord {
   /**
-   * The routing policy was started, for the first time or again after a failed round. All earlier
-   * state is gone.
+   * The routing policy was started, or restarted after a failed round. It keeps no state from
+   * before.
    *
-   * @param settings of the policy
-   * @param seed of its random numbers
+   * @param settings the settings of the policy
+   * @param seed the seed of its random number generator
    */
   record PolicyStarted(Settings settings, long seed) implements CaptureRecord {}
 
   /**
-   * One decision round.
+   * A decision round.
    *
-   * @param nowUs the time that the policy was given, in microseconds
-   * @param events input of the policy, in order
-   * @param digest over the actions, as {@link ActionDigest} computes it
-   * @param actions output of the policy, or null where only the digest was stored
+   * @param nowUs the time passed to the policy, in microseconds
+   * @param events the input of the policy, in order
+   * @param digest the {@link ActionDigest} of the actions
+   * @param actions the output of the policy, or null if only the digest was stored
    */
   record DecisionRound(long nowUs, List<Event> events, int digest, List<Action> actions)
       implements CaptureRecord {}
 
   /**
-   * A decision round that failed: none of its actions was carried out completely.
+   * A failed decision round: the policy or the execution of its actions threw an exception. Some of
+   * the actions may have been executed.
    *
-   * @param nowUs the time that the policy was given, in microseconds
-   * @param events input of the policy, in order
-   * @param cause the exception as text
+   * @param nowUs the time passed to the policy, in microseconds
+   * @param events the input of the policy, in order
+   * @param cause the text of the exception
    */
   record RoundFailed(long nowUs, List<Event> events, String cause) implements CaptureRecord {}
 
   /**
-   * Rounds that were dropped here. What follows can't be replayed from what precedes.
+   * Rounds that were dropped at this point of the capture. Later rounds cannot be replayed until
+   * the policy is restarted.
    *
-   * @param rounds how many
+   * @param rounds number of dropped rounds
    */
   record Gap(long rounds) implements CaptureRecord {}
 }
--- a/router/src/main/java/tidebank/capture/CaptureRecorder.java
+++ b/router/src/main/java/tidebank/capture/CaptureRecorder.java
@@ -17,20 +17,21 @@
 import tidebank.model.Settings;
 
 /**
- * Records decision rounds to disk. The event loop only puts a round into a queue of fixed size; a
- * writer thread encodes and writes. Rounds that find no room, or no working disk, are dropped, and
- * the capture says how many and where. The event loop never waits for the writer.
+ * Records decision rounds to disk. The event loop puts rounds into a bounded queue and never waits
+ * for the writer thread, which encodes and writes them. Rounds are dropped while the queue is full
+ * or the disk fails; the capture then contains a {@link CaptureRecord.Gap} with their number.
  */
 public final class CaptureRecorder implements DecisionLog, AutoCloseable {
   /**
-   * How to record.
+   * The configuration of a recorder.
    *
-   * @param directory where the segments go; created if missing
-   * @param keepActions whether actions are stored in full, or only the digest of each round's
-   * @param queueCapacity rounds that may wait for the writer
-   * @param segmentBytes size of a segment
-   * @param maxTotalBytes of all segments together
-   * @param syncEveryBlock whether each block is forced to the disk, or only each segment at its end
+   * @param directory directory of the segments; created if missing
+   * @param keepActions whether actions are stored in full; else only the digest of each round
+   * @param queueCapacity maximum number of rounds in the queue
+   * @param segmentBytes size at which a new segment starts
+   * @param maxTotalBytes total size of all segments above which the oldest are deleted
+   * @param syncEveryBlock whether the file is synced after each block; else only when a segment
+   *     ends
    */
   public record Config(
       Path directory,
@@ -46,10 +47,11 @@
   private static final long US_PER_S = 1_000_000;
 
   /**
-   * A record on its way to the writer.
+   * A record in the queue of the writer thread.
    *
-   * @param actions of a decision round, digested by the writer; else null
-   * @param itemCount events and actions, by which the queue is bounded
+   * @param actions the actions of a decision round, which the writer thread adds to the record as a
+   *     digest or in full; null for other records
+   * @param itemCount number of events and actions, counted against the limit of the queue
    */
   private record QueuedRecord(CaptureRecord record, List<Action> actions, int itemCount) {}
 
@@ -62,14 +64,14 @@
   private final AtomicLong queuedItemCount = new AtomicLong();
 
   /**
-   * Rounds that found no room since the last gap record was queued; the last ones are recorded on
-   * close.
+   * Rounds dropped by the full queue since the last gap record was queued. What remains at close is
+   * written as a final gap record.
    */
   private final AtomicLong droppedSinceGap = new AtomicLong();
 
   private volatile boolean closing;
 
-  // The writer thread's alone.
+  // Accessed by the writer thread only.
   private CaptureEncoder block = new CaptureEncoder();
   private long blockRecordCount;
   private long blockStartedAtUs;
@@ -81,8 +83,8 @@
   /**
    * Starts the writer thread.
    *
-   * @param clock microseconds that never go back
-   * @throws IOException if the directory can't be created or listed
+   * @param clock monotonic time, in microseconds
+   * @throws IOException if the directory cannot be created or listed
    */
   public CaptureRecorder(Config config, LongSupplier clock) throws IOException {
     this.config = config;
@@ -92,8 +94,8 @@
             SegmentRetention.Limits.of(config.segmentBytes(), config.maxTotalBytes()));
     queue = new ArrayBlockingQueue<>(config.queueCapacity());
     Files.createDirectories(config.directory());
-    for (Path old : CaptureSegments.list(config.directory())) {
-      nextSegmentNumber = Math.max(nextSegmentNumber, CaptureSegments.parseNumber(old) + 1);
+    for (Path existing : CaptureSegments.list(config.directory())) {
+      nextSegmentNumber = Math.max(nextSegmentNumber, CaptureSegments.parseNumber(existing) + 1);
     }
     writer = new Thread(this::run, "capture");
     writer.setDaemon(true);
@@ -123,28 +125,32 @@
             events.size()));
   }
 
-  private void enqueue(QueuedRecord item) {
-    boolean room =
-        SegmentRetention.hasRoomFor(queuedItemCount.get(), item.itemCount, config.queueCapacity());
-    if (room
+  private void enqueue(QueuedRecord queued) {
+    boolean hasRoom =
+        SegmentRetention.hasRoomFor(
+            queuedItemCount.get(), queued.itemCount, config.queueCapacity());
+    if (hasRoom
         && droppedSinceGap.get() > 0
         && queue.offer(new QueuedRecord(new CaptureRecord.Gap(droppedSinceGap.get()), null, 0))) {
       droppedSinceGap.set(0);
     }
-    if (!room || droppedSinceGap.get() > 0 || !queue.offer(item)) {
+    if (!hasRoom || droppedSinceGap.get() > 0 || !queue.offer(queued)) {
       droppedSinceGap.incrementAndGet();
       droppedRounds.incrementAndGet();
     } else {
-      queuedItemCount.addAndGet(item.itemCount);
+      queuedItemCount.addAndGet(queued.itemCount);
     }
   }
 
-  /** Returns how many rounds are in no capture, as the queue was full or the disk failed. */
+  /**
+   * Returns the number of rounds that were dropped because the queue was full or the disk failed. A
+   * dropped block counts all its records, policy starts and gaps included.
+   */
   public long droppedRounds() {
     return droppedRounds.get();
   }
 
-  /** Returns how many events and actions wait for the writer. */
+  /** Returns the number of events and actions in the queue. */
   public long queuedItems() {
     return queuedItemCount.get();
   }
@@ -152,10 +158,10 @@
   private void run() {
     try {
       while (true) {
-        QueuedRecord item = queue.poll(POLL_MS, TimeUnit.MILLISECONDS);
-        if (item != null) {
-          queuedItemCount.addAndGet(-item.itemCount);
-          append(item);
+        QueuedRecord queued = queue.poll(POLL_MS, TimeUnit.MILLISECONDS);
+        if (queued != null) {
+          queuedItemCount.addAndGet(-queued.itemCount);
+          append(queued);
         }
         long now = clock.getAsLong();
         if (closing && queue.isEmpty() && droppedSinceGap.get() > 0) {
@@ -170,27 +176,27 @@
           return;
         }
       }
-    } catch (InterruptedException fault) {
+    } catch (InterruptedException exception) {
       Thread.currentThread().interrupt();
-    } catch (RuntimeException | Error fault) {
-      LOG.error("capture stopped: its writer failed", fault);
+    } catch (RuntimeException | Error failure) {
+      LOG.error("capture stopped: writer thread failed", failure);
     }
   }
 
-  private void append(QueuedRecord item) {
+  private void append(QueuedRecord queued) {
     if (block.length() == 0) {
       blockStartedAtUs = clock.getAsLong();
     }
-    CaptureRecord entry = item.record;
-    if (entry instanceof CaptureRecord.DecisionRound round) {
-      entry =
+    CaptureRecord record = queued.record;
+    if (record instanceof CaptureRecord.DecisionRound round) {
+      record =
           new CaptureRecord.DecisionRound(
               round.nowUs(),
               round.events(),
-              ActionDigest.of(item.actions),
-              config.keepActions() ? item.actions : null);
+              ActionDigest.of(queued.actions),
+              config.keepActions() ? queued.actions : null);
     }
-    block.write(entry);
+    block.write(record);
     blockRecordCount++;
   }
 
@@ -206,12 +212,12 @@
       writeBlock(now);
       retention.recordSuccess();
       startBlock();
-    } catch (IOException fault) {
-      // The reader reports a block that was written in part; the next attempt starts a new segment.
+    } catch (IOException exception) {
+      // Readers report a partly written block as damage. The next write opens a new segment.
       LOG.warn(
           "capture write failed: retry_in_s={} error={}",
           (retention.recordFailure(now) - now) / US_PER_S,
-          fault.toString());
+          exception.toString());
       abandonSegment();
       dropBlock();
     }
@@ -265,8 +271,8 @@
       try {
         segment.force();
         segment.close();
-      } catch (IOException fault) {
-        LOG.warn("capture segment not closed cleanly: error={}", fault.toString());
+      } catch (IOException exception) {
+        LOG.warn("capture segment not closed cleanly: error={}", exception.toString());
       }
       segment = null;
     }
@@ -277,29 +283,30 @@
       if (segment != null) {
         segment.close();
       }
-    } catch (IOException fault) {
-      LOG.debug("closing the capture segment failed after a failed write", fault);
+    } catch (IOException exception) {
+      LOG.debug("capture segment not closed after a failed write", exception);
     }
     segment = null;
   }
 
-  /** Writes what is queued, and waits for it no longer than a bounded time. */
+  /** Writes all queued records and stops the writer thread. Waits at most 1.5 seconds for it. */
   @Override
   public void close() {
     close(CLOSE_TIMEOUT_MS);
   }
 
   /**
-   * Writes what is queued, and waits for it no longer than the timeout. A slower disk leaves a
-   * damaged tail, which readers report.
+   * Writes all queued records and stops the writer thread. Waits for it until the timeout; if the
+   * disk is slower, the last segment may end in an incomplete block, which readers report as
+   * damage.
    *
-   * @param timeoutMs in milliseconds
+   * @param timeoutMs maximum time to wait, in milliseconds
    */
   public void close(long timeoutMs) {
     closing = true;
     try {
       writer.join(Math.max(1, timeoutMs));
-    } catch (InterruptedException fault) {
+    } catch (InterruptedException exception) {
       Thread.currentThread().interrupt();
     }
   }
--- a/router/src/main/java/tidebank/capture/CaptureSegments.java
+++ b/router/src/main/java/tidebank/capture/CaptureSegments.java
@@ -18,9 +18,10 @@
 import java.util.zip.Inflater;
 
 /**
- * The segment files of a capture. A segment is a header (magic, version, its number, a checksum)
- * and blocks: compressed length, uncompressed length, CRC32C over both and the compressed bytes,
- * then these bytes. A reader stops at the first block that is incomplete or damaged and reports it.
+ * The segment files of a capture. A segment is a header (magic, version, segment number, checksum)
+ * followed by blocks. A block is its compressed length, its uncompressed length, the CRC32C of both
+ * lengths and the compressed bytes, and the compressed bytes. Readers stop at the first incomplete
+ * or damaged block and report it.
  */
 public final class CaptureSegments {
   private static final long MAGIC = 0x5442_4341_5054_0001L;
@@ -40,9 +41,9 @@
   }
 
   /**
-   * Lists the segments of a directory, the oldest first.
+   * Returns the segment files of a directory, oldest first.
    *
-   * @throws IOException if the directory can't be read
+   * @throws IOException if the directory cannot be read
    */
   public static List<Path> list(Path directory) throws IOException {
     try (Stream<Path> files = Files.list(directory)) {
@@ -53,13 +54,13 @@
     }
   }
 
-  /** Returns the number in a segment's name, or -1 if the file is named otherwise. */
+  /** Returns the segment number in the file name, or -1 if it is not the name of a segment. */
   static long parseNumber(Path file) {
-    Matcher name = FILE_NAME.matcher(file.getFileName().toString());
-    return name.matches() ? Long.parseLong(name.group(1)) : -1;
+    Matcher matcher = FILE_NAME.matcher(file.getFileName().toString());
+    return matcher.matches() ? Long.parseLong(matcher.group(1)) : -1;
   }
 
-  /** Writes one segment. Not thread-safe. */
+  /** A writer of one segment. Not thread-safe. */
   static final class SegmentWriter implements AutoCloseable {
     private final FileChannel channel;
     private final Deflater deflater = new Deflater(Deflater.BEST_SPEED, true);
@@ -74,9 +75,9 @@
             ByteBuffer.allocate(HEADER_BYTES).putLong(MAGIC).putInt(VERSION).putLong(number);
         header.putInt(headerChecksum(header.array())).flip();
         write(header);
-      } catch (IOException fault) {
+      } catch (IOException exception) {
         channel.close();
-        throw fault;
+        throw exception;
       }
     }
 
@@ -109,7 +110,7 @@
       }
     }
 
-    /** Returns the size of the file so far. */
+    /** Returns the current size of the file. */
     long bytes() {
       return bytes;
     }
@@ -126,13 +127,13 @@
   }
 
   /**
-   * What was read of a segment.
+   * The readable content of a segment.
    *
-   * @param number in the file's name, or -1
-   * @param records of all complete blocks, in order
+   * @param number the segment number in the file name, or -1
+   * @param records the records of all complete blocks, in order
    * @param blocks number of complete blocks
-   * @param validBytes of the file up to the end of the last complete block
-   * @param damage describes what could not be read; "" if everything was
+   * @param validBytes size of the file up to the end of the last complete block
+   * @param damage describes the unreadable part; "" if the whole file was read
    */
   public record SegmentContent(
       long number, List<CaptureRecord> records, int blocks, long validBytes, String damage) {}
@@ -140,7 +141,7 @@
   /**
    * Reads a segment up to the first block that is incomplete or damaged.
    *
-   * @throws IOException if the file can't be read, or is of a newer version
+   * @throws IOException if the file cannot be read or its format version is not supported
    */
   public static SegmentContent read(Path file) throws IOException {
     byte[] bytes = Files.readAllBytes(file);
@@ -152,7 +153,11 @@
     }
     if (in.getInt(VERSION_OFFSET) > VERSION) {
       throw new IOException(
-          file + ": version " + in.getInt(VERSION_OFFSET) + " is newer than the known " + VERSION);
+          file
+              + ": capture version "
+              + in.getInt(VERSION_OFFSET)
+              + " is newer than the supported version "
+              + VERSION);
     }
     in.position(HEADER_BYTES);
     List<CaptureRecord> records = new ArrayList<>();
@@ -163,10 +168,10 @@
       try {
         records.addAll(readBlock(in));
         blocks++;
-      } catch (DamagedBlockException fault) {
+      } catch (DamagedBlockException exception) {
         in.position(start);
         damage =
-            fault.getMessage()
+            exception.getMessage()
                 + "; "
                 + in.remaining()
                 + " bytes from byte "
@@ -197,8 +202,8 @@
     }
     try {
       return new CaptureDecoder(decompress(compressed, length)).readRecords();
-    } catch (UnreadableCaptureException | DataFormatException fault) {
-      throw new DamagedBlockException("a block can't be understood: " + fault.getMessage());
+    } catch (UnreadableCaptureException | DataFormatException exception) {
+      throw new DamagedBlockException("a block can't be understood: " + exception.getMessage());
     }
   }
 
@@ -207,11 +212,11 @@
     try {
       inflater.setInput(compressed);
       byte[] content = new byte[length];
-      int filled = 0;
-      while (filled < length && !inflater.finished() && !inflater.needsInput()) {
-        filled += inflater.inflate(content, filled, length - filled);
+      int inflatedBytes = 0;
+      while (inflatedBytes < length && !inflater.finished() && !inflater.needsInput()) {
+        inflatedBytes += inflater.inflate(content, inflatedBytes, length - inflatedBytes);
       }
-      if (filled != length) {
+      if (inflatedBytes != length) {
         throw new DataFormatException("a block of another length");
       }
       return content;
@@ -234,7 +239,7 @@
     return (int) crc.getValue();
   }
 
-  /** Thrown when a block is cut short, damaged or not understood; the message says which. */
+  /** Thrown when a block is truncated, damaged or cannot be decoded; the message says which. */
   private static final class DamagedBlockException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/router/src/main/java/tidebank/capture/DecisionLog.java
+++ b/router/src/main/java/tidebank/capture/DecisionLog.java
@@ -6,8 +6,8 @@
 import tidebank.model.Settings;
 
 /**
- * Receives every decision round, on the event loop. Implementations must neither block nor throw,
- * and must not change the lists they are given.
+ * A listener that the event loop calls with every decision round. Implementations must not block,
+ * throw or modify the lists passed to them.
  */
 public interface DecisionLog {
   /** A log that discards everything. */
@@ -23,24 +23,29 @@
         public void roundFailed(long nowUs, List<Event> events, Throwable cause) {}
       };
 
-  /** Called when the routing policy was started, for the first time or again. */
+  /**
+   * Called when the routing policy was started or restarted.
+   *
+   * @param settings of the policy
+   * @param seed of the policy's random number generator
+   */
   void policyStarted(Settings settings, long seed);
 
   /**
    * Called after a decision round.
    *
-   * @param nowUs the time that the policy was given, in microseconds
-   * @param events input of the policy
-   * @param actions output of the policy
+   * @param nowUs the time passed to the policy, in microseconds
+   * @param events the input of the policy
+   * @param actions the output of the policy
    */
   void roundDecided(long nowUs, List<Event> events, List<Action> actions);
 
   /**
-   * Called when the policy, or carrying out its actions, failed. The policy is started again after
-   * this.
+   * Called when the policy threw an exception or its actions could not be executed. The policy is
+   * restarted afterwards.
    *
-   * @param nowUs the time that the policy was given, in microseconds
-   * @param events input of the policy
+   * @param nowUs the time passed to the policy, in microseconds
+   * @param events the input of the policy
    * @param cause the failure
    */
   void roundFailed(long nowUs, List<Event> events, Throwable cause);
--- a/router/src/main/java/tidebank/capture/SegmentRetention.java
+++ b/router/src/main/java/tidebank/capture/SegmentRetention.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * Decides how a capture is kept: when a block is written, when a segment ends, which old segments
- * are deleted, and when to retry after the disk failed. Pure: sizes in bytes and times in
- * microseconds are passed in.
+ * Decides when a block is flushed, when a new segment starts, which old segments are deleted and
+ * when to retry after a failed write. Does no I/O and reads no clock: sizes are passed in bytes,
+ * times in microseconds.
  */
 final class SegmentRetention {
   private static final int DEFAULT_BLOCK_BYTES = 128 << 10;
@@ -16,32 +16,35 @@
   private static final long MAX_BACKOFF_US = 60_000_000;
 
   /**
-   * Events and actions that may wait for each round that may: a stalled disk must not fill the heap
-   * with large rounds.
+   * Events and actions that may be queued per round of queue capacity. Limits the heap that large
+   * rounds take while the disk stalls.
    */
   private static final int ITEMS_PER_ROUND = 32;
 
   /**
    * A segment on disk.
    *
-   * @param number its place in the capture
-   * @param bytes its size
+   * @param number the sequence number in its file name
+   * @param bytes the size of the file
    */
   record Segment(long number, long bytes) {}
 
   /**
    * Sizes and ages of blocks and segments.
    *
-   * @param blockBytes a block is written when its records take so many bytes
-   * @param blockAgeUs or when its first record is so old
-   * @param segmentBytes a segment ends past this size
-   * @param segmentAgeUs or past this age
-   * @param maxTotalBytes all segments together stay below this, the open one counted with its full
-   *     size
+   * @param blockBytes uncompressed size at which a block is flushed
+   * @param blockAgeUs age of its first record at which a block is flushed
+   * @param segmentBytes size at which a new segment starts
+   * @param segmentAgeUs age at which a new segment starts
+   * @param maxTotalBytes total size of all segments above which the oldest are deleted, the open
+   *     segment counted with {@code segmentBytes}
    */
   record Limits(
       int blockBytes, long blockAgeUs, long segmentBytes, long segmentAgeUs, long maxTotalBytes) {
-    /** Limits with the default block size and ages, which bound what a crash may lose. */
+    /**
+     * Returns limits with the default block size, block age and segment age. Block size and age
+     * bound the data that a crash can lose.
+     */
     static Limits of(long segmentBytes, long maxTotalBytes) {
       return new Limits(
           DEFAULT_BLOCK_BYTES,
@@ -63,23 +66,38 @@
   /**
    * Returns whether a round may be queued.
    *
-   * @param queuedItems events and actions in the queue
-   * @param newItems events and actions of the round
-   * @param queueCapacity rounds that fit in the queue
+   * @param queuedItems number of events and actions in the queue
+   * @param newItems number of events and actions of the round
+   * @param queueCapacity maximum number of rounds in the queue
    */
   static boolean hasRoomFor(long queuedItems, int newItems, int queueCapacity) {
     return queuedItems == 0 || queuedItems + newItems <= (long) ITEMS_PER_ROUND * queueCapacity;
   }
 
-  boolean shouldFlushBlock(int bytes, long startedAt, long now) {
-    return bytes >= limits.blockBytes() || (bytes > 0 && now - startedAt >= limits.blockAgeUs());
+  /**
+   * Returns whether a block has reached its maximum size or age.
+   *
+   * @param bytes uncompressed size of the block
+   * @param startedAtUs time of its first record
+   * @param nowUs the current time
+   */
+  boolean shouldFlushBlock(int bytes, long startedAtUs, long nowUs) {
+    return bytes >= limits.blockBytes()
+        || (bytes > 0 && nowUs - startedAtUs >= limits.blockAgeUs());
   }
 
-  boolean shouldRollSegment(long bytes, long openedAt, long now) {
-    return bytes >= limits.segmentBytes() || now - openedAt >= limits.segmentAgeUs();
+  /**
+   * Returns whether a segment has reached its maximum size or age.
+   *
+   * @param bytes size of the file
+   * @param openedAtUs time when it was opened
+   * @param nowUs the current time
+   */
+  boolean shouldRollSegment(long bytes, long openedAtUs, long nowUs) {
+    return bytes >= limits.segmentBytes() || nowUs - openedAtUs >= limits.segmentAgeUs();
   }
 
-  /** Returns the oldest segments that must go so that a new one of full size fits. */
+  /** Returns the oldest segments to delete so that a new segment of full size fits. */
   List<Segment> segmentsToDelete(List<Segment> oldestFirst) {
     long totalBytes = limits.segmentBytes();
     for (Segment segment : oldestFirst) {
@@ -96,17 +114,19 @@
     return expired;
   }
 
-  boolean canWrite(long now) {
-    return now >= retryAtUs;
+  /** Returns whether no backoff is in effect. */
+  boolean canWrite(long nowUs) {
+    return nowUs >= retryAtUs;
   }
 
-  /** Doubles the backoff; returns the time before which nothing is to be written. */
-  long recordFailure(long now) {
-    retryAtUs = now + backoffUs;
+  /** Starts a backoff, twice as long as the previous one up to a maximum; returns its end. */
+  long recordFailure(long nowUs) {
+    retryAtUs = nowUs + backoffUs;
     backoffUs = Math.min(MAX_BACKOFF_US, 2 * backoffUs);
     return retryAtUs;
   }
 
+  /** Ends the backoff and resets its length. */
   void recordSuccess() {
     backoffUs = INITIAL_BACKOFF_US;
     retryAtUs = Long.MIN_VALUE;
--- a/router/src/main/java/tidebank/capture/SettingsJson.java
+++ b/router/src/main/java/tidebank/capture/SettingsJson.java
@@ -13,8 +13,8 @@
 import tidebank.model.Settings;
 
 /**
- * JSON field names of the settings in a capture. They are older than the names of the record
- * components and stay as they are, so that captures of other versions can be read.
+ * The JSON form of the settings in a capture. The field names differ from the current names of the
+ * record components and must not change, so that captures of other versions remain readable.
  */
 final class SettingsJson {
   private static final ObjectMapper MAPPER =
@@ -27,7 +27,7 @@
     return MAPPER.writeValueAsBytes(settings);
   }
 
-  /** Reads settings; fields of a later version are ignored. */
+  /** Reads settings. Ignores unknown fields, which a later version may have written. */
   static Settings read(byte[] json) throws IOException {
     return MAPPER.readValue(json, Settings.class);
   }
@@ -198,7 +198,7 @@
     int secondStageRequests();
   }
 
-  /** Stored words of {@link Idempotency}. */
+  /** Stored names of {@link Idempotency}. */
   private enum IdempotencyNames {
     @JsonProperty("REPLAYABLE")
     IDEMPOTENT,
--- a/router/src/main/java/tidebank/capture/package-info.java
+++ b/router/src/main/java/tidebank/capture/package-info.java
@@ -1,20 +1,21 @@
 /**
- * Captures: the input and output of the routing policy, round by round, on disk, to be replayed
- * later.
+ * Records the input and output of the routing policy to disk, one record per decision round, for
+ * later replay.
  *
- * <p>{@link tidebank.capture.DecisionLog} is what the event loop calls after each decision round.
- * {@link tidebank.capture.CaptureRecorder} implements it: the event loop puts rounds into a bounded
- * queue, and a writer thread owns all the rest, from the block that is being encoded to the open
- * segment. {@link tidebank.capture.SegmentRetention} holds the recorder's decisions and does no
- * I/O.
+ * <p>The event loop calls {@link tidebank.capture.DecisionLog} after each decision round. {@link
+ * tidebank.capture.CaptureRecorder} implements it: the event loop puts rounds into a bounded queue;
+ * a writer thread encodes them into blocks and writes the blocks to segment files. {@link
+ * tidebank.capture.SegmentRetention} decides when the recorder flushes a block, starts a new
+ * segment, deletes old segments and retries after an I/O error. It does no I/O itself.
  *
- * <p>A capture is a directory of segments ({@link tidebank.capture.CaptureSegments}); a segment is
- * a header and checksummed, compressed blocks; a block is a sequence of {@link
- * tidebank.capture.CaptureRecord}s, written by {@code CaptureEncoder} and read by {@code
- * CaptureDecoder} without any other block. {@code CaptureFormat} has the numbers that both share.
- * The settings of a policy are stored as JSON under the names that {@code SettingsJson} gives them.
+ * <p>A capture is a directory of segment files ({@link tidebank.capture.CaptureSegments}). A
+ * segment is a header and a sequence of checksummed, compressed blocks. A block is a sequence of
+ * {@link tidebank.capture.CaptureRecord}s, written by {@code CaptureEncoder} and read by {@code
+ * CaptureDecoder} independently of other blocks. {@code CaptureFormat} holds the constants that
+ * both share. Settings of a policy are stored as JSON, under the field names in {@code
+ * SettingsJson}.
  *
- * <p>Start reading at {@link tidebank.capture.CaptureRecord}. The package depends on {@code
- * tidebank.model} only.
+ * <p>Start reading at {@link tidebank.capture.CaptureRecord}. The package depends only on {@code
+ * tidebank.model}.
  */
 package tidebank.capture;
--- a/testbed/src/main/java/tidebank/testbed/capture/CaptureReplay.java
+++ b/testbed/src/main/java/tidebank/testbed/capture/CaptureReplay.java
@@ -14,16 +14,17 @@
 
 /**
  * Replays the events of a capture through a new routing policy and compares its actions with the
- * recorded ones, round by round, up to the first divergence. Rounds whose preceding state is not
- * known (behind a gap, before the first start in the capture) are counted and not replayed.
+ * recorded ones, round by round, up to the first divergence. Rounds for which the state of the
+ * policy is unknown are counted as skipped: those before the first policy start in the capture, and
+ * those between a gap, a failed round or damage and the next policy start.
  */
 public final class CaptureReplay {
   /**
-   * The first round that was decided otherwise.
+   * The first round with different actions in the replay.
    *
-   * @param round its number in the capture, from 0
-   * @param nowUs its time, in microseconds
-   * @param recorded the actions of then, or null where only a digest was recorded
+   * @param round the index of the round in the capture, from 0
+   * @param nowUs the time of the round, in microseconds
+   * @param recorded the recorded actions, or null if only their digest was recorded
    * @param replayed the actions of the replay
    */
   public record Divergence(long round, long nowUs, List<Action> recorded, List<Action> replayed) {}
@@ -31,17 +32,17 @@
   /**
    * The outcome of a replay.
    *
-   * @param rounds in the capture
-   * @param matching rounds that were replayed to the same actions
-   * @param skipped rounds that were not replayed
-   * @param policyStarts starts of the policy
-   * @param failures rounds that had failed when they were recorded
-   * @param missingRounds rounds that the capture reports as dropped
-   * @param damage what could not be read, by segment
+   * @param rounds number of rounds in the capture
+   * @param matching number of rounds with the same actions in the replay
+   * @param skipped number of rounds that were not replayed
+   * @param policyStarts number of recorded policy starts
+   * @param failures number of rounds recorded as failed
+   * @param missingRounds number of rounds that gaps in the capture report as dropped
+   * @param damage descriptions of unreadable parts, each with the name of its segment file
    * @param firstUs time of the first round, in microseconds
    * @param lastUs time of the last round, in microseconds
-   * @param digest over all replayed actions, in hexadecimal, to compare two replays
-   * @param divergence the first, or null
+   * @param digest digest over all replayed actions, in hexadecimal, to compare two replays
+   * @param divergence the first divergence, or null
    */
   public record Result(
       long rounds,
@@ -55,20 +56,20 @@
       long lastUs,
       String digest,
       Divergence divergence) {
-    /** Returns whether no round was decided otherwise. */
+    /** Returns whether all replayed rounds had the recorded actions. */
     public boolean matches() {
       return divergence == null;
     }
   }
 
-  /** Receives each round as it is replayed. */
+  /** A listener for replayed rounds. */
   public interface Listener {
     /**
      * Called after a round was replayed.
      *
-     * @param number its number in the capture, from 0
-     * @param round as it was recorded
-     * @param actions of the replay
+     * @param number the index of the round in the capture, from 0
+     * @param round the recorded round
+     * @param actions the actions of the replay
      */
     void roundReplayed(long number, CaptureRecord.DecisionRound round, List<Action> actions);
   }
@@ -86,7 +87,7 @@
   private long lastUs;
   private Divergence divergence;
 
-  /** The policy in its replayed state, or null where that is not known. */
+  /** The replayed policy, or null while its state is unknown. */
   private RoutingPolicy policy;
 
   private CaptureReplay(Listener listener) {
@@ -94,10 +95,10 @@
   }
 
   /**
-   * Lists the segments of a capture.
+   * Returns the segment files of a capture, oldest first.
    *
-   * @param capture a directory of segments, or one segment
-   * @throws IOException if there is none
+   * @param capture a directory of segments, or a single segment
+   * @throws IOException if the path does not exist or the directory contains no segment
    */
   public static List<Path> listSegments(Path capture) throws IOException {
     if (!Files.exists(capture)) {
@@ -106,7 +107,7 @@
     List<Path> files =
         Files.isDirectory(capture) ? CaptureSegments.list(capture) : List.of(capture);
     if (files.isEmpty()) {
-      throw new IOException(capture + ": there is no capture in it");
+      throw new IOException(capture + ": directory contains no capture segments");
     }
     return files;
   }
@@ -114,9 +115,9 @@
   /**
    * Replays a capture.
    *
-   * @param capture a directory of segments, or one segment
+   * @param capture a directory of segments, or a single segment
    * @param listener called for each replayed round, up to the first divergence
-   * @throws IOException if there is no capture, or it can't be read
+   * @throws IOException if there is no capture or it cannot be read
    */
   public static Result replay(Path capture, Listener listener) throws IOException {
     CaptureReplay replay = new CaptureReplay(listener);
@@ -127,8 +128,8 @@
         replay.reportDamage(file, "segments before it are missing");
       }
       lastNumber = content.number();
-      for (CaptureRecord entry : content.records()) {
-        replay.apply(entry);
+      for (CaptureRecord record : content.records()) {
+        replay.apply(record);
       }
       if (!content.damage().isEmpty()) {
         replay.reportDamage(file, content.damage());
@@ -137,23 +138,23 @@
     return replay.toResult();
   }
 
-  private void reportDamage(Path file, String what) {
-    damage.add(file.getFileName() + ": " + what);
+  private void reportDamage(Path file, String description) {
+    damage.add(file.getFileName() + ": " + description);
     policy = null;
   }
 
-  private void apply(CaptureRecord entry) {
-    if (entry instanceof CaptureRecord.PolicyStarted started) {
+  private void apply(CaptureRecord record) {
+    if (record instanceof CaptureRecord.PolicyStarted started) {
       policyStarts++;
       policy = new RoutingPolicy(started.settings(), started.seed());
-    } else if (entry instanceof CaptureRecord.Gap gap) {
+    } else if (record instanceof CaptureRecord.Gap gap) {
       missingRounds += gap.rounds();
       policy = null;
-    } else if (entry instanceof CaptureRecord.RoundFailed) {
-      // A failed round leaves the policy half changed; the replay goes on with its next start.
+    } else if (record instanceof CaptureRecord.RoundFailed) {
+      // A failed round leaves the policy in an unknown state; replay resumes at its next start.
       failures++;
       policy = null;
-    } else if (entry instanceof CaptureRecord.DecisionRound round) {
+    } else if (record instanceof CaptureRecord.DecisionRound round) {
       replay(round);
     }
   }
--- a/testbed/src/main/java/tidebank/testbed/capture/EventKind.java
+++ b/testbed/src/main/java/tidebank/testbed/capture/EventKind.java
@@ -3,16 +3,17 @@
 import tidebank.model.Event;
 
 /**
- * Words for the kinds of events, as captures are described in JSON and filtered by. They are older
- * than the names of the types and stay as they are, so that scripts go on working.
+ * The names of the kinds of events in the output of commands on captures, and in their filters.
+ * They differ from the current names of the event types and must not change, because scripts depend
+ * on them.
  */
 public final class EventKind {
-  /** The kind of an event that says that a query was received. */
+  /** The name of {@link Event.QueryReceived}. */
   public static final String QUERY_RECEIVED = "ScanTaken";
 
   private EventKind() {}
 
-  /** Returns the word for the kind of this event. */
+  /** Returns the name of the kind of an event. */
   public static String of(Event event) {
     if (event instanceof Event.EndpointListReceived) {
       return "ListSeen";
@@ -31,10 +32,10 @@
     } else if (event instanceof Event.HealthCheckCompleted) {
       return "Probed";
     }
-    throw new IllegalStateException("no word for " + event);
+    throw new IllegalStateException("event has no kind name: " + event);
   }
 
-  /** Returns whether an event is of a kind, given by its word or the name of its type. */
+  /** Returns whether an event is of a kind, given by its name here or by its type; ignores case. */
   public static boolean matches(Event event, String kind) {
     return of(event).equalsIgnoreCase(kind)
         || event.getClass().getSimpleName().equalsIgnoreCase(kind);
