--- a/cli/src/main/java/tidebank/cli/ChaosCommands.java
+++ b/cli/src/main/java/tidebank/cli/ChaosCommands.java
@@ -119,7 +119,7 @@
         jobs.add(new Job(Script.read(name), 0));
       }
       if (seed != null) {
-        jobs.add(new Job(RandomScript.script(seed), seed));
+        jobs.add(new Job(RandomScript.generate(seed), seed));
       }
       if (seeds != null) {
         Matcher range = RANGE.matcher(seeds);
@@ -130,7 +130,7 @@
               spec.commandLine(), "--seeds: found " + seeds + ", wanted a range such as 1..200");
         }
         LongStream.rangeClosed(Long.parseLong(range.group(1)), Long.parseLong(range.group(2)))
-            .forEach(one -> jobs.add(new Job(RandomScript.script(one), one)));
+            .forEach(one -> jobs.add(new Job(RandomScript.generate(one), one)));
       }
       if (jobs.isEmpty()) {
         throw new ParameterException(
--- a/cli/src/main/java/tidebank/cli/FleetDemo.java
+++ b/cli/src/main/java/tidebank/cli/FleetDemo.java
@@ -60,7 +60,7 @@
               + " and has published "
               + first.value());
       RouterProcess owner = gatherers.get(Integer.parseInt(first.holder().substring(1)));
-      owner.stop();
+      owner.suspend();
       say(owner.name() + " is stopped (SIGSTOP): it neither renews nor knows that it does not");
       TaskLease second = until(client, duty -> duty.publishingToken() > first.fencingToken());
       say(
@@ -70,7 +70,7 @@
               + second.fencingToken()
               + " and has published "
               + second.value());
-      owner.wake();
+      owner.resume();
       say(owner.name() + " is woken and goes on where it stood");
       TaskLease third = until(client, duty -> duty.revision() >= second.revision() + 3);
       boolean harm = third.publishingToken() < second.fencingToken();
--- a/testbed/src/main/java/tidebank/testbed/chaos/ClusterObserver.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/ClusterObserver.java
@@ -36,7 +36,7 @@
    */
   record Observation(LeaseTableState state, int leader, long round, long queriesCounted) {
     /** Returns the lease of the report task, or null. */
-    TaskLease report() {
+    TaskLease reportLease() {
       return LeaseRules.findTask(state, "report");
     }
 
@@ -99,7 +99,7 @@
     this.history = history;
     this.reports = reports;
     this.sharedFolder = sharedFolder;
-    thread = new Thread(this::run, "observer");
+    thread = new Thread(this::pollUntilClosed, "observer");
     thread.setDaemon(true);
     thread.start();
   }
@@ -108,10 +108,10 @@
     return observation;
   }
 
-  private void run() {
+  private void pollUntilClosed() {
     while (!closed) {
       try {
-        observe();
+        poll();
         Thread.sleep(POLL_MS);
       } catch (InterruptedException ended) {
         return;
@@ -120,7 +120,7 @@
   }
 
   /** Reads the state from the first coordinator that answers, beginning with the last leader. */
-  private void observe() throws InterruptedException {
+  private void poll() throws InterruptedException {
     int first = Math.max(0, observation.leader());
     for (int i = 0; i < coordinators.size(); i++) {
       int coordinator = (first + i) % coordinators.size();
@@ -129,7 +129,7 @@
       LeaseTableState state = readState(coordinators.get(coordinator));
       if (state != null) {
         history.stateRead("observer", calledAt, state);
-        check(state, removed);
+        checkPublications(state, removed);
         observation =
             new Observation(state, coordinator, observation.round() + 1, reports.queriesCounted());
         return;
@@ -140,7 +140,7 @@
             observation.state(), NO_LEADER, observation.round() + 1, observation.queriesCounted());
   }
 
-  private void check(LeaseTableState state, Set<String> removed) {
+  private void checkPublications(LeaseTableState state, Set<String> removed) {
     TaskLease report = LeaseRules.findTask(state, "report");
     if (report != null) {
       reports.check(report);
--- a/testbed/src/main/java/tidebank/testbed/chaos/ProcessSelector.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/ProcessSelector.java
@@ -35,8 +35,8 @@
       case "owner" -> List.of(reportHolder());
       case "remover" -> List.of(holderOf("retention").orElse(reportHolder()));
       case "other" -> List.of(firstOther(cluster.memberNames(), reportHolder()));
-      case "leader" -> List.of(leader());
-      case "follower" -> List.of(firstOther(cluster.coordinatorNames(), leader()));
+      case "leader" -> List.of(leadingCoordinator());
+      case "follower" -> List.of(firstOther(cluster.coordinatorNames(), leadingCoordinator()));
       case "members" -> cluster.memberNames();
       case "stewards" -> cluster.coordinatorNames();
       case "all" ->
@@ -56,7 +56,7 @@
     return Optional.ofNullable(lease).map(TaskLease::holder).filter(holder -> !holder.isEmpty());
   }
 
-  private String leader() {
+  private String leadingCoordinator() {
     return "s" + Math.max(0, observer.observation().leader());
   }
 
--- a/testbed/src/main/java/tidebank/testbed/chaos/RandomScript.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/RandomScript.java
@@ -11,43 +11,43 @@
 
 /** Scripts drawn from a seed: the same seed, the same script. */
 public final class RandomScript {
-  private static final int LEAST = 3;
-  private static final int SPREAD = 4;
+  private static final int MIN_FAULTS = 3;
+  private static final int FAULT_COUNT_RANGE = 4;
   private static final long LEASE_MS = 800;
-  private static final double DRIFT = 0.05;
+  private static final double MAX_CLOCK_DRIFT = 0.05;
 
-  private final SeededRandom chance;
+  private final SeededRandom random;
   private final List<Step> steps = new ArrayList<>();
-  private final int stewards;
+  private final int coordinators;
   private final int members;
 
   private RandomScript(long seed) {
-    chance = new SeededRandom(seed);
-    stewards = pick(3) == 0 ? 1 : 3;
-    members = 2 + pick(3);
+    random = new SeededRandom(seed);
+    coordinators = nextInt(3) == 0 ? 1 : 3;
+    members = 2 + nextInt(3);
   }
 
   /** The script of a seed. */
-  public static Script script(long seed) {
+  public static Script generate(long seed) {
     RandomScript drawn = new RandomScript(seed);
     Map<String, Double> clocks = new TreeMap<>();
-    if (drawn.pick(3) == 0) {
+    if (drawn.nextInt(3) == 0) {
       // Clocks that are as wrong as they may be, either way.
-      for (int i = 0; i < drawn.stewards; i++) {
-        clocks.put("s" + i, 1 + DRIFT * (drawn.pick(3) - 1));
+      for (int i = 0; i < drawn.coordinators; i++) {
+        clocks.put("s" + i, 1 + MAX_CLOCK_DRIFT * (drawn.nextInt(3) - 1));
       }
       for (int i = 0; i < drawn.members; i++) {
-        clocks.put("g" + i, 1 + DRIFT * (drawn.pick(3) - 1));
+        clocks.put("g" + i, 1 + MAX_CLOCK_DRIFT * (drawn.nextInt(3) - 1));
       }
       clocks.values().removeIf(rate -> rate == 1);
     }
-    int troubles = LEAST + drawn.pick(SPREAD);
+    int troubles = MIN_FAULTS + drawn.nextInt(FAULT_COUNT_RANGE);
     for (int i = 0; i < troubles; i++) {
       drawn.steps.add(
           new Step(
               Condition.NOTHING,
               1,
-              1 + drawn.pick(3),
+              1 + drawn.nextInt(3),
               "owner",
               Operation.SCANS,
               "",
@@ -58,47 +58,48 @@
               0,
               0,
               1));
-      drawn.trouble("x" + (char) ('a' + i));
+      drawn.addFault("x" + (char) ('a' + i));
     }
     return new Script(
         "seed-" + seed,
         "Drawn from seed " + seed,
-        drawn.stewards,
+        drawn.coordinators,
         drawn.members,
         LEASE_MS,
-        DRIFT,
+        MAX_CLOCK_DRIFT,
         clocks,
         drawn.steps);
   }
 
-  private int pick(int of) {
-    return (int) (chance.nextDouble() * of);
+  private int nextInt(int of) {
+    return (int) (random.nextDouble() * of);
   }
 
-  private <T> T one(List<T> of) {
-    return of.get(pick(of.size()));
+  private <T> T choose(List<T> of) {
+    return of.get(nextInt(of.size()));
   }
 
   /** What a step waits for while something is wrong: never what may not come. */
-  private Condition meanwhile() {
-    return one(List.of(Condition.CALLS, Condition.CALLS, Condition.NOTHING));
+  private Condition chooseConditionDuringFault() {
+    return choose(List.of(Condition.CALLS, Condition.CALLS, Condition.NOTHING));
   }
 
-  private void trouble(String called) {
-    String member = one(List.of("owner", "owner", "other"));
+  private void addFault(String called) {
+    String member = choose(List.of("owner", "owner", "other"));
     boolean owner = member.equals("owner");
     Condition then =
         owner && members > 1
-            ? one(List.of(Condition.GRANT, Condition.SUCCESSOR, Condition.CALLS))
+            ? choose(List.of(Condition.GRANT, Condition.SUCCESSOR, Condition.CALLS))
             : Condition.PUBLICATIONS;
-    Condition before = one(List.of(Condition.PUBLICATIONS, Condition.RENEWALS, Condition.OWNED));
-    switch (pick(8)) {
+    Condition before = choose(List.of(Condition.PUBLICATIONS, Condition.RENEWALS, Condition.OWNED));
+    switch (nextInt(8)) {
       case 0 -> {
         steps.add(Step.of(before, 1, Operation.STOP, member, called));
-        steps.add(step(then, Operation.WAKE, called));
+        steps.add(processStep(then, Operation.WAKE, called));
       }
       case 1 -> {
-        steps.add(Step.of(before, 1, one(List.of(Operation.KILL, Operation.TERM)), member, called));
+        steps.add(
+            Step.of(before, 1, choose(List.of(Operation.KILL, Operation.TERM)), member, called));
         steps.add(
             new Step(
                 Condition.ENDED, 1, 1, called, Operation.START, called, "", "", null, 0, 0, 0, 1));
@@ -111,13 +112,13 @@
                 1,
                 called,
                 "stewards",
-                one(
+                choose(
                     List.of(
                         FaultyLink.Fault.SILENT_UP,
                         FaultyLink.Fault.SILENT_DOWN,
                         FaultyLink.Fault.CUT)),
                 0));
-        steps.add(heal(then, called, "stewards"));
+        steps.add(healStep(then, called, "stewards"));
       }
       case 3 -> {
         steps.add(
@@ -126,7 +127,7 @@
                 1,
                 "members",
                 "stewards",
-                one(List.of(FaultyLink.Fault.RESET, FaultyLink.Fault.HALF_OPEN)),
+                choose(List.of(FaultyLink.Fault.RESET, FaultyLink.Fault.HALF_OPEN)),
                 0));
         steps.add(Step.of(Condition.PUBLICATIONS, 1, Operation.NOTHING, "owner", ""));
       }
@@ -137,24 +138,27 @@
                 1,
                 "members",
                 "stewards",
-                one(
+                choose(
                     List.of(
                         FaultyLink.Fault.DELAY, FaultyLink.Fault.FLAP, FaultyLink.Fault.TRICKLE)),
-                20 + pick(80)));
-        steps.add(heal(meanwhile(), "members", "stewards"));
+                20 + nextInt(80)));
+        steps.add(healStep(chooseConditionDuringFault(), "members", "stewards"));
       }
       case 5 -> {
         steps.add(Step.of(before, 1, Operation.STOP, "leader", called));
         steps.add(
-            step(stewards > 1 ? Condition.LEADER : Condition.LEADERLESS, Operation.WAKE, called));
+            processStep(
+                coordinators > 1 ? Condition.LEADER : Condition.LEADERLESS,
+                Operation.WAKE,
+                called));
       }
       case 6 -> {
         steps.add(
             Step.of(
                 before,
                 1,
-                one(List.of(Operation.KILL, Operation.TERM)),
-                one(List.of("leader", "follower")),
+                choose(List.of(Operation.KILL, Operation.TERM)),
+                choose(List.of("leader", "follower")),
                 called));
         steps.add(
             new Step(
@@ -166,28 +170,28 @@
             Step.link(
                 Condition.NOTHING,
                 1,
-                stewards > 1 && pick(2) == 0 ? called : "stewards",
+                coordinators > 1 && nextInt(2) == 0 ? called : "stewards",
                 "stewards",
-                one(
+                choose(
                     List.of(
                         FaultyLink.Fault.CUT,
                         FaultyLink.Fault.SILENT_UP,
                         FaultyLink.Fault.DELAY,
                         FaultyLink.Fault.RESET)),
-                20 + pick(30)));
-        steps.add(heal(meanwhile(), "all", "stewards"));
+                20 + nextInt(30)));
+        steps.add(healStep(chooseConditionDuringFault(), "all", "stewards"));
       }
     }
   }
 
-  private static Step step(Condition await, Operation act, String who) {
+  private static Step processStep(Condition await, Operation act, String who) {
     return new Step(await, 1, 1, "members", act, who, "", "", null, 0, 0, 0, 1);
   }
 
-  private Step heal(Condition await, String from, String to) {
+  private Step healStep(Condition await, String from, String to) {
     return new Step(
         await,
-        1 + pick(6),
+        1 + nextInt(6),
         1,
         "members",
         Operation.LINK,
--- a/testbed/src/main/java/tidebank/testbed/chaos/Script.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/Script.java
@@ -68,11 +68,12 @@
     /** The observed processes have ended. */
     ENDED;
 
-    private static final Set<Condition> OF_PROCESSES = EnumSet.of(RENEWALS, CALLS, CLAIMS, ENDED);
+    private static final Set<Condition> ABOUT_PROCESSES =
+        EnumSet.of(RENEWALS, CALLS, CLAIMS, ENDED);
 
     /** Returns whether the condition is about the processes that the step observes. */
     boolean observesProcesses() {
-      return OF_PROCESSES.contains(this);
+      return ABOUT_PROCESSES.contains(this);
     }
   }
 
@@ -227,7 +228,7 @@
    * @throws IOException if their list can't be read
    */
   public static List<String> builtInNames() throws IOException {
-    return resource("index.txt").lines().filter(line -> !line.isBlank()).toList();
+    return readResource("index.txt").lines().filter(line -> !line.isBlank()).toList();
   }
 
   /**
@@ -239,7 +240,7 @@
   public static Script read(String nameOrFile) throws IOException {
     if (builtInNames().contains(nameOrFile)) {
       String file = nameOrFile + ".toml";
-      return read(Toml.read(file, resource(file)), nameOrFile);
+      return read(Toml.read(file, readResource(file)), nameOrFile);
     }
     Path file = Path.of(nameOrFile);
     if (!Files.isRegularFile(file)) {
@@ -248,7 +249,7 @@
     return read(Toml.read(file), file.getFileName().toString().replace(".toml", ""));
   }
 
-  private static String resource(String name) throws IOException {
+  private static String readResource(String name) throws IOException {
     try (InputStream in = Script.class.getResourceAsStream(name)) {
       if (in == null) {
         throw new IOException("the program lacks its script " + name);
--- a/testbed/src/main/java/tidebank/testbed/chaos/ScriptReader.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/ScriptReader.java
@@ -16,7 +16,7 @@
 
 /** Reads scripts from TOML. All errors of a file are reported together, each with its line. */
 final class ScriptReader {
-  private static final Pattern PROCESS = Pattern.compile("[gs]\\d{1,2}");
+  private static final Pattern PROCESS_NAME = Pattern.compile("[gs]\\d{1,2}");
   private static final Pattern ALIAS = Pattern.compile("[a-z][a-z-]*");
   private static final Pattern CLOCK_RATE = Pattern.compile("(0\\.[5-9]\\d*|1(\\.\\d+)?)");
   private static final Set<String> ROLES =
@@ -70,7 +70,7 @@
         .textsByKey()
         .forEach(
             (process, rate) -> {
-              if (PROCESS.matcher(process).matches() && CLOCK_RATE.matcher(rate).matches()) {
+              if (PROCESS_NAME.matcher(process).matches() && CLOCK_RATE.matcher(rate).matches()) {
                 rates.put(process, Double.parseDouble(rate));
               } else {
                 file.addFault(
@@ -104,13 +104,13 @@
       table.addFault("do", "a link needs `to` and `fault`");
     }
     if (step.operation().needsTarget() || !step.target().isEmpty()) {
-      checkProcess(table, "who", step.target());
+      checkProcessName(table, "who", step.target());
     }
     if (!step.observed().isEmpty()) {
-      checkProcess(table, "of", step.observed());
+      checkProcessName(table, "of", step.observed());
     }
     if (link) {
-      checkProcess(table, "to", step.linkTarget());
+      checkProcessName(table, "to", step.linkTarget());
     }
     checkAlias(table, step.alias());
     knownNames.add(step.alias());
@@ -128,8 +128,8 @@
     }
   }
 
-  private void checkProcess(Toml.Table table, String key, String name) {
-    if (PROCESS.matcher(name).matches() || knownNames.contains(name)) {
+  private void checkProcessName(Toml.Table table, String key, String name) {
+    if (PROCESS_NAME.matcher(name).matches() || knownNames.contains(name)) {
       return;
     }
     String suggestion = Toml.findNearest(name, knownNames);
--- a/testbed/src/main/java/tidebank/testbed/chaos/ScriptRunner.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/ScriptRunner.java
@@ -75,7 +75,7 @@
 
   private final Script script;
   private final long seed;
-  private final Path folder;
+  private final Path runFolder;
   private final Consumer<String> progress;
   private final History history = new History();
   private final List<String> violations = new ArrayList<>();
@@ -96,7 +96,7 @@
   public ScriptRunner(Script script, long seed, Path folder, Consumer<String> progress) {
     this.script = script;
     this.seed = seed;
-    this.folder = folder;
+    this.runFolder = folder;
     this.progress = progress;
   }
 
@@ -106,13 +106,13 @@
    * @throws IOException if the cluster can't be started or the files can't be written
    */
   public Verdict run() throws IOException {
-    Files.writeString(folder.resolve("script.toml"), script.toToml());
+    Files.writeString(runFolder.resolve("script.toml"), script.toToml());
     PublishedReports reports;
     int queriesSent;
-    try (TestCluster started = new TestCluster(folder, script, history, seed)) {
+    try (TestCluster started = new TestCluster(runFolder, script, history, seed)) {
       cluster = started;
-      reports = new PublishedReports(cluster.shared());
-      sharedFolder = new SharedFolderCheck(cluster.shared());
+      reports = new PublishedReports(cluster.sharedFolder());
+      sharedFolder = new SharedFolderCheck(cluster.sharedFolder());
       observeAndRun(reports);
       queriesSent = cluster.queriesSent();
       if (reports.queriesCounted() > queriesSent) {
@@ -129,8 +129,8 @@
     violations.addAll(
         LeaseRules.violations(
             history, new LeaseConfig(script.leaseMs() * US_PER_MS, script.maxClockDrift(), 0, 0)));
-    Verdict verdict = verdict(reports, queriesSent);
-    RunArtifacts.write(folder, script, history, verdict);
+    Verdict verdict = buildVerdict(reports, queriesSent);
+    RunArtifacts.write(runFolder, script, history, verdict);
     return verdict;
   }
 
@@ -143,21 +143,21 @@
       executor =
           new StepExecutor(
               script,
-              folder,
+              runFolder,
               cluster,
               sharedFolder,
               processes,
               new CoordinatorClient(cluster.coordinatorAddresses(), STEP_TIMEOUT_MS, CALL_TIMEOUT),
-              this::record);
+              this::recordEvent);
       runSteps();
-      settle();
+      awaitRecovery();
     } catch (IOException | UncheckedIOException fault) {
       violations.add(fault.getMessage());
-      record("script", "failed: " + fault.getMessage());
+      recordEvent("script", "failed: " + fault.getMessage());
     }
   }
 
-  private Verdict verdict(PublishedReports reports, int queriesSent) {
+  private Verdict buildVerdict(PublishedReports reports, int queriesSent) {
     return new Verdict(
         script.name(),
         seed,
@@ -171,7 +171,7 @@
         UnownedIntervals.of(history.events(), history.commands(), "report"));
   }
 
-  private void record(String process, String description) {
+  private void recordEvent(String process, String description) {
     history.event(process, description);
     progress.accept(
         String.format("%6.2f s  %-8s %s", history.now() / US_PER_S, process, description));
@@ -181,8 +181,8 @@
     conditions.setMark();
     awaitCondition(
         "all members alive and all tasks held", () -> conditions.isSettled(script.members()));
-    awaitCondition("a first report", () -> report() != null && report().revision() > 0);
-    record(
+    awaitCondition("a first report", () -> reportLease() != null && reportLease().revision() > 0);
+    recordEvent(
         "fleet",
         script.coordinators()
             + " coordinators and "
@@ -190,7 +190,7 @@
             + " members; "
             + processes.reportHolder()
             + " holds the report, token "
-            + report().fencingToken());
+            + reportLease().fencingToken());
     conditions.setMark();
     int number = 0;
     for (Step step : script.steps()) {
@@ -215,23 +215,23 @@
   }
 
   /** Ends all faults, after which the cluster has to recover by itself. */
-  private void settle() throws IOException {
+  private void awaitRecovery() throws IOException {
     cluster.repairAll();
-    record("fleet", "all faults ended");
+    recordEvent("fleet", "all faults ended");
     awaitCondition(
         "all members alive and all tasks held after all faults ended",
         () -> conditions.isSettled(script.members()));
     cluster.sendQueries(1);
     conditions.setMark();
-    awaitCondition("two reports after all faults ended", () -> conditions.reportsPublished(2));
+    awaitCondition("two reports after all faults ended", () -> conditions.hasPublishedReports(2));
     awaitCondition(
         "a count of all queries that were reported: "
-            + reportedQueries()
+            + queriesToBeCounted()
             + " of "
             + cluster.queriesSent(),
-        () -> observer.observation().queriesCounted() >= reportedQueries());
+        () -> observer.observation().queriesCounted() >= queriesToBeCounted());
     awaitCondition("all expired files removed", () -> sharedFolder.expiredFilesLeft() == 0);
-    record(
+    recordEvent(
         "fleet",
         observer.observation().queriesCounted()
             + " queries counted of "
@@ -240,12 +240,12 @@
   }
 
   /** Returns how many queries must be counted in reports. */
-  private int reportedQueries() {
-    return cluster.queriesSent() - cluster.unreportedQueries();
+  private int queriesToBeCounted() {
+    return cluster.queriesSent() - cluster.queriesPossiblyUnreported();
   }
 
-  private TaskLease report() {
-    return observer.observation().report();
+  private TaskLease reportLease() {
+    return observer.observation().reportLease();
   }
 
   private void awaitCondition(String description, BooleanSupplier condition) throws IOException {
--- a/testbed/src/main/java/tidebank/testbed/chaos/ScriptWriter.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/ScriptWriter.java
@@ -33,9 +33,9 @@
   private void writeStep(Step step) {
     toml.append("\n[[steps]]\n");
     if (step.condition() != Condition.NOTHING) {
-      writeText("await", word(step.condition()));
+      writeText("await", toKeyword(step.condition()));
     }
-    writeUnlessEmpty("of", step.observed());
+    writeTextUnlessEmpty("of", step.observed());
     if (step.count() != 1) {
       writeValue("count", step.count());
     }
@@ -43,13 +43,13 @@
       writeValue("scans", step.queries());
     }
     if (step.operation() != Operation.NOTHING) {
-      writeText("do", word(step.operation()));
+      writeText("do", toKeyword(step.operation()));
     }
-    writeUnlessEmpty("who", step.target());
-    writeUnlessEmpty("as", step.alias());
-    writeUnlessEmpty("to", step.linkTarget());
+    writeTextUnlessEmpty("who", step.target());
+    writeTextUnlessEmpty("as", step.alias());
+    writeTextUnlessEmpty("to", step.linkTarget());
     if (step.fault() != null) {
-      writeText("fault", word(step.fault()));
+      writeText("fault", toKeyword(step.fault()));
       writeValue("ms", step.ms());
       writeValue("jitter_ms", step.jitterMs());
       writeValue("bytes_s", step.bytesPerS());
@@ -59,11 +59,11 @@
     }
   }
 
-  private static String word(Enum<?> constant) {
+  private static String toKeyword(Enum<?> constant) {
     return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
 
-  private void writeUnlessEmpty(String key, String value) {
+  private void writeTextUnlessEmpty(String key, String value) {
     if (!value.isEmpty()) {
       writeText(key, value);
     }
--- a/testbed/src/main/java/tidebank/testbed/chaos/SkewedClockLauncher.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/SkewedClockLauncher.java
@@ -30,7 +30,7 @@
     for (int i = 0; i < places.length; i++) {
       urls[i] = new File(places[i]).toURI().toURL();
     }
-    Loader loader = new Loader(urls);
+    RedirectingClassLoader loader = new RedirectingClassLoader(urls);
     Thread.currentThread().setContextClassLoader(loader);
     Class.forName(args[0], true, loader)
         .getMethod("main", String[].class)
@@ -38,8 +38,8 @@
   }
 
   /** Loads all but the platform's classes itself, so that it sees each of them before it is one. */
-  private static final class Loader extends URLClassLoader {
-    Loader(URL[] urls) {
+  private static final class RedirectingClassLoader extends URLClassLoader {
+    RedirectingClassLoader(URL[] urls) {
       super(urls, ClassLoader.getPlatformClassLoader());
     }
 
@@ -52,7 +52,8 @@
       }
       try (InputStream in = url.openStream()) {
         byte[] bytes = in.readAllBytes();
-        byte[] changed = name.equals(SkewedClock.class.getName()) ? bytes : changed(bytes);
+        byte[] changed =
+            name.equals(SkewedClock.class.getName()) ? bytes : redirectClockCalls(bytes);
         return defineClass(name, changed, 0, changed.length);
       } catch (IOException fault) {
         throw new ClassNotFoundException(name, fault);
@@ -61,7 +62,7 @@
   }
 
   /** The class with its calls of the clock led elsewhere; nothing else of it changes. */
-  static byte[] changed(byte[] bytes) throws IOException {
+  static byte[] redirectClockCalls(byte[] bytes) throws IOException {
     ClassReader reader = new ClassReader(new ByteArrayInputStream(bytes));
     ClassWriter writer = new ClassWriter(reader, 0);
     reader.accept(
--- a/testbed/src/main/java/tidebank/testbed/chaos/StepConditions.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/StepConditions.java
@@ -51,7 +51,7 @@
   /** Sets the mark from which the next condition counts. */
   void setMark() {
     ClusterObserver.Observation observation = observer.observation();
-    TaskLease report = observation.report();
+    TaskLease report = observation.reportLease();
     mark =
         new Mark(
             report == null ? 0 : report.revision(),
@@ -60,7 +60,7 @@
             observation.round(),
             countByMember(history::commandsSentBy),
             countByMember(history::renewalsAnsweredTo),
-            countByMember(this::reportClaimsSentBy),
+            countByMember(this::countReportClaims),
             history.publicationsSentFor("retention"));
   }
 
@@ -72,34 +72,35 @@
     return counts;
   }
 
-  private int reportClaimsSentBy(String member) {
+  private int countReportClaims(String member) {
     return history.claimsSentBy(member, "report");
   }
 
   /** Returns whether the condition of a step is met. */
   boolean isMet(Step step) {
     ClusterObserver.Observation observation = observer.observation();
-    TaskLease report = observation.report();
+    TaskLease report = observation.reportLease();
     return switch (step.condition()) {
       case NOTHING -> true;
       case PUBLICATIONS -> report.revision() >= mark.revision() + step.count();
-      case RENEWALS -> hasGrown(step, history::renewalsAnsweredTo, mark.renewals());
-      case CALLS -> hasGrown(step, history::commandsSentBy, mark.commands());
-      case CLAIMS -> hasGrown(step, this::reportClaimsSentBy, mark.claims());
+      case RENEWALS -> hasReachedCount(step, history::renewalsAnsweredTo, mark.renewals());
+      case CALLS -> hasReachedCount(step, history::commandsSentBy, mark.commands());
+      case CLAIMS -> hasReachedCount(step, this::countReportClaims, mark.claims());
       case LISTS -> history.publicationsSentFor("retention") >= mark.removalLists() + step.count();
       case GRANT -> report.fencingToken() > mark.fencingToken();
       case SUCCESSOR -> report.publishingToken() > mark.fencingToken();
       case EXPIRED ->
           report.holder().isEmpty() || report.expiresAt() <= observation.state().leaderClock();
-      case OWNED -> allTasksHeld();
-      case ALIVE -> aliveMembers() >= step.count();
+      case OWNED -> areAllTasksHeld();
+      case ALIVE -> countAliveMembers() >= step.count();
       case LEADER -> observation.leader() >= 0 && observation.leader() != mark.leader();
       case LEADERLESS -> observation.leader() < 0 && observation.round() > mark.round() + 1;
-      case ENDED -> processes.resolve(step.observed()).stream().noneMatch(cluster::alive);
+      case ENDED -> processes.resolve(step.observed()).stream().noneMatch(cluster::isAlive);
     };
   }
 
-  private boolean hasGrown(Step step, ToIntFunction<String> count, Map<String, Integer> before) {
+  private boolean hasReachedCount(
+      Step step, ToIntFunction<String> count, Map<String, Integer> before) {
     return processes.resolve(step.observed()).stream()
             .mapToInt(name -> count.applyAsInt(name) - before.getOrDefault(name, 0))
             .sum()
@@ -107,16 +108,16 @@
   }
 
   /** Returns whether at least so many reports were published since the mark. */
-  boolean reportsPublished(int count) {
-    return observer.observation().report().revision() >= mark.revision() + count;
+  boolean hasPublishedReports(int count) {
+    return observer.observation().reportLease().revision() >= mark.revision() + count;
   }
 
   /** Returns whether all members of a cluster of this size are alive, and all tasks are held. */
   boolean isSettled(int members) {
-    return aliveMembers() == members && allTasksHeld();
+    return countAliveMembers() == members && areAllTasksHeld();
   }
 
-  private long aliveMembers() {
+  private long countAliveMembers() {
     LeaseTableState state = observer.observation().state();
     return state == null || observer.observation().leader() < 0
         ? 0
@@ -125,7 +126,7 @@
             .count();
   }
 
-  private boolean allTasksHeld() {
+  private boolean areAllTasksHeld() {
     LeaseTableState state = observer.observation().state();
     return state != null
         && observer.observation().leader() >= 0
--- a/testbed/src/main/java/tidebank/testbed/chaos/StepExecutor.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/StepExecutor.java
@@ -16,12 +16,12 @@
 /** Carries out the operations of a script's steps. Belongs to the script's thread. */
 final class StepExecutor {
   private final Script script;
-  private final Path folder;
+  private final Path runFolder;
   private final TestCluster cluster;
   private final SharedFolderCheck sharedFolder;
   private final ProcessSelector processes;
-  private final CoordinatorClient operator;
-  private final BiConsumer<String, String> events;
+  private final CoordinatorClient operatorClient;
+  private final BiConsumer<String, String> onOperation;
 
   /**
    * @param folder of the run
@@ -36,12 +36,12 @@
       CoordinatorClient operator,
       BiConsumer<String, String> events) {
     this.script = script;
-    this.folder = folder;
+    this.runFolder = folder;
     this.cluster = cluster;
     this.sharedFolder = sharedFolder;
     this.processes = processes;
-    this.operator = operator;
-    this.events = events;
+    this.operatorClient = operator;
+    this.onOperation = events;
   }
 
   void execute(Step step) throws IOException {
@@ -55,12 +55,12 @@
       }
     }
     if (step.operation() != Script.Operation.NOTHING) {
-      events.accept(targets.size() == 1 ? targets.get(0) : step.target(), step.describe());
+      onOperation.accept(targets.size() == 1 ? targets.get(0) : step.target(), step.describe());
     }
     switch (step.operation()) {
       case SCANS -> cluster.sendQueries(step.queries());
       case LITTER -> sharedFolder.createFiles(step.queries());
-      case MOVE_ANYWHERE -> operate(Kind.MOVE, "");
+      case MOVE_ANYWHERE -> sendOperatorCommand(Kind.MOVE, "");
       default -> {
         for (String target : targets) {
           execute(step, target);
@@ -71,19 +71,21 @@
 
   private void execute(Step step, String target) throws IOException {
     switch (step.operation()) {
-      case STOP -> cluster.stop(target);
+      case STOP -> cluster.suspend(target);
       case WAKE -> cluster.resume(target);
-      case KILL -> cluster.end(target, true);
-      case TERM -> cluster.end(target, false);
-      case START -> cluster.start(target, clockRate(step, target));
-      case LINK -> link(step, target);
-      case COPY_DISK -> TestCluster.copy(cluster.disk(target), diskCopy(target));
-      case OLDER_DISK -> TestCluster.copy(diskCopy(target), cluster.disk(target));
-      case EMPTY_DISK -> TestCluster.clear(cluster.disk(target));
-      case DAMAGED_DISK -> truncateSnapshots(cluster.disk(target));
-      case DRAIN -> operate(Kind.DRAIN, target);
-      case ADMIT -> operate(Kind.ADMIT, target);
-      case MOVE -> operate(Kind.MOVE, target);
+      case KILL -> cluster.endProcess(target, true);
+      case TERM -> cluster.endProcess(target, false);
+      case START -> cluster.startProcess(target, clockRate(step, target));
+      case LINK -> injectFault(step, target);
+      case COPY_DISK ->
+          TestCluster.replaceDirectory(cluster.dataDirectory(target), diskCopyDirectory(target));
+      case OLDER_DISK ->
+          TestCluster.replaceDirectory(diskCopyDirectory(target), cluster.dataDirectory(target));
+      case EMPTY_DISK -> TestCluster.deleteDirectory(cluster.dataDirectory(target));
+      case DAMAGED_DISK -> truncateSnapshots(cluster.dataDirectory(target));
+      case DRAIN -> sendOperatorCommand(Kind.DRAIN, target);
+      case ADMIT -> sendOperatorCommand(Kind.ADMIT, target);
+      case MOVE -> sendOperatorCommand(Kind.MOVE, target);
       default -> {}
     }
   }
@@ -92,21 +94,21 @@
     return step.clockRate() == 1 ? script.clockRates().getOrDefault(target, 1.0) : step.clockRate();
   }
 
-  private void link(Step step, String from) {
+  private void injectFault(Step step, String from) {
     for (String to : processes.resolve(step.linkTarget())) {
       if (!to.equals(from)) {
-        cluster.link(from, to, step.fault(), step.ms(), step.jitterMs(), step.bytesPerS());
+        cluster.injectFault(from, to, step.fault(), step.ms(), step.jitterMs(), step.bytesPerS());
       }
     }
   }
 
-  private Path diskCopy(String target) {
-    return folder.resolve("kept-" + target);
+  private Path diskCopyDirectory(String target) {
+    return runFolder.resolve("kept-" + target);
   }
 
-  private void operate(Kind kind, String member) throws IOException {
+  private void sendOperatorCommand(Kind kind, String member) throws IOException {
     CommandResult result =
-        operator.sendOperatorCommand(kind, member, kind == Kind.MOVE ? "report" : "");
+        operatorClient.sendOperatorCommand(kind, member, kind == Kind.MOVE ? "report" : "");
     if (result.error() != null) {
       throw new TidebankException.RequestRejected(result.error());
     }
--- a/testbed/src/main/java/tidebank/testbed/chaos/TestCluster.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/TestCluster.java
@@ -40,7 +40,7 @@
   private static final long REPORT_INTERVAL_MS = 250;
   private static final Duration QUERY_TIMEOUT = Duration.ofSeconds(8);
   private static final long US_PER_MS = 1000;
-  private static final String SELF = "testbed";
+  private static final String TESTBED = "testbed";
 
   private final Path folder;
   private final Script script;
@@ -49,8 +49,8 @@
   private final CoordinatorProcesses coordinators;
   private final Map<String, RouterProcess> members = new LinkedHashMap<>();
   private final Map<String, ChildProcess> processes = new ConcurrentHashMap<>();
-  private final Map<ChildProcess, Long> pids = new ConcurrentHashMap<>();
-  private final Set<String> stopped = new HashSet<>();
+  private final Map<ChildProcess, Long> pidByProcess = new ConcurrentHashMap<>();
+  private final Set<String> suspended = new HashSet<>();
   private final Map<String, Integer> queriesByMember = new TreeMap<>();
   private final HttpClient http =
       HttpClient.newBuilder()
@@ -59,7 +59,7 @@
           .build();
   private final List<BufferedWriter> logs = new ArrayList<>();
   private int queriesSent;
-  private int unreportedQueries;
+  private int queriesPossiblyUnreported;
 
   TestCluster(Path folder, Script script, History history, long seed) throws IOException {
     this.folder = folder;
@@ -82,10 +82,10 @@
                 + "lines_a_second = 1000\n",
             this::openProxy);
     for (int i = 0; i < script.coordinators(); i++) {
-      start("s" + i, clockRate("s" + i));
+      startProcess("s" + i, clockRate("s" + i));
     }
     for (int i = 0; i < script.members(); i++) {
-      start("g" + i, clockRate("g" + i));
+      startProcess("g" + i, clockRate("g" + i));
     }
   }
 
@@ -106,14 +106,14 @@
         (name, process) ->
             known.put(
                 name,
-                pids.computeIfAbsent(
+                pidByProcess.computeIfAbsent(
                     process,
                     one -> {
                       long pid = one.pid();
                       return pid < 0 ? null : pid;
                     })));
     known.values().removeIf(pid -> pid == null);
-    known.put(SELF, ProcessHandle.current().pid());
+    known.put(TESTBED, ProcessHandle.current().pid());
     return ConnectionOwners.owner(port, proxyPort, known);
   }
 
@@ -126,7 +126,7 @@
    *
    * @param clock rate of its monotonic clock
    */
-  void start(String name, double clock) throws IOException {
+  void startProcess(String name, double clock) throws IOException {
     List<String> launcher =
         clock == 1
             ? List.of()
@@ -167,7 +167,7 @@
       }
       processes.put(name, member.process());
     }
-    stopped.remove(name);
+    suspended.remove(name);
   }
 
   List<String> coordinatorNames() {
@@ -183,33 +183,33 @@
     return coordinators.addresses();
   }
 
-  boolean alive(String name) {
+  boolean isAlive(String name) {
     return processes.get(name).isAlive();
   }
 
-  Path disk(String coordinator) {
+  Path dataDirectory(String coordinator) {
     return coordinators.dataDirectory(Integer.parseInt(coordinator.substring(1)));
   }
 
-  Path shared() {
+  Path sharedFolder() {
     return RouterProcesses.sharedFolder(folder);
   }
 
-  void stop(String name) throws IOException {
+  void suspend(String name) throws IOException {
     processes.get(name).suspend();
-    stopped.add(name);
+    suspended.add(name);
   }
 
   void resume(String name) throws IOException {
-    if (stopped.remove(name) && alive(name)) {
+    if (suspended.remove(name) && isAlive(name)) {
       processes.get(name).resume();
     }
   }
 
   /** Ends a process by SIGKILL or SIGTERM. What it had not reported of its queries may be lost. */
-  void end(String name, boolean kill) throws IOException {
+  void endProcess(String name, boolean kill) throws IOException {
     resume(name);
-    unreportedQueries += queriesByMember.getOrDefault(name, 0);
+    queriesPossiblyUnreported += queriesByMember.getOrDefault(name, 0);
     queriesByMember.remove(name);
     if (kill) {
       processes.get(name).kill();
@@ -219,7 +219,7 @@
     }
   }
 
-  void link(
+  void injectFault(
       String from, String to, FaultyLink.Fault fault, long ms, long jitterMs, long bytesPerS) {
     proxy.inject(from, to, fault, ms * US_PER_MS, jitterMs * US_PER_MS, bytesPerS);
   }
@@ -229,14 +229,14 @@
    */
   void sendQueries(int count) throws IOException {
     for (String name : memberNames()) {
-      for (int i = 0; i < count && alive(name) && !stopped.contains(name); i++) {
+      for (int i = 0; i < count && isAlive(name) && !suspended.contains(name); i++) {
         sendQuery(name);
       }
     }
   }
 
   private void sendQuery(String name) throws IOException {
-    InetSocketAddress at = members.get(name).address();
+    InetSocketAddress at = members.get(name).awaitAddress();
     try {
       int status =
           http.send(
@@ -270,13 +270,13 @@
   /**
    * Returns how many queries may be in no report, as their router ended before it reported them.
    */
-  int unreportedQueries() {
-    return unreportedQueries;
+  int queriesPossiblyUnreported() {
+    return queriesPossiblyUnreported;
   }
 
   /** Copies all files of a folder, in place of what is there. */
-  static void copy(Path from, Path to) throws IOException {
-    clear(to);
+  static void replaceDirectory(Path from, Path to) throws IOException {
+    deleteDirectory(to);
     try (Stream<Path> files = Files.walk(from)) {
       for (Path file : files.toList()) {
         Path there = to.resolve(from.relativize(file).toString());
@@ -289,7 +289,7 @@
     }
   }
 
-  static void clear(Path folder) throws IOException {
+  static void deleteDirectory(Path folder) throws IOException {
     if (Files.exists(folder)) {
       try (Stream<Path> files = Files.walk(folder)) {
         for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
@@ -303,14 +303,14 @@
   void repairAll() throws IOException {
     for (String from : processes.keySet()) {
       for (String to : coordinatorNames()) {
-        link(from, to, FaultyLink.Fault.HEAL, 0, 0, 0);
+        injectFault(from, to, FaultyLink.Fault.HEAL, 0, 0, 0);
       }
     }
     for (String name : new ArrayList<>(processes.keySet())) {
       resume(name);
-      if (!alive(name)) {
+      if (!isAlive(name)) {
         history.event(name, "started");
-        start(name, clockRate(name));
+        startProcess(name, clockRate(name));
       }
     }
   }
--- a/testbed/src/main/java/tidebank/testbed/replay/Replay.java
+++ b/testbed/src/main/java/tidebank/testbed/replay/Replay.java
@@ -257,8 +257,8 @@
     }
     List<Clients.Target> targets = new ArrayList<>();
     for (int i = 0; i < started.size(); i++) {
-      started.get(i).ready();
-      targets.add(new Clients.Target(i, started.get(i).address()));
+      started.get(i).awaitReady();
+      targets.add(new Clients.Target(i, started.get(i).awaitAddress()));
     }
     return targets;
   }
@@ -388,8 +388,8 @@
           exits.put("g" + number + " restarted", old.waitFor(10_000));
         }
         RouterProcess fresh = start(number, "127.0.0.1:" + target.address.getPort(), discovery);
-        fresh.ready();
-        target.address = fresh.address();
+        fresh.awaitReady();
+        target.address = fresh.awaitAddress();
         target.admitted = true;
       }
     }
@@ -401,7 +401,7 @@
     synchronized (processes) {
       all = new ArrayList<>(processes);
     }
-    List<RouterProcess> alive = all.stream().filter(RouterProcess::alive).toList();
+    List<RouterProcess> alive = all.stream().filter(RouterProcess::isAlive).toList();
     alive.forEach(RouterProcess::terminate);
     for (RouterProcess process : alive) {
       int code = process.waitFor(10_000);
--- a/testbed/src/main/java/tidebank/testbed/replay/RouterProcess.java
+++ b/testbed/src/main/java/tidebank/testbed/replay/RouterProcess.java
@@ -22,7 +22,7 @@
 /** A gatherer in a process of its own, started as operators start one, that ends with this one. */
 public final class RouterProcess implements AutoCloseable {
   /** Flags of the deployment's own command; small, so that many fit one machine. */
-  private static final List<String> FLAGS =
+  private static final List<String> JVM_FLAGS =
       List.of(
           "-XX:+UseSerialGC",
           "-XX:TieredStopAtLevel=1",
@@ -34,12 +34,12 @@
           "-Xss512k",
           "-XX:-UsePerfData");
 
-  private static final Pattern LISTENS = Pattern.compile("listens on /?([0-9.]+):([0-9]+)");
-  private static final int START_S = 20;
+  private static final Pattern LISTEN_LINE = Pattern.compile("listens on /?([0-9.]+):([0-9]+)");
+  private static final int STARTUP_TIMEOUT_S = 20;
 
   private final String name;
   private final Path config;
-  private final CompletableFuture<InetSocketAddress> address = new CompletableFuture<>();
+  private final CompletableFuture<InetSocketAddress> awaitAddress = new CompletableFuture<>();
   private ChildProcess process;
 
   private RouterProcess(String name, Path config) {
@@ -88,21 +88,22 @@
               told.accept(line);
             },
             () ->
-                started.address.completeExceptionally(
+                started.awaitAddress.completeExceptionally(
                     new IOException(name + " ended before it listened")));
     return started;
   }
 
   private void told(String line) {
-    Matcher listens = LISTENS.matcher(line);
+    Matcher listens = LISTEN_LINE.matcher(line);
     if (listens.find()) {
-      address.complete(new InetSocketAddress(listens.group(1), Integer.parseInt(listens.group(2))));
+      awaitAddress.complete(
+          new InetSocketAddress(listens.group(1), Integer.parseInt(listens.group(2))));
     }
   }
 
   /** The gatherer's lean jar where there is one, else the classes of this process. */
   private static List<String> java(List<String> jvm, List<String> launcher) {
-    List<String> command = new ArrayList<>(FLAGS);
+    List<String> command = new ArrayList<>(JVM_FLAGS);
     command.addAll(jvm);
     String home = System.getProperty("tidebank.home", "");
     File jar = new File(home, "router/target/tidebank.jar");
@@ -125,13 +126,14 @@
   }
 
   /** Waits until it listens. */
-  public InetSocketAddress address() throws IOException {
+  public InetSocketAddress awaitAddress() throws IOException {
     try {
-      return address.get(START_S, TimeUnit.SECONDS);
+      return awaitAddress.get(STARTUP_TIMEOUT_S, TimeUnit.SECONDS);
     } catch (ExecutionException fault) {
       throw new IOException(fault.getCause().getMessage() + ": " + lastLines());
     } catch (TimeoutException fault) {
-      throw new IOException(name + " does not listen after " + START_S + " s: " + lastLines());
+      throw new IOException(
+          name + " does not listen after " + STARTUP_TIMEOUT_S + " s: " + lastLines());
     } catch (InterruptedException fault) {
       Thread.currentThread().interrupt();
       throw new IOException("interrupted");
@@ -139,9 +141,9 @@
   }
 
   /** Waits until it says that it is ready. */
-  public void ready() throws IOException {
-    InetSocketAddress at = address();
-    long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(START_S);
+  public void awaitReady() throws IOException {
+    InetSocketAddress at = awaitAddress();
+    long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(STARTUP_TIMEOUT_S);
     while (System.nanoTime() < until && process.isAlive()) {
       try {
         HttpURLConnection call =
@@ -176,7 +178,7 @@
     return process.pid();
   }
 
-  public boolean alive() {
+  public boolean isAlive() {
     return process.isAlive();
   }
 
@@ -191,12 +193,12 @@
   }
 
   /** SIGSTOP. */
-  public void stop() throws IOException {
+  public void suspend() throws IOException {
     process.suspend();
   }
 
   /** SIGCONT. */
-  public void wake() throws IOException {
+  public void resume() throws IOException {
     process.resume();
   }
 
--- a/testbed/src/test/java/tidebank/testbed/bench/CoordinatorBench.java
+++ b/testbed/src/test/java/tidebank/testbed/bench/CoordinatorBench.java
@@ -113,14 +113,14 @@
         if (signal.equals("SIGKILL")) {
           routers.get(holder).kill();
         } else if (signal.equals("SIGSTOP")) {
-          routers.get(holder).stop();
+          routers.get(holder).suspend();
         } else {
           routers.get(holder).terminate();
         }
         awaitHolder(client, lease.fencingToken());
         gaps[round] = System.nanoTime() - lostAt;
         if (signal.equals("SIGSTOP")) {
-          routers.get(holder).wake();
+          routers.get(holder).resume();
         } else {
           routers.get(holder).waitFor(10_000);
           routers.get(holder).close();
--- a/testbed/src/test/java/tidebank/testbed/chaos/ScriptTest.java
+++ b/testbed/src/test/java/tidebank/testbed/chaos/ScriptTest.java
@@ -27,8 +27,8 @@
   void theSameSeedDrawsTheSameScriptAndTogetherTheyDrawAllThatCanBeDone() throws Exception {
     Set<Object> done = new HashSet<>();
     for (long seed = 1; seed <= 200; seed++) {
-      Script script = RandomScript.script(seed);
-      assertThat(RandomScript.script(seed)).isEqualTo(script);
+      Script script = RandomScript.generate(seed);
+      assertThat(RandomScript.generate(seed)).isEqualTo(script);
       assertThat(Script.read(Toml.read("drawn", script.toToml()), script.name())).isEqualTo(script);
       script
           .steps()
--- a/testbed/src/test/java/tidebank/testbed/chaos/SkewedClockLauncherTest.java
+++ b/testbed/src/test/java/tidebank/testbed/chaos/SkewedClockLauncherTest.java
@@ -23,7 +23,8 @@
     Class<?> define(Class<?> one, boolean changed) throws Exception {
       try (InputStream in =
           one.getResourceAsStream("/" + one.getName().replace('.', '/') + ".class")) {
-        byte[] bytes = changed ? SkewedClockLauncher.changed(in.readAllBytes()) : in.readAllBytes();
+        byte[] bytes =
+            changed ? SkewedClockLauncher.redirectClockCalls(in.readAllBytes()) : in.readAllBytes();
         return defineClass(one.getName(), bytes, 0, bytes.length);
       }
     }
--- a/testbed/src/test/java/tidebank/testbed/chaos/StoredRunTest.java
+++ b/testbed/src/test/java/tidebank/testbed/chaos/StoredRunTest.java
@@ -169,7 +169,7 @@
       all.append("# ")
           .append(seed)
           .append('\n')
-          .append(RandomScript.script(seed).toToml())
+          .append(RandomScript.generate(seed).toToml())
           .append('\n');
     }
 
--- a/testbed/src/test/java/tidebank/testbed/fleet/TasksTest.java
+++ b/testbed/src/test/java/tidebank/testbed/fleet/TasksTest.java
@@ -81,7 +81,7 @@
 
   /** Sends a query, which a router without shard servers rejects and counts as throttled. */
   private void sendQuery(RouterProcess router) throws Exception {
-    InetSocketAddress address = router.address();
+    InetSocketAddress address = router.awaitAddress();
     int status =
         http.send(
                 HttpRequest.newBuilder(
@@ -140,11 +140,11 @@
       }
       int holder = holderIndex();
       long token = reportLease().fencingToken();
-      routers.get(holder).stop();
+      routers.get(holder).suspend();
       pollUntil(
           this::reportLease,
           lease -> lease.fencingToken() > token && lease.publishingToken() > token);
-      routers.get(holder).wake();
+      routers.get(holder).resume();
       // The resumed router is a member again, and its unfinished report was not published.
       pollUntil(
           client::state,
@@ -192,11 +192,11 @@
         pollUntil(this::reportLease, lease -> lease.publishingToken() > token);
     assertThat(successorLease.holder()).isNotEqualTo("g" + holder);
     int silent = 3 - holder - holderIndex();
-    routers.get(silent).stop();
+    routers.get(silent).suspend();
     pollUntil(
         () -> readReport(reportLease().value()),
         report -> report.silentMembers().equals(List.of("g" + silent)));
-    routers.get(silent).wake();
+    routers.get(silent).resume();
     pollUntil(() -> readReport(reportLease().value()), report -> report.silentMembers().isEmpty());
   }
 
