--- a/router/src/test/java/tidebank/AcceptBacklogTest.java
+++ b/router/src/test/java/tidebank/AcceptBacklogTest.java
@@ -1,7 +1,7 @@
 package tidebank;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static tidebank.FakeSite.FakeClient.scan;
+import static tidebank.FakeSite.FakeClient.queryRequest;
 
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
@@ -59,7 +59,7 @@
     for (int i = 0; i < CLIENTS; i++) {
       FakeClient client = new FakeClient(address);
       clients.add(client);
-      client.send(scan("once", "b" + i, 2900, 0.5, 0.5));
+      client.send(queryRequest("once", "b" + i, 2900, 0.5, 0.5));
     }
   }
 
@@ -69,7 +69,7 @@
     for (int i = 0; i < CLIENTS; i++) {
       int status = NO_ANSWER;
       try {
-        status = clients.get(i).read().status();
+        status = clients.get(i).readResponse().status();
       } catch (EOFException | SocketException ended) {
         // Closed or reset.
       }
@@ -81,7 +81,8 @@
   private void whatWasSentIsAnswered(Map<String, Integer> statuses) {
     for (FakeShardServer server : site.servers) {
       assertThat(server.frames)
-          .allSatisfy(frame -> assertThat(statuses.get(frame.part().split("[.]")[0])).isNotZero());
+          .allSatisfy(
+              frame -> assertThat(statuses.get(frame.requestId().split("[.]")[0])).isNotZero());
     }
   }
 
@@ -91,8 +92,8 @@
   void whatIsInTheBacklogAsAShutdownBeginsIsAnswered() throws Exception {
     site.start();
     CountDownLatch go = site.stallEventLoop();
-    connectAll(site.gatherer().address());
-    CompletableFuture<Void> stopped = site.gatherer().stop();
+    connectAll(site.router().address());
+    CompletableFuture<Void> stopped = site.router().stop();
     go.countDown();
     assertThat(statuses().values()).containsOnly(200);
     stopped.get(FakeSite.WAIT_MS, TimeUnit.MILLISECONDS);
@@ -128,15 +129,15 @@
   void whatIsInTheBacklogAsTheListenerClosesIsAnswered(int passes) throws Exception {
     site.start();
     CountDownLatch go = site.stallEventLoop();
-    CompletableFuture<Void> stopped = site.gatherer().stop();
+    CompletableFuture<Void> stopped = site.router().stop();
     if (passes > 0) {
-      site.listener().pipeline().addFirst(new StandsStillAfterAccepting(passes));
+      site.listeningChannel().pipeline().addFirst(new StandsStillAfterAccepting(passes));
     } else {
       // The shutdown begins, and then the loop stands still before it accepts anything.
       go.countDown();
       go = site.stallEventLoop();
     }
-    connectAll(site.gatherer().address());
+    connectAll(site.router().address());
     if (passes == 0) {
       waitPastClose();
     }
@@ -150,13 +151,18 @@
   // ---- the program
 
   private InetSocketAddress program(String listen) throws Exception {
-    site.program(
+    site.startProcess(
         Map.of(
-            "NODE_CONFIG", site.configFile().toString(), "NODE_NAME", "n7", "NODE_LISTEN", listen),
+            "NODE_CONFIG",
+            site.writeConfigFile().toString(),
+            "NODE_NAME",
+            "n7",
+            "NODE_LISTEN",
+            listen),
         "serve");
-    String line = site.errors.readLine();
+    String line = site.stderr.readLine();
     while (!line.contains("router n7 listens on")) {
-      line = site.errors.readLine();
+      line = site.stderr.readLine();
       assertThat(line).as("a line that it listens").isNotNull();
     }
     return new InetSocketAddress(
@@ -217,10 +223,11 @@
     // The clients' sides are still open, and so is nothing that would keep the address.
     assertThat(program("127.0.0.1:" + address.getPort())).isEqualTo(address);
     try (FakeClient again = new FakeClient(address)) {
-      assertThat(again.ask(scan("once", "again", 2900, 0.5, 0.5)).status()).isEqualTo(200);
+      assertThat(again.sendAndRead(queryRequest("once", "again", 2900, 0.5, 0.5)).status())
+          .isEqualTo(200);
     }
     for (FakeShardServer server : site.servers) {
-      assertThat(server.frames).allMatch(frame -> frame.part().startsWith("again"));
+      assertThat(server.frames).allMatch(frame -> frame.requestId().startsWith("again"));
     }
   }
 
@@ -234,7 +241,8 @@
     // Our side closed first, so that its address is in TIME_WAIT or, as clients stay, FIN_WAIT.
     assertThat(program("127.0.0.1:" + address.getPort())).isEqualTo(address);
     try (FakeClient again = new FakeClient(address)) {
-      assertThat(again.ask(scan("once", "again", 2900, 0.5, 0.5)).status()).isEqualTo(200);
+      assertThat(again.sendAndRead(queryRequest("once", "again", 2900, 0.5, 0.5)).status())
+          .isEqualTo(200);
     }
   }
 }
--- a/router/src/test/java/tidebank/AcceptFailureTest.java
+++ b/router/src/test/java/tidebank/AcceptFailureTest.java
@@ -1,7 +1,7 @@
 package tidebank;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static tidebank.FakeSite.FakeClient.scan;
+import static tidebank.FakeSite.FakeClient.queryRequest;
 
 import io.netty.channel.Channel;
 import java.io.IOException;
@@ -42,22 +42,24 @@
   @Test
   void anAcceptThatFailsForAMomentKeepsNobodyWaiting() throws Exception {
     site.start();
-    try (FakeClient before = site.client()) {
-      assertThat(before.ask(scan("whole", "before", 2900, 0.5, 0.5)).status()).isEqualTo(200);
+    try (FakeClient before = site.connectClient()) {
+      assertThat(before.sendAndRead(queryRequest("whole", "before", 2900, 0.5, 0.5)).status())
+          .isEqualTo(200);
     }
     acceptFails();
     long start = System.nanoTime();
     for (int i = 0; i < CLIENTS; i++) {
-      clients.add(site.client().send(scan("whole", "a" + i, TIME_LEFT_MS, 0.5, 0.5)));
+      clients.add(
+          site.connectClient().send(queryRequest("whole", "a" + i, TIME_LEFT_MS, 0.5, 0.5)));
     }
     for (FakeClient client : clients) {
-      assertThat(client.read().status()).isEqualTo(200);
+      assertThat(client.readResponse().status()).isEqualTo(200);
     }
     assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start)).isLessThan(TIME_LEFT_MS);
     for (FakeShardServer server : site.servers) {
       assertThat(server.frames)
-          .filteredOn(frame -> frame.rest().startsWith("a"))
-          .allMatch(frame -> timeOf(frame.rest()) <= TIME_LEFT_MS);
+          .filteredOn(frame -> frame.content().startsWith("a"))
+          .allMatch(frame -> timeOf(frame.content()) <= TIME_LEFT_MS);
     }
   }
 
@@ -67,7 +69,7 @@
 
   /** The next thing that the listener has to tell is that the system could not accept. */
   private void acceptFails() throws Exception {
-    Channel channel = site.listener();
+    Channel channel = site.listeningChannel();
     CountDownLatch told = new CountDownLatch(1);
     channel
         .eventLoop()
--- a/router/src/test/java/tidebank/ClientHttpFixtureTest.java
+++ b/router/src/test/java/tidebank/ClientHttpFixtureTest.java
@@ -102,7 +102,7 @@
 
   private void start(Setup setup) throws Exception {
     if (setup != Setup.ANSWERING) {
-      site.servers.forEach(server -> server.answers = false);
+      site.servers.forEach(server -> server.autoRespond = false);
     }
     switch (setup) {
       case RETRY_AFTER -> {
@@ -111,17 +111,17 @@
       }
       case THROTTLED -> site.servers.forEach(server -> server.health = "Terminating");
       case UNLISTED -> {
-        site.known = false;
-        site.discovery.instead = "";
+        site.hasCachedList = false;
+        site.discovery.responseOverride = "";
       }
       case FULL -> site.limits.put("mostHeld", 5);
-      case CROWDED -> site.sockets = 2 * CLIENT_LIMIT;
+      case CROWDED -> site.maxSockets = 2 * CLIENT_LIMIT;
       default -> {}
     }
     site.start();
     if (setup == Setup.CROWDED) {
       for (int i = 0; i < CLIENT_LIMIT; i++) {
-        otherClients.add(site.client().send("GET /health/live HTTP/1.1\r\n"));
+        otherClients.add(site.connectClient().send("GET /health/live HTTP/1.1\r\n"));
       }
     }
   }
@@ -129,10 +129,10 @@
   private String replay(Setup setup, JsonNode exchange) throws Exception {
     site.servers.forEach(server -> server.frames.clear());
     for (JsonNode before : exchange.path("before")) {
-      otherClients.add(site.client().send(expand(before.asText())));
+      otherClients.add(site.connectClient().send(expand(before.asText())));
       nextRequest();
     }
-    try (FakeClient client = site.client()) {
+    try (FakeClient client = site.connectClient()) {
       byte[] request = expand(exchange.path("request").asText()).getBytes(ISO_8859_1);
       client.socket.getOutputStream().write(request);
       if (setup == Setup.FIRST_SHARD_ONLY) {
@@ -178,8 +178,8 @@
 
   private void answerFirstShard() throws Exception {
     for (Frame frame = nextRequest(); ; frame = nextRequest()) {
-      if (frame.part().endsWith(".0")) {
-        frame.answer("good", "quote \" back \\ line \n \u00e9 \u20ac");
+      if (frame.requestId().endsWith(".0")) {
+        frame.respond("good", "quote \" back \\ line \n \u00e9 \u20ac");
         return;
       }
     }
@@ -189,7 +189,7 @@
     while (true) {
       for (FakeShardServer server : site.servers) {
         Frame frame = server.frames.poll();
-        if (frame != null && frame.letter() == 'm') {
+        if (frame != null && frame.type() == 'm') {
           return frame;
         }
       }
--- a/router/src/test/java/tidebank/CounterNamesFixtureTest.java
+++ b/router/src/test/java/tidebank/CounterNamesFixtureTest.java
@@ -63,7 +63,7 @@
 
   @BeforeEach
   void setUp() throws Exception {
-    config = RouterConfig.read(Map.of("NODE_CONFIG", site.configFile().toString()));
+    config = RouterConfig.read(Map.of("NODE_CONFIG", site.writeConfigFile().toString()));
     executor = new PolicyExecutor(config.settings(), 7, clock, timers, loop, counters);
     executor.connect(this, on -> {});
     receiveList(ListUpdate.CACHED);
--- a/router/src/test/java/tidebank/CrossingsTest.java
+++ b/router/src/test/java/tidebank/CrossingsTest.java
@@ -1,7 +1,7 @@
 package tidebank;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static tidebank.FakeSite.FakeClient.scan;
+import static tidebank.FakeSite.FakeClient.queryRequest;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -41,7 +41,7 @@
   private static final long STANDSTILL_MS = 1000;
 
   private void silence() {
-    site.servers.forEach(server -> server.answers = false);
+    site.servers.forEach(server -> server.autoRespond = false);
   }
 
   /** One server in service, s1, for the shards 0 and 1. */
@@ -53,10 +53,10 @@
   }
 
   private FakeClient program() throws Exception {
-    site.program(
+    site.startProcess(
         Map.of(
             "NODE_CONFIG",
-            site.configFile().toString(),
+            site.writeConfigFile().toString(),
             "NODE_NAME",
             "n7",
             "NODE_LISTEN",
@@ -70,7 +70,7 @@
   }
 
   private String log(String part) throws IOException {
-    for (String line = site.errors.readLine(); ; line = site.errors.readLine()) {
+    for (String line = site.stderr.readLine(); ; line = site.stderr.readLine()) {
       assertThat(line).as("a line of the log with " + part).isNotNull();
       if (line.contains(part)) {
         return line;
@@ -112,22 +112,24 @@
   void whatIsReadInOnePassWithTheEndOfItsClientIsNeverSent(End end) throws Exception {
     site.start();
     List<FakeClient> leavers = new ArrayList<>();
-    try (FakeClient stays = site.client()) {
+    try (FakeClient stays = site.connectClient()) {
       for (int i = 0; i < 20; i++) {
-        leavers.add(site.client());
-        assertThat(leavers.get(i).ready()).isEqualTo(200);
+        leavers.add(site.connectClient());
+        assertThat(leavers.get(i).fetchReadinessStatus()).isEqualTo(200);
       }
       CountDownLatch go = site.stallEventLoop();
       for (FakeClient leaver : leavers) {
-        end.end(leaver.send(scan("whole", "gone" + leavers.indexOf(leaver), 2900, 0.5, 0.5)));
+        end.end(
+            leaver.send(queryRequest("whole", "gone" + leavers.indexOf(leaver), 2900, 0.5, 0.5)));
       }
-      stays.send(scan("whole", "stays", 2900, 0.5, 0.5));
+      stays.send(queryRequest("whole", "stays", 2900, 0.5, 0.5));
       go.countDown();
-      assertThat(stays.read().status()).isEqualTo(200);
+      assertThat(stays.readResponse().status()).isEqualTo(200);
       // Once more: whatever the first pass left over would go by now.
-      assertThat(stays.ask(scan("whole", "again", 2900, 0.5, 0.5)).status()).isEqualTo(200);
+      assertThat(stays.sendAndRead(queryRequest("whole", "again", 2900, 0.5, 0.5)).status())
+          .isEqualTo(200);
       for (FakeShardServer server : site.servers) {
-        assertThat(server.frames).noneMatch(frame -> frame.rest().startsWith("gone"));
+        assertThat(server.frames).noneMatch(frame -> frame.content().startsWith("gone"));
       }
     } finally {
       for (FakeClient leaver : leavers) {
@@ -140,16 +142,16 @@
   void theEndOfAClientWithAFullPipelineIsSeen() throws Exception {
     silence();
     FakeShardServer server = only();
-    site.targetMs = 10_000;
+    site.latencyObjectiveMs = 10_000;
     site.start();
-    FakeClient client = site.client();
+    FakeClient client = site.connectClient();
     for (int i = 0; i < 16; i++) {
-      client.send(scan("whole", "a" + i, 29_000, 1));
-      assertThat(server.next().letter()).isEqualTo('m');
+      client.send(queryRequest("whole", "a" + i, 29_000, 1));
+      assertThat(server.awaitFrame().type()).isEqualTo('m');
     }
     client.close();
     for (int i = 0; i < 16; i++) {
-      assertThat(server.next().letter()).isEqualTo('n');
+      assertThat(server.awaitFrame().type()).isEqualTo('n');
     }
   }
 
@@ -159,17 +161,18 @@
     silence();
     FakeShardServer server = only();
     site.start();
-    FakeClient leaver = site.client();
-    leaver.send(scan("once", "a", 2900, 1));
-    Frame frame = server.next();
+    FakeClient leaver = site.connectClient();
+    leaver.send(queryRequest("once", "a", 2900, 1));
+    Frame frame = server.awaitFrame();
     CountDownLatch go = site.stallEventLoop();
     end.end(leaver);
-    frame.answer("good", "in one pass");
+    frame.respond("good", "in one pass");
     go.countDown();
-    server.answers = true;
-    try (FakeClient other = site.client()) {
-      assertThat(other.ask(scan("once", "b", 2900, 1)).body()).contains("value of b.0");
-      assertThat(server.accepted).as("the connection to it holds").hasValue(1);
+    server.autoRespond = true;
+    try (FakeClient other = site.connectClient()) {
+      assertThat(other.sendAndRead(queryRequest("once", "b", 2900, 1)).body())
+          .contains("value of b.0");
+      assertThat(server.acceptedCount).as("the connection to it holds").hasValue(1);
     }
     leaver.close();
   }
@@ -179,18 +182,18 @@
   @Test
   void whatCameInTimeIsTakenAlthoughTheLoopStoodStillPastTheTimeForIt() throws Exception {
     site.start();
-    try (FakeClient asks = site.client();
-        FakeClient first = site.client()) {
+    try (FakeClient asks = site.connectClient();
+        FakeClient first = site.connectClient()) {
       // By this answer both are accepted, and the time for their first requests runs.
-      assertThat(asks.ready()).isEqualTo(200);
+      assertThat(asks.fetchReadinessStatus()).isEqualTo(200);
       CountDownLatch go = site.stallEventLoop();
-      first.send(scan("whole", "a", 29_000, 0.5, 0.5));
+      first.send(queryRequest("whole", "a", 29_000, 0.5, 0.5));
       long late = System.nanoTime() + 2_700_000_000L;
       while (System.nanoTime() < late) {
         Thread.onSpinWait();
       }
       go.countDown();
-      assertThat(first.read().status()).isEqualTo(200);
+      assertThat(first.readResponse().status()).isEqualTo(200);
     }
   }
 
@@ -199,20 +202,20 @@
     silence();
     FakeShardServer server = only();
     site.start();
-    try (FakeClient first = site.client();
-        FakeClient client = site.client()) {
-      assertThat(client.ready()).isEqualTo(200);
+    try (FakeClient first = site.connectClient();
+        FakeClient client = site.connectClient()) {
+      assertThat(client.fetchReadinessStatus()).isEqualTo(200);
       // Its end is due amid the standstill, by which the gatherer learns of that.
-      first.send(scan("whole", "a", 200, 1));
-      server.next();
+      first.send(queryRequest("whole", "a", 200, 1));
+      server.awaitFrame();
       CountDownLatch go = site.stallEventLoop();
       long sent = System.nanoTime();
-      client.send(scan("whole", "b", TIME_LEFT_MS, 1));
+      client.send(queryRequest("whole", "b", TIME_LEFT_MS, 1));
       while (System.nanoTime() - sent < STANDSTILL_MS * 1_000_000) {
         Thread.onSpinWait();
       }
       go.countDown();
-      assertThat(client.read().status()).isEqualTo(503);
+      assertThat(client.readResponse().status()).isEqualTo(503);
       assertThat((System.nanoTime() - sent) / 1_000_000)
           .isLessThan(TIME_LEFT_MS + STANDSTILL_MS / 2);
     }
@@ -223,11 +226,11 @@
     silence();
     FakeShardServer server = only();
     site.start();
-    try (FakeClient first = site.client();
-        FakeClient client = site.client()) {
-      assertThat(client.ready()).isEqualTo(200);
-      first.send(scan("whole", "a", 200, 1));
-      server.next();
+    try (FakeClient first = site.connectClient();
+        FakeClient client = site.connectClient()) {
+      assertThat(client.fetchReadinessStatus()).isEqualTo(200);
+      first.send(queryRequest("whole", "a", 200, 1));
+      server.awaitFrame();
       CountDownLatch go = site.stallEventLoop();
       long stoodFrom = System.nanoTime();
       while (System.nanoTime() - stoodFrom < STANDSTILL_MS * 1_000_000) {
@@ -235,9 +238,10 @@
       }
       go.countDown();
       // By this answer the loop has met what came meanwhile, and its late timers have fired.
-      assertThat(first.read().status()).isEqualTo(503);
-      server.answers = true;
-      assertThat(client.ask(scan("whole", "b", TIME_LEFT_MS / 2, 1)).status()).isEqualTo(200);
+      assertThat(first.readResponse().status()).isEqualTo(503);
+      server.autoRespond = true;
+      assertThat(client.sendAndRead(queryRequest("whole", "b", TIME_LEFT_MS / 2, 1)).status())
+          .isEqualTo(200);
     }
   }
 
@@ -249,9 +253,10 @@
     FakeShardServer server = only();
     site.start();
     // It takes in a part of the answer only; a reset would have the system drop the rest.
-    try (FakeClient client = new FakeClient(site.gatherer().address(), 4096)) {
-      client.send(scan("whole", "a", 2900, 1).replace("Host: x", "Host: x\r\nConnection: close"));
-      Frame frame = server.next();
+    try (FakeClient client = new FakeClient(site.router().address(), 4096)) {
+      client.send(
+          queryRequest("whole", "a", 2900, 1).replace("Host: x", "Host: x\r\nConnection: close"));
+      Frame frame = server.awaitFrame();
       CountDownLatch go = site.stallEventLoop();
       // More than is read in one pass, and it goes on while the answer is under way.
       client.send("x".repeat(300_000));
@@ -265,26 +270,27 @@
                 }
               });
       more.start();
-      frame.answer("good", "y".repeat(60_000));
+      frame.respond("good", "y".repeat(60_000));
       go.countDown();
-      try (FakeClient other = site.client()) {
+      try (FakeClient other = site.connectClient()) {
         // By its second answer the gatherer has done all that it would to end the first connection.
-        assertThat(other.ready()).isEqualTo(200);
-        assertThat(other.ready()).isEqualTo(200);
+        assertThat(other.fetchReadinessStatus()).isEqualTo(200);
+        assertThat(other.fetchReadinessStatus()).isEqualTo(200);
       }
-      FakeClient.Response response = client.read();
+      FakeClient.Response response = client.readResponse();
       assertThat(response.status()).isEqualTo(200);
       assertThat(response.body()).contains("y".repeat(60_000));
-      assertThat(client.ended()).isTrue();
+      assertThat(client.isClosedByRouter()).isTrue();
     }
   }
 
   @Test
   void aClientThatStaysPastItsLastAnswerIsClosedInTime() throws Exception {
     site.start();
-    try (FakeClient client = site.client()) {
-      client.ask(scan("whole", "a", 2000, 1).replace("Host: x", "Host: x\r\nConnection: close"));
-      assertThat(client.ended()).isTrue();
+    try (FakeClient client = site.connectClient()) {
+      client.sendAndRead(
+          queryRequest("whole", "a", 2000, 1).replace("Host: x", "Host: x\r\nConnection: close"));
+      assertThat(client.isClosedByRouter()).isTrue();
       long start = System.nanoTime();
       org.assertj.core.api.Assertions.assertThatThrownBy(
               () -> {
@@ -302,7 +308,7 @@
   void aSigtermBeforeTheConfigurationIsReadEndsItWith0() throws Exception {
     Path pipe = Files.createTempDirectory("pipe").resolve("config");
     assertThat(new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor()).isZero();
-    site.program(Map.of("NODE_CONFIG", pipe.toString()), "serve");
+    site.startProcess(Map.of("NODE_CONFIG", pipe.toString()), "serve");
     // Opening a pipe for writing waits for its reader, so the program is about to read its
     // configuration now.
     try (java.io.OutputStream writer = Files.newOutputStream(pipe)) {
@@ -317,16 +323,16 @@
     silence();
     FakeShardServer server = only();
     try (FakeClient held = program()) {
-      held.send(scan("once", "held", 2900, 1));
-      Frame frame = server.next();
+      held.send(queryRequest("once", "held", 2900, 1));
+      Frame frame = server.awaitFrame();
       signal("TERM");
       log("shutdown requested");
       signal("HUP");
       signal("TERM");
       signal("HUP");
-      frame.answer("good", "worth the wait");
-      assertThat(held.read().body()).contains("worth the wait");
-      assertThat(held.ended()).isTrue();
+      frame.respond("good", "worth the wait");
+      assertThat(held.readResponse().body()).contains("worth the wait");
+      assertThat(held.isClosedByRouter()).isTrue();
       endsWith0();
     }
   }
@@ -335,25 +341,25 @@
   @ValueSource(booleans = {true, false})
   void aRequestWhoseHeadIsInAtSigtermIsAnsweredIfItsBodyComesAndNeverHoldsTheEndUp(boolean comes)
       throws Exception {
-    String request = scan("once", "half", 2900, 1);
+    String request = queryRequest("once", "half", 2900, 1);
     try (FakeClient half = program();
-        FakeClient rests = half.again()) {
-      assertThat(rests.ready()).isEqualTo(200);
+        FakeClient rests = half.connectAnother()) {
+      assertThat(rests.fetchReadinessStatus()).isEqualTo(200);
       long start = System.nanoTime();
       half.send(request.substring(0, request.length() - 5));
       // By its answer the gatherer has also met what came before on the other connection.
-      assertThat(rests.ready()).isEqualTo(200);
+      assertThat(rests.fetchReadinessStatus()).isEqualTo(200);
       signal("TERM");
       log("shutdown requested");
       // Rests until it is ended, by when no more requests are let in.
-      assertThat(rests.ended()).isTrue();
+      assertThat(rests.isClosedByRouter()).isTrue();
       if (comes) {
         half.send(request.substring(request.length() - 5));
-        assertThat(half.read().body()).contains("value of half.0");
+        assertThat(half.readResponse().body()).contains("value of half.0");
       } else {
-        assertThat(half.read().status()).isEqualTo(408);
+        assertThat(half.readResponse().status()).isEqualTo(408);
       }
-      assertThat(half.ended()).isTrue();
+      assertThat(half.isClosedByRouter()).isTrue();
       endsWith0();
       assertThat((System.nanoTime() - start) / 1_000_000).isLessThan(3700);
     }
@@ -364,17 +370,17 @@
     silence();
     FakeShardServer server = only();
     try (FakeClient stays = program();
-        FakeClient waits = stays.again()) {
-      stays.send(scan("once", "a", 2900, 1));
-      Frame first = server.next();
-      waits.send(scan("once", "b", 2900, 1));
-      Frame second = server.next();
+        FakeClient waits = stays.connectAnother()) {
+      stays.send(queryRequest("once", "a", 2900, 1));
+      Frame first = server.awaitFrame();
+      waits.send(queryRequest("once", "b", 2900, 1));
+      Frame second = server.awaitFrame();
       signal("TERM");
       log("shutdown requested");
-      first.answer("good", "x");
-      assertThat(stays.read().status()).isEqualTo(200);
-      second.answer("good", "y");
-      assertThat(waits.read().status()).isEqualTo(200);
+      first.respond("good", "x");
+      assertThat(stays.readResponse().status()).isEqualTo(200);
+      second.respond("good", "y");
+      assertThat(waits.readResponse().status()).isEqualTo(200);
       // Both are still open on our side; the program ends well before the time that it was
       // promised.
       long answered = System.nanoTime();
@@ -387,18 +393,18 @@
   void whoComesAtSigtermIsServedWhatHangsIsAbandonedAndItEndsWith0() throws Exception {
     silence();
     try (FakeClient first = program()) {
-      assertThat(first.ready()).isEqualTo(200);
+      assertThat(first.fetchReadinessStatus()).isEqualTo(200);
       long start = System.nanoTime();
       signal("TERM");
       log("shutdown requested");
       List<FakeClient> late = new ArrayList<>();
       for (int i = 0; i < 20; i++) {
-        late.add(first.again().send(scan("once", "late" + i, 2900, 1)));
+        late.add(first.connectAnother().send(queryRequest("once", "late" + i, 2900, 1)));
       }
       site.servers.get(0).close();
       for (FakeClient client : late) {
-        assertThat(client.read().status()).isIn(500, 503);
-        assertThat(client.ended()).isTrue();
+        assertThat(client.readResponse().status()).isIn(500, 503);
+        assertThat(client.isClosedByRouter()).isTrue();
         client.close();
       }
       endsWith0();
@@ -413,10 +419,10 @@
     site.limits.put("mostHeld", 10_000);
     try (FakeClient deaf = program()) {
       for (int i = 0; i < 60; i++) {
-        deaf.send(scan("whole", "a" + i, 2900, 1));
+        deaf.send(queryRequest("whole", "a" + i, 2900, 1));
         Frame frame = server.frames.poll(200, TimeUnit.MILLISECONDS);
-        if (frame != null && frame.letter() == 'm') {
-          frame.answer("good", "x".repeat(60_000));
+        if (frame != null && frame.type() == 'm') {
+          frame.respond("good", "x".repeat(60_000));
         }
       }
       long start = System.nanoTime();
@@ -434,11 +440,11 @@
   void onConnectionsThatAreSentOnUpToTheEndEachRequestIsAnsweredOrNeverSentOn() throws Exception {
     java.util.Set<String> unanswered = java.util.concurrent.ConcurrentHashMap.newKeySet();
     try (FakeClient first = program()) {
-      assertThat(first.ready()).isEqualTo(200);
+      assertThat(first.fetchReadinessStatus()).isEqualTo(200);
       List<Thread> clients = new ArrayList<>();
       CountDownLatch asked = new CountDownLatch(8);
       for (int i = 0; i < 8; i++) {
-        FakeClient one = first.again();
+        FakeClient one = first.connectAnother();
         String name = "c" + i;
         Thread asks =
             new Thread(
@@ -447,7 +453,8 @@
                   try (one) {
                     for (int n = 0; ; n++) {
                       id = name + "x" + n;
-                      if (one.ask(scan("once", id, 2900, 0.5, 0.5)).status() != 200) {
+                      if (one.sendAndRead(queryRequest("once", id, 2900, 0.5, 0.5)).status()
+                          != 200) {
                         unanswered.add("refused " + id);
                       }
                       asked.countDown();
@@ -471,7 +478,7 @@
     assertThat(unanswered).hasSize(8).noneMatch(id -> id.startsWith("refused"));
     for (FakeShardServer server : site.servers) {
       assertThat(server.frames)
-          .noneMatch(frame -> unanswered.contains(frame.part().split("[.]")[0]));
+          .noneMatch(frame -> unanswered.contains(frame.requestId().split("[.]")[0]));
     }
   }
 
@@ -481,24 +488,25 @@
   void aLateAnswerOfTheFirstBehindTheSecondsIsDroppedAndItsConnectionHolds() throws Exception {
     silence();
     site.start();
-    try (FakeClient client = site.client()) {
-      client.send(scan("whole", "a", 2900, 1));
+    try (FakeClient client = site.connectClient()) {
+      client.send(queryRequest("whole", "a", 2900, 1));
       Frame first = frameOf("a.0");
       // Nothing was heard for the time that a straggler has: a copy goes to the other replica.
       Frame second = frameOf("a.0");
       assertThat(second.socket()).isNotSameAs(first.socket());
-      second.answer("good", "the second");
-      assertThat(client.read().body()).contains("the second");
-      first.answer("good", "the first");
-      site.servers.forEach(server -> server.answers = true);
-      int before = site.servers.stream().mapToInt(server -> server.accepted.get()).sum();
+      second.respond("good", "the second");
+      assertThat(client.readResponse().body()).contains("the second");
+      first.respond("good", "the first");
+      site.servers.forEach(server -> server.autoRespond = true);
+      int before = site.servers.stream().mapToInt(server -> server.acceptedCount.get()).sum();
       for (int i = 0; i < 8; i++) {
-        assertThat(client.ask(scan("whole", "b" + i, 2900, 1)).body())
+        assertThat(client.sendAndRead(queryRequest("whole", "b" + i, 2900, 1)).body())
             .contains("value of b" + i + ".0");
       }
       // Each replica of shard 0 has one connection, or a new one in place of that which had been
       // silent.
-      assertThat(site.servers.stream().mapToInt(server -> server.accepted.get()).sum() - before)
+      assertThat(
+              site.servers.stream().mapToInt(server -> server.acceptedCount.get()).sum() - before)
           .isLessThanOrEqualTo(1);
     }
   }
@@ -507,7 +515,7 @@
     while (true) {
       for (FakeShardServer server : site.servers) {
         Frame frame = server.frames.poll();
-        if (frame != null && frame.letter() == 'm' && frame.part().equals(part)) {
+        if (frame != null && frame.type() == 'm' && frame.requestId().equals(part)) {
           return frame;
         }
       }
@@ -522,17 +530,18 @@
         java.net.Socket one = new java.net.Socket("127.0.0.1", full.getLocalPort());
         java.net.Socket two = new java.net.Socket("127.0.0.1", full.getLocalPort())) {
       FakeShardServer server = only();
-      server.listener.close();
-      server.listener = full;
+      server.serverSocket.close();
+      server.serverSocket = full;
       site.limits.put("connectTimeoutMs", 5000);
       site.start();
-      try (FakeClient client = site.client();
-          FakeClient other = site.client()) {
+      try (FakeClient client = site.connectClient();
+          FakeClient other = site.connectClient()) {
         // Abandoned, as for the module a part that waits for its dial is out; throttled if that is
         // known never to have run by then.
-        assertThat(client.ask(scan("once", "over", 300, 1)).status()).isIn(500, 503);
-        other.send(scan("once", "here", 2900, 1));
-        assertThat(client.ready()).isEqualTo(200);
+        assertThat(client.sendAndRead(queryRequest("once", "over", 300, 1)).status())
+            .isIn(500, 503);
+        other.send(queryRequest("once", "here", 2900, 1));
+        assertThat(client.fetchReadinessStatus()).isEqualTo(200);
         full.accept().close();
         full.accept().close();
         try (java.net.Socket up = full.accept()) {
@@ -550,36 +559,38 @@
   @Test
   void idleClientsUpToTheLimitWhileDiscoveryIsDownLeaveRoomForItForServersAndForWhoAsks()
       throws Exception {
-    site.sockets = 128;
-    site.limited = true;
-    site.discovery.instead = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
+    site.maxSockets = 128;
+    site.limitDescriptors = true;
+    site.discovery.responseOverride = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
     List<FakeClient> idle = new ArrayList<>();
     try (FakeClient first = program()) {
-      assertThat(first.ready()).isEqualTo(200);
+      assertThat(first.fetchReadinessStatus()).isEqualTo(200);
       for (int i = 0; i < 300; i++) {
         // Half never ask, half ask once and stay.
-        FakeClient one = first.again();
+        FakeClient one = first.connectAnother();
         idle.add(one);
         if (i % 2 == 0) {
           one.send("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
         }
         if (i % 20 == 0) {
-          try (FakeClient asks = first.again()) {
-            assertThat(asks.ask(scan("whole", "a" + i, 2900, 0.25, 0.25, 0.25, 0.25)).status())
+          try (FakeClient asks = first.connectAnother()) {
+            assertThat(
+                    asks.sendAndRead(queryRequest("whole", "a" + i, 2900, 0.25, 0.25, 0.25, 0.25))
+                        .status())
                 .as("after %d", i)
                 .isEqualTo(200);
           }
         }
       }
       site.discovery.calls.clear();
-      site.discovery.call("after=41");
-      site.discovery.instead = null;
-      site.discovery.change(site.servers.get(0), "Gone");
-      site.discovery.call("after=42");
+      site.discovery.awaitCall("after=41");
+      site.discovery.responseOverride = null;
+      site.discovery.updateHealth(site.servers.get(0), "Gone");
+      site.discovery.awaitCall("after=42");
       signal("TERM");
       endsWith0();
       assertThat(
-              site.errors
+              site.stderr
                   .lines()
                   .filter(line -> line.contains("Too many open files") || line.contains("ERROR")))
           .isEmpty();
@@ -594,19 +605,20 @@
   void aRefusedClientThatStaysMakesNoRoomBeyondTheBudget() throws Exception {
     silence();
     FakeShardServer server = only();
-    site.sockets = 128;
-    site.targetMs = 10_000;
+    site.maxSockets = 128;
+    site.latencyObjectiveMs = 10_000;
     site.start();
     List<FakeClient> all = new ArrayList<>();
     try {
       for (int i = 0; i < 64; i++) {
-        all.add(site.client().send(scan("whole", "b" + i, 29_000, 1)));
-        assertThat(server.next().letter()).isEqualTo('m');
+        all.add(site.connectClient().send(queryRequest("whole", "b" + i, 29_000, 1)));
+        assertThat(server.awaitFrame().type()).isEqualTo('m');
       }
       for (int i = 0; i < 10; i++) {
-        FakeClient surplus = site.client();
+        FakeClient surplus = site.connectClient();
         all.add(surplus);
-        assertThat(surplus.ask(scan("whole", "c" + i, 2000, 1)).status()).isEqualTo(503);
+        assertThat(surplus.sendAndRead(queryRequest("whole", "c" + i, 2000, 1)).status())
+            .isEqualTo(503);
       }
       assertThat(server.frames).isEmpty();
     } finally {
@@ -620,63 +632,63 @@
 
   @Test
   void anAnswerWithoutALengthIsWholeByItsEndAndNeverByAReset() throws Exception {
-    site.askEveryMs = 6000;
+    site.pollIntervalMs = 6000;
     String only1 =
         "HTTP/1.1 200 OK\r\n\r\n"
             + site.discovery
-                .list(true)
+                .listJson(true)
                 .replace("\"seq\":41", "\"seq\":77")
                 .replace("Ready", "Terminating");
-    site.discovery.instead = only1;
-    site.discovery.resets = true;
+    site.discovery.responseOverride = only1;
+    site.discovery.closeByReset = true;
     site.start();
-    try (FakeClient client = site.client()) {
-      site.discovery.call("after=41");
+    try (FakeClient client = site.connectClient()) {
+      site.discovery.awaitCall("after=41");
       // All of it is here, and would parse; what ends it is a reset.
-      assertThat(client.ask(scan("whole", "a", 2000, 1)).status()).isEqualTo(200);
-      site.discovery.awaitRead.release();
-      site.discovery.call("after=41");
-      assertThat(client.ask(scan("whole", "b", 2000, 1)).status()).isEqualTo(200);
+      assertThat(client.sendAndRead(queryRequest("whole", "a", 2000, 1)).status()).isEqualTo(200);
+      site.discovery.closePermits.release();
+      site.discovery.awaitCall("after=41");
+      assertThat(client.sendAndRead(queryRequest("whole", "b", 2000, 1)).status()).isEqualTo(200);
       // The call that is out now ends by a reset too, the next one by an end.
-      site.discovery.resets = false;
-      site.discovery.awaitRead.release();
-      site.discovery.call("after=41");
-      site.discovery.awaitRead.release();
-      site.discovery.call("after=77");
-      assertThat(client.ask(scan("whole", "c", 2000, 1)).status()).isEqualTo(503);
+      site.discovery.closeByReset = false;
+      site.discovery.closePermits.release();
+      site.discovery.awaitCall("after=41");
+      site.discovery.closePermits.release();
+      site.discovery.awaitCall("after=77");
+      assertThat(client.sendAndRead(queryRequest("whole", "c", 2000, 1)).status()).isEqualTo(503);
     }
   }
 
   @Test
   void anIndentedListIsAList() throws Exception {
-    site.discovery.instead =
-        FakeSite.FakeDiscovery.http(
+    site.discovery.responseOverride =
+        FakeSite.FakeDiscovery.httpResponse(
             site.discovery
-                .list(true)
+                .listJson(true)
                 .replace("\"seq\":41", "\"seq\":77")
                 .replace(",", ",\r\n\t  ")
                 .replace("{", "{ \n"));
     site.start();
-    site.discovery.call("after=41");
-    site.discovery.instead = null;
-    site.discovery.call("after=77");
+    site.discovery.awaitCall("after=41");
+    site.discovery.responseOverride = null;
+    site.discovery.awaitCall("after=77");
   }
 
   @Test
   void withoutAnyListItIsReadyWithinHalfItsBoundAndAnswersHonestly() throws Exception {
-    site.known = false;
-    site.discovery.listener.close();
+    site.hasCachedList = false;
+    site.discovery.serverSocket.close();
     site.start();
     long start = System.nanoTime();
-    try (FakeClient client = site.client()) {
-      assertThat(client.ready()).isEqualTo(503);
-      assertThat(client.ask(scan("once", "a", 2000, 1)).status()).isEqualTo(503);
+    try (FakeClient client = site.connectClient()) {
+      assertThat(client.fetchReadinessStatus()).isEqualTo(503);
+      assertThat(client.sendAndRead(queryRequest("once", "a", 2000, 1)).status()).isEqualTo(503);
       int status = 503;
       while (status != 200) {
         assertThat((System.nanoTime() - start) / 1_000_000).isLessThan(8000);
-        status = client.ready();
+        status = client.fetchReadinessStatus();
       }
-      assertThat(client.ask(scan("once", "b", 2000, 1)).status()).isEqualTo(503);
+      assertThat(client.sendAndRead(queryRequest("once", "b", 2000, 1)).status()).isEqualTo(503);
     }
   }
 }
--- a/router/src/test/java/tidebank/DepartedClientTest.java
+++ b/router/src/test/java/tidebank/DepartedClientTest.java
@@ -1,7 +1,7 @@
 package tidebank;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static tidebank.FakeSite.FakeClient.scan;
+import static tidebank.FakeSite.FakeClient.queryRequest;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -61,17 +61,19 @@
   })
   void nothingIsSentForAClientThatHasLeft(Moment moment, End end) throws Exception {
     site.start();
-    try (FakeClient stays = site.client()) {
+    try (FakeClient stays = site.connectClient()) {
       // The connections to the shard servers are up by then, so that nothing else delays a part.
-      assertThat(stays.ask(scan("whole", "before", 2900, 0.5, 0.5)).status()).isEqualTo(200);
+      assertThat(stays.sendAndRead(queryRequest("whole", "before", 2900, 0.5, 0.5)).status())
+          .isEqualTo(200);
       if (moment == Moment.BEFORE_ITS_REQUEST_IS_READ) {
         leaveUnread(end);
       } else {
         leaveInPass(end);
       }
-      assertThat(stays.ask(scan("whole", "stays", 2900, 0.5, 0.5)).status()).isEqualTo(200);
+      assertThat(stays.sendAndRead(queryRequest("whole", "stays", 2900, 0.5, 0.5)).status())
+          .isEqualTo(200);
       for (FakeShardServer server : site.servers) {
-        assertThat(server.frames).noneMatch(frame -> frame.rest().startsWith("gone"));
+        assertThat(server.frames).noneMatch(frame -> frame.content().startsWith("gone"));
       }
     }
   }
@@ -80,8 +82,8 @@
   private void leaveUnread(End end) throws Exception {
     CountDownLatch go = site.stallEventLoop();
     for (int i = 0; i < LEAVERS; i++) {
-      leavers.add(site.client());
-      end.end(leavers.get(i).send(scan("whole", "gone" + i, 2900, 0.5, 0.5)));
+      leavers.add(site.connectClient());
+      end.end(leavers.get(i).send(queryRequest("whole", "gone" + i, 2900, 0.5, 0.5)));
     }
     go.countDown();
   }
@@ -91,10 +93,10 @@
   void noFurtherDispatchIsSentForAClientThatLeftSinceItWasDecided(End end) throws Exception {
     site.start();
     connectAllServers();
-    site.servers.forEach(server -> server.answers = false);
-    FakeClient leaver = site.client();
+    site.servers.forEach(server -> server.autoRespond = false);
+    FakeClient leaver = site.connectClient();
     leavers.add(leaver);
-    leaver.send(scan("whole", "gone", 2900, 1));
+    leaver.send(queryRequest("whole", "gone", 2900, 1));
     awaitFirstDispatch();
     CountDownLatch stands = new CountDownLatch(1);
     CountDownLatch go = new CountDownLatch(1);
@@ -103,23 +105,26 @@
     stands.await();
     end.end(leaver);
     TimeUnit.MILLISECONDS.sleep(PASS_MS);
-    site.servers.forEach(server -> server.answers = true);
+    site.servers.forEach(server -> server.autoRespond = true);
     go.countDown();
-    try (FakeClient stays = site.client()) {
-      assertThat(stays.ask(scan("whole", "stays", 2900, 0.5, 0.5)).status()).isEqualTo(200);
+    try (FakeClient stays = site.connectClient()) {
+      assertThat(stays.sendAndRead(queryRequest("whole", "stays", 2900, 0.5, 0.5)).status())
+          .isEqualTo(200);
     }
     for (FakeShardServer server : site.servers) {
       assertThat(server.frames)
-          .noneMatch(frame -> frame.letter() == 'm' && frame.rest().startsWith("gone"));
+          .noneMatch(frame -> frame.type() == 'm' && frame.content().startsWith("gone"));
     }
   }
 
   /** Asks until there is a connection to each shard server. */
   private void connectAllServers() throws Exception {
-    try (FakeClient client = site.client()) {
-      for (int i = 0; site.servers.stream().anyMatch(server -> server.accepted.get() == 0); i++) {
-        String request = scan("whole", "before" + i, 2900, 0.25, 0.25, 0.25, 0.25);
-        assertThat(client.ask(request).status()).isEqualTo(200);
+    try (FakeClient client = site.connectClient()) {
+      for (int i = 0;
+          site.servers.stream().anyMatch(server -> server.acceptedCount.get() == 0);
+          i++) {
+        String request = queryRequest("whole", "before" + i, 2900, 0.25, 0.25, 0.25, 0.25);
+        assertThat(client.sendAndRead(request).status()).isEqualTo(200);
       }
     }
     site.servers.forEach(server -> server.frames.clear());
@@ -134,12 +139,12 @@
 
   /** A client leaves while the pass that has read and decided its request is under way. */
   private void leaveInPass(End end) throws Exception {
-    FakeClient leaver = site.client();
+    FakeClient leaver = site.connectClient();
     leavers.add(leaver);
     CountDownLatch stands = new CountDownLatch(1);
     CountDownLatch go = new CountDownLatch(1);
     site.stallBeforeSending(stands, go);
-    leaver.send(scan("whole", "gone", 2900, 0.5, 0.5));
+    leaver.send(queryRequest("whole", "gone", 2900, 0.5, 0.5));
     stands.await();
     end.end(leaver);
     TimeUnit.MILLISECONDS.sleep(PASS_MS);
--- a/router/src/test/java/tidebank/DiscoveryCallsFixtureTest.java
+++ b/router/src/test/java/tidebank/DiscoveryCallsFixtureTest.java
@@ -58,7 +58,7 @@
   }
 
   private static String httpResponse(String body) {
-    return FakeDiscovery.http(body);
+    return FakeDiscovery.httpResponse(body);
   }
 
   @Test
@@ -68,7 +68,8 @@
     router =
         QueryRouter.start(
             RouterConfig.read(
-                Map.of("NODE_CONFIG", site.configFile().toString(), "NODE_DISCOVERY", address)));
+                Map.of(
+                    "NODE_CONFIG", site.writeConfigFile().toString(), "NODE_DISCOVERY", address)));
     StringBuilder calls = new StringBuilder();
     try (Socket first = discovery.accept()) {
       calls.append("the first watch, from the known list:\n").append(readRequest(first));
@@ -84,7 +85,7 @@
     }
     try (Socket third = discovery.accept()) {
       calls.append("after a version that went back:\n").append(readRequest(third));
-      respond(third, httpResponse(site.discovery.list(true)));
+      respond(third, httpResponse(site.discovery.listJson(true)));
       calls.append("behind a whole list:\n").append(readRequest(third));
     }
     StoredCases.assertMatchesFile(
--- a/router/src/test/java/tidebank/DiscoveryReloadTest.java
+++ b/router/src/test/java/tidebank/DiscoveryReloadTest.java
@@ -1,8 +1,8 @@
 package tidebank;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static tidebank.FakeSite.FakeClient.scan;
-import static tidebank.FakeSite.FakeDiscovery.http;
+import static tidebank.FakeSite.FakeClient.queryRequest;
+import static tidebank.FakeSite.FakeDiscovery.httpResponse;
 
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
@@ -45,32 +45,32 @@
   }
 
   private void reload() throws Exception {
-    site.gatherer()
+    site.router()
         .reload(
             RouterConfig.read(
                 Map.of(
-                    "NODE_CONFIG", site.configFile().toString(),
+                    "NODE_CONFIG", site.writeConfigFile().toString(),
                     "NODE_DISCOVERY", newDiscovery.address())));
   }
 
   /** Returns the complete list of the new address, without this server. */
   private String listWithout(FakeShardServer server) {
-    return newDiscovery.list(true).replace(FakeDiscovery.line(server) + ",", "");
+    return newDiscovery.listJson(true).replace(FakeDiscovery.hostJson(server) + ",", "");
   }
 
   private void assertQueriesCompleteWithout(FakeShardServer... excluded) throws Exception {
     for (FakeShardServer server : excluded) {
       server.frames.clear();
     }
-    try (FakeClient client = site.client()) {
+    try (FakeClient client = site.connectClient()) {
       for (int i = 0; i < QUERIES; i++) {
-        String query = scan("whole", "after" + i, 2000, 0.5, 0.25, 0.125, 0.125);
-        assertThat(client.ask(query).status()).isEqualTo(200);
+        String query = queryRequest("whole", "after" + i, 2000, 0.5, 0.25, 0.125, 0.125);
+        assertThat(client.sendAndRead(query).status()).isEqualTo(200);
       }
     }
     for (FakeShardServer server : excluded) {
       assertThat(server.frames).as(server.id).isEmpty();
-      assertThat(server.listener.isClosed()).isFalse();
+      assertThat(server.serverSocket.isClosed()).isFalse();
     }
   }
 
@@ -81,15 +81,15 @@
   @Test
   void serverMissingFromTheNewCompleteListGetsNoRequests() throws Exception {
     site.start();
-    site.discovery.call("after=41");
-    site.discovery.change(server(0), "Terminating");
-    site.discovery.call("after=42");
+    site.discovery.awaitCall("after=41");
+    site.discovery.updateHealth(server(0), "Terminating");
+    site.discovery.awaitCall("after=42");
     // Server 2 drains during the move: the old address never reports it, the new one omits it.
-    newDiscovery.instead = http(listWithout(server(2)));
+    newDiscovery.responseOverride = httpResponse(listWithout(server(2)));
     reload();
-    assertThat(newDiscovery.call("")).isEqualTo("/registry/instances");
-    newDiscovery.instead = null;
-    newDiscovery.call("after=7");
+    assertThat(newDiscovery.awaitCall("")).isEqualTo("/registry/instances");
+    newDiscovery.responseOverride = null;
+    newDiscovery.awaitCall("after=7");
 
     assertQueriesCompleteWithout(server(0), server(2));
   }
@@ -98,13 +98,13 @@
   @Test
   void drainReportedByTheNewAddressTakesEffect() throws Exception {
     site.start();
-    site.discovery.call("after=41");
+    site.discovery.awaitCall("after=41");
     reload();
-    newDiscovery.call("after=7");
-    newDiscovery.change(server(0), "Terminating");
-    newDiscovery.call("after=8");
+    newDiscovery.awaitCall("after=7");
+    newDiscovery.updateHealth(server(0), "Terminating");
+    newDiscovery.awaitCall("after=8");
     // Changes at the old address are ignored.
-    site.discovery.change(server(0), "Ready");
+    site.discovery.updateHealth(server(0), "Ready");
     server(0).health = "Terminating";
 
     assertQueriesCompleteWithout(server(0));
@@ -114,36 +114,36 @@
   @Test
   void drainFromOldAddressHoldsWhileNewOneIsUnavailable() throws Exception {
     site.start();
-    site.discovery.call("after=41");
-    site.discovery.change(server(0), "Terminating");
-    site.discovery.call("after=42");
-    newDiscovery.instead = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
+    site.discovery.awaitCall("after=41");
+    site.discovery.updateHealth(server(0), "Terminating");
+    site.discovery.awaitCall("after=42");
+    newDiscovery.responseOverride = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
     reload();
-    newDiscovery.call("/registry/instances");
-    newDiscovery.call("/registry/instances");
+    newDiscovery.awaitCall("/registry/instances");
+    newDiscovery.awaitCall("/registry/instances");
 
     assertQueriesCompleteWithout(server(0));
-    newDiscovery.instead = null;
-    newDiscovery.call("after=7");
+    newDiscovery.responseOverride = null;
+    newDiscovery.awaitCall("after=7");
     assertQueriesCompleteWithout(server(0));
   }
 
   /** Without growing delays, a discovery that responds at once would be called in a tight loop. */
   @Test
   void callsBackOffWhileDiscoveryRespondsWithoutAChange() throws Exception {
-    site.discovery.instead = http(site.discovery.list(true));
+    site.discovery.responseOverride = httpResponse(site.discovery.listJson(true));
     site.start();
-    site.discovery.call("after=41");
+    site.discovery.awaitCall("after=41");
     long startedAtNanos = System.nanoTime();
     for (int i = 0; i < 4; i++) {
-      site.discovery.call("after=41");
+      site.discovery.awaitCall("after=41");
     }
     long elapsedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAtNanos);
     assertThat(elapsedMs).isGreaterThanOrEqualTo(MIN_FOUR_DELAYS_MS);
     // The next response contains a change, so the call after it is made at once.
-    site.discovery.instead = null;
-    site.discovery.change(server(0), "Terminating");
-    site.discovery.call("after=42");
+    site.discovery.responseOverride = null;
+    site.discovery.updateHealth(server(0), "Terminating");
+    site.discovery.awaitCall("after=42");
     assertQueriesCompleteWithout(server(0));
   }
 }
--- a/router/src/test/java/tidebank/DrainedServerGoneTest.java
+++ b/router/src/test/java/tidebank/DrainedServerGoneTest.java
@@ -1,7 +1,7 @@
 package tidebank;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static tidebank.FakeSite.FakeClient.scan;
+import static tidebank.FakeSite.FakeClient.queryRequest;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -52,37 +52,38 @@
   void requestsAreAnsweredAfterADrainedServerIsListedAsGone(NextEvent nextEvent) throws Exception {
     site.start();
     for (int i = 0; i < CLIENTS; i++) {
-      clients.add(site.client());
-      assertThat(clients.get(i).ask(scan("whole", "before" + i, 2900, 1)).status()).isEqualTo(200);
+      clients.add(site.connectClient());
+      assertThat(clients.get(i).sendAndRead(queryRequest("whole", "before" + i, 2900, 1)).status())
+          .isEqualTo(200);
     }
     FakeShardServer drained = site.servers.get(3);
-    site.discovery.call("after=41");
-    site.discovery.change(drained, "Terminating");
-    site.discovery.call("after=42");
+    site.discovery.awaitCall("after=41");
+    site.discovery.updateHealth(drained, "Terminating");
+    site.discovery.awaitCall("after=42");
     TimeUnit.MILLISECONDS.sleep(DRAINED_MS);
     if (nextEvent == NextEvent.REQUESTS_ARRIVE) {
       CountDownLatch resume = site.stallEventLoop();
-      site.discovery.change(drained, "Gone");
+      site.discovery.updateHealth(drained, "Gone");
       // Lets the list arrive first, so that it is read before the requests.
       TimeUnit.MILLISECONDS.sleep(STALL_MS);
       sendRequests();
       resume.countDown();
     } else {
-      site.discovery.change(drained, "Gone");
-      site.discovery.call("after=43");
-      site.gatherer().stop();
+      site.discovery.updateHealth(drained, "Gone");
+      site.discovery.awaitCall("after=43");
+      site.router().stop();
       // Well within the 0.6 s in which connected clients are still served.
       TimeUnit.MILLISECONDS.sleep(STALL_MS);
       sendRequests();
     }
     for (FakeClient client : clients) {
-      assertThat(client.read().status()).isEqualTo(200);
+      assertThat(client.readResponse().status()).isEqualTo(200);
     }
   }
 
   private void sendRequests() throws IOException {
     for (FakeClient client : clients) {
-      client.send(scan("whole", "with" + clients.indexOf(client), TIMEOUT_MS, 1));
+      client.send(queryRequest("whole", "with" + clients.indexOf(client), TIMEOUT_MS, 1));
     }
   }
 }
--- a/router/src/test/java/tidebank/FakeSite.java
+++ b/router/src/test/java/tidebank/FakeSite.java
@@ -69,23 +69,23 @@
               100,
               "mostHeld",
               200));
-  final Map<String, Object> file =
+  final Map<String, Object> configFields =
       new LinkedHashMap<>(
           Map.of("name", "n0", "listen", "127.0.0.1:0", "seed", "8c1f30d27a5be964"));
-  int sockets = 1024;
+  int maxSockets = 1024;
 
   /** Whether the program is started under a limit of descriptors that binds. */
-  boolean limited;
-
-  int bundleMost = 1;
-  int askEveryMs = 12_000;
-  int targetMs = 1000;
-  boolean known = true;
-  String mode = "ask";
-  private QueryRouter gatherer;
+  boolean limitDescriptors;
+
+  int maxBatchSize = 1;
+  int pollIntervalMs = 12_000;
+  int latencyObjectiveMs = 1000;
+  boolean hasCachedList = true;
+  String discoveryMode = "ask";
+  private QueryRouter router;
   Process process;
-  Path path;
-  BufferedReader errors;
+  Path configPath;
+  BufferedReader stderr;
 
   /**
    * Shards 0 to 3 at four positions, each held by two servers: s0 at position 0, s1 at 1 and so on.
@@ -96,55 +96,55 @@
     }
   }
 
-  private String type(String name, String repeat, double late) {
+  private String queryClassJson(String name, String repeat, double late) {
     return "{'name':'"
         + name
         + "','semantics':'"
         + repeat
         + "','onTimeMs':"
-        + targetMs
+        + latencyObjectiveMs
         + ",'deadlineMs':"
-        + 3 * targetMs
+        + 3 * latencyObjectiveMs
         + ",'windowMs':2000,"
         + "'lateWorth':"
         + late
         + ",'worth':1}";
   }
 
-  String config() {
-    file.put("discovery", discovery.address());
+  String configJson() {
+    configFields.put("discovery", discovery.address());
     String settings =
         "{'instances':2,'tickMs':5,'discovery':'"
-            + mode
+            + discoveryMode
             + "','services':["
-            + type("whole", "read_like", 0.1)
+            + queryClassJson("whole", "read_like", 0.1)
             + ","
-            + type("part", "read_like", 0)
+            + queryClassJson("part", "read_like", 0)
             + ","
-            + type("once", "non_idempotent", 0.3)
+            + queryClassJson("once", "non_idempotent", 0.3)
             + "],'specifics':{'slices':4,"
             + "'positions':4,'width':2,'bundleMax':"
-            + bundleMost
+            + maxBatchSize
             + ",'floorByClass':[1,0.5,1],'classNeed':[1,1,1]},"
             + "'limits':"
-            + json(limits)
+            + toJson(limits)
             + ",'guarantees':{'answerSlackMs':20,'askEveryMs':"
-            + askEveryMs
+            + pollIntervalMs
             + ",'stopSendingWithinMs':500,'coldFrom':0.3,'coldMs':0,'fallMultiple':2,'tipAfterMs':1000},"
             + "'report':{'how':'on_probe'}}";
-    String top = json(file);
+    String top = toJson(configFields);
     return (top.substring(0, top.length() - 1)
             + ",'limits':{'sockets':"
-            + sockets
+            + maxSockets
             + "}"
-            + (known ? ",'known':" + discovery.list(true) : "")
+            + (hasCachedList ? ",'known':" + discovery.listJson(true) : "")
             + ",'settings':"
             + settings
             + "}")
         .replace('\'', '"');
   }
 
-  private static String json(Map<String, Object> values) {
+  private static String toJson(Map<String, Object> values) {
     return values.entrySet().stream()
         .map(
             e ->
@@ -155,20 +155,21 @@
         .collect(Collectors.joining(",", "{", "}"));
   }
 
-  Path configFile() throws IOException {
-    path = Files.createTempFile("gatherer", ".json");
-    path.toFile().deleteOnExit();
-    return Files.writeString(path, config());
+  Path writeConfigFile() throws IOException {
+    configPath = Files.createTempFile("gatherer", ".json");
+    configPath.toFile().deleteOnExit();
+    return Files.writeString(configPath, configJson());
   }
 
   /** Starts a gatherer in this process, from the environment and the file as the program does. */
   FakeSite start() throws IOException {
-    gatherer = QueryRouter.start(RouterConfig.read(Map.of("NODE_CONFIG", configFile().toString())));
+    router =
+        QueryRouter.start(RouterConfig.read(Map.of("NODE_CONFIG", writeConfigFile().toString())));
     return this;
   }
 
   /** Starts the program itself, as {@code run} does; its standard error is the result's. */
-  Process program(Map<String, String> env, String... args) throws IOException {
+  Process startProcess(Map<String, String> env, String... args) throws IOException {
     List<String> command =
         new ArrayList<>(
             List.of(
@@ -180,12 +181,12 @@
                 System.getProperty("java.class.path"),
                 "tidebank.Main"));
     command.addAll(List.of(args));
-    if (limited) {
+    if (limitDescriptors) {
       // As many as it is told of, and those of the test's class path, which is a single jar in
       // service.
       int jars = System.getProperty("java.class.path").split(File.pathSeparator).length;
       command.addAll(
-          0, List.of("/bin/sh", "-c", "ulimit -n " + (sockets + jars) + "; exec \"$@\"", "sh"));
+          0, List.of("/bin/sh", "-c", "ulimit -n " + (maxSockets + jars) + "; exec \"$@\"", "sh"));
     }
     // A JVM leaves a signal alone that it inherits as ignored, as under nohup, and so would never
     // hear of SIGHUP.
@@ -193,7 +194,7 @@
     ProcessBuilder builder = new ProcessBuilder(command);
     builder.environment().putAll(env);
     process = builder.start();
-    errors = process.errorReader();
+    stderr = process.errorReader();
     return process;
   }
 
@@ -224,7 +225,7 @@
    * and it goes on when {@code go} is.
    */
   void stallBeforeSending(CountDownLatch stands, CountDownLatch go) throws Exception {
-    PolicyExecutor executor = (PolicyExecutor) field(gatherer, "executor");
+    PolicyExecutor executor = (PolicyExecutor) readField(router, "executor");
     CountDownLatch set = new CountDownLatch(1);
     DecisionLog stall =
         new DecisionLog() {
@@ -254,26 +255,26 @@
   }
 
   private Executor eventLoop() throws Exception {
-    return (Executor) field(gatherer, "loop");
+    return (Executor) readField(router, "loop");
   }
 
   /** The gatherer's listening socket. */
-  Channel listener() throws Exception {
-    return (Channel) field(field(field(gatherer, "clients"), "listener"), "channel");
+  Channel listeningChannel() throws Exception {
+    return (Channel) readField(readField(readField(router, "clients"), "listener"), "channel");
   }
 
-  private static Object field(Object owner, String name) throws Exception {
+  private static Object readField(Object owner, String name) throws Exception {
     Field field = owner.getClass().getDeclaredField(name);
     field.setAccessible(true);
     return field.get(owner);
   }
 
-  QueryRouter gatherer() {
-    return gatherer;
+  QueryRouter router() {
+    return router;
   }
 
-  FakeClient client() throws IOException {
-    return new FakeClient(gatherer.address());
+  FakeClient connectClient() throws IOException {
+    return new FakeClient(router.address());
   }
 
   @Override
@@ -281,8 +282,8 @@
     if (process != null) {
       process.destroyForcibly().waitFor();
     }
-    if (gatherer != null) {
-      gatherer.stop().get(WAIT_MS, TimeUnit.MILLISECONDS);
+    if (router != null) {
+      router.stop().get(WAIT_MS, TimeUnit.MILLISECONDS);
     }
     discovery.close();
     for (FakeShardServer server : servers) {
@@ -292,33 +293,33 @@
 
   /** Accepts connections and serves each on a thread of its own. */
   abstract static class FakeServer implements AutoCloseable {
-    interface Served {
-      void serve(Socket socket) throws IOException, InterruptedException;
+    interface ConnectionHandler {
+      void handle(Socket socket) throws IOException, InterruptedException;
     }
 
     final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
-    final AtomicInteger accepted = new AtomicInteger();
-    ServerSocket listener;
+    final AtomicInteger acceptedCount = new AtomicInteger();
+    ServerSocket serverSocket;
 
-    void open(Served served) {
+    void listen(ConnectionHandler served) {
       try {
-        listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
+        serverSocket = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
       } catch (IOException fault) {
         throw new UncheckedIOException(fault);
       }
-      ServerSocket mine = listener;
-      background(
+      ServerSocket mine = serverSocket;
+      runInBackground(
           () -> {
             while (true) {
               Socket socket = mine.accept();
               // Each write is a segment of its own, at once.
               socket.setTcpNoDelay(true);
-              accepted.incrementAndGet();
+              acceptedCount.incrementAndGet();
               sockets.add(socket);
-              background(
+              runInBackground(
                   () -> {
                     try (socket) {
-                      served.serve(socket);
+                      served.handle(socket);
                     } finally {
                       sockets.remove(socket);
                     }
@@ -331,7 +332,7 @@
       void run() throws Exception;
     }
 
-    private static void background(Task task) {
+    private static void runInBackground(Task task) {
       Thread thread =
           new Thread(
               () -> {
@@ -346,10 +347,10 @@
     }
 
     String address() {
-      return "127.0.0.1:" + listener.getLocalPort();
+      return "127.0.0.1:" + serverSocket.getLocalPort();
     }
 
-    void cut() throws IOException {
+    void resetConnections() throws IOException {
       for (Socket socket : sockets) {
         try {
           socket.setSoLinger(true, 0);
@@ -362,42 +363,42 @@
 
     @Override
     public void close() throws IOException {
-      listener.close();
-      cut();
+      serverSocket.close();
+      resetConnections();
     }
   }
 
   /** Reads frames. A part is answered at once, or handed to the test. */
   static final class FakeShardServer extends FakeServer {
     /** A frame as it came, and the connection to answer on. */
-    record Frame(char letter, String rest, Socket socket) {
-      String part() {
-        return rest.split(" ")[0];
+    record Frame(char type, String content, Socket socket) {
+      String requestId() {
+        return content.split(" ")[0];
       }
 
-      void answer(String end, String value) throws IOException {
-        raw(frame('q', part() + " " + end + " 7 util=0.61\n" + value));
+      void respond(String end, String value) throws IOException {
+        sendBytes(encodeFrame('q', requestId() + " " + end + " 7 util=0.61\n" + value));
       }
 
-      void raw(byte[] bytes) throws IOException {
+      void sendBytes(byte[] bytes) throws IOException {
         socket.getOutputStream().write(bytes);
       }
     }
 
     final String id;
-    final int block;
+    final int position;
     final BlockingQueue<Frame> frames = new LinkedBlockingQueue<>();
-    volatile boolean answers = true;
+    volatile boolean autoRespond = true;
     volatile String health = "Ready";
 
     FakeShardServer(String id, int block) {
       this.id = id;
-      this.block = block;
-      reopen();
+      this.position = block;
+      listenOnNewPort();
     }
 
-    void reopen() {
-      open(
+    void listenOnNewPort() {
+      listen(
           socket -> {
             DataInputStream in = new DataInputStream(socket.getInputStream());
             while (true) {
@@ -408,26 +409,26 @@
                       new String(bytes, 1, bytes.length - 1, StandardCharsets.UTF_8),
                       socket);
               // How it is answered is settled before the test hears of it.
-              boolean settled = answers;
+              boolean settled = autoRespond;
               frames.add(frame);
-              if (settled && frame.letter == 'm') {
-                frame.answer("good", "value of " + frame.part());
+              if (settled && frame.type == 'm') {
+                frame.respond("good", "value of " + frame.requestId());
               }
             }
           });
     }
 
-    Frame next() throws InterruptedException {
+    Frame awaitFrame() throws InterruptedException {
       Frame frame = frames.poll(WAIT_MS, TimeUnit.MILLISECONDS);
       Assertions.assertThat(frame).as("a frame at " + id).isNotNull();
       return frame;
     }
 
-    static byte[] frame(char letter, String rest) {
-      return frame(letter, rest.getBytes(StandardCharsets.UTF_8));
+    static byte[] encodeFrame(char letter, String rest) {
+      return encodeFrame(letter, rest.getBytes(StandardCharsets.UTF_8));
     }
 
-    static byte[] frame(char letter, byte[] bytes) {
+    static byte[] encodeFrame(char letter, byte[] bytes) {
       return ByteBuffer.allocate(5 + bytes.length)
           .putInt(1 + bytes.length)
           .put((byte) letter)
@@ -442,23 +443,23 @@
     final BlockingQueue<String> calls = new LinkedBlockingQueue<>();
 
     /** What to answer in place of the list: raw HTTP, "" to say nothing. */
-    volatile String instead;
+    volatile String responseOverride;
 
     /**
      * How the connection ends behind what is answered instead: by a reset, or by an end that is
      * whole; null: not.
      */
-    volatile Boolean resets;
+    volatile Boolean closeByReset;
 
     int version = 41;
-    private String changed = "";
+    private String latestChange = "";
 
     /** One permit lets one connection end. */
-    final java.util.concurrent.Semaphore awaitRead = new java.util.concurrent.Semaphore(0);
+    final java.util.concurrent.Semaphore closePermits = new java.util.concurrent.Semaphore(0);
 
     FakeDiscovery(FakeSite site) {
       this.site = site;
-      open(this::serve);
+      listen(this::serve);
     }
 
     private void serve(Socket socket) throws IOException, InterruptedException {
@@ -467,16 +468,16 @@
         if (line.startsWith("GET ")) {
           String path = line.split(" ")[1];
           // How it is answered is settled before the test hears of it.
-          String settled = instead;
-          Boolean reset = resets;
+          String settled = responseOverride;
+          Boolean reset = closeByReset;
           calls.add(path);
           String reply =
               settled != null
                   ? settled
-                  : http(path.contains("after=") ? changes(path) : list(true));
+                  : httpResponse(path.contains("after=") ? awaitChange(path) : listJson(true));
           socket.getOutputStream().write(reply.getBytes(StandardCharsets.UTF_8));
           if (settled != null && reset != null) {
-            awaitRead.acquire();
+            closePermits.acquire();
             if (reset) {
               socket.setSoLinger(true, 0);
             }
@@ -486,11 +487,11 @@
       }
     }
 
-    static String http(String body) {
+    static String httpResponse(String body) {
       return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    private synchronized String changes(String path) throws InterruptedException {
+    private synchronized String awaitChange(String path) throws InterruptedException {
       int after = Integer.parseInt(path.replaceAll(".*after=(\\d+).*", "$1"));
       long until =
           System.nanoTime()
@@ -501,35 +502,35 @@
       return "{\"seq\":"
           + version
           + ",\"whole\":false,\"hosts\":["
-          + (version > after ? changed : "")
+          + (version > after ? latestChange : "")
           + "]}";
     }
 
     /** Tells a change of this server. */
-    synchronized void change(FakeShardServer server, String health) {
+    synchronized void updateHealth(FakeShardServer server, String health) {
       server.health = health;
-      changed = line(server);
+      latestChange = hostJson(server);
       version++;
       notifyAll();
     }
 
-    String list(boolean whole) {
+    String listJson(boolean whole) {
       return "{\"seq\":"
           + version
           + ",\"whole\":"
           + whole
           + ",\"hosts\":["
-          + String.join(",", site.servers.stream().map(FakeDiscovery::line).toList())
+          + String.join(",", site.servers.stream().map(FakeDiscovery::hostJson).toList())
           + "]}";
     }
 
-    static String line(FakeShardServer server) {
+    static String hostJson(FakeShardServer server) {
       return ("{'host':'"
               + server.id
               + "','dial':'"
               + server.address()
               + "','site':'a','class':'m','block':"
-              + server.block
+              + server.position
               + ",'health':'"
               + server.health
               + "','share':1.0,'born_ms':0}")
@@ -537,7 +538,7 @@
     }
 
     /** Waits for a call of this kind. */
-    String call(String part) throws InterruptedException {
+    String awaitCall(String part) throws InterruptedException {
       while (true) {
         String call = calls.poll(WAIT_MS, TimeUnit.MILLISECONDS);
         Assertions.assertThat(call).as("a call of discovery with " + part).isNotNull();
@@ -575,7 +576,7 @@
     }
 
     /** The request of a scan with these weights, one part a shard. */
-    static String scan(String type, String id, int timeLeftMs, double... weights) {
+    static String queryRequest(String type, String id, int timeLeftMs, double... weights) {
       StringBuilder ranges = new StringBuilder();
       for (int shard = 0; shard < weights.length; shard++) {
         ranges
@@ -586,14 +587,14 @@
             .append(weights[shard])
             .append("}");
       }
-      return post(
+      return postRequest(
           "/" + type,
           id,
           timeLeftMs + "m",
           "{\"ranges\":[" + ranges + "],\"predicate\":\"c41e77d0\"}");
     }
 
-    static String post(String path, String id, String timeLeft, String body) {
+    static String postRequest(String path, String id, String timeLeft, String body) {
       return "POST "
           + path
           + " HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: "
@@ -607,7 +608,7 @@
     }
 
     /** Another client of the same gatherer. */
-    FakeClient again() throws IOException {
+    FakeClient connectAnother() throws IOException {
       return new FakeClient((InetSocketAddress) socket.getRemoteSocketAddress());
     }
 
@@ -616,18 +617,18 @@
       return this;
     }
 
-    Response ask(String raw) throws IOException {
-      return send(raw).read();
+    Response sendAndRead(String raw) throws IOException {
+      return send(raw).readResponse();
     }
 
-    int ready() throws IOException {
-      return ask("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").status;
+    int fetchReadinessStatus() throws IOException {
+      return sendAndRead("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").status;
     }
 
-    Response read() throws IOException {
-      String status = line();
+    Response readResponse() throws IOException {
+      String status = readLine();
       Map<String, String> headers = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
-      for (String line = line(); !line.isEmpty(); line = line()) {
+      for (String line = readLine(); !line.isEmpty(); line = readLine()) {
         headers.put(line.split(": ")[0], line.split(": ")[1]);
       }
       byte[] body = in.readNBytes(Integer.parseInt(headers.get("Content-Length")));
@@ -637,7 +638,7 @@
           new String(body, StandardCharsets.UTF_8));
     }
 
-    private String line() throws IOException {
+    private String readLine() throws IOException {
       StringBuilder line = new StringBuilder();
       for (int next = in.read(); next != '\n'; next = in.read()) {
         if (next < 0) {
@@ -649,7 +650,7 @@
     }
 
     /** Whether the gatherer has ended the connection. */
-    boolean ended() throws IOException {
+    boolean isClosedByRouter() throws IOException {
       return in.read() < 0;
     }
 
--- a/router/src/test/java/tidebank/MalformedInputTest.java
+++ b/router/src/test/java/tidebank/MalformedInputTest.java
@@ -2,9 +2,9 @@
 
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
 import static org.assertj.core.api.Assertions.assertThat;
-import static tidebank.FakeSite.FakeClient.post;
-import static tidebank.FakeSite.FakeClient.scan;
-import static tidebank.FakeSite.FakeShardServer.frame;
+import static tidebank.FakeSite.FakeClient.postRequest;
+import static tidebank.FakeSite.FakeClient.queryRequest;
+import static tidebank.FakeSite.FakeShardServer.encodeFrame;
 
 import io.netty.buffer.PooledByteBufAllocator;
 import io.netty.buffer.PooledByteBufAllocatorMetric;
@@ -41,7 +41,7 @@
   private static final String BODY =
       "{\"ranges\":[{\"range\":0,\"portion\":1}],\"predicate\":\"p\"}   ";
 
-  private static final String SMUGGLED = scan("whole", "smuggled", 2900, 1);
+  private static final String SMUGGLED = queryRequest("whole", "smuggled", 2900, 1);
 
   /** What follows the size of the first chunk. */
   private static final String CHUNKS = "\r\n" + BODY + "\r\n0\r\n\r\n" + SMUGGLED;
@@ -74,20 +74,20 @@
   }
 
   private static String chunked(String chunks) {
-    return post("/whole", "a", "2900m", "")
+    return postRequest("/whole", "a", "2900m", "")
             .replace("Content-Length: 0", "Transfer-Encoding: chunked")
         + chunks;
   }
 
   private static String withLength(String length) {
-    return post("/whole", "a", "2900m", BODY + SMUGGLED)
+    return postRequest("/whole", "a", "2900m", BODY + SMUGGLED)
         .replaceFirst(
             "Content-Length: \\d+", Matcher.quoteReplacement("Content-Length: " + length));
   }
 
   private void nothingIsSent() {
     for (FakeShardServer server : site.servers) {
-      assertThat(server.frames).noneMatch(frame -> frame.letter() == 'm');
+      assertThat(server.frames).noneMatch(frame -> frame.type() == 'm');
     }
   }
 
@@ -96,7 +96,7 @@
     List<Integer> statuses = new ArrayList<>();
     try {
       while (true) {
-        statuses.add(client.read().status());
+        statuses.add(client.readResponse().status());
       }
     } catch (EOFException | SocketException ended) {
       return statuses;
@@ -109,9 +109,9 @@
   void withoutTheirFaultTheRequestsBelowAndTheOneBehindThemAreServed() throws Exception {
     site.start();
     for (String sound : List.of(withLength("55"), chunked("37" + CHUNKS))) {
-      try (FakeClient client = site.client()) {
-        assertThat(client.ask(sound).body()).contains("value of a.0");
-        assertThat(client.read().body()).contains("value of smuggled.0");
+      try (FakeClient client = site.connectClient()) {
+        assertThat(client.sendAndRead(sound).body()).contains("value of a.0");
+        assertThat(client.readResponse().body()).contains("value of smuggled.0");
       }
     }
   }
@@ -140,11 +140,11 @@
   void aLengthThatIsNoneOrTooLargeIsRefusedAndNothingBehindItIsRead() throws Exception {
     site.start();
     for (String length : LENGTHS) {
-      try (FakeClient other = site.client();
-          FakeClient client = site.client()) {
+      try (FakeClient other = site.connectClient();
+          FakeClient client = site.connectClient()) {
         client.send(withLength(length));
         assertThat(statuses(client)).as(length).hasSize(1).isSubsetOf(400, 413);
-        assertThat(other.ready()).isEqualTo(200);
+        assertThat(other.fetchReadinessStatus()).isEqualTo(200);
         nothingIsSent();
       }
     }
@@ -173,11 +173,11 @@
   void aChunkSizeThatIsNoneOrTooLargeIsRefusedAndNothingBehindItIsRead() throws Exception {
     site.start();
     for (String size : CHUNK_SIZES) {
-      try (FakeClient other = site.client();
-          FakeClient client = site.client()) {
+      try (FakeClient other = site.connectClient();
+          FakeClient client = site.connectClient()) {
         client.send(chunked(size + CHUNKS));
         assertThat(statuses(client)).as(size).hasSize(1).isSubsetOf(400, 413);
-        assertThat(other.ready()).isEqualTo(200);
+        assertThat(other.fetchReadinessStatus()).isEqualTo(200);
         nothingIsSent();
       }
     }
@@ -213,11 +213,11 @@
     site.start();
     for (String header : HEADERS) {
       for (String body : List.of(BODY + SMUGGLED, "37" + CHUNKS)) {
-        try (FakeClient other = site.client();
-            FakeClient client = site.client()) {
-          client.send(withHeader(post("/whole", "a", "2900m", body), header));
+        try (FakeClient other = site.connectClient();
+            FakeClient client = site.connectClient()) {
+          client.send(withHeader(postRequest("/whole", "a", "2900m", body), header));
           assertThat(statuses(client)).as(header).containsExactly(400);
-          assertThat(other.ready()).isEqualTo(200);
+          assertThat(other.fetchReadinessStatus()).isEqualTo(200);
           nothingIsSent();
         }
       }
@@ -228,20 +228,21 @@
   @ValueSource(strings = {"100-continue", "something-else"})
   void anExpectationBeforeABodyThatIsTooLargeLetsNothingBehindItBeReadAsARequest(String expectation)
       throws Exception {
-    site.servers.forEach(server -> server.answers = false);
+    site.servers.forEach(server -> server.autoRespond = false);
     site.start();
-    try (FakeClient client = site.client()) {
-      client.send(scan("once", "first", 2900, 1));
+    try (FakeClient client = site.connectClient()) {
+      client.send(queryRequest("once", "first", 2900, 1));
       Frame first = anyFrame();
       String body = SMUGGLED + " ".repeat(70_000);
       client.send(
-          withHeader(post("/whole", "a", "2900m", body), "Expect: " + expectation) + SMUGGLED);
-      try (FakeClient other = site.client()) {
-        assertThat(other.ready()).isEqualTo(200);
-        assertThat(other.ready()).isEqualTo(200);
+          withHeader(postRequest("/whole", "a", "2900m", body), "Expect: " + expectation)
+              + SMUGGLED);
+      try (FakeClient other = site.connectClient()) {
+        assertThat(other.fetchReadinessStatus()).isEqualTo(200);
+        assertThat(other.fetchReadinessStatus()).isEqualTo(200);
       }
-      first.answer("good", "first");
-      Response response = client.read();
+      first.respond("good", "first");
+      Response response = client.readResponse();
       assertThat(response.status()).as("responses keep their order").isEqualTo(200);
       assertThat(response.body()).contains("\"first\"");
       assertThat(statuses(client)).hasSize(1).allMatch(status -> status >= 400);
@@ -253,9 +254,9 @@
   @ValueSource(strings = {"100-continue", "something-else"})
   void aBodyThatIsTooLargeForItsExpectationIsNoRequest(String expectation) throws Exception {
     site.start();
-    try (FakeClient client = site.client()) {
+    try (FakeClient client = site.connectClient()) {
       String body = SMUGGLED + " ".repeat(70_000);
-      client.send(withHeader(post("/whole", "a", "2900m", body), "Expect: " + expectation));
+      client.send(withHeader(postRequest("/whole", "a", "2900m", body), "Expect: " + expectation));
       assertThat(statuses(client)).hasSize(1).allMatch(status -> status >= 400);
       nothingIsSent();
     }
@@ -264,13 +265,14 @@
   @Test
   void anExpectationIsMetAndItsBodyTakenAsAnyOther() throws Exception {
     site.start();
-    try (FakeClient client = site.client()) {
-      String request = withHeader(scan("whole", "expects", 2900, 1), "Expect: 100-continue");
+    try (FakeClient client = site.connectClient()) {
+      String request =
+          withHeader(queryRequest("whole", "expects", 2900, 1), "Expect: 100-continue");
       int head = request.indexOf("\r\n\r\n") + 4;
       client.send(request.substring(0, head));
       byte[] interim = client.socket.getInputStream().readNBytes(25);
       assertThat(new String(interim)).isEqualTo("HTTP/1.1 100 Continue\r\n\r\n");
-      assertThat(client.ask(request.substring(head)).body()).contains("value of expects.0");
+      assertThat(client.sendAndRead(request.substring(head)).body()).contains("value of expects.0");
     }
   }
 
@@ -278,7 +280,7 @@
     while (true) {
       for (FakeShardServer server : site.servers) {
         Frame frame = server.frames.poll();
-        if (frame != null && frame.letter() == 'm') {
+        if (frame != null && frame.type() == 'm') {
           return frame;
         }
       }
@@ -344,7 +346,7 @@
   private PooledByteBufAllocatorMetric memory() throws Exception {
     Field netty = QueryRouter.class.getDeclaredField("netty");
     netty.setAccessible(true);
-    Object resources = netty.get(site.gatherer());
+    Object resources = netty.get(site.router());
     Field allocator = resources.getClass().getDeclaredField("allocator");
     allocator.setAccessible(true);
     return ((PooledByteBufAllocator) allocator.get(resources)).metric();
@@ -354,18 +356,19 @@
   void whatNeverEndsIsCutOffInTimeInBoundedMemoryWhileOthersAreServed() throws Exception {
     site.start();
     List<FakeClient> clients = new ArrayList<>();
-    try (FakeClient other = site.client()) {
-      assertThat(other.ready()).isEqualTo(200);
+    try (FakeClient other = site.connectClient()) {
+      assertThat(other.fetchReadinessStatus()).isEqualTo(200);
       for (int i = 0; i < ENDLESS.length; i++) {
-        clients.add(site.client());
+        clients.add(site.connectClient());
       }
       List<Thread> floods = floods(clients);
       for (int i = 0; floods.stream().anyMatch(Thread::isAlive); i++) {
-        assertThat(other.ask(scan("whole", "o" + i, 2900, 1)).status()).isEqualTo(200);
+        assertThat(other.sendAndRead(queryRequest("whole", "o" + i, 2900, 1)).status())
+            .isEqualTo(200);
         assertThat(memory().usedDirectMemory()).isLessThan(MOST_BYTES);
       }
       for (FakeShardServer server : site.servers) {
-        assertThat(server.frames).allMatch(frame -> frame.part().startsWith("o"));
+        assertThat(server.frames).allMatch(frame -> frame.requestId().startsWith("o"));
       }
     } finally {
       for (FakeClient client : clients) {
@@ -376,15 +379,15 @@
 
   @Test
   void clientsThatSendMuchAtOnceAndGoLeaveNothingBehind() throws Exception {
-    site.servers.forEach(server -> server.answers = false);
+    site.servers.forEach(server -> server.autoRespond = false);
     site.start();
-    try (FakeClient other = site.client()) {
-      assertThat(other.ready()).isEqualTo(200);
+    try (FakeClient other = site.connectClient()) {
+      assertThat(other.fetchReadinessStatus()).isEqualTo(200);
       for (int round = 0; round < LEAVERS; round++) {
-        FakeClient leaver = site.client();
+        FakeClient leaver = site.connectClient();
         StringBuilder many = new StringBuilder();
         for (int i = 0; i < REQUESTS; i++) {
-          many.append(scan("whole", "l" + round + "x" + i, 2900, 0.5, 0.5));
+          many.append(queryRequest("whole", "l" + round + "x" + i, 2900, 0.5, 0.5));
         }
         if (round % 2 == 0) {
           leaver.socket.setSoLinger(true, 0);
@@ -395,16 +398,16 @@
           assertThat(leaver.socket.isConnected()).isTrue();
         }
         leaver.close();
-        assertThat(other.ready()).isEqualTo(200);
+        assertThat(other.fetchReadinessStatus()).isEqualTo(200);
       }
       while (connections() > 1) {
-        assertThat(other.ready()).isEqualTo(200);
+        assertThat(other.fetchReadinessStatus()).isEqualTo(200);
       }
       // As many may be held as before: what leavers asked for is held no longer.
-      site.servers.forEach(server -> server.answers = true);
-      Response response = other.ask(scan("whole", "other", 2900, 1));
+      site.servers.forEach(server -> server.autoRespond = true);
+      Response response = other.sendAndRead(queryRequest("whole", "other", 2900, 1));
       while (response.status() == 503) {
-        response = other.ask(scan("whole", "other", 2900, 1));
+        response = other.sendAndRead(queryRequest("whole", "other", 2900, 1));
       }
       assertThat(response.body()).contains("value of other.0");
     }
@@ -415,8 +418,8 @@
     Field clients = QueryRouter.class.getDeclaredField("clients");
     loop.setAccessible(true);
     clients.setAccessible(true);
-    ClientServer side = (ClientServer) clients.get(site.gatherer());
-    return ((ExecutorService) loop.get(site.gatherer())).submit(side::connectionCount).get();
+    ClientServer side = (ClientServer) clients.get(site.router());
+    return ((ExecutorService) loop.get(site.router())).submit(side::connectionCount).get();
   }
 
   // ---- shard servers
@@ -425,7 +428,7 @@
     site.servers.forEach(server -> server.health = "Gone");
     FakeShardServer one = site.servers.get(1);
     one.health = "Ready";
-    one.answers = false;
+    one.autoRespond = false;
     return one;
   }
 
@@ -435,24 +438,25 @@
   void anAnswerThatNeverEndsFailsItsPartsInTimeAndInBoundedMemory(int length) throws Exception {
     FakeShardServer server = onlyServer();
     site.start();
-    try (FakeClient client = site.client()) {
-      client.send(scan("once", "a", 2900, 0.5, 0.5));
-      Frame frame = server.next();
-      server.next();
-      byte[] head = frame('q', frame.part() + " good 1 -\n");
+    try (FakeClient client = site.connectClient()) {
+      client.send(queryRequest("once", "a", 2900, 0.5, 0.5));
+      Frame frame = server.awaitFrame();
+      server.awaitFrame();
+      byte[] head = encodeFrame('q', frame.requestId() + " good 1 -\n");
       java.nio.ByteBuffer.wrap(head).putInt(0, length);
-      frame.raw(head);
+      frame.sendBytes(head);
       // A part of what it says, and no more.
       try {
-        frame.raw(new byte[Math.min(length, BLOCK_BYTES) / 2]);
+        frame.sendBytes(new byte[Math.min(length, BLOCK_BYTES) / 2]);
       } catch (IOException closed) {
         assertThat(length).as("a length in bounds ends no connection").isGreaterThan(LENGTH_BOUND);
       }
-      assertThat(client.read().status()).isEqualTo(500);
+      assertThat(client.readResponse().status()).isEqualTo(500);
       assertThat(memory().usedDirectMemory()).isLessThan(MOST_BYTES);
-      server.answers = true;
-      assertThat(client.ask(scan("once", "b", 2900, 1)).body()).contains("value of b.0");
-      assertThat(server.accepted).as("a connection of its own").hasValue(2);
+      server.autoRespond = true;
+      assertThat(client.sendAndRead(queryRequest("once", "b", 2900, 1)).body())
+          .contains("value of b.0");
+      assertThat(server.acceptedCount).as("a connection of its own").hasValue(2);
     }
   }
 
@@ -461,22 +465,26 @@
   void framesWithoutEndThatNobodyAskedForEndTheirConnection() throws Exception {
     FakeShardServer server = onlyServer();
     site.start();
-    try (FakeClient client = site.client()) {
+    try (FakeClient client = site.connectClient()) {
       for (byte[] odd :
-          List.of(frame('q', "z.0 good 1 -\nx"), frame('o', "good"), new byte[] {0, 0, 0, 0})) {
-        client.send(scan("once", "a", 2900, 1));
-        Frame frame = server.next();
+          List.of(
+              encodeFrame('q', "z.0 good 1 -\nx"),
+              encodeFrame('o', "good"),
+              new byte[] {0, 0, 0, 0})) {
+        client.send(queryRequest("once", "a", 2900, 1));
+        Frame frame = server.awaitFrame();
         org.assertj.core.api.Assertions.assertThatThrownBy(
                 () -> {
                   while (true) {
-                    frame.raw(odd);
+                    frame.sendBytes(odd);
                   }
                 })
             .isInstanceOf(IOException.class);
-        assertThat(client.read().status()).isEqualTo(500);
+        assertThat(client.readResponse().status()).isEqualTo(500);
       }
-      server.answers = true;
-      assertThat(client.ask(scan("once", "b", 2900, 1)).body()).contains("value of b.0");
+      server.autoRespond = true;
+      assertThat(client.sendAndRead(queryRequest("once", "b", 2900, 1)).body())
+          .contains("value of b.0");
     }
   }
 
@@ -497,20 +505,20 @@
     FakeShardServer server = onlyServer();
     site.start();
     for (int cut : new int[] {2, 12, WHOLE.length() - 2}) {
-      server.answers = false;
-      try (FakeClient one = site.client();
-          FakeClient two = site.client()) {
-        one.send(scan("once", "a" + cut, 2900, 1));
-        Frame first = server.next();
-        two.send(scan("once", "b" + cut, 2900, 1));
-        Frame second = server.next();
+      server.autoRespond = false;
+      try (FakeClient one = site.connectClient();
+          FakeClient two = site.connectClient()) {
+        one.send(queryRequest("once", "a" + cut, 2900, 1));
+        Frame first = server.awaitFrame();
+        two.send(queryRequest("once", "b" + cut, 2900, 1));
+        Frame second = server.awaitFrame();
         assertThat(second.socket()).isSameAs(first.socket());
-        byte[] half = frame('q', second.part() + " good 1 -\n" + WHOLE);
+        byte[] half = encodeFrame('q', second.requestId() + " good 1 -\n" + WHOLE);
         int end = cut == WHOLE.length() - 2 ? half.length - 2 : cut;
         closes(close, first, half, end);
         // By the half behind it, the length of a whole answer may be as wrong.
-        assertThat(one.read().status()).isIn(200, 500);
-        Response response = two.read();
+        assertThat(one.readResponse().status()).isIn(200, 500);
+        Response response = two.readResponse();
         if (close == Close.AS_THE_REST_IS_LATE) {
           assertThat(response.body()).contains(WHOLE);
         } else {
@@ -519,43 +527,44 @@
         if (close == Close.AS_THE_REST_NEVER_COMES) {
           restBehindTheEnd(first, Arrays.copyOfRange(half, end, half.length));
         }
-        assertThat(server.frames).noneMatch(frame -> frame.letter() == 'm');
-        server.answers = true;
-        assertThat(two.ask(scan("once", "c" + cut, 2900, 1)).body()).contains("value of c");
-        server.next();
+        assertThat(server.frames).noneMatch(frame -> frame.type() == 'm');
+        server.autoRespond = true;
+        assertThat(two.sendAndRead(queryRequest("once", "c" + cut, 2900, 1)).body())
+            .contains("value of c");
+        server.awaitFrame();
       }
     }
   }
 
   private void closes(Close close, Frame first, byte[] half, int end) throws Exception {
     CountDownLatch go = site.stallEventLoop();
-    first.answer("good", "first");
+    first.respond("good", "first");
     if (close == Close.BEHIND_AN_UNREADABLE_FRAME) {
-      first.raw(frame('x', "y"));
+      first.sendBytes(encodeFrame('x', "y"));
     }
-    first.raw(Arrays.copyOfRange(half, 0, end));
+    first.sendBytes(Arrays.copyOfRange(half, 0, end));
     if (close == Close.BY_THE_SERVER) {
       first.socket().close();
     } else if (close == Close.AS_THE_REST_IS_LATE) {
       go.countDown();
       // Once the half is read, the loop stands still past the time for the rest, which comes then.
-      try (FakeClient other = site.client()) {
-        assertThat(other.ready()).isEqualTo(200);
-        assertThat(other.ready()).isEqualTo(200);
+      try (FakeClient other = site.connectClient()) {
+        assertThat(other.fetchReadinessStatus()).isEqualTo(200);
+        assertThat(other.fetchReadinessStatus()).isEqualTo(200);
       }
       go = site.stallEventLoop();
       long late = System.nanoTime() + 2_000_000L * REST_WITHIN_MS;
       while (System.nanoTime() < late) {
         Thread.onSpinWait();
       }
-      first.raw(Arrays.copyOfRange(half, end, half.length));
+      first.sendBytes(Arrays.copyOfRange(half, end, half.length));
     }
     go.countDown();
   }
 
   private static void restBehindTheEnd(Frame first, byte[] rest) {
     try {
-      first.raw(rest);
+      first.sendBytes(rest);
     } catch (IOException reset) {
       assertThat(reset).isInstanceOf(SocketException.class);
     }
--- a/router/src/test/java/tidebank/PolicyExecutorTest.java
+++ b/router/src/test/java/tidebank/PolicyExecutorTest.java
@@ -49,7 +49,7 @@
   @BeforeEach
   void setUp() throws Exception {
     site.limits.put("connectTimeoutMs", 2000);
-    config = RouterConfig.read(Map.of("NODE_CONFIG", site.configFile().toString()));
+    config = RouterConfig.read(Map.of("NODE_CONFIG", site.writeConfigFile().toString()));
     executor = new PolicyExecutor(config.settings(), 7, clock, timers, loop, counters);
   }
 
@@ -173,9 +173,9 @@
             shards.checkHealth("s0");
             return null;
           });
-      Frame frame = server.next();
-      assertThat(frame.letter()).isEqualTo('p');
-      frame.raw(FakeShardServer.frame('p', responsesAndCounters[i][0]));
+      Frame frame = server.awaitFrame();
+      assertThat(frame.type()).isEqualTo('p');
+      frame.sendBytes(FakeShardServer.encodeFrame('p', responsesAndCounters[i][0]));
       awaitCount(responsesAndCounters[i][1], i == 1 ? 2 : 1);
     }
     onLoop(
@@ -184,6 +184,6 @@
           return null;
         });
     awaitCount("probes.timed_out", 1);
-    assertThat(server.accepted).hasValue(1);
+    assertThat(server.acceptedCount).hasValue(1);
   }
 }
--- a/router/src/test/java/tidebank/QueryRouterSoakTest.java
+++ b/router/src/test/java/tidebank/QueryRouterSoakTest.java
@@ -1,7 +1,7 @@
 package tidebank;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static tidebank.FakeSite.FakeClient.scan;
+import static tidebank.FakeSite.FakeClient.queryRequest;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -85,7 +85,7 @@
   @ParameterizedTest
   @MethodSource("seeds")
   void eachRequestHasItsOneFate(long seed) throws Exception {
-    site.targetMs = TARGET_MS;
+    site.latencyObjectiveMs = TARGET_MS;
     InetSocketAddress address = start();
     List<Thread> threads = new ArrayList<>();
     site.servers.forEach(server -> threads.add(background(() -> watch(server))));
@@ -110,22 +110,22 @@
   // ---- the process and what happens to it
 
   private InetSocketAddress start() throws Exception {
-    site.program(
+    site.startProcess(
         Map.of(
             "NODE_CONFIG",
-            site.configFile().toString(),
+            site.writeConfigFile().toString(),
             "NODE_NAME",
             "n7",
             "NODE_LISTEN",
             "127.0.0.1:0"),
         "serve");
-    String line = site.errors.readLine();
+    String line = site.stderr.readLine();
     while (!line.contains("listens on")) {
-      line = site.errors.readLine();
+      line = site.stderr.readLine();
     }
     String port = line.replaceAll(".*127.0.0.1:(\\d+).*", "$1");
     // A full pipe would stop the process.
-    background(() -> site.errors.lines().forEach(text -> {}));
+    background(() -> site.stderr.lines().forEach(text -> {}));
     return new InetSocketAddress("127.0.0.1", Integer.parseInt(port));
   }
 
@@ -137,10 +137,10 @@
       TimeUnit.MILLISECONDS.sleep(STOP_MS);
       signal("CONT");
     }
-    site.discovery.change(drained, "Terminating");
+    site.discovery.updateHealth(drained, "Terminating");
     TimeUnit.MILLISECONDS.sleep(DRAINED_MS);
     signal("HUP");
-    site.discovery.change(drained, "Gone");
+    site.discovery.updateHealth(drained, "Gone");
     TimeUnit.MILLISECONDS.sleep(random.nextInt(300));
     ending = true;
     signal("TERM");
@@ -172,7 +172,8 @@
   /** Whether the connection may be asked on. */
   private boolean askOnce(FakeClient client, Random random, boolean first) throws Exception {
     String id = "r" + ids.incrementAndGet();
-    String request = scan(random.nextBoolean() ? "whole" : "part", id, TIME_LEFT_MS, 0.5, 0.5);
+    String request =
+        queryRequest(random.nextBoolean() ? "whole" : "part", id, TIME_LEFT_MS, 0.5, 0.5);
     int kind = random.nextInt(10);
     if (kind < 4) {
       client.send(request);
@@ -192,7 +193,7 @@
       if (kind == 4) {
         client.send("\r\n" + request.substring(0, cut));
       }
-      status = client.read().status();
+      status = client.readResponse().status();
     } catch (IOException none) {
       // Closed or reset: what that means is for the judge.
     }
@@ -206,8 +207,8 @@
   private void watch(FakeShardServer server) throws Exception {
     while (!over) {
       FakeShardServer.Frame frame = server.frames.poll(10, TimeUnit.MILLISECONDS);
-      if (frame != null && frame.letter() == 'm') {
-        String id = frame.part().split("[.]")[0];
+      if (frame != null && frame.type() == 'm') {
+        String id = frame.requestId().split("[.]")[0];
         Long closed = closedAt.get(id);
         if (closed != null && System.nanoTime() - closed > LEFT_MS * 1_000_000) {
           late.add(id);
--- a/router/src/test/java/tidebank/RequestFragmentationTest.java
+++ b/router/src/test/java/tidebank/RequestFragmentationTest.java
@@ -3,8 +3,8 @@
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.assertj.core.api.Assertions.assertThat;
-import static tidebank.FakeSite.FakeClient.scan;
-import static tidebank.FakeSite.FakeShardServer.frame;
+import static tidebank.FakeSite.FakeClient.queryRequest;
+import static tidebank.FakeSite.FakeShardServer.encodeFrame;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -57,7 +57,7 @@
   private static final String BODY =
       "{\"ranges\":[{\"range\":0,\"portion\":0.5},{\"range\":1,\"portion\":0.5}],\"predicate\":\"p\"}";
 
-  private static final String BY_LENGTH = scan("whole", ID + "a", 2900, 0.5, 0.5);
+  private static final String BY_LENGTH = queryRequest("whole", ID + "a", 2900, 0.5, 0.5);
 
   /** Header names in capitals, whitespace round values, a body of an indented object. */
   private static final String CAPITALS =
@@ -95,7 +95,7 @@
   void awaitedLong() {
     // Time is no part of what is tested here: pieces may come late on a busy machine.
     site.limits.put("connectTimeoutMs", FakeSite.WAIT_MS);
-    site.targetMs = FakeSite.WAIT_MS;
+    site.latencyObjectiveMs = FakeSite.WAIT_MS;
   }
 
   @AfterEach
@@ -112,7 +112,7 @@
   private Object field(String name) throws Exception {
     Field field = QueryRouter.class.getDeclaredField(name);
     field.setAccessible(true);
-    return field.get(site.gatherer());
+    return field.get(site.router());
   }
 
   private <T> T onLoop(Callable<T> task) throws Exception {
@@ -254,7 +254,7 @@
     for (int seed = 0; seed < RANDOM_CUTS / 4; seed++) {
       String id = String.format("s%07d", seed);
       String text = PIPELINE.replace(ID, id);
-      try (FakeClient client = site.client()) {
+      try (FakeClient client = site.connectClient()) {
         for (String piece : cut(text, randomPositions(text.length(), new Random(seed)))) {
           client.send(piece);
         }
@@ -273,8 +273,8 @@
    * every connection that has bytes between the first response and the second.
    */
   private static void awaitRead(FakeClient other) throws IOException {
-    assertThat(other.ready()).isEqualTo(200);
-    assertThat(other.ready()).isEqualTo(200);
+    assertThat(other.fetchReadinessStatus()).isEqualTo(200);
+    assertThat(other.fetchReadinessStatus()).isEqualTo(200);
   }
 
   private static byte[] joined(byte[]... parts) {
@@ -286,13 +286,13 @@
   }
 
   private static byte[] answer(Frame frame, String report, String value) {
-    return frame('q', frame.part() + " good 12 " + report + "\n" + value);
+    return encodeFrame('q', frame.requestId() + " good 12 " + report + "\n" + value);
   }
 
   /** The two parts' answers, the second one with a value that holds line ends and a frame. */
   private static byte[] answers(FakeShardServer server) throws InterruptedException {
-    Frame one = server.next();
-    Frame two = server.next();
+    Frame one = server.awaitFrame();
+    Frame two = server.awaitFrame();
     return joined(
         answer(two, "inflight=7,util=0.61", "two\n\u0000\u0000\u0000\u0005q\u00e9\u20ac"),
         answer(one, "-", ""));
@@ -302,7 +302,7 @@
     site.servers.forEach(server -> server.health = "Gone");
     FakeShardServer one = site.servers.get(1);
     one.health = "Ready";
-    one.answers = false;
+    one.autoRespond = false;
     return one;
   }
 
@@ -310,24 +310,24 @@
   void framesOfAShardServerCutAtAnyBytePositionAreReadAsOneSegment() throws Exception {
     FakeShardServer server = onlyServer();
     start();
-    try (FakeClient client = site.client();
-        FakeClient other = site.client()) {
+    try (FakeClient client = site.connectClient();
+        FakeClient other = site.connectClient()) {
       String whole = null;
       int length = Integer.MAX_VALUE;
       for (int at = 0; at < length; at++) {
         String id = String.format("%08d", at);
-        client.send(scan("once", id, 20_000, 0.5, 0.5));
+        client.send(queryRequest("once", id, 20_000, 0.5, 0.5));
         byte[] bytes = answers(server);
         length = bytes.length;
         Socket socket = server.sockets.iterator().next();
         socket.getOutputStream().write(bytes, 0, at);
         awaitRead(other);
         socket.getOutputStream().write(bytes, at, length - at);
-        String body = client.read().body().replace(id, ID);
+        String body = client.readResponse().body().replace(id, ID);
         whole = whole == null ? body : whole;
         assertThat(body).as("cut at byte %d", at).isEqualTo(whole).contains("two");
       }
-      assertThat(server.accepted).as("the connection holds").hasValue(1);
+      assertThat(server.acceptedCount).as("the connection holds").hasValue(1);
     }
   }
 
@@ -335,10 +335,10 @@
   void framesOfAShardServerCutAtRandomPositionsAreReadAsOneSegment() throws Exception {
     FakeShardServer server = onlyServer();
     start();
-    try (FakeClient client = site.client();
-        FakeClient other = site.client()) {
+    try (FakeClient client = site.connectClient();
+        FakeClient other = site.connectClient()) {
       for (int seed = 0; seed < RANDOM_CUTS / 2; seed++) {
-        client.send(scan("once", "r" + seed, 20_000, 0.5, 0.5));
+        client.send(queryRequest("once", "r" + seed, 20_000, 0.5, 0.5));
         byte[] bytes = answers(server);
         Socket socket = server.sockets.iterator().next();
         int from = 0;
@@ -348,12 +348,12 @@
           from = position;
         }
         socket.getOutputStream().write(bytes, from, bytes.length - from);
-        assertThat(client.read().body())
+        assertThat(client.readResponse().body())
             .as("seed %d", seed)
             .startsWith("{\"total\":true,")
             .contains("\"two\\n\\u0000\\u0000\\u0000\\u0005q\u00e9\u20ac\"", "\"blob\":\"\"");
       }
-      assertThat(server.accepted).as("the connection holds").hasValue(1);
+      assertThat(server.acceptedCount).as("the connection holds").hasValue(1);
     }
   }
 
@@ -361,7 +361,7 @@
 
   private String list(long version) {
     return site.discovery
-        .list(true)
+        .listJson(true)
         .replace("\"seq\":41", "\"seq\":" + version)
         .replace(",", ",\n  ");
   }
@@ -393,12 +393,12 @@
 
   @Test
   void aListOfDiscoveryCutAtAnyBytePositionIsReadAsOneSegment() throws Exception {
-    site.discovery.listener.close();
+    site.discovery.serverSocket.close();
     try (ServerSocket listener = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-      site.discovery.listener = listener;
+      site.discovery.serverSocket = listener;
       start();
       try (Socket watch = listener.accept();
-          FakeClient other = site.client()) {
+          FakeClient other = site.connectClient()) {
         watch.setTcpNoDelay(true);
         watch.setSoTimeout(FakeSite.WAIT_MS);
         assertThat(call(watch.getInputStream())).contains("after=41&");
--- a/router/src/test/java/tidebank/RouterConfigTest.java
+++ b/router/src/test/java/tidebank/RouterConfigTest.java
@@ -37,7 +37,7 @@
   @Test
   void variablesTakePrecedenceOverTheFile() throws Exception {
     RouterConfig config =
-        read(site.config(), Map.of("NODE_NAME", "n9", "NODE_LISTEN", "127.0.0.2:80"));
+        read(site.configJson(), Map.of("NODE_NAME", "n9", "NODE_LISTEN", "127.0.0.2:80"));
 
     assertThat(config.name()).isEqualTo("n9");
     assertThat(config.listen().toString()).isEqualTo("/127.0.0.2:80");
@@ -45,7 +45,7 @@
 
   @Test
   void valuesOfTheFileAreRead() throws Exception {
-    RouterConfig config = read(site.config(), Map.of());
+    RouterConfig config = read(site.configJson(), Map.of());
 
     assertThat(config.seed()).isEqualTo(0x8c1f30d27a5be964L);
     assertThat(config.transport().connectTimeoutUs()).isEqualTo(200_000);
@@ -54,10 +54,10 @@
 
   @Test
   void unknownKeysAreIgnored() throws Exception {
-    RouterConfig without = read(site.config(), Map.of());
-    site.file.put("unheard_of", 1);
+    RouterConfig without = read(site.configJson(), Map.of());
+    site.configFields.put("unheard_of", 1);
 
-    assertThat(read(site.config(), Map.of())).isEqualTo(without);
+    assertThat(read(site.configJson(), Map.of())).isEqualTo(without);
   }
 
   @Test
@@ -119,7 +119,7 @@
   @MethodSource("faults")
   void aFaultNamesTheKeyWhatWasFoundAndWhatIsWanted(
       String replaced, String replacement, String message) {
-    String valid = site.config();
+    String valid = site.configJson();
     String invalid = valid.replace(quoted(replaced), quoted(replacement));
 
     assertThat(invalid).isNotEqualTo(valid);
--- a/router/src/test/java/tidebank/StartupFaultsFixtureTest.java
+++ b/router/src/test/java/tidebank/StartupFaultsFixtureTest.java
@@ -71,7 +71,7 @@
   }
 
   private Map<String, String> prepare(JsonNode fault) throws Exception {
-    String sound = site.config();
+    String sound = site.configJson();
     String text =
         fault.has("json")
             ? fault.path("json").asText()
@@ -116,9 +116,9 @@
   }
 
   private String run(JsonNode fault, Map<String, String> env) throws Exception {
-    int exit = site.program(env, arguments(fault)).waitFor();
+    int exit = site.startProcess(env, arguments(fault)).waitFor();
     assertThat(exit).as(fault.path("name").asText()).isEqualTo(fault.path("exit").asInt());
-    List<String> lines = site.errors.lines().filter(line -> !line.isEmpty()).toList();
+    List<String> lines = site.stderr.lines().filter(line -> !line.isEmpty()).toList();
     return String.join("\n", lines);
   }
 
--- a/router/src/test/java/tidebank/UnfinishedRequestTest.java
+++ b/router/src/test/java/tidebank/UnfinishedRequestTest.java
@@ -1,7 +1,7 @@
 package tidebank;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static tidebank.FakeSite.FakeClient.scan;
+import static tidebank.FakeSite.FakeClient.queryRequest;
 
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
@@ -37,7 +37,7 @@
     HALF_A_BODY;
 
     String text() {
-      String next = scan("whole", "next", TIME_LEFT_MS, 1);
+      String next = queryRequest("whole", "next", TIME_LEFT_MS, 1);
       return switch (this) {
         case EMPTY_LINE -> "\r\n";
         case HALF_A_HEAD -> next.substring(0, 40);
@@ -64,29 +64,29 @@
   })
   void anAcceptedRequestIsAnsweredWhateverIsWrittenBehindIt(Behind behind, boolean atOnce)
       throws Exception {
-    site.targetMs = TARGET_MS;
+    site.latencyObjectiveMs = TARGET_MS;
     site.limits.put("secondCopies", false);
     FakeShardServer server = onlyServer();
     site.start();
-    try (FakeClient client = site.client()) {
-      String request = scan("whole", "first", TIME_LEFT_MS, 1);
+    try (FakeClient client = site.connectClient()) {
+      String request = queryRequest("whole", "first", TIME_LEFT_MS, 1);
       client.send(atOnce ? request + behind.text() : request);
-      Frame first = server.next();
+      Frame first = server.awaitFrame();
       if (!atOnce) {
         client.send(behind.text());
       }
       TimeUnit.MILLISECONDS.sleep(ANSWER_AFTER_MS);
-      first.answer("good", "value");
-      assertThat(client.read().status()).isEqualTo(200);
+      first.respond("good", "value");
+      assertThat(client.readResponse().status()).isEqualTo(200);
       if (behind == Behind.EMPTY_LINE) {
-        client.send(scan("whole", "next", TIME_LEFT_MS, 1));
-        Frame next = server.next();
+        client.send(queryRequest("whole", "next", TIME_LEFT_MS, 1));
+        Frame next = server.awaitFrame();
         assertThat(timeOf(next)).isGreaterThan(TIME_LEFT_MS - 1000);
-        next.answer("good", "value");
-        assertThat(client.read().status()).isEqualTo(200);
+        next.respond("good", "value");
+        assertThat(client.readResponse().status()).isEqualTo(200);
       } else {
-        assertThat(client.read().status()).isEqualTo(408);
-        assertThat(client.ended()).isTrue();
+        assertThat(client.readResponse().status()).isEqualTo(408);
+        assertThat(client.isClosedByRouter()).isTrue();
       }
     }
   }
@@ -95,12 +95,12 @@
     site.servers.forEach(server -> server.health = "Gone");
     FakeShardServer server = site.servers.get(0);
     server.health = "Ready";
-    server.answers = false;
+    server.autoRespond = false;
     return server;
   }
 
   /** The milliseconds for which a dispatch says that it will be waited for. */
   private static long timeOf(Frame frame) {
-    return Long.parseLong(frame.rest().replaceAll("(?s).* d=(\\d+) .*", "$1"));
+    return Long.parseLong(frame.content().replaceAll("(?s).* d=(\\d+) .*", "$1"));
   }
 }
