--- a/router/src/test/java/tidebank/CrossingsTest.java
+++ b/router/src/test/java/tidebank/CrossingsTest.java
@@ -90,13 +90,13 @@
   // ---- clients that leave
 
   /** How a client ends its connection. */
-  enum End {
+  enum CloseMode {
     FIN,
     RESET,
-    HALF;
+    HALF_CLOSE;
 
-    void end(FakeClient client) throws IOException {
-      if (this == HALF) {
+    void close(FakeClient client) throws IOException {
+      if (this == HALF_CLOSE) {
         client.socket.shutdownOutput();
         return;
       }
@@ -108,8 +108,8 @@
   }
 
   @ParameterizedTest
-  @EnumSource(End.class)
-  void whatIsReadInOnePassWithTheEndOfItsClientIsNeverSent(End end) throws Exception {
+  @EnumSource(CloseMode.class)
+  void whatIsReadInOnePassWithTheEndOfItsClientIsNeverSent(CloseMode end) throws Exception {
     site.start();
     List<FakeClient> leavers = new ArrayList<>();
     try (FakeClient stays = site.connectClient()) {
@@ -119,7 +119,7 @@
       }
       CountDownLatch go = site.stallEventLoop();
       for (FakeClient leaver : leavers) {
-        end.end(
+        end.close(
             leaver.send(queryRequest("whole", "gone" + leavers.indexOf(leaver), 2900, 0.5, 0.5)));
       }
       stays.send(queryRequest("whole", "stays", 2900, 0.5, 0.5));
@@ -156,8 +156,8 @@
   }
 
   @ParameterizedTest
-  @EnumSource(End.class)
-  void anAnswerAndTheEndOfItsClientInOnePassLeaveNothingBehind(End end) throws Exception {
+  @EnumSource(CloseMode.class)
+  void anAnswerAndTheEndOfItsClientInOnePassLeaveNothingBehind(CloseMode end) throws Exception {
     silence();
     FakeShardServer server = only();
     site.start();
@@ -165,7 +165,7 @@
     leaver.send(queryRequest("once", "a", 2900, 1));
     Frame frame = server.awaitFrame();
     CountDownLatch go = site.stallEventLoop();
-    end.end(leaver);
+    end.close(leaver);
     frame.respond("good", "in one pass");
     go.countDown();
     server.autoRespond = true;
--- a/router/src/test/java/tidebank/DepartedClientTest.java
+++ b/router/src/test/java/tidebank/DepartedClientTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
-import tidebank.CrossingsTest.End;
+import tidebank.CrossingsTest.CloseMode;
 import tidebank.FakeSite.FakeClient;
 import tidebank.FakeSite.FakeShardServer;
 
@@ -54,12 +54,12 @@
   @CsvSource({
     "BEFORE_ITS_REQUEST_IS_READ, FIN",
     "BEFORE_ITS_REQUEST_IS_READ, RESET",
-    "BEFORE_ITS_REQUEST_IS_READ, HALF",
+    "BEFORE_ITS_REQUEST_IS_READ, HALF_CLOSE",
     "BETWEEN_DECISION_AND_SENDING, FIN",
     "BETWEEN_DECISION_AND_SENDING, RESET",
-    "BETWEEN_DECISION_AND_SENDING, HALF"
+    "BETWEEN_DECISION_AND_SENDING, HALF_CLOSE"
   })
-  void nothingIsSentForAClientThatHasLeft(Moment moment, End end) throws Exception {
+  void nothingIsSentForAClientThatHasLeft(Moment moment, CloseMode end) throws Exception {
     site.start();
     try (FakeClient stays = site.connectClient()) {
       // The connections to the shard servers are up by then, so that nothing else delays a part.
@@ -79,18 +79,18 @@
   }
 
   /** Clients connect, ask and leave while the event loop is busy otherwise. */
-  private void leaveUnread(End end) throws Exception {
+  private void leaveUnread(CloseMode end) throws Exception {
     CountDownLatch go = site.stallEventLoop();
     for (int i = 0; i < LEAVERS; i++) {
       leavers.add(site.connectClient());
-      end.end(leavers.get(i).send(queryRequest("whole", "gone" + i, 2900, 0.5, 0.5)));
+      end.close(leavers.get(i).send(queryRequest("whole", "gone" + i, 2900, 0.5, 0.5)));
     }
     go.countDown();
   }
 
   @ParameterizedTest
-  @EnumSource(End.class)
-  void noFurtherDispatchIsSentForAClientThatLeftSinceItWasDecided(End end) throws Exception {
+  @EnumSource(CloseMode.class)
+  void noFurtherDispatchIsSentForAClientThatLeftSinceItWasDecided(CloseMode end) throws Exception {
     site.start();
     connectAllServers();
     site.servers.forEach(server -> server.autoRespond = false);
@@ -103,7 +103,7 @@
     site.stallBeforeSending(stands, go);
     // Its server says nothing, so that it is sent to another.
     stands.await();
-    end.end(leaver);
+    end.close(leaver);
     TimeUnit.MILLISECONDS.sleep(PASS_MS);
     site.servers.forEach(server -> server.autoRespond = true);
     go.countDown();
@@ -138,7 +138,7 @@
   }
 
   /** A client leaves while the pass that has read and decided its request is under way. */
-  private void leaveInPass(End end) throws Exception {
+  private void leaveInPass(CloseMode end) throws Exception {
     FakeClient leaver = site.connectClient();
     leavers.add(leaver);
     CountDownLatch stands = new CountDownLatch(1);
@@ -146,7 +146,7 @@
     site.stallBeforeSending(stands, go);
     leaver.send(queryRequest("whole", "gone", 2900, 0.5, 0.5));
     stands.await();
-    end.end(leaver);
+    end.close(leaver);
     TimeUnit.MILLISECONDS.sleep(PASS_MS);
     go.countDown();
   }
--- a/router/src/test/java/tidebank/QueryRouterSoakTest.java
+++ b/router/src/test/java/tidebank/QueryRouterSoakTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
-import tidebank.CrossingsTest.End;
+import tidebank.CrossingsTest.CloseMode;
 import tidebank.FakeSite.FakeClient;
 import tidebank.FakeSite.FakeShardServer;
 
@@ -178,7 +178,7 @@
     if (kind < 4) {
       client.send(request);
       TimeUnit.MILLISECONDS.sleep(random.nextInt(40));
-      End.values()[random.nextInt(2)].end(client);
+      CloseMode.values()[random.nextInt(2)].close(client);
       closedAt.put(id, System.nanoTime());
       return false;
     }
