--- a/cli/src/test/java/tidebank/cli/TidebankTest.java
+++ b/cli/src/test/java/tidebank/cli/TidebankTest.java
@@ -271,7 +271,7 @@
       assertThat(err.toString())
           .startsWith("tidebank: TB-1001: ")
           .contains("what to do: ")
-          .contains("trying again: ");
+          .contains("retry: ");
       assertThat(run("fleet", "drain", "nobody", "--stewards", at, "--json")).isEqualTo(1);
       assertThat(new ObjectMapper().readTree(err.toString()).path("code").asText())
           .isEqualTo("TB-1015");
--- a/router/src/main/java/tidebank/errors/CoordinatorException.java
+++ b/router/src/main/java/tidebank/errors/CoordinatorException.java
@@ -3,7 +3,7 @@
 import java.io.Serial;
 import tidebank.errors.TidebankException.Retry;
 
-/** Conditions of calls to the lease coordinator. */
+/** Error conditions of the lease coordinator and of requests to it. */
 public abstract sealed class CoordinatorException extends TidebankException {
   @Serial private static final long serialVersionUID = 1L;
 
@@ -11,73 +11,80 @@
     super(message);
   }
 
-  /** The steward that was asked is not the leader. */
+  /** The coordinator that received the request is not the leader. */
   @ErrorCondition(
       code = "TB-1101",
       retry = Retry.ELSEWHERE,
       advice =
-          "Ask the steward that is named; the fleet commands do so by themselves. If none is named,"
-              + " an election is under way: ask again within some seconds.")
+          "Send the request to the named leader; the fleet commands do so by themselves. If"
+              + " none is named, an election is in progress: try again after a few seconds.")
   public static final class NotLeading extends CoordinatorException {
     @Serial private static final long serialVersionUID = 1L;
 
-    /** Creates the error with the values involved. */
-    public NotLeading(String steward, String leader) {
+    /** Creates an error that names the values involved. */
+    public NotLeading(String coordinator, String leader) {
       super(
-          "steward "
-              + steward
-              + " does not lead; "
-              + (leader.isEmpty() ? "nobody is known to" : leader + " does"));
+          "coordinator "
+              + coordinator
+              + " is not the leader; "
+              + (leader.isEmpty() ? "no leader is known" : "the leader is " + leader));
     }
   }
 
-  /** The stewards did not reach a quorum in time. */
+  /** The coordinators did not reach a majority in time. */
   @ErrorCondition(
       code = "TB-1102",
       retry = Retry.LATER,
       advice =
-          "Most of the stewards have to run and reach each other. Start those that are down; see"
-              + " each one's log for its peers. Serving goes on meanwhile.")
+          "A majority of the coordinators must be running and able to reach each other."
+              + " Start those that are down, and check the log of each one for its peers."
+              + " Queries are still served in the meantime.")
   public static final class NoMajority extends CoordinatorException {
     @Serial private static final long serialVersionUID = 1L;
 
-    /** Creates the error with the values involved. */
+    /** Creates an error that names the values involved. */
     public NoMajority(String reason) {
-      super("the stewards did not agree in time: " + reason);
+      super("no majority of the coordinators agreed in time: " + reason);
     }
   }
 
-  /** The leader changed between taking a call and committing it. */
+  /** The leader changed between accepting a command and appending it to the replicated log. */
   @ErrorCondition(
       code = "TB-1103",
       retry = Retry.LATER,
-      advice = "Nothing needs doing: the same call, sent again, takes effect once.")
+      advice =
+          "No action is needed: the same command can be sent again and takes effect only"
+              + " once.")
   public static final class LeaderChanged extends CoordinatorException {
     @Serial private static final long serialVersionUID = 1L;
 
-    /** Creates the error with the values involved. */
-    public LeaderChanged(long stamped, long term) {
-      super("the call was taken in term " + stamped + " and came into the log in term " + term);
+    /** Creates an error that names the values involved. */
+    public LeaderChanged(long acceptedTerm, long loggedTerm) {
+      super(
+          "the command was accepted in term "
+              + acceptedTerm
+              + " but appended to the log in term "
+              + loggedTerm);
     }
   }
 
-  /** The body of a call cannot be parsed. */
+  /** A request cannot be parsed, or has an invalid parameter. */
   @ErrorCondition(
       code = "TB-1104",
       retry = Retry.NO,
       advice =
-          "Correct the body: docs/fleet-control.md shows one of each kind. A body has 64 KiB at"
-              + " most.")
+          "Correct the body: docs/fleet-control.md shows an example of each kind. A body"
+              + " may have at most 64 KiB.")
   public static final class MalformedRequest extends CoordinatorException {
     @Serial private static final long serialVersionUID = 1L;
 
-    /** Creates the error with the values involved. */
+    /** Creates an error that names the values involved. */
     public MalformedRequest(String reason) {
-      super("the call can't be read: " + reason);
+      super("malformed request: " + reason);
     }
   }
 
-  /** The steward has no resource at this method and path. */
+  /** The coordinator has no resource for this method and path. */
   @ErrorCondition(
       code = "TB-1105",
       retry = Retry.NO,
@@ -87,39 +94,39 @@
   public static final class PathUnknown extends CoordinatorException {
     @Serial private static final long serialVersionUID = 1L;
 
-    /** Creates the error with the values involved. */
+    /** Creates an error that names the values involved. */
     public PathUnknown(String method, String path) {
-      super("nothing answers to " + method + " " + path);
+      super("there is no resource for " + method + " " + path);
     }
   }
 
-  /** No steward accepted a connection. */
+  /** No coordinator could be reached. */
   @ErrorCondition(
       code = "TB-1106",
       retry = Retry.ELSEWHERE,
       advice =
-          "See that the stewards run and that the addresses given by --stewards are those of http"
-              + " in deploy/steward.toml.")
+          "Check that the coordinators are running and that the addresses given by"
+              + " --stewards are those of http in deploy/steward.toml.")
   public static final class CoordinatorUnavailable extends CoordinatorException {
     @Serial private static final long serialVersionUID = 1L;
 
-    /** Creates the error with the values involved. */
-    public CoordinatorUnavailable(String tried) {
-      super("no steward could be reached: " + tried);
+    /** Creates an error that names the values involved. */
+    public CoordinatorUnavailable(String addresses) {
+      super("no coordinator could be reached: " + addresses);
     }
   }
 
-  /** The address to listen on is in use or not available. */
+  /** The address to listen on is in use or cannot be bound. */
   @ErrorCondition(
       code = "TB-1109",
       retry = Retry.NO,
       advice =
-          "End the other program, or give the address of http or of the steward's own line under"
-              + " peers in deploy/steward.toml another port.")
+          "Stop the other program, or change the port of raft or http in the coordinator's"
+              + " own entry under peers, or under listen, in deploy/steward.toml.")
   public static final class AddressTaken extends CoordinatorException {
     @Serial private static final long serialVersionUID = 1L;
 
-    /** Creates the error with the values involved. */
+    /** Creates an error that names the values involved. */
     public AddressTaken(String address, String reason) {
       super("cannot listen on " + address + ": " + reason);
     }
--- a/router/src/main/java/tidebank/errors/ErrorCondition.java
+++ b/router/src/main/java/tidebank/errors/ErrorCondition.java
@@ -5,16 +5,16 @@
 import java.lang.annotation.RetentionPolicy;
 import java.lang.annotation.Target;
 
-/** Describes what is the same for every instance of an error condition. */
+/** The properties that all instances of an error condition share. */
 @Retention(RetentionPolicy.RUNTIME)
 @Target(ElementType.TYPE)
 public @interface ErrorCondition {
-  /** Returns the code, which never changes. */
+  /** Returns the code, such as TB-1001, which is the same in all releases. */
   String code();
 
-  /** Returns whether a retry can help. */
+  /** Returns whether a retry can succeed. */
   TidebankException.Retry retry();
 
-  /** Returns what an operator can do: a command, a key, a file or a limit. */
+  /** Returns what an operator can do: a command to run, or a setting or file to change. */
   String advice();
 }
--- a/router/src/main/java/tidebank/errors/MembershipException.java
+++ b/router/src/main/java/tidebank/errors/MembershipException.java
@@ -3,7 +3,7 @@
 import java.io.Serial;
 import tidebank.errors.TidebankException.Retry;
 
-/** Conditions of members of the fleet, their leases and what they publish under them. */
+/** Error conditions of fleet members, their leases and the values that they publish. */
 public abstract sealed class MembershipException extends TidebankException {
   @Serial private static final long serialVersionUID = 1L;
 
@@ -11,119 +11,131 @@
     super(message);
   }
 
-  /** No duty of this name is configured. */
+  /** No singleton task with this name is configured. */
   @ErrorCondition(
       code = "TB-1001",
       retry = Retry.NO,
       advice =
-          "Compare the name with those under duties.names in deploy/steward.toml; add it there and"
-              + " restart the stewards one after the other.")
+          "Compare the name with duties.names in deploy/steward.toml. To add a task, add"
+              + " its name there and restart the coordinators one at a time.")
   public static final class TaskNotFound extends MembershipException {
     @Serial private static final long serialVersionUID = 1L;
 
-    /** Creates the error with the values involved. */
-    public TaskNotFound(String duty) {
-      super("no duty is called '" + duty + "'");
+    /** Creates an error that names the values involved. */
+    public TaskNotFound(String task) {
+      super("no singleton task is named '" + task + "'");
     }
   }
 
-  /** Another member holds the lease of the duty. */
+  /** Another member holds the lease of the singleton task. */
   @ErrorCondition(
       code = "TB-1002",
       retry = Retry.LATER,
       advice =
-          "Nothing needs doing: an owner that has gone loses the duty when its lease ends. tidebank"
-              + " fleet duties shows who holds it.")
+          "No action is needed: a member that stops loses the lease when it expires."
+              + " tidebank fleet duties shows the holder of each task.")
   public static final class LeaseHeldByOther extends MembershipException {
     @Serial private static final long serialVersionUID = 1L;
 
-    /** Creates the error with the values involved. */
-    public LeaseHeldByOther(String duty, String owner, long remainingUs) {
+    /** Creates an error that names the values involved. */
+    public LeaseHeldByOther(String task, String holder, long remainingUs) {
       super(
-          "duty '"
-              + duty
+          "singleton task '"
+              + task
               + "' is held by "
-              + owner
+              + holder
               + " for up to "
               + remainingUs / 1000
               + " ms more");
     }
   }
 
-  /** The duty is assigned to another member. */
+  /** The singleton task is assigned to another member, or to none. */
   @ErrorCondition(
       code = "TB-1003",
       retry = Retry.NO,
       advice =
-          "Nothing needs doing where a duty was moved. To have it at a member of your choice:"
-              + " tidebank fleet move DUTY --to NAME.")
+          "No action is needed if the task was moved. To assign it to a member of your"
+              + " choice: tidebank fleet move DUTY --to NAME.")
   public static final class TaskAssignedElsewhere extends MembershipException {
     @Serial private static final long serialVersionUID = 1L;
 
-    /** Creates the error with the values involved. */
-    public TaskAssignedElsewhere(String duty, String wanted, String asker) {
+    /** Creates an error that names the values involved. */
+    public TaskAssignedElsewhere(String task, String assignedMember, String requester) {
       super(
-          "duty '"
-              + duty
-              + "' is meant for "
-              + (wanted.isEmpty() ? "nobody" : wanted)
-              + ", not for "
-              + asker);
+          "singleton task '"
+              + task
+              + "' is assigned to "
+              + (assignedMember.isEmpty() ? "no member" : assignedMember)
+              + ", not to "
+              + requester);
     }
   }
 
-  /** The fencing token is not the current one of the duty. */
+  /** A command has an old fencing token or comes from a session that was not granted the lease. */
   @ErrorCondition(
       code = "TB-1004",
       retry = Retry.NO,
       advice =
-          "Nothing needs doing: a successor is at work, and what the old owner wanted to do was"
-              + " kept from taking effect. If it comes often, see why owners stall: their log,"
-              + " their processor share.")
+          "No action is needed: another member has taken over the task, and the request of"
+              + " the previous holder had no effect. If it happens often, find out why holders"
+              + " stall: check their logs and their share of the CPU.")
   public static final class StaleFencingToken extends MembershipException {
     @Serial private static final long serialVersionUID = 1L;
 
-    /** Creates the error with the values involved. */
-    public StaleFencingToken(String duty, long given, long current) {
-      super("token " + given + " of duty '" + duty + "' is not the current one, " + current);
+    /** Creates an error that names the values involved. */
+    public StaleFencingToken(String task, long givenToken, long currentToken) {
+      super(
+          "fencing token "
+              + givenToken
+              + " of singleton task '"
+              + task
+              + "' is not valid for this session; the current token is "
+              + currentToken);
     }
   }
 
-  /** The lease under this token has expired. */
+  /** The lease with this fencing token has expired or was released. */
   @ErrorCondition(
       code = "TB-1005",
       retry = Retry.LATER,
       advice =
-          "Nothing needs doing: the duty is claimed anew with a new token. If it comes often,"
-              + " renewals take longer than the lease: raise lease.ms in deploy/steward.toml, or"
-              + " see what slows the stewards.")
+          "No action is needed: the task is claimed again with a new fencing token. If it"
+              + " happens often, renewals take longer than the lease: raise lease.ms in"
+              + " deploy/steward.toml, or find out what slows the coordinators down.")
   public static final class LeaseExpired extends MembershipException {
     @Serial private static final long serialVersionUID = 1L;
 
-    /** Creates the error with the values involved. */
-    public LeaseExpired(String duty, long token) {
-      super("the lease of duty '" + duty + "' under token " + token + " is over");
+    /** Creates an error that names the values involved. */
+    public LeaseExpired(String task, long fencingToken) {
+      super(
+          "the lease of singleton task '"
+              + task
+              + "' with fencing token "
+              + fencingToken
+              + " has expired or was released");
     }
   }
 
-  /** Another live process is a member under the same name. */
+  /** Another process is a member under the same name, and its lease has not expired. */
   @ErrorCondition(
       code = "TB-1006",
       retry = Retry.LATER,
       advice =
-          "A member that was restarted gets its name once the old process's lease has ended. If it"
-              + " lasts, two processes run under one name: give one of them another NODE_NAME.")
+          "A restarted member gets its name back when the lease of its old process has"
+              + " expired. If the error persists, two processes use the same name: give one of"
+              + " them another NODE_NAME.")
   public static final class NameTaken extends MembershipException {
     @Serial private static final long serialVersionUID = 1L;
 
-    /** Creates the error with the values involved. */
+    /** Creates an error that names the values involved. */
     public NameTaken(String name, long remainingUs) {
       super(
-          "another process is member under the name '"
+          "another process is a member under the name '"
               + name
-              + "', for "
+              + "' for at least "
               + remainingUs / 1000
-              + " ms more at least");
+              + " ms more");
     }
   }
 
@@ -132,14 +144,15 @@
       code = "TB-1007",
       retry = Retry.LATER,
       advice =
-          "Nothing needs doing: the member joins again. If it comes often, its calls take longer"
-              + " than the lease: see its log and the way between it and the stewards.")
+          "No action is needed: the member joins again. If it happens often, its requests"
+              + " take longer than the lease: check its log and the network between it and the"
+              + " coordinators.")
   public static final class MemberUnknown extends MembershipException {
     @Serial private static final long serialVersionUID = 1L;
 
-    /** Creates the error with the values involved. */
+    /** Creates an error that names the values involved. */
     public MemberUnknown(String name) {
-      super("'" + name + "' is no member, or its session was replaced");
+      super("'" + name + "' is not a member, or its session was replaced");
     }
   }
 
@@ -148,114 +161,121 @@
       code = "TB-1008",
       retry = Retry.NO,
       advice =
-          "The name was retired by an operator. Start the process under another NODE_NAME, or stop"
+          "An operator retired the name. Start the process under another NODE_NAME, or stop"
               + " it.")
   public static final class MemberRetired extends MembershipException {
     @Serial private static final long serialVersionUID = 1L;
 
-    /** Creates the error with the values involved. */
+    /** Creates an error that names the values involved. */
     public MemberRetired(String name) {
-      super("'" + name + "' has been retired");
+      super("member '" + name + "' has been retired");
     }
   }
 
-  /** The configured limit of members is reached. */
+  /** The configured maximum number of members is reached. */
   @ErrorCondition(
       code = "TB-1009",
       retry = Retry.LATER,
       advice =
-          "Raise limits.members in deploy/steward.toml and restart the stewards one after the"
-              + " other. Names that fell silent make room by themselves, retired ones do not.")
+          "Raise limits.members in deploy/steward.toml and restart the coordinators one at"
+              + " a time. Expired members are removed to make room; retired members are not.")
   public static final class MemberLimitReached extends MembershipException {
     @Serial private static final long serialVersionUID = 1L;
 
-    /** Creates the error with the values involved. */
+    /** Creates an error that names the values involved. */
     public MemberLimitReached(int maxMembers) {
-      super("there are " + maxMembers + " members, as many as may be");
+      super("the maximum number of members, " + maxMembers + ", is reached");
     }
   }
 
-  /** A call of a session arrived after a newer one of the same session. */
+  /** A command of a session arrived after a newer one of the same session. */
   @ErrorCondition(
       code = "TB-1010",
       retry = Retry.NO,
       advice =
-          "An older call of a session came after a newer one. If it is not a late copy, two"
-              + " processes share a session: restart one.")
+          "An older command of a session arrived after a newer one. If it is not a delayed"
+              + " duplicate, two processes share a session: restart one of them.")
   public static final class StaleSequenceNumber extends MembershipException {
     @Serial private static final long serialVersionUID = 1L;
 
-    /** Creates the error with the values involved. */
-    public StaleSequenceNumber(String session, long number, long last) {
-      super("call " + number + " of session " + session + " came after call " + last);
+    /** Creates an error that names the values involved. */
+    public StaleSequenceNumber(String session, long sequence, long lastSequence) {
+      super(
+          "command "
+              + sequence
+              + " of session "
+              + session
+              + " arrived after command "
+              + lastSequence);
     }
   }
 
-  /** A conditional write named a revision that is no longer current. */
+  /** A conditional write named a revision other than the current one. */
   @ErrorCondition(
       code = "TB-1011",
       retry = Retry.NO,
       advice =
-          "Read what is published now, and decide again: tidebank fleet duties --json shows"
-              + " revision and value.")
+          "Read the published value and decide again: tidebank fleet duties --json shows"
+              + " the revision and the value.")
   public static final class RevisionConflict extends MembershipException {
     @Serial private static final long serialVersionUID = 1L;
 
-    /** Creates the error with the values involved. */
-    public RevisionConflict(String duty, long given, long current) {
+    /** Creates an error that names the values involved. */
+    public RevisionConflict(String task, long givenRevision, long currentRevision) {
       super(
-          "what is published under duty '"
-              + duty
+          "the published value of singleton task '"
+              + task
               + "' is at revision "
-              + current
+              + currentRevision
               + ", not "
-              + given);
+              + givenRevision);
     }
   }
 
-  /** A field is longer than allowed. */
+  /** A field of a command is longer than allowed. */
   @ErrorCondition(
       code = "TB-1012",
       retry = Retry.NO,
       advice =
-          "Shorten what is published: it is to name a file of the fleet's folder, not to hold it.")
+          "Shorten the field. A published value should be the name of a file in the shared"
+              + " folder, not its content.")
   public static final class ValueTooLarge extends MembershipException {
     @Serial private static final long serialVersionUID = 1L;
 
-    /** Creates the error with the values involved. */
+    /** Creates an error that names the values involved. */
     public ValueTooLarge(String field, int length, int maxLength) {
-      super(
-          "field '" + field + "' has " + length + " characters, " + maxLength + " at most may be");
+      super("field '" + field + "' has " + length + " characters; the maximum is " + maxLength);
     }
   }
 
-  /** The name is not allowed for a member. */
+  /** The name of a member contains characters that are not allowed. */
   @ErrorCondition(
       code = "TB-1013",
       retry = Retry.NO,
       advice =
-          "Give the gatherer a NODE_NAME of letters, digits, and . _ - within, as a file of the"
-              + " fleet's folder is named after it.")
+          "Give the router a NODE_NAME that starts with a letter or digit and contains only"
+              + " letters, digits, and . _ -, because a file in the shared folder is named"
+              + " after it.")
   public static final class InvalidName extends MembershipException {
     @Serial private static final long serialVersionUID = 1L;
 
-    /** Creates the error with the values involved. */
+    /** Creates an error that names the values involved. */
     public InvalidName(String name) {
-      super("'" + name + "' can't be a member's name");
+      super("'" + name + "' is not a valid member name");
     }
   }
 
-  /** A command names a member that does not exist. */
+  /** An operator's command names a member that does not exist. */
   @ErrorCondition(
       code = "TB-1015",
       retry = Retry.NO,
-      advice = "Compare the name with those that tidebank fleet members lists.")
+      advice = "Compare the name with the list that tidebank fleet members shows.")
   public static final class MemberNotFound extends MembershipException {
     @Serial private static final long serialVersionUID = 1L;
 
-    /** Creates the error with the values involved. */
+    /** Creates an error that names the values involved. */
     public MemberNotFound(String name) {
-      super("no member is called '" + name + "'");
+      super("no member is named '" + name + "'");
     }
   }
 }
--- a/router/src/main/java/tidebank/errors/TestbedException.java
+++ b/router/src/main/java/tidebank/errors/TestbedException.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import tidebank.errors.TidebankException.Retry;
 
-/** Conditions of the testbed. */
+/** Error conditions of the testbed. */
 public abstract sealed class TestbedException extends TidebankException {
   @Serial private static final long serialVersionUID = 1L;
 
@@ -12,34 +12,39 @@
     super(message);
   }
 
-  /** No chaos script has this name. */
+  /** No chaos script file or built-in chaos script has this name. */
   @ErrorCondition(
       code = "TB-1201",
       retry = Retry.NO,
       advice =
-          "Give the path of a script's file, or one of the names that tidebank chaos list shows.")
+          "Give the path of a script file, or one of the names that tidebank chaos list"
+              + " shows.")
   public static final class ScriptUnknown extends TestbedException {
     @Serial private static final long serialVersionUID = 1L;
 
-    /** Creates the error with the values involved. */
-    public ScriptUnknown(String name, List<String> known) {
-      super("'" + name + "' is no file and no script; there are " + String.join(", ", known));
+    /** Creates an error that names the values involved. */
+    public ScriptUnknown(String name, List<String> builtInNames) {
+      super(
+          "'"
+              + name
+              + "' is neither a file nor a script; the scripts are "
+              + String.join(", ", builtInNames));
     }
   }
 
-  /** The folder does not hold a recorded chaos run. */
+  /** The folder does not contain a recorded chaos run. */
   @ErrorCondition(
       code = "TB-1202",
       retry = Retry.NO,
       advice =
-          "Give the folder of a run, as tidebank chaos run named it; runs that held leave none"
-              + " unless it is asked to keep them by --keep.")
+          "Give the folder of a run as printed by tidebank chaos run. Runs that passed"
+              + " leave no folder unless --keep is given.")
   public static final class RunUnknown extends TestbedException {
     @Serial private static final long serialVersionUID = 1L;
 
-    /** Creates the error with the values involved. */
+    /** Creates an error that names the values involved. */
     public RunUnknown(String folder) {
-      super(folder + " holds no verdict of a run");
+      super(folder + " does not contain the verdict of a chaos run");
     }
   }
 }
--- a/router/src/main/java/tidebank/errors/TidebankException.java
+++ b/router/src/main/java/tidebank/errors/TidebankException.java
@@ -18,43 +18,43 @@
         TidebankException.RequestRejected {
   @Serial private static final long serialVersionUID = 1L;
 
-  /** Whether the same call may succeed without anybody's action. */
+  /** Whether a retry of the same request can succeed without an operator's action. */
   public enum Retry {
-    /** The call fails again. */
+    /** The request fails again. */
     NO,
-    /** The call may succeed later. */
+    /** The request may succeed later. */
     LATER,
-    /** The call may succeed at another address. */
+    /** The request may succeed at another address. */
     ELSEWHERE
   }
 
   /**
-   * An error as it crosses a wire, where only its fields are left of it.
+   * The fields of an error, as sent to other processes and shown to operators.
    *
-   * @param code the condition's code
-   * @param message what happened
-   * @param retry whether a retry can help
-   * @param advice what an operator can do
+   * @param code the code of the condition, such as TB-1001
+   * @param message the description of what happened
+   * @param retry whether a retry can succeed
+   * @param advice the recommended action of the operator
    */
   public record Details(String code, String message, Retry retry, String advice) {
-    /** Returns whether these are the details of a condition of this type. */
+    /** Returns whether the error has the condition of this type. */
     public boolean is(Class<? extends TidebankException> type) {
       return type.getAnnotation(ErrorCondition.class).code().equals(code);
     }
 
-    /** Returns a text for people, one line for each field. */
+    /** Returns a text for operators: a line with code and message, one on retries, the advice. */
     public String toText() {
       String retryText =
           switch (retry) {
             case NO -> "does not help";
-            case LATER -> "later may help";
-            case ELSEWHERE -> "elsewhere may help";
+            case LATER -> "may help later";
+            case ELSEWHERE -> "may help at another address";
           };
       return "tidebank: "
           + code
           + ": "
           + message
-          + "\n  trying again: "
+          + "\n  retry: "
           + retryText
           + "\n  what to do: "
           + advice;
@@ -66,12 +66,12 @@
     super(message);
   }
 
-  /** An error that another process reported; any of its conditions. */
+  /** An error that another process returned, of any condition. */
   public static final class RequestRejected extends TidebankException {
     @Serial private static final long serialVersionUID = 1L;
     private final transient Details details;
 
-    /** Creates an exception with the details that were received. */
+    /** Creates an exception from the received details. */
     public RequestRejected(Details details) {
       super(details.message());
       this.details = details;
@@ -94,12 +94,12 @@
     return conditions().stream().filter(condition -> condition.code().equals(code)).findFirst();
   }
 
-  /** Returns all conditions. {@link RequestRejected} is none itself, as it stands for any. */
+  /** Returns all conditions. {@link RequestRejected} has none of its own. */
   public static List<ErrorCondition> conditions() {
     return conditionTypes().stream().map(type -> type.getAnnotation(ErrorCondition.class)).toList();
   }
 
-  /** Returns the types of all conditions. */
+  /** Returns the exception types of all conditions. */
   public static List<Class<?>> conditionTypes() {
     List<Class<?>> types = new ArrayList<>();
     collectConditionTypes(TidebankException.class, types);
--- a/router/src/test/java/tidebank/ErrorsFixtureTest.java
+++ b/router/src/test/java/tidebank/ErrorsFixtureTest.java
@@ -18,7 +18,10 @@
 import tidebank.fleet.LeaseJson;
 import tidebank.lease.CommandResult;
 
-/** Codes, words, advice and JSON of all conditions are what they were. */
+/**
+ * Guards against unintended changes of the codes, messages, advice and JSON of error conditions,
+ * which operators and other processes read. The fixtures hold the expected output of each sample.
+ */
 class ErrorsFixtureTest {
   private static final List<TidebankException> SAMPLES =
       List.of(
@@ -51,43 +54,47 @@
           new TestbedException.ScriptUnknown("x", List.of("a", "b")),
           new TestbedException.RunUnknown("/folder"));
 
+  /** Guards against a new condition without a sample, which the other tests would not cover. */
   @Test
-  void thereIsASampleOfEachCondition() {
-    assertThat(SAMPLES.stream().map(fault -> fault.details().code()).distinct().toList())
+  void samplesCoverEveryCondition() {
+    assertThat(SAMPLES.stream().map(error -> error.details().code()).distinct().toList())
         .containsExactlyInAnyOrderElementsOf(
             TidebankException.conditions().stream().map(ErrorCondition::code).toList());
   }
 
+  /** Guards against changes of the texts that the command line and the logs show. */
   @Test
-  void textsForPeopleAreTheStoredOnes() throws Exception {
+  void textsForOperatorsMatchTheFixture() throws Exception {
     StoredCases.assertMatchesFile(
         "errors/lines.txt",
         SAMPLES.stream()
-            .map(fault -> fault.details().toText() + "\n")
+            .map(error -> error.details().toText() + "\n")
             .collect(Collectors.joining()));
   }
 
+  /** Guards against JSON that another release could not read. */
   @Test
-  void jsonIsTheStoredOneAndIsReadBack() throws Exception {
+  void jsonMatchesTheFixtureAndReadsBackEqual() throws Exception {
     ObjectMapper mapper = LeaseJson.configure(new ObjectMapper());
     StringBuilder text = new StringBuilder();
-    for (TidebankException fault : SAMPLES) {
-      String json = mapper.writeValueAsString(fault.details());
+    for (TidebankException error : SAMPLES) {
+      String json = mapper.writeValueAsString(error.details());
       assertThat(mapper.readValue(json, TidebankException.Details.class))
-          .isEqualTo(fault.details());
+          .isEqualTo(error.details());
       text.append(json).append('\n');
     }
     StoredCases.assertMatchesFile("errors/details.jsonl", text.toString());
   }
 
+  /** Guards against a coordinator response with an error that the receiver does not recognize. */
   @Test
-  void answersOfTheControlProcessCarryTheStoredJson() throws Exception {
+  void commandResultsMatchTheFixtureAndReadBackEqual() throws Exception {
     StringBuilder text = new StringBuilder();
-    for (TidebankException fault : SAMPLES) {
-      byte[] json = LeaseCodec.write(new CommandResult(fault.details(), null, null, null, 0));
+    for (TidebankException error : SAMPLES) {
+      byte[] json = LeaseCodec.write(new CommandResult(error.details(), null, null, null, 0));
       TidebankException.Details read = LeaseCodec.read(json, CommandResult.class).error();
-      assertThat(read).isEqualTo(fault.details());
-      assertThat(read.is(fault.getClass())).isTrue();
+      assertThat(read).isEqualTo(error.details());
+      assertThat(read.is(error.getClass())).isTrue();
       assertThat(new TidebankException.RequestRejected(read).details()).isEqualTo(read);
       text.append(new String(json, UTF_8)).append('\n');
     }
--- a/testbed/src/test/java/tidebank/testbed/ErrorsTest.java
+++ b/testbed/src/test/java/tidebank/testbed/ErrorsTest.java
@@ -12,7 +12,7 @@
 import tidebank.errors.ErrorCondition;
 import tidebank.errors.TidebankException;
 
-/** The page of errors and the types of the conditions are consistent. */
+/** Guards against error conditions that the page docs/errors.md lacks or describes differently. */
 class ErrorsTest {
   private static final Pattern HEADING =
       Pattern.compile("^## (TB-\\d{4}) (\\w+)$", Pattern.MULTILINE);
@@ -20,19 +20,22 @@
   private final List<String> codes =
       TidebankException.conditions().stream().map(ErrorCondition::code).toList();
 
+  /** Guards against two conditions with the same code, which operators could not tell apart. */
   @Test
   void codesAreUniqueAndWellFormed() {
     assertThat(codes).doesNotHaveDuplicates().allMatch(code -> code.matches("TB-\\d{4}"));
   }
 
+  /** Guards against a condition added or removed without its entry on the page. */
   @Test
-  void thePageHasTheEntriesOfAllCodesInOrder() throws Exception {
+  void pageListsAllCodesInOrder() throws Exception {
     assertThat(HEADING.matcher(page()).results().map(found -> found.group(1)).toList())
         .containsExactlyElementsOf(codes.stream().sorted().toList());
   }
 
+  /** Guards against advice that was changed in the code only. */
   @Test
-  void eachConditionHasItsNameAndAdviceOnThePage() throws Exception {
+  void pageHasNameAndAdviceOfEachCondition() throws Exception {
     String page = page();
     for (Class<?> type : TidebankException.conditionTypes()) {
       ErrorCondition condition = type.getAnnotation(ErrorCondition.class);
@@ -43,15 +46,16 @@
     }
   }
 
+  /** Guards against an exception type without the annotation, which has no code and no advice. */
   @Test
-  void eachConcreteTypeButRequestRejectedIsACondition() {
+  void concreteTypesExceptRequestRejectedAreConditions() {
     assertThat(concreteTypes(TidebankException.class))
         .filteredOn(type -> type != TidebankException.RequestRejected.class)
         .containsExactlyElementsOf(TidebankException.conditionTypes());
   }
 
   @Test
-  void conditionsAreFoundByTheirCode() {
+  void conditionsAreFoundByCode() {
     assertThat(TidebankException.findCondition("TB-1002")).isPresent();
     assertThat(TidebankException.findCondition("TB-9999")).isEmpty();
   }
