--- a/router/src/test/java/tidebank/CaptureTest.java
+++ b/router/src/test/java/tidebank/CaptureTest.java
@@ -23,7 +23,9 @@
 import tidebank.model.Outcome;
 import tidebank.policy.PolicyHarness;
 
-/** What is recorded is read again, whatever becomes of the disk; what is missing is said. */
+/**
+ * Tests that recorded rounds are read back, and that missing ones are reported as gaps or damage.
+ */
 @Timeout(20)
 class CaptureTest {
   @TempDir Path folder;
@@ -60,87 +62,94 @@
         new Action.LogNote("noted"));
   }
 
-  private CaptureRecorder.Config plan(int ring, long segment, long budget) {
-    return new CaptureRecorder.Config(folder.resolve("c"), true, ring, segment, budget, false);
+  private CaptureRecorder.Config config(int queueCapacity, long segmentBytes, long maxTotalBytes) {
+    return new CaptureRecorder.Config(
+        folder.resolve("c"), true, queueCapacity, segmentBytes, maxTotalBytes, false);
   }
 
-  private void record(CaptureRecorder.Config plan, int turns) throws IOException {
-    try (CaptureRecorder recorder = new CaptureRecorder(plan, clock::get)) {
+  private void record(CaptureRecorder.Config config, int rounds) throws IOException {
+    try (CaptureRecorder recorder = new CaptureRecorder(config, clock::get)) {
       recorder.policyStarted(new PolicyHarness().settings(), 7);
-      for (int i = 0; i < turns; i++) {
+      for (int i = 0; i < rounds; i++) {
         recorder.roundDecided(clock.addAndGet(1000), everyEvent(i), everyAction(i));
       }
       assertThat(recorder.droppedRounds()).isZero();
     }
   }
 
-  private List<CaptureRecord> read() throws IOException {
-    List<CaptureRecord> entries = new ArrayList<>();
+  private List<CaptureRecord> readRecords() throws IOException {
+    List<CaptureRecord> records = new ArrayList<>();
     for (Path file : CaptureSegments.list(folder.resolve("c"))) {
-      entries.addAll(CaptureSegments.read(file).records());
+      records.addAll(CaptureSegments.read(file).records());
     }
-    return entries;
+    return records;
   }
 
+  /** Guards against fields that are lost or changed between the encoder and the decoder. */
   @Test
-  void everyEventActionAndSettingComesBackAsItWas() throws IOException {
-    record(plan(1000, 1 << 20, 10 << 20), 50);
-    List<CaptureRecord> entries = read();
-    assertThat(entries.get(0))
+  void recordedRoundsAndSettingsAreReadBackUnchanged() throws IOException {
+    record(config(1000, 1 << 20, 10 << 20), 50);
+    List<CaptureRecord> records = readRecords();
+    assertThat(records.get(0))
         .isEqualTo(new CaptureRecord.PolicyStarted(new PolicyHarness().settings(), 7));
-    assertThat(entries).hasSize(51);
+    assertThat(records).hasSize(51);
     for (int i = 0; i < 50; i++) {
-      CaptureRecord.DecisionRound turn = (CaptureRecord.DecisionRound) entries.get(i + 1);
-      assertThat(turn.nowUs()).isEqualTo(1_001_000 + 1000L * i);
-      assertThat(turn.events()).isEqualTo(everyEvent(i));
-      assertThat(turn.actions()).isEqualTo(everyAction(i));
+      CaptureRecord.DecisionRound round = (CaptureRecord.DecisionRound) records.get(i + 1);
+      assertThat(round.nowUs()).isEqualTo(1_001_000 + 1000L * i);
+      assertThat(round.events()).isEqualTo(everyEvent(i));
+      assertThat(round.actions()).isEqualTo(everyAction(i));
     }
-    assertThat(((CaptureRecord.DecisionRound) entries.get(1)).digest())
-        .isNotEqualTo(((CaptureRecord.DecisionRound) entries.get(2)).digest());
+    assertThat(((CaptureRecord.DecisionRound) records.get(1)).digest())
+        .isNotEqualTo(((CaptureRecord.DecisionRound) records.get(2)).digest());
   }
 
+  /** Guards against records lost, or damage not reported, after a crash that truncates the file. */
   @Test
-  void aFileCutAtAnyByteIsReadUpToItsLastWholeBlock() throws IOException {
-    record(plan(1000, 1 << 20, 10 << 20), 30);
+  void truncatedSegmentIsReadUpToLastCompleteBlock() throws IOException {
+    record(config(1000, 1 << 20, 10 << 20), 30);
     Path file = CaptureSegments.list(folder.resolve("c")).get(0);
-    byte[] whole = Files.readAllBytes(file);
-    List<CaptureRecord> all = read();
-    for (int length = 0; length < whole.length; length++) {
-      Files.write(file, java.util.Arrays.copyOf(whole, length));
-      CaptureSegments.SegmentContent read = CaptureSegments.read(file);
-      assertThat(all.subList(0, read.records().size())).isEqualTo(read.records());
-      boolean atAnEnd = read.validBytes() == length && read.validBytes() > 0;
-      assertThat(read.damage().isEmpty()).as("cut at " + length).isEqualTo(atAnEnd);
+    byte[] complete = Files.readAllBytes(file);
+    List<CaptureRecord> all = readRecords();
+    for (int length = 0; length < complete.length; length++) {
+      Files.write(file, java.util.Arrays.copyOf(complete, length));
+      CaptureSegments.SegmentContent content = CaptureSegments.read(file);
+      assertThat(all.subList(0, content.records().size())).isEqualTo(content.records());
+      boolean endsAtBlock = content.validBytes() == length && content.validBytes() > 0;
+      assertThat(content.damage().isEmpty()).as("truncated at " + length).isEqualTo(endsAtBlock);
     }
   }
 
+  /**
+   * Guards against wrong records from a damaged file; each bit flip must fail a checksum or length.
+   */
   @Test
-  void aBitFlippedAnywhereIsNeverReadAsData() throws IOException {
-    record(plan(1000, 1 << 20, 10 << 20), 10);
+  void flippedBitIsReportedAndNeverReadAsData() throws IOException {
+    record(config(1000, 1 << 20, 10 << 20), 10);
     Path file = CaptureSegments.list(folder.resolve("c")).get(0);
-    byte[] whole = Files.readAllBytes(file);
-    List<CaptureRecord> all = read();
-    for (int at = 0; at < whole.length; at++) {
-      byte[] changed = whole.clone();
-      changed[at] ^= 1 << at % 8;
+    byte[] complete = Files.readAllBytes(file);
+    List<CaptureRecord> all = readRecords();
+    for (int offset = 0; offset < complete.length; offset++) {
+      byte[] changed = complete.clone();
+      changed[offset] ^= 1 << offset % 8;
       Files.write(file, changed);
-      CaptureSegments.SegmentContent read = CaptureSegments.read(file);
-      assertThat(read.damage()).as("flipped at " + at).isNotEmpty();
-      assertThat(all.subList(0, read.records().size())).isEqualTo(read.records());
+      CaptureSegments.SegmentContent content = CaptureSegments.read(file);
+      assertThat(content.damage()).as("flipped at " + offset).isNotEmpty();
+      assertThat(all.subList(0, content.records().size())).isEqualTo(content.records());
     }
   }
 
+  /** Guards against an event loop blocked by a slow writer, and drops that the capture omits. */
   @Test
-  void aFullRingIsAGapThatIsSaidAndNothingWaits() throws IOException {
-    // The writer stands still on its first entry: its clock waits for the test.
-    java.util.concurrent.CountDownLatch go = new java.util.concurrent.CountDownLatch(1);
+  void fullQueueDropsRoundsAndRecordsGapWithoutWaiting() throws IOException {
+    // The clock blocks the writer thread at its first record until the test releases it.
+    java.util.concurrent.CountDownLatch unblockWriter = new java.util.concurrent.CountDownLatch(1);
     CaptureRecorder recorder =
         new CaptureRecorder(
-            plan(16, 1 << 20, 10 << 20),
+            config(16, 1 << 20, 10 << 20),
             () -> {
               try {
-                go.await();
-              } catch (InterruptedException fault) {
+                unblockWriter.await();
+              } catch (InterruptedException exception) {
                 Thread.currentThread().interrupt();
               }
               return clock.get();
@@ -148,29 +157,31 @@
     for (int i = 0; i < 100; i++) {
       recorder.roundDecided(clock.addAndGet(1000), everyEvent(i), everyAction(i));
     }
-    long lost = recorder.droppedRounds();
-    assertThat(lost).isBetween(82L, 84L);
-    go.countDown();
+    long dropped = recorder.droppedRounds();
+    assertThat(dropped).isBetween(82L, 84L);
+    unblockWriter.countDown();
     while (recorder.queuedItems() > 0) {
       Thread.onSpinWait();
     }
     recorder.roundDecided(clock.addAndGet(1000), List.of(), List.of());
     recorder.close();
-    assertThat(turns()).isEqualTo(100 - lost + 1);
-    assertThat(missing()).isEqualTo(lost);
-    assertThat(((CaptureRecord.DecisionRound) read().get(read().size() - 1)).events()).isEmpty();
+    assertThat(countRounds()).isEqualTo(100 - dropped + 1);
+    assertThat(sumGaps()).isEqualTo(dropped);
+    assertThat(((CaptureRecord.DecisionRound) readRecords().get(readRecords().size() - 1)).events())
+        .isEmpty();
   }
 
+  /** Guards against unreported drops when the recorder is closed before another round is queued. */
   @Test
-  void whatFoundNoRoomAtTheVeryEndIsSaidToo() throws IOException {
-    java.util.concurrent.CountDownLatch go = new java.util.concurrent.CountDownLatch(1);
+  void roundsDroppedBeforeCloseAreRecordedAsGap() throws IOException {
+    java.util.concurrent.CountDownLatch unblockWriter = new java.util.concurrent.CountDownLatch(1);
     CaptureRecorder recorder =
         new CaptureRecorder(
-            plan(16, 1 << 20, 10 << 20),
+            config(16, 1 << 20, 10 << 20),
             () -> {
               try {
-                go.await();
-              } catch (InterruptedException fault) {
+                unblockWriter.await();
+              } catch (InterruptedException exception) {
                 Thread.currentThread().interrupt();
               }
               return clock.get();
@@ -178,24 +189,30 @@
     for (int i = 0; i < 40; i++) {
       recorder.roundDecided(clock.addAndGet(1000), everyEvent(i), everyAction(i));
     }
-    go.countDown();
+    unblockWriter.countDown();
     recorder.close();
-    assertThat(missing()).isPositive().isEqualTo(recorder.droppedRounds()).isEqualTo(40 - turns());
+    assertThat(sumGaps())
+        .isPositive()
+        .isEqualTo(recorder.droppedRounds())
+        .isEqualTo(40 - countRounds());
   }
 
-  private long turns() throws IOException {
-    return read().stream().filter(CaptureRecord.DecisionRound.class::isInstance).count();
+  private long countRounds() throws IOException {
+    return readRecords().stream().filter(CaptureRecord.DecisionRound.class::isInstance).count();
   }
 
-  private long missing() throws IOException {
-    return read().stream()
-        .mapToLong(entry -> entry instanceof CaptureRecord.Gap gap ? gap.rounds() : 0)
+  private long sumGaps() throws IOException {
+    return readRecords().stream()
+        .mapToLong(record -> record instanceof CaptureRecord.Gap gap ? gap.rounds() : 0)
         .sum();
   }
 
+  /**
+   * Guards against a recorder that stops, or omits dropped rounds, once its directory is deleted.
+   */
   @Test
-  void aDiskThatFailsIsServedWithoutAndTheCaptureGoesOnWithAGap() throws Exception {
-    CaptureRecorder recorder = new CaptureRecorder(plan(1000, 1 << 20, 10 << 20), clock::get);
+  void captureResumesWithGapAfterFailedWrites() throws Exception {
+    CaptureRecorder recorder = new CaptureRecorder(config(1000, 1 << 20, 10 << 20), clock::get);
     Files.delete(folder.resolve("c"));
     recorder.roundDecided(clock.addAndGet(1000), everyEvent(0), everyAction(0));
     while (recorder.droppedRounds() == 0) {
@@ -206,23 +223,25 @@
     clock.addAndGet(100_000_000);
     recorder.roundDecided(clock.addAndGet(1000), everyEvent(1), everyAction(1));
     recorder.close();
-    assertThat(read().get(0)).isEqualTo(new CaptureRecord.Gap(1));
-    assertThat(((CaptureRecord.DecisionRound) read().get(1)).events()).isEqualTo(everyEvent(1));
+    assertThat(readRecords().get(0)).isEqualTo(new CaptureRecord.Gap(1));
+    assertThat(((CaptureRecord.DecisionRound) readRecords().get(1)).events())
+        .isEqualTo(everyEvent(1));
   }
 
+  /** Guards against captures that fill the disk over many restarts. */
   @Test
-  void theBudgetIsKeptAndTheOldestSegmentsGo() throws IOException {
+  void oldestSegmentsAreDeletedWithinTotalSize() throws IOException {
     for (int i = 0; i < 40; i++) {
-      record(plan(1000, 2000, 12_000), 20);
+      record(config(1000, 2000, 12_000), 20);
     }
     long bytes = 0;
-    List<Path> left = CaptureSegments.list(folder.resolve("c"));
-    for (Path file : left) {
+    List<Path> remaining = CaptureSegments.list(folder.resolve("c"));
+    for (Path file : remaining) {
       bytes += Files.size(file);
     }
     assertThat(bytes).isLessThan(12_000 + 4_000);
-    assertThat(left).hasSizeGreaterThan(1);
-    assertThat(left.get(left.size() - 1).getFileName().toString())
+    assertThat(remaining).hasSizeGreaterThan(1);
+    assertThat(remaining.get(remaining.size() - 1).getFileName().toString())
         .isEqualTo("capture-00000039.tbc");
   }
 }
--- a/router/src/test/java/tidebank/capture/CaptureFixtures.java
+++ b/router/src/test/java/tidebank/capture/CaptureFixtures.java
@@ -20,44 +20,44 @@
 import tidebank.model.Settings;
 
 /**
- * What the stored captures under src/test/resources/fixtures/capture hold, and the writer of them.
- * To write them anew, which only a new version of the format calls for: {@code mvn -o test -pl
- * gatherer -am -Dtest=CaptureFixtures -Dtests.excluded= -Dsurefire.failIfNoSpecifiedTests=false}.
+ * The content and the writer of the stored captures in src/test/resources/fixtures/capture. Only a
+ * new version of the format requires rewriting them: {@code mvn -o test -pl router -am
+ * -Dtest=CaptureFixtures -Dtests.excluded= -Dsurefire.failIfNoSpecifiedTests=false}.
  */
 class CaptureFixtures {
   static final Path ROOT = Path.of("src/test/resources/fixtures/capture");
   static final long SEED = 0x8c1f30d27a5be964L;
-  private static final int RING = 1 << 20;
+  private static final int QUEUE_CAPACITY = 1 << 20;
   private static final long SEGMENT_BYTES = 20_000;
-  private static final long BUDGET_BYTES = 1L << 30;
+  private static final long MAX_TOTAL_BYTES = 1L << 30;
 
   static Settings settings() {
-    Map<String, QueryClass> types = new LinkedHashMap<>();
-    types.put(
+    Map<String, QueryClass> queryClasses = new LinkedHashMap<>();
+    queryClasses.put(
         "whole",
         new QueryClass("whole", Idempotency.IDEMPOTENT, 0, 1_000_000, 3_000_000, 0.1, 1, 1, 0));
-    types.put(
+    queryClasses.put(
         "part",
         new QueryClass("part", Idempotency.IDEMPOTENT, 0, 800_000, 2_500_000, 0.25, 0.5, 0.9, 0));
-    types.put(
+    queryClasses.put(
         "keyed",
         new QueryClass("keyed", Idempotency.WITH_KEY, 2_000_000, 900_000, 3_000_000, 0.3, 1, 1, 0));
-    types.put(
+    queryClasses.put(
         "once",
         new QueryClass(
             "once", Idempotency.NON_IDEMPOTENT, 1_500_000, 700_000, 2_000_000, 0.4, 1, 1, 0));
-    types.put(
+    queryClasses.put(
         "steps",
         new QueryClass("steps", Idempotency.IDEMPOTENT, 0, 1_200_000, 3_500_000, 0.2, 0.6, 1, 2));
-    Map<String, Double> allowances = new LinkedHashMap<>();
-    allowances.put("anyone", 12.5);
-    allowances.put("caf\u00e9", 3.0);
+    Map<String, Double> quotas = new LinkedHashMap<>();
+    quotas.put("anyone", 12.5);
+    quotas.put("caf\u00e9", 3.0);
     return new Settings(
         3,
         1,
         5_000,
-        types,
-        allowances,
+        queryClasses,
+        quotas,
         0.15,
         new Settings.Layout(8, 6, 2, 3, 400),
         new Settings.Limits(3, true, true, true, true, 500_000, 100, true),
@@ -65,8 +65,8 @@
             20_000, 10_000_000, 1_000_000, 0.2, 10_000_000, 2.5, 1_000_000, 4, 0.12, 15_000_000));
   }
 
-  /** One entry of each kind, and in them one of each kind of event, action and outcome. */
-  static List<CaptureRecord> everyKind() {
+  /** Returns records of all kinds that contain all kinds of events, actions and outcomes. */
+  static List<CaptureRecord> recordsOfEveryKind() {
     List<Event> outcomes =
         List.of(Outcome.values()).stream()
             .<Event>map(
@@ -79,17 +79,17 @@
                         outcome.ordinal() % 2 == 0,
                         Map.of("util", 0.5)))
             .toList();
-    List<Event> lists =
+    List<Event> endpointLists =
         List.of(ListUpdate.values()).stream()
             .<Event>map(
-                kind ->
+                update ->
                     new Event.EndpointListReceived(
-                        kind,
+                        update,
                         List.of(EndpointStatus.values()).stream()
                             .map(status -> new Endpoint("s" + status.ordinal(), 3, status, 17, 1.5))
                             .toList()))
             .toList();
-    List<Event> others =
+    List<Event> otherEvents =
         List.of(
             new Event.EndpointListReceived(ListUpdate.WATCH_LOST, List.of()),
             new Event.QueryReceived("a", 1, "whole", "caf\u00e9", 4_000_000, 5_000_000, true, null),
@@ -116,11 +116,11 @@
             new Action.LogNote("noted"));
     return List.of(
         new CaptureRecord.PolicyStarted(settings(), SEED),
-        new CaptureRecord.DecisionRound(4_200_000, others, 0x1234_5678, actions),
+        new CaptureRecord.DecisionRound(4_200_000, otherEvents, 0x1234_5678, actions),
         new CaptureRecord.DecisionRound(4_200_500, outcomes, -5, List.of()),
-        new CaptureRecord.DecisionRound(4_100_000, lists, 0, null),
+        new CaptureRecord.DecisionRound(4_100_000, endpointLists, 0, null),
         new CaptureRecord.RoundFailed(
-            4_300_000, others, "java.lang.IllegalStateException: as it was"),
+            4_300_000, otherEvents, "java.lang.IllegalStateException: as it was"),
         new CaptureRecord.Gap(300),
         new CaptureRecord.PolicyStarted(settings(), -1));
   }
@@ -128,49 +128,54 @@
   @Test
   @Tag("fixture-writer")
   void write() throws IOException {
-    Path every = Files.createDirectories(ROOT.resolve("every-kind"));
-    Files.deleteIfExists(every.resolve("capture-00000003.tbc"));
-    try (CaptureSegments.SegmentWriter writer = new CaptureSegments.SegmentWriter(every, 3)) {
+    Path everyKind = Files.createDirectories(ROOT.resolve("every-kind"));
+    Files.deleteIfExists(everyKind.resolve("capture-00000003.tbc"));
+    try (CaptureSegments.SegmentWriter writer = new CaptureSegments.SegmentWriter(everyKind, 3)) {
       for (List<CaptureRecord> block :
-          List.of(everyKind().subList(0, 4), everyKind().subList(4, 7))) {
+          List.of(recordsOfEveryKind().subList(0, 4), recordsOfEveryKind().subList(4, 7))) {
         CaptureEncoder encoder = new CaptureEncoder();
         block.forEach(encoder::write);
         writer.writeBlock(encoder.toByteArray());
       }
     }
-    String block = new String(plain(everyKind().get(0)), StandardCharsets.UTF_8);
-    Files.writeString(every.resolve("settings.json"), settingsJson(block));
+    String block = new String(encode(recordsOfEveryKind().get(0)), StandardCharsets.UTF_8);
+    Files.writeString(everyKind.resolve("settings.json"), extractSettingsJson(block));
     record("digest", false, 150, 11);
     record("whole", true, 150, 12);
     record("busy", false, 4000, 13);
   }
 
-  private static byte[] plain(CaptureRecord entry) {
+  private static byte[] encode(CaptureRecord record) {
     CaptureEncoder encoder = new CaptureEncoder();
-    encoder.write(entry);
+    encoder.write(record);
     return encoder.toByteArray();
   }
 
-  /** The settings in a block that begins with a start. */
-  static String settingsJson(String block) {
+  /**
+   * Returns the settings JSON of a block that starts with a {@link CaptureRecord.PolicyStarted}.
+   */
+  static String extractSettingsJson(String block) {
     return block.substring(block.indexOf('{'), block.lastIndexOf("}}") + 2);
   }
 
-  private static void record(String name, boolean whole, int turns, long seed) throws IOException {
-    Path folder = ROOT.resolve(name);
-    if (Files.isDirectory(folder)) {
-      for (Path old : CaptureSegments.list(folder)) {
-        Files.delete(old);
+  private static void record(String name, boolean keepActions, int rounds, long seed)
+      throws IOException {
+    Path directory = ROOT.resolve(name);
+    if (Files.isDirectory(directory)) {
+      for (Path existing : CaptureSegments.list(directory)) {
+        Files.delete(existing);
       }
     }
-    CaptureRecorder.Config plan =
-        new CaptureRecorder.Config(folder, whole, RING, SEGMENT_BYTES, BUDGET_BYTES, false);
-    // A clock that stands still: blocks end by their size, not by the speed of the machine.
-    CaptureRecorder recorder = new CaptureRecorder(plan, () -> 0);
-    new FaultyClusterSimulation(settings(), SEED, seed, recorder).run(turns);
+    CaptureRecorder.Config config =
+        new CaptureRecorder.Config(
+            directory, keepActions, QUEUE_CAPACITY, SEGMENT_BYTES, MAX_TOTAL_BYTES, false);
+    // The clock is constant, so that blocks end by size and do not depend on the machine's speed.
+    CaptureRecorder recorder = new CaptureRecorder(config, () -> 0);
+    new FaultyClusterSimulation(settings(), SEED, seed, recorder).run(rounds);
     recorder.close(60_000);
     if (recorder.droppedRounds() > 0) {
-      throw new IllegalStateException(recorder.droppedRounds() + " turns found no room");
+      throw new IllegalStateException(
+          recorder.droppedRounds() + " rounds were dropped: queue full or write failed");
     }
   }
 }
--- a/router/src/test/java/tidebank/capture/FaultyClusterSimulation.java
+++ b/router/src/test/java/tidebank/capture/FaultyClusterSimulation.java
@@ -19,36 +19,47 @@
 import tidebank.policy.RoutingPolicy;
 
 /**
- * Plays an overloaded, faulty cluster to a routing policy and records every turn: attempts that are
- * slow, refused, lost and late, cancellations, clients that leave, shard servers that drain, go,
- * come back cold, endpoint lists that get lost, and the end of the instance.
+ * A simulation of an overloaded, faulty cluster that drives a routing policy and records every
+ * decision round. It generates slow, rejected, lost and late attempts, cancellations, client
+ * disconnects, shard servers that drain, disappear and restart, lost endpoint watches, and a
+ * shutdown.
  */
 final class FaultyClusterSimulation {
   private static final long MS = 1000;
   private static final int SERVERS = 6;
   private static final int SHARDS = 8;
-  private static final List<String> TYPES = List.of("whole", "part", "keyed", "once", "steps");
+  private static final List<String> QUERY_CLASSES =
+      List.of("whole", "part", "keyed", "once", "steps");
 
-  private record Due(long at, long order, Supplier<Event> event) {}
+  /**
+   * An event scheduled for a later time.
+   *
+   * @param atUs when the event occurs
+   * @param sequence order among events of the same time
+   * @param event creates the event when it is due, or returns null if it no longer applies
+   */
+  private record ScheduledEvent(long atUs, long sequence, Supplier<Event> event) {}
 
-  private record Scan(String id, long number, String type, int parts) {}
+  private record Query(String id, long number, String queryClass, int shardRequests) {}
 
   private final RoutingPolicy policy;
   private final SplittableRandom random;
   private final CaptureRecorder recorder;
-  private final PriorityQueue<Due> due =
+  private final PriorityQueue<ScheduledEvent> scheduled =
       new PriorityQueue<>(
           (a, b) ->
-              a.at() != b.at() ? Long.compare(a.at(), b.at()) : Long.compare(a.order(), b.order()));
-  private final Map<String, Integer> attempts = new HashMap<>();
-  private final Set<String> inFlight = new HashSet<>();
-  private final Map<String, Scan> open = new HashMap<>();
-  private final Map<String, Integer> answered = new HashMap<>();
-  private final Set<String> drained = new HashSet<>();
+              a.atUs() != b.atUs()
+                  ? Long.compare(a.atUs(), b.atUs())
+                  : Long.compare(a.sequence(), b.sequence()));
+  private final Map<String, Integer> attemptCounts = new HashMap<>();
+  private final Set<String> attemptsInFlight = new HashSet<>();
+  private final Map<String, Query> openQueries = new HashMap<>();
+  private final Map<String, Integer> completedRequests = new HashMap<>();
+  private final Set<String> drainingServers = new HashSet<>();
   private long now = 1_000_000;
-  private long order;
-  private long scans;
-  private boolean ending;
+  private long nextSequence;
+  private long queryCount;
+  private boolean shuttingDown;
 
   FaultyClusterSimulation(Settings settings, long policySeed, long seed, CaptureRecorder recorder) {
     policy = new RoutingPolicy(settings, policySeed);
@@ -57,85 +68,90 @@
     recorder.policyStarted(settings, policySeed);
   }
 
-  /** Plays so many turns; the last tenth of them after the instance was told to end. */
-  void run(int turns) {
-    at(0, () -> new Event.EndpointListReceived(ListUpdate.CACHED, all()));
-    at(MS, () -> new Event.EndpointListReceived(ListUpdate.SNAPSHOT, all()));
-    scanLater();
-    at(300 * MS, this::listChange);
-    at(400 * MS, this::probed);
-    for (int turn = 0; turn < turns && !due.isEmpty(); turn++) {
-      if (turn == turns - turns / 10) {
-        ending = true;
+  /** Runs up to this number of decision rounds; a shutdown is requested before the last tenth. */
+  void run(int rounds) {
+    schedule(0, () -> new Event.EndpointListReceived(ListUpdate.CACHED, currentEndpoints()));
+    schedule(MS, () -> new Event.EndpointListReceived(ListUpdate.SNAPSHOT, currentEndpoints()));
+    scheduleQuery();
+    schedule(300 * MS, this::changeEndpointList);
+    schedule(400 * MS, this::completeHealthCheck);
+    for (int round = 0; round < rounds && !scheduled.isEmpty(); round++) {
+      if (round == rounds - rounds / 10) {
+        shuttingDown = true;
         long deadline = now + 3000 * MS;
-        at(0, () -> new Event.ShutdownRequested(deadline));
+        schedule(0, () -> new Event.ShutdownRequested(deadline));
       }
-      now = Math.max(now, due.peek().at());
+      now = Math.max(now, scheduled.peek().atUs());
       List<Event> events = new ArrayList<>();
-      while (!due.isEmpty() && due.peek().at() <= now) {
-        Event event = due.poll().event().get();
+      while (!scheduled.isEmpty() && scheduled.peek().atUs() <= now) {
+        Event event = scheduled.poll().event().get();
         if (event != null) {
           events.add(event);
         }
       }
       List<Action> actions = policy.runRound(now, events);
       recorder.roundDecided(now, events, actions);
-      actions.forEach(this::carryOut);
+      actions.forEach(this::execute);
     }
   }
 
-  private void at(long waitUs, Supplier<Event> event) {
-    due.add(new Due(now + waitUs, order++, event));
+  private void schedule(long delayUs, Supplier<Event> event) {
+    scheduled.add(new ScheduledEvent(now + delayUs, nextSequence++, event));
   }
 
-  private static Endpoint listed(int server, EndpointStatus status, long startedAt) {
+  private static Endpoint createEndpoint(int server, EndpointStatus status, long startedAt) {
     return new Endpoint("s" + server, server, status, startedAt, 1 + server % 2 * 0.5);
   }
 
-  private List<Endpoint> all() {
-    List<Endpoint> lines = new ArrayList<>();
+  private List<Endpoint> currentEndpoints() {
+    List<Endpoint> endpoints = new ArrayList<>();
     for (int i = 0; i < SERVERS; i++) {
       EndpointStatus status =
-          drained.contains("s" + i) ? EndpointStatus.DRAINING : EndpointStatus.IN_SERVICE;
-      lines.add(listed(i, status, 0));
+          drainingServers.contains("s" + i) ? EndpointStatus.DRAINING : EndpointStatus.IN_SERVICE;
+      endpoints.add(createEndpoint(i, status, 0));
     }
-    return lines;
+    return endpoints;
   }
 
-  private void scanLater() {
-    // Calm and rushes in turn.
-    boolean rush = now / (400 * MS) % 3 == 1;
-    at(1 + random.nextInt(rush ? 3_000 : 40_000), this::scan);
+  private void scheduleQuery() {
+    // In one of every three periods of 400 ms, queries arrive about 13 times as often.
+    boolean isPeak = now / (400 * MS) % 3 == 1;
+    schedule(1 + random.nextInt(isPeak ? 3_000 : 40_000), this::receiveQuery);
   }
 
-  private Event scan() {
-    scanLater();
-    long number = ++scans;
-    Scan scan =
-        new Scan(
-            "q" + number, number, TYPES.get(random.nextInt(TYPES.size())), 1 + random.nextInt(4));
-    open.put(scan.id(), scan);
-    int first = random.nextInt(SHARDS);
-    for (int i = 0; i < scan.parts(); i++) {
-      String part = scan.id() + "." + i;
-      int shard = (first + i) % SHARDS;
-      at(
+  private Event receiveQuery() {
+    scheduleQuery();
+    long number = ++queryCount;
+    Query query =
+        new Query(
+            "q" + number,
+            number,
+            QUERY_CLASSES.get(random.nextInt(QUERY_CLASSES.size())),
+            1 + random.nextInt(4));
+    openQueries.put(query.id(), query);
+    int firstShard = random.nextInt(SHARDS);
+    for (int i = 0; i < query.shardRequests(); i++) {
+      String shardRequest = query.id() + "." + i;
+      int shard = (firstShard + i) % SHARDS;
+      schedule(
           0,
           () ->
               new Event.ShardRequestReceived(
-                  part,
+                  shardRequest,
                   number,
                   shard,
-                  1.0 / scan.parts(),
-                  scan.type().equals("keyed") ? "k" + number % 7 : ""));
+                  1.0 / query.shardRequests(),
+                  query.queryClass().equals("keyed") ? "k" + number % 7 : ""));
     }
     if (random.nextInt(25) == 0) {
-      at(random.nextInt(400_000), () -> open.remove(scan.id()) == null ? null : lapsed(scan));
+      schedule(
+          random.nextInt(400_000),
+          () -> openQueries.remove(query.id()) == null ? null : clientDisconnected(query));
     }
     return new Event.QueryReceived(
-        scan.id(),
+        query.id(),
         number,
-        scan.type(),
+        query.queryClass(),
         random.nextInt(3) == 0 ? "caf\u00e9" : "anyone",
         now - random.nextInt(2_000),
         now + 1_500 * MS + random.nextInt(1_500_000),
@@ -143,84 +159,89 @@
         "k" + number % 7);
   }
 
-  private static Event lapsed(Scan scan) {
-    return new Event.ClientDisconnected(scan.id());
+  private static Event clientDisconnected(Query query) {
+    return new Event.ClientDisconnected(query.id());
   }
 
-  private Event listChange() {
-    at(200 * MS + random.nextInt(900_000), this::listChange);
+  private Event changeEndpointList() {
+    schedule(200 * MS + random.nextInt(900_000), this::changeEndpointList);
     int server = random.nextInt(SERVERS);
     switch (random.nextInt(6)) {
       case 0 -> {
-        at(100 * MS, () -> new Event.EndpointListReceived(ListUpdate.SNAPSHOT, all()));
+        schedule(
+            100 * MS,
+            () -> new Event.EndpointListReceived(ListUpdate.SNAPSHOT, currentEndpoints()));
         return new Event.EndpointListReceived(ListUpdate.WATCH_LOST, List.of());
       }
       case 1 -> {
-        at(50 * MS, () -> new Event.EndpointListReceived(ListUpdate.SNAPSHOT, all()));
+        schedule(
+            50 * MS, () -> new Event.EndpointListReceived(ListUpdate.SNAPSHOT, currentEndpoints()));
         return new Event.EndpointListReceived(ListUpdate.DISCOVERY_MOVED, List.of());
       }
       case 2 -> {
-        return new Event.EndpointListReceived(ListUpdate.SNAPSHOT, all());
+        return new Event.EndpointListReceived(ListUpdate.SNAPSHOT, currentEndpoints());
       }
       default -> {
-        drained.add("s" + server);
-        at(
+        drainingServers.add("s" + server);
+        schedule(
             150 * MS,
             () ->
                 new Event.EndpointListReceived(
-                    ListUpdate.DELTA, List.of(listed(server, EndpointStatus.GONE, 0))));
-        at(
+                    ListUpdate.DELTA, List.of(createEndpoint(server, EndpointStatus.GONE, 0))));
+        schedule(
             300 * MS,
             () -> {
-              drained.remove("s" + server);
+              drainingServers.remove("s" + server);
               return new Event.EndpointListReceived(
-                  ListUpdate.DELTA, List.of(listed(server, EndpointStatus.IN_SERVICE, now)));
+                  ListUpdate.DELTA,
+                  List.of(createEndpoint(server, EndpointStatus.IN_SERVICE, now)));
             });
         return new Event.EndpointListReceived(
-            ListUpdate.DELTA, List.of(listed(server, EndpointStatus.DRAINING, 0)));
+            ListUpdate.DELTA, List.of(createEndpoint(server, EndpointStatus.DRAINING, 0)));
       }
     }
   }
 
-  private Event probed() {
-    at(100 * MS + random.nextInt(600_000), this::probed);
-    boolean well = random.nextInt(3) > 0;
+  private Event completeHealthCheck() {
+    schedule(100 * MS + random.nextInt(600_000), this::completeHealthCheck);
+    boolean isHealthy = random.nextInt(3) > 0;
     return new Event.HealthCheckCompleted(
         "s" + random.nextInt(SERVERS),
-        well ? Outcome.COMPLETED : Outcome.UNREACHABLE,
+        isHealthy ? Outcome.COMPLETED : Outcome.UNREACHABLE,
         2 * MS,
-        well ? Map.of("util", 0.61) : Map.of());
+        isHealthy ? Map.of("util", 0.61) : Map.of());
   }
 
-  private void carryOut(Action action) {
+  private void execute(Action action) {
     if (action instanceof Action.SendAttempt send) {
-      int attempt = attempts.merge(send.shardRequest(), 1, Integer::sum) - 1;
-      inFlight.add(send.shardRequest() + '#' + attempt);
-      plan(send, attempt);
+      int attempt = attemptCounts.merge(send.shardRequest(), 1, Integer::sum) - 1;
+      attemptsInFlight.add(send.shardRequest() + '#' + attempt);
+      scheduleCompletion(send, attempt);
     } else if (action instanceof Action.CancelAttempt cancel) {
-      at(
+      schedule(
           random.nextInt(300),
-          () -> ended(cancel.shardRequest(), cancel.attempt(), Outcome.CANCELLED, 0));
-    } else if (action instanceof Action.Respond answer) {
-      open.remove(answer.query());
+          () -> completeAttempt(cancel.shardRequest(), cancel.attempt(), Outcome.CANCELLED, 0));
+    } else if (action instanceof Action.Respond respond) {
+      openQueries.remove(respond.query());
     } else if (action instanceof Action.Throttle throttle) {
-      open.remove(throttle.query());
-    } else if (action instanceof Action.Fail abandon) {
-      open.remove(abandon.query());
+      openQueries.remove(throttle.query());
+    } else if (action instanceof Action.Fail fail) {
+      openQueries.remove(fail.query());
     } else if (action instanceof Action.SetTimer timer) {
-      at(Math.max(0, timer.delayUs()), () -> new Event.TimerFired(timer.token()));
-    } else if (action instanceof Action.WatchEndpoints follow && follow.enabled()) {
-      at(5 * MS, () -> new Event.EndpointListReceived(ListUpdate.SNAPSHOT, all()));
+      schedule(Math.max(0, timer.delayUs()), () -> new Event.TimerFired(timer.token()));
+    } else if (action instanceof Action.WatchEndpoints watch && watch.enabled()) {
+      schedule(
+          5 * MS, () -> new Event.EndpointListReceived(ListUpdate.SNAPSHOT, currentEndpoints()));
     }
   }
 
-  private void plan(Action.SendAttempt send, int attempt) {
+  private void scheduleCompletion(Action.SendAttempt send, int attempt) {
     int server = send.server().charAt(1) - '0';
-    boolean slow = server == now / 2_000_000 % SERVERS;
-    boolean sick = server == now / 3_000_000 % (2 * SERVERS);
-    long work = 2 * MS + random.nextInt(30_000) + (slow ? 400 * MS : 0);
+    boolean isSlow = server == now / 2_000_000 % SERVERS;
+    boolean isFaulty = server == now / 3_000_000 % (2 * SERVERS);
+    long processingUs = 2 * MS + random.nextInt(30_000) + (isSlow ? 400 * MS : 0);
     Outcome outcome =
-        switch (random.nextInt(sick ? 12 : 60)) {
+        switch (random.nextInt(isFaulty ? 12 : 60)) {
           case 0 -> Outcome.ERROR;
           case 1 -> Outcome.OVERLOADED;
           case 2 -> Outcome.UNREACHABLE;
@@ -230,50 +251,55 @@
           case 6, 7 -> Outcome.TIMED_OUT;
           default -> Outcome.COMPLETED;
         };
-    long left = Math.max(0, send.deadline() - now);
-    // Some run into a limit of their connection long before the deadline.
-    long took =
+    long remainingUs = Math.max(0, send.deadline() - now);
+    // Some attempts hit a connection timeout long before the deadline.
+    long durationUs =
         switch (outcome) {
-          case COMPLETED -> work;
+          case COMPLETED -> processingUs;
           case TIMED_OUT -> 60 * MS;
           default -> random.nextInt(3_000);
         };
-    Outcome end = took >= left ? Outcome.TIMED_OUT : outcome;
-    at(Math.min(took, left), () -> ended(send.shardRequest(), attempt, end, Math.min(took, left)));
+    Outcome finalOutcome = durationUs >= remainingUs ? Outcome.TIMED_OUT : outcome;
+    schedule(
+        Math.min(durationUs, remainingUs),
+        () ->
+            completeAttempt(
+                send.shardRequest(), attempt, finalOutcome, Math.min(durationUs, remainingUs)));
   }
 
-  private Event ended(String part, int attempt, Outcome outcome, long took) {
-    if (!inFlight.remove(part + '#' + attempt)) {
+  private Event completeAttempt(
+      String shardRequest, int attempt, Outcome outcome, long durationUs) {
+    if (!attemptsInFlight.remove(shardRequest + '#' + attempt)) {
       return null;
     }
-    String id = part.substring(0, part.indexOf('.'));
+    String id = shardRequest.substring(0, shardRequest.indexOf('.'));
     if (outcome == Outcome.COMPLETED) {
-      secondStep(id);
+      sendSecondStage(id);
     }
     return new Event.AttemptCompleted(
-        part,
+        shardRequest,
         attempt,
         outcome,
-        took,
-        !open.containsKey(id),
-        outcome == Outcome.COMPLETED && !ending ? Map.of("util", 0.61) : Map.of());
+        durationUs,
+        !openQueries.containsKey(id),
+        outcome == Outcome.COMPLETED && !shuttingDown ? Map.of("util", 0.61) : Map.of());
   }
 
-  private void secondStep(String id) {
-    Scan scan = open.get(id);
-    if (scan == null
-        || !scan.type().equals("steps")
-        || answered.merge(id, 1, Integer::sum) != scan.parts()) {
+  private void sendSecondStage(String id) {
+    Query query = openQueries.get(id);
+    if (query == null
+        || !query.queryClass().equals("steps")
+        || completedRequests.merge(id, 1, Integer::sum) != query.shardRequests()) {
       return;
     }
     for (int i = 0; i < 2; i++) {
-      String part = id + ".x" + i;
+      String shardRequest = id + ".x" + i;
       int shard = random.nextInt(SHARDS);
-      at(
+      schedule(
           0,
           () ->
-              open.containsKey(id)
-                  ? new Event.ShardRequestReceived(part, scan.number(), shard, 0.5, "")
+              openQueries.containsKey(id)
+                  ? new Event.ShardRequestReceived(shardRequest, query.number(), shard, 0.5, "")
                   : null);
     }
   }
--- a/router/src/test/java/tidebank/capture/StoredCaptureTest.java
+++ b/router/src/test/java/tidebank/capture/StoredCaptureTest.java
@@ -24,129 +24,137 @@
 import tidebank.model.Outcome;
 import tidebank.policy.RoutingPolicy;
 
-/** Captures that an earlier build stored are read, replayed and written as they were. */
+/** Tests that captures of an earlier build are read, replayed and written back unchanged. */
 class StoredCaptureTest {
-  private static final int SEGMENT_HEAD = 24;
-  private static final int BLOCK_HEAD = 12;
+  private static final int SEGMENT_HEADER_BYTES = 24;
+  private static final int BLOCK_HEADER_BYTES = 12;
 
   @TempDir private Path folder;
 
   private static List<CaptureRecord> read(String name) throws IOException {
-    List<CaptureRecord> entries = new ArrayList<>();
+    List<CaptureRecord> records = new ArrayList<>();
     for (Path file : CaptureSegments.list(CaptureFixtures.ROOT.resolve(name))) {
-      CaptureSegments.SegmentContent read = CaptureSegments.read(file);
-      assertThat(read.damage()).as(file.toString()).isEmpty();
-      entries.addAll(read.records());
+      CaptureSegments.SegmentContent content = CaptureSegments.read(file);
+      assertThat(content.damage()).as(file.toString()).isEmpty();
+      records.addAll(content.records());
     }
-    return entries;
+    return records;
   }
 
-  private static List<byte[]> blocks(Path file) throws IOException, DataFormatException {
-    ByteBuffer in = ByteBuffer.wrap(Files.readAllBytes(file)).position(SEGMENT_HEAD);
+  private static List<byte[]> readBlocks(Path file) throws IOException, DataFormatException {
+    ByteBuffer in = ByteBuffer.wrap(Files.readAllBytes(file)).position(SEGMENT_HEADER_BYTES);
     List<byte[]> blocks = new ArrayList<>();
     while (in.hasRemaining()) {
-      byte[] packed = new byte[in.getInt()];
-      byte[] plain = new byte[in.getInt()];
-      in.position(in.position() + BLOCK_HEAD - 8);
-      in.get(packed);
+      byte[] compressed = new byte[in.getInt()];
+      byte[] content = new byte[in.getInt()];
+      in.position(in.position() + BLOCK_HEADER_BYTES - 8);
+      in.get(compressed);
       Inflater inflater = new Inflater(true);
-      inflater.setInput(packed);
-      assertThat(inflater.inflate(plain)).isEqualTo(plain.length);
+      inflater.setInput(compressed);
+      assertThat(inflater.inflate(content)).isEqualTo(content.length);
       inflater.end();
-      blocks.add(plain);
+      blocks.add(content);
     }
     return blocks;
   }
 
+  /** Guards against a decoder that misreads kinds or enum ordinals of stored captures. */
   @Test
-  void everyKindOfEntryEventActionAndOutcomeIsReadAsItWasWritten() throws IOException {
-    assertThat(read("every-kind")).isEqualTo(CaptureFixtures.everyKind());
+  void storedRecordsOfEveryKindAreReadUnchanged() throws IOException {
+    assertThat(read("every-kind")).isEqualTo(CaptureFixtures.recordsOfEveryKind());
   }
 
+  /** Guards against renamed record components that change the JSON field names of the settings. */
   @Test
-  void settingsAreStoredUnderTheseNames() throws Exception {
+  void settingsAreStoredUnderUnchangedFieldNames() throws Exception {
     Path file = CaptureSegments.list(CaptureFixtures.ROOT.resolve("every-kind")).get(0);
-    String block = new String(blocks(file).get(0), StandardCharsets.UTF_8);
-    assertThat(CaptureFixtures.settingsJson(block))
+    String block = new String(readBlocks(file).get(0), StandardCharsets.UTF_8);
+    assertThat(CaptureFixtures.extractSettingsJson(block))
         .isEqualTo(Files.readString(CaptureFixtures.ROOT.resolve("every-kind/settings.json")));
   }
 
+  /** Guards against an encoder that writes a format other than the stored one. */
   @ParameterizedTest
   @ValueSource(strings = {"every-kind", "digest", "whole", "busy"})
-  void entriesAreWrittenToTheBytesTheyWereReadFrom(String name) throws Exception {
+  void reencodedRecordsEqualStoredBytes(String name) throws Exception {
     for (Path file : CaptureSegments.list(CaptureFixtures.ROOT.resolve(name))) {
-      List<byte[]> blocks = blocks(file);
+      List<byte[]> blocks = readBlocks(file);
       assertThat(blocks).isNotEmpty();
-      for (byte[] plain : blocks) {
+      for (byte[] block : blocks) {
         CaptureEncoder encoder = new CaptureEncoder();
-        new CaptureDecoder(plain).readRecords().forEach(encoder::write);
-        assertThat(encoder.toByteArray()).as(file.toString()).isEqualTo(plain);
+        new CaptureDecoder(block).readRecords().forEach(encoder::write);
+        assertThat(encoder.toByteArray()).as(file.toString()).isEqualTo(block);
       }
     }
   }
 
+  /** Guards against changes of the segment header and the framing of blocks. */
   @ParameterizedTest
   @ValueSource(strings = {"every-kind", "digest", "whole", "busy"})
-  void segmentsAreFramedAsTheyWere(String name) throws Exception {
+  void rewrittenSegmentsHaveStoredHeaderAndBlocks(String name) throws Exception {
     for (Path file : CaptureSegments.list(CaptureFixtures.ROOT.resolve(name))) {
       byte[] stored = Files.readAllBytes(file);
-      long number = ByteBuffer.wrap(stored).getLong(SEGMENT_HEAD - 12);
+      long number = ByteBuffer.wrap(stored).getLong(SEGMENT_HEADER_BYTES - 12);
       try (CaptureSegments.SegmentWriter writer =
           new CaptureSegments.SegmentWriter(folder, number)) {
-        for (byte[] plain : blocks(file)) {
-          writer.writeBlock(plain);
+        for (byte[] block : readBlocks(file)) {
+          writer.writeBlock(block);
         }
       }
       Path written = folder.resolve(file.getFileName());
-      assertThat(Arrays.copyOf(Files.readAllBytes(written), SEGMENT_HEAD))
-          .isEqualTo(Arrays.copyOf(stored, SEGMENT_HEAD));
-      // How well the blocks are packed is the platform's; what is in them is not.
-      assertThat(joined(written)).isEqualTo(joined(file));
+      assertThat(Arrays.copyOf(Files.readAllBytes(written), SEGMENT_HEADER_BYTES))
+          .isEqualTo(Arrays.copyOf(stored, SEGMENT_HEADER_BYTES));
+      // Compressed bytes depend on the platform's zlib, so the decompressed blocks are compared.
+      assertThat(concatenateBlocks(written)).isEqualTo(concatenateBlocks(file));
     }
   }
 
-  private static byte[] joined(Path file) throws Exception {
+  private static byte[] concatenateBlocks(Path file) throws Exception {
     ByteArrayOutputStream all = new ByteArrayOutputStream();
-    for (byte[] block : blocks(file)) {
+    for (byte[] block : readBlocks(file)) {
       all.write(block);
     }
     return all.toByteArray();
   }
 
+  /** Guards against changes of the policy that alter the decisions of stored rounds. */
   @ParameterizedTest
   @ValueSource(strings = {"digest", "whole", "busy"})
-  void theRoutingPolicyDecidesEveryTurnAsItDidThen(String name) throws IOException {
+  void policyRepeatsEveryStoredDecision(String name) throws IOException {
     RoutingPolicy policy = null;
-    int turns = 0;
-    for (CaptureRecord entry : read(name)) {
-      if (entry instanceof CaptureRecord.PolicyStarted started) {
+    int rounds = 0;
+    for (CaptureRecord record : read(name)) {
+      if (record instanceof CaptureRecord.PolicyStarted started) {
         assertThat(started)
             .isEqualTo(new CaptureRecord.PolicyStarted(CaptureFixtures.settings(), started.seed()));
         policy = new RoutingPolicy(started.settings(), started.seed());
-      } else if (entry instanceof CaptureRecord.DecisionRound turn) {
-        var actions = policy.runRound(turn.nowUs(), turn.events());
-        assertThat(ActionDigest.of(actions)).as(name + ", turn " + turns).isEqualTo(turn.digest());
+      } else if (record instanceof CaptureRecord.DecisionRound round) {
+        var actions = policy.runRound(round.nowUs(), round.events());
+        assertThat(ActionDigest.of(actions))
+            .as(name + ", round " + rounds)
+            .isEqualTo(round.digest());
         if (name.equals("whole")) {
-          assertThat(turn.actions()).isEqualTo(actions);
+          assertThat(round.actions()).isEqualTo(actions);
         } else {
-          assertThat(turn.actions()).isNull();
+          assertThat(round.actions()).isNull();
         }
-        turns++;
+        rounds++;
       }
     }
-    assertThat(turns).isEqualTo(name.equals("busy") ? 4000 : 150);
+    assertThat(rounds).isEqualTo(name.equals("busy") ? 4000 : 150);
   }
 
+  /** Guards against event types and outcomes that the replay of stored captures does not cover. */
   @Test
-  void theBusyCaptureHoldsEveryKindOfEventAndOutcome() throws IOException {
+  void busyCaptureContainsEveryEventTypeAndOutcome() throws IOException {
     Set<Class<?>> kinds = new HashSet<>();
     Set<Outcome> outcomes = new HashSet<>();
-    for (CaptureRecord entry : read("busy")) {
-      if (entry instanceof CaptureRecord.DecisionRound turn) {
-        for (Event event : turn.events()) {
+    for (CaptureRecord record : read("busy")) {
+      if (record instanceof CaptureRecord.DecisionRound round) {
+        for (Event event : round.events()) {
           kinds.add(event.getClass());
-          if (event instanceof Event.AttemptCompleted ended) {
-            outcomes.add(ended.outcome());
+          if (event instanceof Event.AttemptCompleted completed) {
+            outcomes.add(completed.outcome());
           }
         }
       }
@@ -155,8 +163,9 @@
     assertThat(outcomes).containsExactlyInAnyOrder(Outcome.values());
   }
 
+  /** Guards against large fixtures in the repository. */
   @Test
-  void storedFilesAreSmall() throws IOException {
+  void storedFilesAreSmallerThan60KiB() throws IOException {
     try (Stream<Path> files = Files.walk(CaptureFixtures.ROOT)) {
       for (Path file : files.filter(Files::isRegularFile).toList()) {
         assertThat(Files.size(file)).as(file.toString()).isLessThan(60 << 10);
--- a/testbed/src/test/java/tidebank/testbed/capture/StoredCaptureReplayTest.java
+++ b/testbed/src/test/java/tidebank/testbed/capture/StoredCaptureReplayTest.java
@@ -7,18 +7,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Captures that an earlier build stored replay to the decisions of then. */
+/** Replays captures that an earlier build stored. */
 class StoredCaptureReplayTest {
   private static final Path CAPTURES = Path.of("../router/src/test/resources/fixtures/capture");
 
+  /** Guards against changes of the policy or the capture format that alter stored decisions. */
   @ParameterizedTest
   @CsvSource({"digest, 150, bddd1296", "whole, 150, 113b3e21", "busy, 4000, e9e356d4"})
-  void everyTurnIsDecidedAsItWas(String name, long turns, String digest) throws Exception {
+  void replayRepeatsEveryStoredDecision(String name, long rounds, String digest) throws Exception {
     CaptureReplay.Result result =
-        CaptureReplay.replay(CAPTURES.resolve(name), (number, turn, actions) -> {});
+        CaptureReplay.replay(CAPTURES.resolve(name), (number, round, actions) -> {});
 
-    assertThat(result.rounds()).isEqualTo(turns);
-    assertThat(result.matching()).isEqualTo(turns);
+    assertThat(result.rounds()).isEqualTo(rounds);
+    assertThat(result.matching()).isEqualTo(rounds);
     assertThat(result.skipped()).isZero();
     assertThat(result.policyStarts()).isEqualTo(1);
     assertThat(result.damage()).isEqualTo(List.of());
