--- a/router/src/test/java/tidebank/AcceptBacklogTest.java
+++ b/router/src/test/java/tidebank/AcceptBacklogTest.java
@@ -29,18 +29,18 @@
 import tidebank.FakeSite.FakeShardServer;
 
 /**
- * Connections in the accept backlog, complete for the kernel and unknown to the process, as the
- * process is told to end, is killed, or is started again at its address. Each has its request
- * written before that.
+ * Shutdown, SIGKILL and restart of a router while connections wait in its accept backlog: the
+ * kernel has established them, but the process has not accepted them, and their requests are
+ * already written. Closing the listening socket resets such connections.
  */
 @Timeout(30)
 class AcceptBacklogTest {
   private static final int CLIENTS = 40;
 
-  /** Past the moment of a shutdown at which the listener closes, 0.6 s. */
-  private static final long PAST_CLOSE_NS = 800_000_000L;
+  /** The duration of a stall; the listening socket closes 0.6 s after the shutdown request. */
+  private static final long STALL_NS = 800_000_000L;
 
-  private static final int NO_ANSWER = 0;
+  private static final int NO_RESPONSE = 0;
 
   private final FakeSite site = new FakeSite();
   private final List<FakeClient> clients = new ArrayList<>();
@@ -53,8 +53,9 @@
     site.close();
   }
 
-  // ---- what clients do
+  // ---- clients
 
+  /** Connects the clients and sends a query on each connection. */
   private void connectAll(InetSocketAddress address) throws IOException {
     for (int i = 0; i < CLIENTS; i++) {
       FakeClient client = new FakeClient(address);
@@ -63,22 +64,25 @@
     }
   }
 
-  /** The status of each client's response, {@link #NO_ANSWER} where its connection ended first. */
-  private Map<String, Integer> statuses() throws IOException {
+  /**
+   * Returns the response status by query id, or {@link #NO_RESPONSE} if the connection ended first.
+   */
+  private Map<String, Integer> readStatuses() throws IOException {
     Map<String, Integer> statuses = new HashMap<>();
     for (int i = 0; i < CLIENTS; i++) {
-      int status = NO_ANSWER;
+      int status = NO_RESPONSE;
       try {
         status = clients.get(i).readResponse().status();
       } catch (EOFException | SocketException ended) {
-        // Closed or reset.
+        // The router closed or reset the connection.
       }
       statuses.put("b" + i, status);
     }
     return statuses;
   }
 
-  private void whatWasSentIsAnswered(Map<String, Integer> statuses) {
+  /** Asserts that each query of which a shard server received a request has a response. */
+  private void assertSentQueriesHaveResponses(Map<String, Integer> statuses) {
     for (FakeShardServer server : site.servers) {
       assertThat(server.frames)
           .allSatisfy(
@@ -86,24 +90,25 @@
     }
   }
 
-  // ---- a gatherer in this process
+  // ---- a router in this process
 
+  /** A shutdown request must not discard connections that are not accepted yet. */
   @Test
-  void whatIsInTheBacklogAsAShutdownBeginsIsAnswered() throws Exception {
+  void backlogAtStartOfShutdownIsAnswered() throws Exception {
     site.start();
-    CountDownLatch go = site.stallEventLoop();
+    CountDownLatch resume = site.stallEventLoop();
     connectAll(site.router().address());
     CompletableFuture<Void> stopped = site.router().stop();
-    go.countDown();
-    assertThat(statuses().values()).containsOnly(200);
+    resume.countDown();
+    assertThat(readStatuses().values()).containsOnly(200);
     stopped.get(FakeSite.WAIT_MS, TimeUnit.MILLISECONDS);
   }
 
-  /** Stands still at the end of one pass that accepts, until the listener's time is over. */
-  private static final class StandsStillAfterAccepting extends ChannelInboundHandlerAdapter {
+  /** A handler that stalls the event loop after a number of passes that accept connections. */
+  private static final class StallAfterAccept extends ChannelInboundHandlerAdapter {
     private int passesLeft;
 
-    StandsStillAfterAccepting(int passes) {
+    StallAfterAccept(int passes) {
       passesLeft = passes;
     }
 
@@ -111,46 +116,50 @@
     public void channelReadComplete(ChannelHandlerContext context) {
       context.fireChannelReadComplete();
       if (--passesLeft == 0) {
-        waitPastClose();
+        stallPastListenerClose();
       }
     }
   }
 
-  private static void waitPastClose() {
-    long late = System.nanoTime() + PAST_CLOSE_NS;
-    while (System.nanoTime() < late) {
+  private static void stallPastListenerClose() {
+    long end = System.nanoTime() + STALL_NS;
+    while (System.nanoTime() < end) {
       Thread.onSpinWait();
     }
   }
 
-  /** None, some or all of them are accepted, and some read, as the listener closes. */
+  /**
+   * Closing the listening socket reset the connections that were not accepted or not read. The
+   * event loop stalls past the time of the close after it has accepted none, 16, 32 or all of them.
+   */
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 2, 3})
-  void whatIsInTheBacklogAsTheListenerClosesIsAnswered(int passes) throws Exception {
+  void backlogAtCloseOfListeningSocketIsAnswered(int passes) throws Exception {
     site.start();
-    CountDownLatch go = site.stallEventLoop();
+    CountDownLatch resume = site.stallEventLoop();
     CompletableFuture<Void> stopped = site.router().stop();
     if (passes > 0) {
-      site.listeningChannel().pipeline().addFirst(new StandsStillAfterAccepting(passes));
+      site.listeningChannel().pipeline().addFirst(new StallAfterAccept(passes));
     } else {
-      // The shutdown begins, and then the loop stands still before it accepts anything.
-      go.countDown();
-      go = site.stallEventLoop();
+      // The shutdown begins, and the event loop stalls before it accepts a connection.
+      resume.countDown();
+      resume = site.stallEventLoop();
     }
     connectAll(site.router().address());
     if (passes == 0) {
-      waitPastClose();
+      stallPastListenerClose();
     }
-    go.countDown();
-    Map<String, Integer> statuses = statuses();
-    whatWasSentIsAnswered(statuses);
+    resume.countDown();
+    Map<String, Integer> statuses = readStatuses();
+    assertSentQueriesHaveResponses(statuses);
     assertThat(statuses.values()).containsOnly(200);
     stopped.get(FakeSite.WAIT_MS, TimeUnit.MILLISECONDS);
   }
 
-  // ---- the program
+  // ---- a router in a process of its own
 
-  private InetSocketAddress program(String listen) throws Exception {
+  /** Starts a router process and returns the address on which it listens. */
+  private InetSocketAddress startProcess(String listen) throws Exception {
     site.startProcess(
         Map.of(
             "NODE_CONFIG",
@@ -163,25 +172,25 @@
     String line = site.stderr.readLine();
     while (!line.contains("router n7 listens on")) {
       line = site.stderr.readLine();
-      assertThat(line).as("a line that it listens").isNotNull();
+      assertThat(line).as("log line with the listening address").isNotNull();
     }
     return new InetSocketAddress(
         "127.0.0.1", Integer.parseInt(line.replaceAll(".*127.0.0.1:(\\d+).*", "$1")));
   }
 
-  private void signal(String name) throws Exception {
+  private void sendSignal(String name) throws Exception {
     new ProcessBuilder("kill", "-" + name, String.valueOf(site.process.pid())).start().waitFor();
   }
 
-  /** Stops the process, as SIGSTOP does, and waits until none of its threads runs. */
-  private void stopRunning() throws Exception {
-    signal("STOP");
-    while (!allThreadsStopped()) {
+  /** Sends SIGSTOP and waits until all threads of the process are stopped. */
+  private void suspendProcess() throws Exception {
+    sendSignal("STOP");
+    while (!areAllThreadsStopped()) {
       Thread.onSpinWait();
     }
   }
 
-  private boolean allThreadsStopped() throws IOException {
+  private boolean areAllThreadsStopped() throws IOException {
     Path tasks = Path.of("/proc", String.valueOf(site.process.pid()), "task");
     try (Stream<Path> threads = Files.list(tasks)) {
       for (Path thread : threads.toList()) {
@@ -196,34 +205,36 @@
     }
   }
 
-  private void endsWith0() throws Exception {
+  private void assertExitsWithZero() throws Exception {
     assertThat(site.process.waitFor(FakeSite.WAIT_MS, TimeUnit.MILLISECONDS)).isTrue();
     assertThat(site.process.exitValue()).isZero();
   }
 
+  /** A query sent to a shard server before the shutdown ends must not lose its response. */
   @Test
-  void whatIsInTheBacklogAtSigtermIsAnsweredOrNeverSentAndTheProgramEndsWith0() throws Exception {
-    InetSocketAddress address = program("127.0.0.1:0");
-    stopRunning();
+  void backlogAtSigtermIsAnsweredOrNotSentToServers() throws Exception {
+    InetSocketAddress address = startProcess("127.0.0.1:0");
+    suspendProcess();
     connectAll(address);
-    signal("TERM");
-    signal("CONT");
-    whatWasSentIsAnswered(statuses());
-    endsWith0();
+    sendSignal("TERM");
+    sendSignal("CONT");
+    assertSentQueriesHaveResponses(readStatuses());
+    assertExitsWithZero();
   }
 
+  /** A connection that was never accepted must not lead to requests to shard servers. */
   @Test
-  void whatIsInTheBacklogAtSigkillIsResetAndANewProcessServesAtTheAddress() throws Exception {
-    InetSocketAddress address = program("127.0.0.1:0");
-    stopRunning();
+  void backlogAtSigkillIsResetAndNewProcessReusesAddress() throws Exception {
+    InetSocketAddress address = startProcess("127.0.0.1:0");
+    suspendProcess();
     connectAll(address);
-    signal("KILL");
+    sendSignal("KILL");
     site.process.waitFor();
-    assertThat(statuses().values()).containsOnly(NO_ANSWER);
-    // The clients' sides are still open, and so is nothing that would keep the address.
-    assertThat(program("127.0.0.1:" + address.getPort())).isEqualTo(address);
-    try (FakeClient again = new FakeClient(address)) {
-      assertThat(again.sendAndRead(queryRequest("once", "again", 2900, 0.5, 0.5)).status())
+    assertThat(readStatuses().values()).containsOnly(NO_RESPONSE);
+    // The clients' sockets are still open, but none of the killed process occupies the address.
+    assertThat(startProcess("127.0.0.1:" + address.getPort())).isEqualTo(address);
+    try (FakeClient newClient = new FakeClient(address)) {
+      assertThat(newClient.sendAndRead(queryRequest("once", "again", 2900, 0.5, 0.5)).status())
           .isEqualTo(200);
     }
     for (FakeShardServer server : site.servers) {
@@ -231,17 +242,18 @@
     }
   }
 
+  /** Sockets that a shutdown leaves in the kernel must not keep a new process from listening. */
   @Test
-  void afterAShutdownThatClosedConnectionsANewProcessServesAtTheAddress() throws Exception {
-    InetSocketAddress address = program("127.0.0.1:0");
+  void newProcessReusesAddressAfterGracefulShutdown() throws Exception {
+    InetSocketAddress address = startProcess("127.0.0.1:0");
     connectAll(address);
-    assertThat(statuses().values()).containsOnly(200);
-    signal("TERM");
-    endsWith0();
-    // Our side closed first, so that its address is in TIME_WAIT or, as clients stay, FIN_WAIT.
-    assertThat(program("127.0.0.1:" + address.getPort())).isEqualTo(address);
-    try (FakeClient again = new FakeClient(address)) {
-      assertThat(again.sendAndRead(queryRequest("once", "again", 2900, 0.5, 0.5)).status())
+    assertThat(readStatuses().values()).containsOnly(200);
+    sendSignal("TERM");
+    assertExitsWithZero();
+    // The router closed first: its sockets are in TIME_WAIT, or FIN_WAIT while clients stay open.
+    assertThat(startProcess("127.0.0.1:" + address.getPort())).isEqualTo(address);
+    try (FakeClient newClient = new FakeClient(address)) {
+      assertThat(newClient.sendAndRead(queryRequest("once", "again", 2900, 0.5, 0.5)).status())
           .isEqualTo(200);
     }
   }
--- a/router/src/test/java/tidebank/UnfinishedRequestTest.java
+++ b/router/src/test/java/tidebank/UnfinishedRequestTest.java
@@ -13,35 +13,34 @@
 import tidebank.FakeSite.FakeShardServer.Frame;
 
 /**
- * A client that wrote anything behind a request that was out lost that request: 2.5 s later its
- * connection was closed with no answer. One timer of a connection served two purposes, to end a
- * request that does not come whole and to end an answer that is not read, and the end of either
- * closed the connection over all that was accepted on it. An empty line was enough, which also
- * started the clock of the next request: one with 4,000 ms that came 2 s behind the line was given
- * "d=1997". Of four requests answered by their server after 2.8 s, three were closed with no
- * answer: those with an empty line, half a head and half a body behind them.
+ * Incomplete input after a pending request. A connection had a single timer for both incomplete
+ * requests and unread responses, and its expiry after 2.5 s closed the connection with all pending
+ * requests unanswered. Of four requests that their server answered after 2.8 s, only the one
+ * without further input got its response; an empty line, a partial head or a partial body lost the
+ * others. An empty line also started the timeout of the next request: one of 4,000 ms that arrived
+ * 2 s after the line was sent to the server with "d=1997".
  */
 @Timeout(30)
 class UnfinishedRequestTest {
-  private static final int TARGET_MS = 3000;
+  private static final int LATENCY_OBJECTIVE_MS = 3000;
 
-  /** Beyond the 2.5 s in which a request has to come whole. */
-  private static final long ANSWER_AFTER_MS = 2800;
+  /** Exceeds the 2.5 s within which a request must be complete. */
+  private static final long RESPONSE_DELAY_MS = 2800;
 
-  private static final int TIME_LEFT_MS = 8000;
+  private static final int TIMEOUT_MS = 8000;
 
-  /** What a client writes behind a request that is out. */
-  enum Behind {
+  /** Input that a client sends after a request while its response is pending. */
+  enum TrailingInput {
     EMPTY_LINE,
-    HALF_A_HEAD,
-    HALF_A_BODY;
+    PARTIAL_HEAD,
+    PARTIAL_BODY;
 
     String text() {
-      String next = queryRequest("whole", "next", TIME_LEFT_MS, 1);
+      String next = queryRequest("whole", "next", TIMEOUT_MS, 1);
       return switch (this) {
         case EMPTY_LINE -> "\r\n";
-        case HALF_A_HEAD -> next.substring(0, 40);
-        case HALF_A_BODY -> next.substring(0, next.length() - 9);
+        case PARTIAL_HEAD -> next.substring(0, 40);
+        case PARTIAL_BODY -> next.substring(0, next.length() - 9);
       };
     }
   }
@@ -57,31 +56,31 @@
   @CsvSource({
     "EMPTY_LINE, false",
     "EMPTY_LINE, true",
-    "HALF_A_HEAD, false",
-    "HALF_A_HEAD, true",
-    "HALF_A_BODY, false",
-    "HALF_A_BODY, true"
+    "PARTIAL_HEAD, false",
+    "PARTIAL_HEAD, true",
+    "PARTIAL_BODY, false",
+    "PARTIAL_BODY, true"
   })
-  void anAcceptedRequestIsAnsweredWhateverIsWrittenBehindIt(Behind behind, boolean atOnce)
+  void pendingRequestIsAnsweredWhateverInputFollows(TrailingInput trailingInput, boolean inOneWrite)
       throws Exception {
-    site.latencyObjectiveMs = TARGET_MS;
+    site.latencyObjectiveMs = LATENCY_OBJECTIVE_MS;
     site.limits.put("secondCopies", false);
-    FakeShardServer server = onlyServer();
+    FakeShardServer server = useSingleServer();
     site.start();
     try (FakeClient client = site.connectClient()) {
-      String request = queryRequest("whole", "first", TIME_LEFT_MS, 1);
-      client.send(atOnce ? request + behind.text() : request);
+      String request = queryRequest("whole", "first", TIMEOUT_MS, 1);
+      client.send(inOneWrite ? request + trailingInput.text() : request);
       Frame first = server.awaitFrame();
-      if (!atOnce) {
-        client.send(behind.text());
+      if (!inOneWrite) {
+        client.send(trailingInput.text());
       }
-      TimeUnit.MILLISECONDS.sleep(ANSWER_AFTER_MS);
+      TimeUnit.MILLISECONDS.sleep(RESPONSE_DELAY_MS);
       first.respond("good", "value");
       assertThat(client.readResponse().status()).isEqualTo(200);
-      if (behind == Behind.EMPTY_LINE) {
-        client.send(queryRequest("whole", "next", TIME_LEFT_MS, 1));
+      if (trailingInput == TrailingInput.EMPTY_LINE) {
+        client.send(queryRequest("whole", "next", TIMEOUT_MS, 1));
         Frame next = server.awaitFrame();
-        assertThat(timeOf(next)).isGreaterThan(TIME_LEFT_MS - 1000);
+        assertThat(parseTimeoutMs(next)).isGreaterThan(TIMEOUT_MS - 1000);
         next.respond("good", "value");
         assertThat(client.readResponse().status()).isEqualTo(200);
       } else {
@@ -91,7 +90,8 @@
     }
   }
 
-  private FakeShardServer onlyServer() {
+  /** Removes all shard servers but one, which the test answers for. */
+  private FakeShardServer useSingleServer() {
     site.servers.forEach(server -> server.health = "Gone");
     FakeShardServer server = site.servers.get(0);
     server.health = "Ready";
@@ -99,8 +99,8 @@
     return server;
   }
 
-  /** The milliseconds for which a dispatch says that it will be waited for. */
-  private static long timeOf(Frame frame) {
+  /** Returns the timeout that a batch frame gives the server, in milliseconds. */
+  private static long parseTimeoutMs(Frame frame) {
     return Long.parseLong(frame.content().replaceAll("(?s).* d=(\\d+) .*", "$1"));
   }
 }
