--- a/router/src/test/java/tidebank/AcceptFailureTest.java
+++ b/router/src/test/java/tidebank/AcceptFailureTest.java
@@ -16,17 +16,18 @@
 import tidebank.FakeSite.FakeShardServer;
 
 /**
- * One accept that failed for a moment (too many open files in the system, no buffer space) kept a
- * gatherer from accepting for a second, and one that failed again for a further one, as Netty's
- * acceptor pauses so after any fault. Requests that waited in the backlog meanwhile were taken to
- * be new once they were accepted: they were answered, and their servers given time, beyond what
- * their clients had left. With one accept in ten failing, 41 of 100 requests with 1,000 ms on new
- * connections were answered later than 0.5 s, up to 2.039 s, each with "200".
+ * Guards against long pauses after a failure to accept a connection, such as too many open files or
+ * no buffer space. Netty's acceptor pauses for one second after any exception, and again after each
+ * further one. Requests that waited in the accept backlog were then treated as new: they were
+ * answered, and their attempts got timeouts, beyond the timeouts of their clients.
+ *
+ * <p>When one accept in ten failed, 41 of 100 requests with a timeout of 1,000 ms on new
+ * connections were answered only after more than 0.5 s, up to 2.039 s, each with status 200.
  */
 @Timeout(30)
 class AcceptFailureTest {
   private static final int CLIENTS = 5;
-  private static final int TIME_LEFT_MS = 900;
+  private static final int TIMEOUT_MS = 900;
 
   private final FakeSite site = new FakeSite();
   private final List<FakeClient> clients = new ArrayList<>();
@@ -40,44 +41,45 @@
   }
 
   @Test
-  void anAcceptThatFailsForAMomentKeepsNobodyWaiting() throws Exception {
+  void requestsAreAnsweredInTimeAfterFailedAccept() throws Exception {
     site.start();
-    try (FakeClient before = site.connectClient()) {
-      assertThat(before.sendAndRead(queryRequest("whole", "before", 2900, 0.5, 0.5)).status())
+    try (FakeClient earlierClient = site.connectClient()) {
+      assertThat(
+              earlierClient.sendAndRead(queryRequest("whole", "before", 2900, 0.5, 0.5)).status())
           .isEqualTo(200);
     }
-    acceptFails();
+    failAccept();
     long start = System.nanoTime();
     for (int i = 0; i < CLIENTS; i++) {
-      clients.add(
-          site.connectClient().send(queryRequest("whole", "a" + i, TIME_LEFT_MS, 0.5, 0.5)));
+      clients.add(site.connectClient().send(queryRequest("whole", "a" + i, TIMEOUT_MS, 0.5, 0.5)));
     }
     for (FakeClient client : clients) {
       assertThat(client.readResponse().status()).isEqualTo(200);
     }
-    assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start)).isLessThan(TIME_LEFT_MS);
+    assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start)).isLessThan(TIMEOUT_MS);
     for (FakeShardServer server : site.servers) {
       assertThat(server.frames)
           .filteredOn(frame -> frame.content().startsWith("a"))
-          .allMatch(frame -> timeOf(frame.content()) <= TIME_LEFT_MS);
+          .allMatch(frame -> timeoutMsOf(frame.content()) <= TIMEOUT_MS);
     }
   }
 
-  private static long timeOf(String line) {
-    return Long.parseLong(line.replaceAll("(?s).* d=(\\d+) .*", "$1"));
+  /** Returns the timeout in milliseconds of the last shard request in a batch. */
+  private static long timeoutMsOf(String batch) {
+    return Long.parseLong(batch.replaceAll("(?s).* d=(\\d+) .*", "$1"));
   }
 
-  /** The next thing that the listener has to tell is that the system could not accept. */
-  private void acceptFails() throws Exception {
+  /** Makes the listening socket handle the exception of a failed accept. */
+  private void failAccept() throws Exception {
     Channel channel = site.listeningChannel();
-    CountDownLatch told = new CountDownLatch(1);
+    CountDownLatch reported = new CountDownLatch(1);
     channel
         .eventLoop()
         .execute(
             () -> {
               channel.pipeline().fireExceptionCaught(new IOException("Too many open files"));
-              told.countDown();
+              reported.countDown();
             });
-    told.await();
+    reported.await();
   }
 }
--- a/router/src/test/java/tidebank/DepartedClientTest.java
+++ b/router/src/test/java/tidebank/DepartedClientTest.java
@@ -17,35 +17,36 @@
 import tidebank.FakeSite.FakeShardServer;
 
 /**
- * Gatherers that had just started sent parts of queries to shard servers more than 0.1 s after the
- * client had closed its connection, which counts as a lost request. The event loop read a client's
- * connection once in each pass over its sockets, so that the end of a client was only met one pass
- * behind its request, when the parts were already sent; and what ended while a pass was under way
- * was not looked at again before the sending. In a process that has just started one pass takes
- * long, as all code runs for the first time: one had "serving" at 9.817 s and "a pass of the event
- * loop took 290 ms" at 10.122 s. Of 1,619 clients that left up to 4 ms after they asked, in the
- * first 2.5 s of a process on an idle machine, 133 had their part sent more than 0.1 s after their
- * close, up to 0.153 s; the log has "client left early: age_ms=152 read_ms_ago=15 dispatches=1
- * last_sent_ms_ago=12" for one of them.
+ * Guards against attempts that are sent more than 0.1 s after the client has disconnected, which
+ * counts as a lost request. The event loop read each client connection once per pass, so it saw a
+ * disconnect only in the pass after the request, when the attempts had already been sent. It did
+ * not check again for clients that disconnected during a pass.
+ *
+ * <p>Passes are slow in a process that has just started, as all code runs for the first time: one
+ * router was ready at 9.817 s and logged a pass of 290 ms at 10.122 s. Of 1,619 clients that
+ * disconnected up to 4 ms after their request, in the first 2.5 s of a process on an idle machine,
+ * 133 had their attempt sent more than 0.1 s after the disconnect, up to 0.153 s. For one of them
+ * the router logged "client left early: age_ms=152 read_ms_ago=15 dispatches=1
+ * last_sent_ms_ago=12".
  */
 @Timeout(30)
 class DepartedClientTest {
-  /** When a client ends its connection, its request being written before. */
-  enum Moment {
+  /** When a client disconnects, after it has sent its request. */
+  enum DisconnectTime {
     BEFORE_ITS_REQUEST_IS_READ,
     BETWEEN_DECISION_AND_SENDING
   }
 
-  private static final int LEAVERS = 20;
-  private static final long PASS_MS = 150;
+  private static final int CLIENTS = 20;
+  private static final long STALL_MS = 150;
 
   private final FakeSite site = new FakeSite();
-  private final List<FakeClient> leavers = new ArrayList<>();
+  private final List<FakeClient> disconnectingClients = new ArrayList<>();
 
   @AfterEach
   void close() throws Exception {
-    for (FakeClient leaver : leavers) {
-      leaver.close();
+    for (FakeClient client : disconnectingClients) {
+      client.close();
     }
     site.close();
   }
@@ -59,18 +60,21 @@
     "BETWEEN_DECISION_AND_SENDING, RESET",
     "BETWEEN_DECISION_AND_SENDING, HALF_CLOSE"
   })
-  void nothingIsSentForAClientThatHasLeft(Moment moment, CloseMode end) throws Exception {
+  void noAttemptIsSentAfterClientDisconnects(DisconnectTime disconnectTime, CloseMode closeMode)
+      throws Exception {
     site.start();
-    try (FakeClient stays = site.connectClient()) {
-      // The connections to the shard servers are up by then, so that nothing else delays a part.
-      assertThat(stays.sendAndRead(queryRequest("whole", "before", 2900, 0.5, 0.5)).status())
+    try (FakeClient connectedClient = site.connectClient()) {
+      // Opens the connections to the shard servers, so that nothing else delays an attempt.
+      assertThat(
+              connectedClient.sendAndRead(queryRequest("whole", "before", 2900, 0.5, 0.5)).status())
           .isEqualTo(200);
-      if (moment == Moment.BEFORE_ITS_REQUEST_IS_READ) {
-        leaveUnread(end);
+      if (disconnectTime == DisconnectTime.BEFORE_ITS_REQUEST_IS_READ) {
+        disconnectBeforeRead(closeMode);
       } else {
-        leaveInPass(end);
+        disconnectBeforeSending(closeMode);
       }
-      assertThat(stays.sendAndRead(queryRequest("whole", "stays", 2900, 0.5, 0.5)).status())
+      assertThat(
+              connectedClient.sendAndRead(queryRequest("whole", "stays", 2900, 0.5, 0.5)).status())
           .isEqualTo(200);
       for (FakeShardServer server : site.servers) {
         assertThat(server.frames).noneMatch(frame -> frame.content().startsWith("gone"));
@@ -78,37 +82,40 @@
     }
   }
 
-  /** Clients connect, ask and leave while the event loop is busy otherwise. */
-  private void leaveUnread(CloseMode end) throws Exception {
-    CountDownLatch go = site.stallEventLoop();
-    for (int i = 0; i < LEAVERS; i++) {
-      leavers.add(site.connectClient());
-      end.close(leavers.get(i).send(queryRequest("whole", "gone" + i, 2900, 0.5, 0.5)));
+  /** Lets clients connect, send a request and disconnect while the event loop is stalled. */
+  private void disconnectBeforeRead(CloseMode closeMode) throws Exception {
+    CountDownLatch resume = site.stallEventLoop();
+    for (int i = 0; i < CLIENTS; i++) {
+      disconnectingClients.add(site.connectClient());
+      closeMode.close(
+          disconnectingClients.get(i).send(queryRequest("whole", "gone" + i, 2900, 0.5, 0.5)));
     }
-    go.countDown();
+    resume.countDown();
   }
 
+  /** Guards against further attempts for a client that disconnects after they were decided. */
   @ParameterizedTest
   @EnumSource(CloseMode.class)
-  void noFurtherDispatchIsSentForAClientThatLeftSinceItWasDecided(CloseMode end) throws Exception {
+  void noFurtherAttemptIsSentAfterClientDisconnects(CloseMode closeMode) throws Exception {
     site.start();
     connectAllServers();
     site.servers.forEach(server -> server.autoRespond = false);
-    FakeClient leaver = site.connectClient();
-    leavers.add(leaver);
-    leaver.send(queryRequest("whole", "gone", 2900, 1));
-    awaitFirstDispatch();
-    CountDownLatch stands = new CountDownLatch(1);
-    CountDownLatch go = new CountDownLatch(1);
-    site.stallBeforeSending(stands, go);
-    // Its server says nothing, so that it is sent to another.
-    stands.await();
-    end.close(leaver);
-    TimeUnit.MILLISECONDS.sleep(PASS_MS);
+    FakeClient client = site.connectClient();
+    disconnectingClients.add(client);
+    client.send(queryRequest("whole", "gone", 2900, 1));
+    awaitFirstAttempt();
+    CountDownLatch stalled = new CountDownLatch(1);
+    CountDownLatch resume = new CountDownLatch(1);
+    site.stallBeforeSending(stalled, resume);
+    // The server of the first attempt does not respond, so a further one is sent to another server.
+    stalled.await();
+    closeMode.close(client);
+    TimeUnit.MILLISECONDS.sleep(STALL_MS);
     site.servers.forEach(server -> server.autoRespond = true);
-    go.countDown();
-    try (FakeClient stays = site.connectClient()) {
-      assertThat(stays.sendAndRead(queryRequest("whole", "stays", 2900, 0.5, 0.5)).status())
+    resume.countDown();
+    try (FakeClient connectedClient = site.connectClient()) {
+      assertThat(
+              connectedClient.sendAndRead(queryRequest("whole", "stays", 2900, 0.5, 0.5)).status())
           .isEqualTo(200);
     }
     for (FakeShardServer server : site.servers) {
@@ -117,7 +124,7 @@
     }
   }
 
-  /** Asks until there is a connection to each shard server. */
+  /** Sends queries until there is a connection to each shard server. */
   private void connectAllServers() throws Exception {
     try (FakeClient client = site.connectClient()) {
       for (int i = 0;
@@ -130,24 +137,24 @@
     site.servers.forEach(server -> server.frames.clear());
   }
 
-  /** Takes the one frame of the scan that is out. */
-  private void awaitFirstDispatch() {
+  /** Waits for the first attempt and removes its frame. */
+  private void awaitFirstAttempt() {
     while (site.servers.stream().noneMatch(server -> server.frames.poll() != null)) {
       Thread.onSpinWait();
     }
   }
 
-  /** A client leaves while the pass that has read and decided its request is under way. */
-  private void leaveInPass(CloseMode end) throws Exception {
-    FakeClient leaver = site.connectClient();
-    leavers.add(leaver);
-    CountDownLatch stands = new CountDownLatch(1);
-    CountDownLatch go = new CountDownLatch(1);
-    site.stallBeforeSending(stands, go);
-    leaver.send(queryRequest("whole", "gone", 2900, 0.5, 0.5));
-    stands.await();
-    end.close(leaver);
-    TimeUnit.MILLISECONDS.sleep(PASS_MS);
-    go.countDown();
+  /** Lets a client disconnect after its attempts were decided, but before they are sent. */
+  private void disconnectBeforeSending(CloseMode closeMode) throws Exception {
+    FakeClient client = site.connectClient();
+    disconnectingClients.add(client);
+    CountDownLatch stalled = new CountDownLatch(1);
+    CountDownLatch resume = new CountDownLatch(1);
+    site.stallBeforeSending(stalled, resume);
+    client.send(queryRequest("whole", "gone", 2900, 0.5, 0.5));
+    stalled.await();
+    closeMode.close(client);
+    TimeUnit.MILLISECONDS.sleep(STALL_MS);
+    resume.countDown();
   }
 }
--- a/router/src/test/java/tidebank/FakeSite.java
+++ b/router/src/test/java/tidebank/FakeSite.java
@@ -44,14 +44,18 @@
 import tidebank.runtime.QueryRouter;
 
 /**
- * Small stand-ins on loopback ports of the system's choice: discovery, shard servers, a client; and
- * a gatherer's file.
+ * A router under test with fakes for everything around it: a discovery service, four shard servers
+ * and clients, all on ephemeral loopback ports. A test changes the fields of the configuration file
+ * before it starts the router, either in this process or as a process of its own.
  */
 final class FakeSite implements AutoCloseable {
+  /** The maximum wait for an event that a test expects, in milliseconds. */
   static final int WAIT_MS = 8000;
 
   final List<FakeShardServer> servers = new ArrayList<>();
   final FakeDiscovery discovery = new FakeDiscovery(this);
+
+  /** The fields of the "limits" object in the settings. */
   final Map<String, Object> limits =
       new LinkedHashMap<>(
           Map.of(
@@ -69,48 +73,64 @@
               100,
               "mostHeld",
               200));
+
+  /** Further top-level fields of the configuration file. */
   final Map<String, Object> configFields =
       new LinkedHashMap<>(
           Map.of("name", "n0", "listen", "127.0.0.1:0", "seed", "8c1f30d27a5be964"));
+
   int maxSockets = 1024;
 
-  /** Whether the program is started under a limit of descriptors that binds. */
+  /** Whether the process is started with a file descriptor limit that fits {@link #maxSockets}. */
   boolean limitDescriptors;
 
   int maxBatchSize = 1;
   int pollIntervalMs = 12_000;
   int latencyObjectiveMs = 1000;
+
+  /** Whether the configuration file contains the endpoint list. */
   boolean hasCachedList = true;
+
+  /**
+   * The setting "discovery": "ask" if the router has to watch the list, "push" if an agent does.
+   */
   String discoveryMode = "ask";
+
+  /** The router in this process; null if none was started. */
   private QueryRouter router;
+
+  /** The router's own process; null if none was started. */
   Process process;
+
   Path configPath;
   BufferedReader stderr;
 
   /**
-   * Shards 0 to 3 at four positions, each held by two servers: s0 at position 0, s1 at 1 and so on.
+   * Creates servers s0 to s3 at the positions 0 to 3. Each of the shards 0 to 3 has two replicas:
+   * at the position of its number and at the next one.
    */
   FakeSite() {
-    for (int block = 0; block < 4; block++) {
-      servers.add(new FakeShardServer("s" + block, block));
+    for (int position = 0; position < 4; position++) {
+      servers.add(new FakeShardServer("s" + position, position));
     }
   }
 
-  private String queryClassJson(String name, String repeat, double late) {
+  private String queryClassJson(String name, String semantics, double lateWorth) {
     return "{'name':'"
         + name
         + "','semantics':'"
-        + repeat
+        + semantics
         + "','onTimeMs':"
         + latencyObjectiveMs
         + ",'deadlineMs':"
         + 3 * latencyObjectiveMs
         + ",'windowMs':2000,"
         + "'lateWorth':"
-        + late
+        + lateWorth
         + ",'worth':1}";
   }
 
+  /** Returns the contents of the configuration file. */
   String configJson() {
     configFields.put("discovery", discovery.address());
     String settings =
@@ -132,8 +152,8 @@
             + pollIntervalMs
             + ",'stopSendingWithinMs':500,'coldFrom':0.3,'coldMs':0,'fallMultiple':2,'tipAfterMs':1000},"
             + "'report':{'how':'on_probe'}}";
-    String top = toJson(configFields);
-    return (top.substring(0, top.length() - 1)
+    String fields = toJson(configFields);
+    return (fields.substring(0, fields.length() - 1)
             + ",'limits':{'sockets':"
             + maxSockets
             + "}"
@@ -147,28 +167,31 @@
   private static String toJson(Map<String, Object> values) {
     return values.entrySet().stream()
         .map(
-            e ->
+            field ->
                 "'"
-                    + e.getKey()
+                    + field.getKey()
                     + "':"
-                    + (e.getValue() instanceof String s ? "'" + s + "'" : e.getValue()))
+                    + (field.getValue() instanceof String text
+                        ? "'" + text + "'"
+                        : field.getValue()))
         .collect(Collectors.joining(",", "{", "}"));
   }
 
+  /** Writes the configuration to a temporary file and returns its path. */
   Path writeConfigFile() throws IOException {
-    configPath = Files.createTempFile("gatherer", ".json");
+    configPath = Files.createTempFile("router", ".json");
     configPath.toFile().deleteOnExit();
     return Files.writeString(configPath, configJson());
   }
 
-  /** Starts a gatherer in this process, from the environment and the file as the program does. */
+  /** Starts the router in this process. It listens when this returns. */
   FakeSite start() throws IOException {
     router =
         QueryRouter.start(RouterConfig.read(Map.of("NODE_CONFIG", writeConfigFile().toString())));
     return this;
   }
 
-  /** Starts the program itself, as {@code run} does; its standard error is the result's. */
+  /** Starts the router's main class as a process with these environment variables and arguments. */
   Process startProcess(Map<String, String> env, String... args) throws IOException {
     List<String> command =
         new ArrayList<>(
@@ -182,14 +205,14 @@
                 "tidebank.Main"));
     command.addAll(List.of(args));
     if (limitDescriptors) {
-      // As many as it is told of, and those of the test's class path, which is a single jar in
-      // service.
+      // The limit also covers the jars of the test's class path, as each needs a descriptor. In
+      // production the class path is a single jar.
       int jars = System.getProperty("java.class.path").split(File.pathSeparator).length;
       command.addAll(
           0, List.of("/bin/sh", "-c", "ulimit -n " + (maxSockets + jars) + "; exec \"$@\"", "sh"));
     }
-    // A JVM leaves a signal alone that it inherits as ignored, as under nohup, and so would never
-    // hear of SIGHUP.
+    // A JVM does not handle a signal that its parent ignores. Under nohup, the router would
+    // otherwise never receive SIGHUP.
     command.addAll(0, List.of("env", "--default-signal=HUP"));
     ProcessBuilder builder = new ProcessBuilder(command);
     builder.environment().putAll(env);
@@ -199,39 +222,41 @@
   }
 
   /**
-   * Has the gatherer's event loop stand still until what it returns is counted down; it does so
-   * when this returns.
+   * Stalls the router's event loop. The loop is stalled when this returns, and resumes when the
+   * returned latch is counted down.
    */
   CountDownLatch stallEventLoop() throws Exception {
-    CountDownLatch stands = new CountDownLatch(1);
-    CountDownLatch go = new CountDownLatch(1);
+    CountDownLatch stalled = new CountDownLatch(1);
+    CountDownLatch resume = new CountDownLatch(1);
     eventLoop()
         .execute(
             () -> {
-              stands.countDown();
+              stalled.countDown();
               try {
-                go.await();
+                resume.await();
               } catch (InterruptedException fault) {
                 Thread.currentThread().interrupt();
               }
             });
-    stands.await();
-    return go;
+    stalled.await();
+    return resume;
   }
 
   /**
-   * Has the event loop stand still between the next decision that sends something and the sending,
-   * as a process that is cold or is stopped just then; {@code stands} is counted down once it does,
-   * and it goes on when {@code go} is.
+   * Stalls the event loop after the next decision round that sends an attempt, before the attempt
+   * is sent. A process that has just started, or is stopped at that moment, stalls in the same way.
+   *
+   * @param stalled counted down when the loop stalls
+   * @param resume counted down by the test to let the loop resume
    */
-  void stallBeforeSending(CountDownLatch stands, CountDownLatch go) throws Exception {
+  void stallBeforeSending(CountDownLatch stalled, CountDownLatch resume) throws Exception {
     PolicyExecutor executor = (PolicyExecutor) readField(router, "executor");
-    CountDownLatch set = new CountDownLatch(1);
-    DecisionLog stall =
+    CountDownLatch installed = new CountDownLatch(1);
+    DecisionLog stallingLog =
         new DecisionLog() {
           @Override
           public void policyStarted(Settings settings, long seed) {
-            set.countDown();
+            installed.countDown();
           }
 
           @Override
@@ -239,9 +264,9 @@
             if (actions.stream().noneMatch(Action.SendAttempt.class::isInstance)) {
               return;
             }
-            stands.countDown();
+            stalled.countDown();
             try {
-              go.await();
+              resume.await();
             } catch (InterruptedException fault) {
               Thread.currentThread().interrupt();
             }
@@ -250,15 +275,15 @@
           @Override
           public void roundFailed(long nowUs, List<Event> events, Throwable cause) {}
         };
-    eventLoop().execute(() -> executor.setDecisionLog(stall));
-    set.await();
+    eventLoop().execute(() -> executor.setDecisionLog(stallingLog));
+    installed.await();
   }
 
   private Executor eventLoop() throws Exception {
     return (Executor) readField(router, "loop");
   }
 
-  /** The gatherer's listening socket. */
+  /** Returns the channel of the router's listening socket. */
   Channel listeningChannel() throws Exception {
     return (Channel) readField(readField(readField(router, "clients"), "listener"), "channel");
   }
@@ -269,14 +294,17 @@
     return field.get(owner);
   }
 
+  /** Returns the router in this process; null if none was started. */
   QueryRouter router() {
     return router;
   }
 
+  /** Connects a client to the router in this process. */
   FakeClient connectClient() throws IOException {
     return new FakeClient(router.address());
   }
 
+  /** Kills the router's process, stops the router in this process, and closes the fakes. */
   @Override
   public void close() throws Exception {
     if (process != null) {
@@ -291,35 +319,41 @@
     }
   }
 
-  /** Accepts connections and serves each on a thread of its own. */
+  /** A server that accepts connections and handles each on a thread of its own. */
   abstract static class FakeServer implements AutoCloseable {
+    /** A handler of one connection, which is closed when it returns or throws. */
     interface ConnectionHandler {
       void handle(Socket socket) throws IOException, InterruptedException;
     }
 
+    /** The open connections. */
     final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
+
+    /** The number of connections accepted so far, including closed ones. */
     final AtomicInteger acceptedCount = new AtomicInteger();
+
     ServerSocket serverSocket;
 
-    void listen(ConnectionHandler served) {
+    /** Listens on an ephemeral loopback port. An earlier server socket stays open. */
+    void listen(ConnectionHandler handler) {
       try {
         serverSocket = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
       } catch (IOException fault) {
         throw new UncheckedIOException(fault);
       }
-      ServerSocket mine = serverSocket;
+      ServerSocket listening = serverSocket;
       runInBackground(
           () -> {
             while (true) {
-              Socket socket = mine.accept();
-              // Each write is a segment of its own, at once.
+              Socket socket = listening.accept();
+              // Sends each write as a segment of its own, without delay.
               socket.setTcpNoDelay(true);
               acceptedCount.incrementAndGet();
               sockets.add(socket);
               runInBackground(
                   () -> {
                     try (socket) {
-                      served.handle(socket);
+                      handler.handle(socket);
                     } finally {
                       sockets.remove(socket);
                     }
@@ -338,8 +372,8 @@
               () -> {
                 try {
                   task.run();
-                } catch (Exception ended) {
-                  // The other side or the test closed the socket.
+                } catch (Exception closed) {
+                  // The router or the test closed the socket.
                 }
               });
       thread.setDaemon(true);
@@ -350,12 +384,13 @@
       return "127.0.0.1:" + serverSocket.getLocalPort();
     }
 
+    /** Closes all open connections with a reset. */
     void resetConnections() throws IOException {
       for (Socket socket : sockets) {
         try {
           socket.setSoLinger(true, 0);
         } catch (SocketException closed) {
-          // The gatherer was first.
+          // The connection is already closed.
         }
         socket.close();
       }
@@ -368,18 +403,34 @@
     }
   }
 
-  /** Reads frames. A part is answered at once, or handed to the test. */
+  /**
+   * A shard server. It records all frames and responds to batches if {@link #autoRespond} is set;
+   * otherwise the test responds.
+   */
   static final class FakeShardServer extends FakeServer {
-    /** A frame as it came, and the connection to answer on. */
+    /**
+     * A received frame.
+     *
+     * @param type the type byte
+     * @param content the rest of the frame
+     * @param socket the connection that it was received on
+     */
     record Frame(char type, String content, Socket socket) {
+      /** Returns the id of the first shard request in a batch, or of the one to cancel. */
       String requestId() {
         return content.split(" ")[0];
       }
 
-      void respond(String end, String value) throws IOException {
-        sendBytes(encodeFrame('q', requestId() + " " + end + " 7 util=0.61\n" + value));
+      /**
+       * Responds to the first shard request on the same connection.
+       *
+       * @param status "good", "bad" or "later"
+       */
+      void respond(String status, String value) throws IOException {
+        sendBytes(encodeFrame('q', requestId() + " " + status + " 7 util=0.61\n" + value));
       }
 
+      /** Sends these bytes on the connection that the frame was received on. */
       void sendBytes(byte[] bytes) throws IOException {
         socket.getOutputStream().write(bytes);
       }
@@ -388,15 +439,20 @@
     final String id;
     final int position;
     final BlockingQueue<Frame> frames = new LinkedBlockingQueue<>();
+
+    /** Whether the server responds to each batch immediately, to its first shard request only. */
     volatile boolean autoRespond = true;
+
+    /** The status in the endpoint list: "Ready", "Terminating" or "Gone". */
     volatile String health = "Ready";
 
-    FakeShardServer(String id, int block) {
+    FakeShardServer(String id, int position) {
       this.id = id;
-      this.position = block;
+      this.position = position;
       listenOnNewPort();
     }
 
+    /** Listens on a new port. Connections to the earlier one are still accepted. */
     void listenOnNewPort() {
       listen(
           socket -> {
@@ -408,53 +464,60 @@
                       (char) bytes[0],
                       new String(bytes, 1, bytes.length - 1, StandardCharsets.UTF_8),
                       socket);
-              // How it is answered is settled before the test hears of it.
-              boolean settled = autoRespond;
+              // Read first, so that a test that takes the frame can change it for later frames.
+              boolean respond = autoRespond;
               frames.add(frame);
-              if (settled && frame.type == 'm') {
+              if (respond && frame.type == 'm') {
                 frame.respond("good", "value of " + frame.requestId());
               }
             }
           });
     }
 
+    /** Removes and returns the next frame, and fails if none arrives in time. */
     Frame awaitFrame() throws InterruptedException {
       Frame frame = frames.poll(WAIT_MS, TimeUnit.MILLISECONDS);
       Assertions.assertThat(frame).as("a frame at " + id).isNotNull();
       return frame;
     }
 
-    static byte[] encodeFrame(char letter, String rest) {
-      return encodeFrame(letter, rest.getBytes(StandardCharsets.UTF_8));
+    /** Encodes a frame with its length, type and content. */
+    static byte[] encodeFrame(char type, String content) {
+      return encodeFrame(type, content.getBytes(StandardCharsets.UTF_8));
     }
 
-    static byte[] encodeFrame(char letter, byte[] bytes) {
-      return ByteBuffer.allocate(5 + bytes.length)
-          .putInt(1 + bytes.length)
-          .put((byte) letter)
-          .put(bytes)
+    /** Encodes a frame with its length, type and content. */
+    static byte[] encodeFrame(char type, byte[] content) {
+      return ByteBuffer.allocate(5 + content.length)
+          .putInt(1 + content.length)
+          .put((byte) type)
+          .put(content)
           .array();
     }
   }
 
-  /** Tells the list, whole or by changes, or fails as it is told to. */
+  /** A discovery service. It sends the complete list, deltas, or the response set by the test. */
   static final class FakeDiscovery extends FakeServer {
     private final FakeSite site;
+
+    /** The request target of each call, with its query string. */
     final BlockingQueue<String> calls = new LinkedBlockingQueue<>();
 
-    /** What to answer in place of the list: raw HTTP, "" to say nothing. */
+    /** The raw HTTP response sent instead of a list; empty to not respond, null to send a list. */
     volatile String responseOverride;
 
     /**
-     * How the connection ends behind what is answered instead: by a reset, or by an end that is
-     * whole; null: not.
+     * How the connection is closed after {@link #responseOverride}: true for a reset, false for an
+     * orderly close. Null keeps it open.
      */
     volatile Boolean closeByReset;
 
     int version = 41;
+
+    /** The endpoint in the delta that led to the current version; empty if there is none. */
     private String latestChange = "";
 
-    /** One permit lets one connection end. */
+    /** Each permit lets one connection close, if {@link #closeByReset} is set. */
     final java.util.concurrent.Semaphore closePermits = new java.util.concurrent.Semaphore(0);
 
     FakeDiscovery(FakeSite site) {
@@ -467,16 +530,16 @@
       for (String line = in.readLine(); line != null; line = in.readLine()) {
         if (line.startsWith("GET ")) {
           String path = line.split(" ")[1];
-          // How it is answered is settled before the test hears of it.
-          String settled = responseOverride;
+          // Read first, so that a test that takes the call can change them for later calls.
+          String override = responseOverride;
           Boolean reset = closeByReset;
           calls.add(path);
-          String reply =
-              settled != null
-                  ? settled
+          String response =
+              override != null
+                  ? override
                   : httpResponse(path.contains("after=") ? awaitChange(path) : listJson(true));
-          socket.getOutputStream().write(reply.getBytes(StandardCharsets.UTF_8));
-          if (settled != null && reset != null) {
+          socket.getOutputStream().write(response.getBytes(StandardCharsets.UTF_8));
+          if (override != null && reset != null) {
             closePermits.acquire();
             if (reset) {
               socket.setSoLinger(true, 0);
@@ -487,10 +550,15 @@
       }
     }
 
+    /** Returns a successful HTTP response with this body, which has to be ASCII. */
     static String httpResponse(String body) {
       return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
+    /**
+     * Waits for a version above that of a watch call, for as long as the call allows, and returns
+     * the delta; it has no endpoints if there was no change.
+     */
     private synchronized String awaitChange(String path) throws InterruptedException {
       int after = Integer.parseInt(path.replaceAll(".*after=(\\d+).*", "$1"));
       long until =
@@ -506,7 +574,7 @@
           + "]}";
     }
 
-    /** Tells a change of this server. */
+    /** Changes a server's status and completes the pending watch call with this change. */
     synchronized void updateHealth(FakeShardServer server, String health) {
       server.health = health;
       latestChange = hostJson(server);
@@ -514,16 +582,22 @@
       notifyAll();
     }
 
-    String listJson(boolean whole) {
+    /**
+     * Returns the list of all servers.
+     *
+     * @param complete whether it is marked as complete rather than as a delta
+     */
+    String listJson(boolean complete) {
       return "{\"seq\":"
           + version
           + ",\"whole\":"
-          + whole
+          + complete
           + ",\"hosts\":["
           + String.join(",", site.servers.stream().map(FakeDiscovery::hostJson).toList())
           + "]}";
     }
 
+    /** Returns a server's entry in the list. */
     static String hostJson(FakeShardServer server) {
       return ("{'host':'"
               + server.id
@@ -537,19 +611,22 @@
           .replace('\'', '"');
     }
 
-    /** Waits for a call of this kind. */
-    String awaitCall(String part) throws InterruptedException {
+    /**
+     * Waits for a call with this text in its target and returns the target. Removes it and all
+     * calls before it, and fails if it does not arrive in time.
+     */
+    String awaitCall(String text) throws InterruptedException {
       while (true) {
         String call = calls.poll(WAIT_MS, TimeUnit.MILLISECONDS);
-        Assertions.assertThat(call).as("a call of discovery with " + part).isNotNull();
-        if (call.contains(part)) {
+        Assertions.assertThat(call).as("a call to discovery with " + text).isNotNull();
+        if (call.contains(text)) {
           return call;
         }
       }
     }
   }
 
-  /** A client that writes what it is told to, byte for byte. */
+  /** A client of the router that sends its requests byte for byte as given. */
   static final class FakeClient implements AutoCloseable {
     record Response(int status, Map<String, String> headers, String body) {}
 
@@ -561,13 +638,15 @@
     }
 
     /**
-     * One that takes in no more than about so many bytes before it reads; 0: as many as the system
-     * likes.
+     * Connects to a router.
+     *
+     * @param receiveBufferBytes the approximate size of the socket's receive buffer; 0 for the
+     *     system default
      */
-    FakeClient(InetSocketAddress address, int receives) throws IOException {
+    FakeClient(InetSocketAddress address, int receiveBufferBytes) throws IOException {
       socket = new Socket();
-      if (receives > 0) {
-        socket.setReceiveBufferSize(receives);
+      if (receiveBufferBytes > 0) {
+        socket.setReceiveBufferSize(receiveBufferBytes);
       }
       socket.connect(address);
       socket.setSoTimeout(WAIT_MS);
@@ -575,8 +654,12 @@
       in = new BufferedInputStream(socket.getInputStream());
     }
 
-    /** The request of a scan with these weights, one part a shard. */
-    static String queryRequest(String type, String id, int timeLeftMs, double... weights) {
+    /**
+     * Returns the HTTP request of a query.
+     *
+     * @param weights the weights of the shard requests, one for each shard from 0
+     */
+    static String queryRequest(String queryClass, String id, int timeoutMs, double... weights) {
       StringBuilder ranges = new StringBuilder();
       for (int shard = 0; shard < weights.length; shard++) {
         ranges
@@ -588,26 +671,31 @@
             .append("}");
       }
       return postRequest(
-          "/" + type,
+          "/" + queryClass,
           id,
-          timeLeftMs + "m",
+          timeoutMs + "m",
           "{\"ranges\":[" + ranges + "],\"predicate\":\"c41e77d0\"}");
     }
 
-    static String postRequest(String path, String id, String timeLeft, String body) {
+    /**
+     * Returns a POST request.
+     *
+     * @param timeout the value of its X-Time-Left header
+     */
+    static String postRequest(String path, String id, String timeout, String body) {
       return "POST "
           + path
           + " HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: "
           + id
           + "\r\nX-Account: a\r\nX-Time-Left: "
-          + timeLeft
+          + timeout
           + "\r\nContent-Length: "
           + body.length()
           + "\r\n\r\n"
           + body;
     }
 
-    /** Another client of the same gatherer. */
+    /** Connects another client to the same router. */
     FakeClient connectAnother() throws IOException {
       return new FakeClient((InetSocketAddress) socket.getRemoteSocketAddress());
     }
@@ -617,14 +705,17 @@
       return this;
     }
 
+    /** Sends a request and reads the next response. */
     Response sendAndRead(String raw) throws IOException {
       return send(raw).readResponse();
     }
 
+    /** Returns the HTTP status of the readiness check: 200 or 503. */
     int fetchReadinessStatus() throws IOException {
       return sendAndRead("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").status;
     }
 
+    /** Reads a response, and fails if the connection is closed first. */
     Response readResponse() throws IOException {
       String status = readLine();
       Map<String, String> headers = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
@@ -642,14 +733,14 @@
       StringBuilder line = new StringBuilder();
       for (int next = in.read(); next != '\n'; next = in.read()) {
         if (next < 0) {
-          throw new EOFException("the gatherer ended the connection");
+          throw new EOFException("the router closed the connection");
         }
         line.append(next == '\r' ? "" : (char) next);
       }
       return line.toString();
     }
 
-    /** Whether the gatherer has ended the connection. */
+    /** Waits for input; returns true if the router closed the connection instead of sending any. */
     boolean isClosedByRouter() throws IOException {
       return in.read() < 0;
     }
--- a/router/src/test/java/tidebank/QueryRouterSoakTest.java
+++ b/router/src/test/java/tidebank/QueryRouterSoakTest.java
@@ -23,10 +23,10 @@
 import tidebank.FakeSite.FakeShardServer;
 
 /**
- * A gatherer as a process of its own, under clients of several kinds that are drawn from a seed,
- * while it is stopped and woken, a server drains and goes, and it is told to end with its kill as
- * early as it may come. Each request is judged from outside by its one fate. {@code
- * -Dtidebank.soak.seeds=50} plays so many seeds.
+ * A soak test of a router process. Clients with seeded random behavior send requests while the
+ * process is stopped and continued by signals, a shard server drains and leaves, and finally the
+ * router is shut down within the minimum time between SIGTERM and SIGKILL. The clients and shard
+ * servers check that no request is lost. {@code -Dtidebank.soak.seeds=50} runs 50 seeds.
  */
 @Timeout(60)
 class QueryRouterSoakTest {
@@ -34,47 +34,61 @@
   private static final int CLIENTS = 10;
   private static final int STOPS = 4;
   private static final long STOP_MS = 300;
-  private static final long BETWEEN_STOPS_MS = 400;
+  private static final long MAX_TIME_BETWEEN_STOPS_MS = 400;
 
-  /** Longer than the drain grace of the settings. */
-  private static final long DRAINED_MS = 700;
+  /** Longer than the configured drain grace. */
+  private static final long DRAIN_MS = 700;
 
-  /** The longest query timeout of the settings, and what is between that and the kill. */
+  /** The minimum time from SIGTERM to SIGKILL: the longest query timeout plus a grace period. */
   private static final long KILL_AFTER_MS = 1500 + 700;
 
-  private static final int TARGET_MS = 500;
-  private static final int TIME_LEFT_MS = 1000;
+  private static final int LATENCY_OBJECTIVE_MS = 500;
+  private static final int TIMEOUT_MS = 1000;
 
-  /** Behind its time an answer earns nothing for as long; later it is lost. */
+  /** A response that is late by up to this time has no value; a later one counts as lost. */
   private static final long SLACK_MS = 500;
 
-  /** The 0.1 s of the protocol, and as much for this process to read the clock and the frame. */
-  private static final long LEFT_MS = 200;
+  /**
+   * How long after a client's disconnect attempts may still be received: the 0.1 s of the protocol,
+   * and another 0.1 s for this process to read the clock and the frame.
+   */
+  private static final long DISCONNECT_GRACE_MS = 200;
 
-  /** What became of a request, as its client and the shard servers saw it. */
-  private record Fate(String id, boolean first, boolean ending, long tookMs, int status) {
-    private static final int NONE = 0;
+  /**
+   * The result of a request as seen by its client.
+   *
+   * @param firstOnConnection whether it was the first request on its connection
+   * @param duringShutdown whether the shutdown began before the request ended
+   * @param durationMs how long the client waited for the response, in milliseconds
+   * @param status the HTTP status, or {@link #NO_RESPONSE}
+   */
+  private record RequestResult(
+      String id, boolean firstOnConnection, boolean duringShutdown, long durationMs, int status) {
+    private static final int NO_RESPONSE = 0;
 
     /**
-     * Closed with no answer, which a request that crosses the end of a resting connection may be.
+     * Returns whether the request counts as lost: it has no response, or too late a one. A missing
+     * response is permitted if the router may have closed an idle connection while the request was
+     * in transit.
      */
-    boolean isLost(int timeLeftMs) {
-      boolean crossed = status == NONE && (!first || ending);
-      return !crossed && (status == NONE || tookMs > timeLeftMs + STOP_MS + SLACK_MS);
+    boolean isLost(int timeoutMs) {
+      boolean mayHaveCrossedClose = status == NO_RESPONSE && (!firstOnConnection || duringShutdown);
+      return !mayHaveCrossedClose
+          && (status == NO_RESPONSE || durationMs > timeoutMs + STOP_MS + SLACK_MS);
     }
   }
 
   private final FakeSite site = new FakeSite();
-  private final AtomicInteger ids = new AtomicInteger();
-  private final ConcurrentLinkedQueue<Fate> fates = new ConcurrentLinkedQueue<>();
-  private final ConcurrentLinkedQueue<String> late = new ConcurrentLinkedQueue<>();
-  private final Map<String, Long> closedAt = new ConcurrentHashMap<>();
-  private volatile boolean ending;
-  private volatile boolean over;
+  private final AtomicInteger lastId = new AtomicInteger();
+  private final ConcurrentLinkedQueue<RequestResult> results = new ConcurrentLinkedQueue<>();
+  private final ConcurrentLinkedQueue<String> lateIds = new ConcurrentLinkedQueue<>();
+  private final Map<String, Long> disconnectedAt = new ConcurrentHashMap<>();
+  private volatile boolean shutdownBegun;
+  private volatile boolean finished;
 
   @AfterEach
   void close() throws Exception {
-    over = true;
+    finished = true;
     site.close();
   }
 
@@ -84,32 +98,36 @@
 
   @ParameterizedTest
   @MethodSource("seeds")
-  void eachRequestHasItsOneFate(long seed) throws Exception {
-    site.latencyObjectiveMs = TARGET_MS;
-    InetSocketAddress address = start();
+  void noRequestIsLostUnderFaultsAndShutdown(long seed) throws Exception {
+    site.latencyObjectiveMs = LATENCY_OBJECTIVE_MS;
+    InetSocketAddress address = startProcess();
     List<Thread> threads = new ArrayList<>();
-    site.servers.forEach(server -> threads.add(background(() -> watch(server))));
+    site.servers.forEach(server -> threads.add(runInBackground(() -> recordLateAttempts(server))));
     for (int i = 0; i < CLIENTS; i++) {
       Random random = new Random(seed * CLIENTS + i);
-      threads.add(background(() -> ask(address, random)));
+      threads.add(runInBackground(() -> sendRequests(address, random)));
     }
-    disturb(new Random(-seed));
-    boolean ended = site.process.waitFor(KILL_AFTER_MS, TimeUnit.MILLISECONDS);
-    over = true;
-    assertThat(ended).as("ended before the kill").isTrue();
+    injectFaults(new Random(-seed));
+    boolean exited = site.process.waitFor(KILL_AFTER_MS, TimeUnit.MILLISECONDS);
+    finished = true;
+    assertThat(exited).as("exited before SIGKILL").isTrue();
     assertThat(site.process.exitValue()).isZero();
     for (Thread thread : threads) {
       thread.join();
     }
-    assertThat(fates).hasSizeGreaterThan(CLIENTS);
-    assertThat(fates).filteredOn(fate -> fate.isLost(TIME_LEFT_MS)).isEmpty();
-    // A process that is stopped between its last look at a client and the writing can't know.
-    assertThat(late.stream().distinct().count()).as("sent late: %s", late).isLessThan(STOPS + 1);
+    assertThat(results).hasSizeGreaterThan(CLIENTS);
+    assertThat(results).filteredOn(result -> result.isLost(TIMEOUT_MS)).isEmpty();
+    // Each stop may cause one late attempt: a process that is stopped between its last check of a
+    // client's connection and the write cannot know of the disconnect.
+    assertThat(lateIds.stream().distinct().count())
+        .as("attempts after the disconnect of: %s", lateIds)
+        .isLessThan(STOPS + 1);
   }
 
-  // ---- the process and what happens to it
+  // ---- the router process
 
-  private InetSocketAddress start() throws Exception {
+  /** Starts the router and returns the address that it listens on. */
+  private InetSocketAddress startProcess() throws Exception {
     site.startProcess(
         Map.of(
             "NODE_CONFIG",
@@ -124,40 +142,42 @@
       line = site.stderr.readLine();
     }
     String port = line.replaceAll(".*127.0.0.1:(\\d+).*", "$1");
-    // A full pipe would stop the process.
-    background(() -> site.stderr.lines().forEach(text -> {}));
+    // Reads all further output, as a full pipe would block the process.
+    runInBackground(() -> site.stderr.lines().forEach(ignored -> {}));
     return new InetSocketAddress("127.0.0.1", Integer.parseInt(port));
   }
 
-  private void disturb(Random random) throws Exception {
-    FakeShardServer drained = site.servers.get(random.nextInt(site.servers.size()));
+  /** Stops and continues the process, drains a server, reloads the settings and sends SIGTERM. */
+  private void injectFaults(Random random) throws Exception {
+    FakeShardServer draining = site.servers.get(random.nextInt(site.servers.size()));
     for (int i = 0; i < STOPS; i++) {
-      TimeUnit.MILLISECONDS.sleep(random.nextInt((int) BETWEEN_STOPS_MS));
-      signal("STOP");
+      TimeUnit.MILLISECONDS.sleep(random.nextInt((int) MAX_TIME_BETWEEN_STOPS_MS));
+      sendSignal("STOP");
       TimeUnit.MILLISECONDS.sleep(STOP_MS);
-      signal("CONT");
+      sendSignal("CONT");
     }
-    site.discovery.updateHealth(drained, "Terminating");
-    TimeUnit.MILLISECONDS.sleep(DRAINED_MS);
-    signal("HUP");
-    site.discovery.updateHealth(drained, "Gone");
+    site.discovery.updateHealth(draining, "Terminating");
+    TimeUnit.MILLISECONDS.sleep(DRAIN_MS);
+    sendSignal("HUP");
+    site.discovery.updateHealth(draining, "Gone");
     TimeUnit.MILLISECONDS.sleep(random.nextInt(300));
-    ending = true;
-    signal("TERM");
+    shutdownBegun = true;
+    sendSignal("TERM");
   }
 
-  private void signal(String name) throws Exception {
+  private void sendSignal(String name) throws Exception {
     new ProcessBuilder("kill", "-" + name, String.valueOf(site.process.pid())).start().waitFor();
   }
 
   // ---- clients
 
-  private void ask(InetSocketAddress address, Random random) throws Exception {
-    while (!over) {
+  /** Opens one connection after another and sends a few requests on each. */
+  private void sendRequests(InetSocketAddress address, Random random) throws Exception {
+    while (!finished) {
       try (FakeClient client = new FakeClient(address)) {
         boolean first = true;
-        for (int left = 1 + random.nextInt(5); left > 0 && !over; left--) {
-          if (!askOnce(client, random, first)) {
+        for (int remaining = 1 + random.nextInt(5); remaining > 0 && !finished; remaining--) {
+          if (!sendRequest(client, random, first)) {
             break;
           }
           first = false;
@@ -169,49 +189,57 @@
     }
   }
 
-  /** Whether the connection may be asked on. */
-  private boolean askOnce(FakeClient client, Random random, boolean first) throws Exception {
-    String id = "r" + ids.incrementAndGet();
+  /**
+   * Sends a request. Some clients disconnect without reading the response, others send it in two
+   * parts, and some of these also begin a second request.
+   *
+   * @return whether further requests may be sent on the connection
+   */
+  private boolean sendRequest(FakeClient client, Random random, boolean first) throws Exception {
+    String id = "r" + lastId.incrementAndGet();
     String request =
-        queryRequest(random.nextBoolean() ? "whole" : "part", id, TIME_LEFT_MS, 0.5, 0.5);
-    int kind = random.nextInt(10);
-    if (kind < 4) {
+        queryRequest(random.nextBoolean() ? "whole" : "part", id, TIMEOUT_MS, 0.5, 0.5);
+    int behavior = random.nextInt(10);
+    if (behavior < 4) {
       client.send(request);
       TimeUnit.MILLISECONDS.sleep(random.nextInt(40));
       CloseMode.values()[random.nextInt(2)].close(client);
-      closedAt.put(id, System.nanoTime());
+      disconnectedAt.put(id, System.nanoTime());
       return false;
     }
-    int cut = random.nextInt(request.length());
-    boolean isEnding = ending;
+    int splitAt = random.nextInt(request.length());
+    boolean shutdownBegunBefore = shutdownBegun;
     long start = System.nanoTime();
-    int status = Fate.NONE;
+    int status = RequestResult.NO_RESPONSE;
     try {
-      client.send(request.substring(0, cut));
-      client.send(request.substring(cut));
+      client.send(request.substring(0, splitAt));
+      client.send(request.substring(splitAt));
       start = System.nanoTime();
-      if (kind == 4) {
-        client.send("\r\n" + request.substring(0, cut));
+      if (behavior == 4) {
+        client.send("\r\n" + request.substring(0, splitAt));
       }
       status = client.readResponse().status();
-    } catch (IOException none) {
-      // Closed or reset: what that means is for the judge.
+    } catch (IOException closed) {
+      // Closed or reset. RequestResult.isLost decides whether this counts as lost.
     }
-    long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start);
-    fates.add(new Fate(id, first, isEnding || ending, tookMs, status));
-    return status != Fate.NONE && kind != 4;
+    long durationMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start);
+    results.add(
+        new RequestResult(id, first, shutdownBegunBefore || shutdownBegun, durationMs, status));
+    return status != RequestResult.NO_RESPONSE && behavior != 4;
   }
 
   // ---- shard servers
 
-  private void watch(FakeShardServer server) throws Exception {
-    while (!over) {
+  /** Records the requests that a server receives after their clients have disconnected. */
+  private void recordLateAttempts(FakeShardServer server) throws Exception {
+    while (!finished) {
       FakeShardServer.Frame frame = server.frames.poll(10, TimeUnit.MILLISECONDS);
       if (frame != null && frame.type() == 'm') {
         String id = frame.requestId().split("[.]")[0];
-        Long closed = closedAt.get(id);
-        if (closed != null && System.nanoTime() - closed > LEFT_MS * 1_000_000) {
-          late.add(id);
+        Long disconnectTime = disconnectedAt.get(id);
+        if (disconnectTime != null
+            && System.nanoTime() - disconnectTime > DISCONNECT_GRACE_MS * 1_000_000) {
+          lateIds.add(id);
         }
       }
     }
@@ -221,14 +249,14 @@
     void run() throws Exception;
   }
 
-  private static Thread background(Task task) {
+  private static Thread runInBackground(Task task) {
     Thread thread =
         new Thread(
             () -> {
               try {
                 task.run();
               } catch (Exception ended) {
-                // The test is over.
+                // The test has ended.
               }
             });
     thread.setDaemon(true);
--- a/router/src/test/java/tidebank/QueryRouterTest.java
+++ b/router/src/test/java/tidebank/QueryRouterTest.java
@@ -30,23 +30,24 @@
 import tidebank.FakeSite.FakeShardServer.Frame;
 import tidebank.logging.Log;
 
-/** A gatherer on sockets, between a client, shard servers and discovery that are stand-ins. */
+/** Tests of the whole router over sockets, with fakes for clients, shard servers and discovery. */
 @Timeout(20)
 class QueryRouterTest {
+  /** The buffer leaks that Netty's leak detector has reported. */
   private static final Queue<String> LEAKS = new ConcurrentLinkedQueue<>();
 
   private final FakeSite site = new FakeSite();
 
   @BeforeAll
-  static void watchForLeaks() {
+  static void recordBufferLeaks() {
     Log.configure(new Log.Settings(Level.WARN, Log.Format.TEXT, 50));
     ResourceLeakDetector.setLevel(ResourceLeakDetector.Level.PARANOID);
     ResourceLeakDetectorFactory.setResourceLeakDetectorFactory(
         new ResourceLeakDetectorFactory() {
           @Override
           public <T> ResourceLeakDetector<T> newResourceLeakDetector(
-              Class<T> resource, int interval, long most) {
-            return new ResourceLeakDetector<>(resource, interval) {
+              Class<T> resource, int samplingInterval, long maxActive) {
+            return new ResourceLeakDetector<>(resource, samplingInterval) {
               @Override
               protected boolean needReport() {
                 return true;
@@ -66,8 +67,9 @@
         });
   }
 
+  /** Allocates buffers after each garbage collection, as the detector reports leaks only then. */
   @AfterAll
-  static void noBufferLeaks() {
+  static void assertNoBufferLeaks() {
     PooledByteBufAllocator allocator = new PooledByteBufAllocator(true);
     for (int i = 0; i < 10; i++) {
       System.gc();
@@ -81,20 +83,21 @@
     site.close();
   }
 
-  private void silence() {
+  /** Lets the tests respond to all batches. */
+  private void disableAutoRespond() {
     site.servers.forEach(server -> server.autoRespond = false);
   }
 
-  /** The list names but one server in service: s1, which holds the shards 0 and 1. */
-  private FakeShardServer only() {
+  /** Lists all servers but s1 as gone. Returns s1, which has the shards 0 and 1. */
+  private FakeShardServer keepOnlyServer1() {
     site.servers.forEach(server -> server.health = "Gone");
-    FakeShardServer one = site.servers.get(1);
-    one.health = "Ready";
-    return one;
+    FakeShardServer server = site.servers.get(1);
+    server.health = "Ready";
+    return server;
   }
 
-  /** The next frame at any shard server. */
-  private Frame anyFrame() throws InterruptedException {
+  /** Removes and returns the next frame at any shard server; the test's timeout limits the wait. */
+  private Frame awaitAnyFrame() throws InterruptedException {
     while (true) {
       for (FakeShardServer server : site.servers) {
         Frame frame = server.frames.poll();
@@ -106,16 +109,17 @@
     }
   }
 
-  private List<Frame> framesSoFar() {
+  /** Removes and returns all frames that the shard servers have received. */
+  private List<Frame> drainFrames() {
     List<Frame> frames = new ArrayList<>();
     site.servers.forEach(server -> server.frames.drainTo(frames));
     return frames;
   }
 
-  // ---- a scan's way
+  // ---- queries
 
   @Test
-  void aScanGoesToHoldersOfItsShardsAndItsAnswerIsWholeOnAConnectionThatStays() throws Exception {
+  void queryGoesToReplicasAndConnectionStaysOpen() throws Exception {
     site.start();
     try (FakeClient client = site.connectClient()) {
       Response first = client.sendAndRead(queryRequest("whole", "a1", 2000, 0.5, 0.3, 0.1, 0.1));
@@ -139,24 +143,25 @@
   }
 
   @Test
-  void valuesArePassedOnByteForByte() throws Exception {
-    silence();
+  void valuesAreReturnedUnchanged() throws Exception {
+    disableAutoRespond();
     site.start();
     try (FakeClient client = site.connectClient()) {
       client.send(queryRequest("whole", "a", 2000, 1));
-      anyFrame().respond("good", "quote \" back \\ line \n \u00e9 \u20ac");
+      awaitAnyFrame().respond("good", "quote \" back \\ line \n \u00e9 \u20ac");
       assertThat(client.readResponse().body())
           .contains("\"blob\":\"quote \\\" back \\\\ line \\n \u00e9 \u20ac\"");
     }
   }
 
+  /** The query is not delayed until its timeout by the one shard request without a response. */
   @Test
-  void whatIsInAtTheTargetTimeIsAnsweredInPart() throws Exception {
-    silence();
+  void partialResultIsReturnedAtLatencyObjective() throws Exception {
+    disableAutoRespond();
     site.start();
     try (FakeClient client = site.connectClient()) {
       client.send(queryRequest("part", "a", 2500, 0.7, 0.3));
-      for (Frame frame = anyFrame(); ; frame = anyFrame()) {
+      for (Frame frame = awaitAnyFrame(); ; frame = awaitAnyFrame()) {
         if (frame.type() == 'm' && frame.requestId().equals("a.0")) {
           frame.respond("good", "x");
           break;
@@ -168,7 +173,7 @@
   }
 
   @Test
-  void aScanWhoseTimeIsNearlyGoneIsAnsweredAtOnceAndNothingIsSent() throws Exception {
+  void nearlyExpiredQueryIsRejectedWithoutAttempts() throws Exception {
     site.start();
     try (FakeClient client = site.connectClient()) {
       assertThat(client.sendAndRead(queryRequest("once", "a", 5, 1)).status()).isEqualTo(503);
@@ -182,13 +187,13 @@
                           "{\"ranges\":[{\"range\":0,\"portion\":1}],\"predicate\":\"\"}"))
                   .status())
           .isEqualTo(503);
-      assertThat(framesSoFar()).isEmpty();
+      assertThat(drainFrames()).isEmpty();
     }
   }
 
   @Test
-  void whatIsNeverAnsweredEndsBeforeTheClientsTime() throws Exception {
-    silence();
+  void queryWithoutShardResponsesFailsBeforeItsTimeout() throws Exception {
+    disableAutoRespond();
     site.start();
     try (FakeClient client = site.connectClient()) {
       long start = System.nanoTime();
@@ -198,7 +203,7 @@
   }
 
   @Test
-  void refusalsNameATimeToComeBackWhereThatIsAllowed() throws Exception {
+  void rejectionHasRetryAfterHeaderIfEnabled() throws Exception {
     site.limits.putAll(java.util.Map.of("retryAfter", true, "maxRetryAfterMs", 300));
     site.servers.forEach(server -> server.health = "Terminating");
     site.start();
@@ -209,51 +214,53 @@
     }
   }
 
+  /** The limit counts queries and shard requests together. The first query takes 3 of 5. */
   @Test
-  void asManyAreHeldAsTheSettingsAllow() throws Exception {
+  void queryBeyondMaxPendingIsRejected() throws Exception {
     site.limits.put("mostHeld", 5);
-    silence();
+    disableAutoRespond();
     site.start();
-    try (FakeClient one = site.connectClient();
-        FakeClient two = site.connectClient()) {
-      one.send(queryRequest("whole", "a", 2000, 0.5, 0.5));
-      anyFrame();
-      assertThat(two.sendAndRead(queryRequest("whole", "b", 2000, 0.5, 0.5)).body())
+    try (FakeClient first = site.connectClient();
+        FakeClient second = site.connectClient()) {
+      first.send(queryRequest("whole", "a", 2000, 0.5, 0.5));
+      awaitAnyFrame();
+      assertThat(second.sendAndRead(queryRequest("whole", "b", 2000, 0.5, 0.5)).body())
           .contains("as much is held");
-      assertThat(two.sendAndRead(queryRequest("whole", "c", 100, 1)).body()).contains("throttled");
+      assertThat(second.sendAndRead(queryRequest("whole", "c", 100, 1)).body())
+          .contains("throttled");
     }
   }
 
   @Test
-  void aClientThatLeavesEndsItsDispatches() throws Exception {
-    silence();
+  void attemptIsCancelledWhenClientDisconnects() throws Exception {
+    disableAutoRespond();
     site.start();
     FakeClient client = site.connectClient();
     client.send(queryRequest("whole", "a", 2000, 1));
-    Frame sent = anyFrame();
+    Frame sent = awaitAnyFrame();
     client.close();
-    Frame next = anyFrame();
+    Frame next = awaitAnyFrame();
     assertThat(next.type()).isEqualTo('n');
     assertThat(next.content()).isEqualTo("a.0");
     try (FakeClient other = site.connectClient()) {
       sent.respond("good", "too late");
       other.send(queryRequest("whole", "b", 2000, 1));
-      assertThat(anyFrame().requestId()).isEqualTo("b.0");
+      assertThat(awaitAnyFrame().requestId()).isEqualTo("b.0");
     }
   }
 
   // ---- clients
 
   @Test
-  void requestsMayBeCutAnywhereComeInChunksAndInOneWrite() throws Exception {
+  void fragmentedAndChunkedRequestsAreAnswered() throws Exception {
     site.start();
     try (FakeClient client = site.connectClient()) {
-      for (char letter : queryRequest("whole", "a", 2000, 1).toCharArray()) {
-        client.send(String.valueOf(letter));
+      for (char character : queryRequest("whole", "a", 2000, 1).toCharArray()) {
+        client.send(String.valueOf(character));
       }
       assertThat(client.readResponse().body()).contains("value of a.0");
       String body = "{\"ranges\":[{\"range\":0,\"portion\":1}],\"predicate\":\"p\"}";
-      String head =
+      String header =
           postRequest("/whole", "b", "2000000u", "")
               .replace("Content-Length: 0", "Transfer-Encoding: chunked");
       assertThat(
@@ -266,31 +273,32 @@
       assertThat(
               client
                   .sendAndRead(
-                      head + Integer.toHexString(body.length()) + "\r\n" + body + "\r\n0\r\n\r\n")
+                      header + Integer.toHexString(body.length()) + "\r\n" + body + "\r\n0\r\n\r\n")
                   .body())
           .contains("value of b.0");
     }
   }
 
+  /** The second query completes before the first one. */
   @Test
-  void pipelinedRequestsAreAnsweredInTheirOrder() throws Exception {
-    silence();
+  void pipelinedRequestsAreAnsweredInOrder() throws Exception {
+    disableAutoRespond();
     site.start();
     try (FakeClient client = site.connectClient()) {
       client.send(
           queryRequest("whole", "a", 2000, 1)
               + queryRequest("whole", "b", 2000, 0.5, 0.5).replace("\"range\":0", "\"range\":2")
               + "GET /health/live HTTP/1.1\r\nConnection: close\r\n\r\n");
-      Frame held = null;
-      for (int parts = 0; parts < 3; parts++) {
-        Frame frame = anyFrame();
+      Frame firstQueryFrame = null;
+      for (int requests = 0; requests < 3; requests++) {
+        Frame frame = awaitAnyFrame();
         if (frame.requestId().startsWith("a")) {
-          held = frame;
+          firstQueryFrame = frame;
         } else {
           frame.respond("good", "second");
         }
       }
-      held.respond("good", "first");
+      firstQueryFrame.respond("good", "first");
       assertThat(client.readResponse().body()).contains("first");
       assertThat(client.readResponse().body()).contains("second");
       assertThat(client.readResponse().body()).isEqualTo("ok\n");
@@ -299,89 +307,100 @@
   }
 
   @Test
-  void whatIsNoScanIsRefusedPlainlyAndNothingIsSent() throws Exception {
+  void invalidRequestIsRejectedWithoutAttempts() throws Exception {
     site.start();
-    String one = "{\"ranges\":[{\"range\":0,\"portion\":1}],\"predicate\":\"p\"}";
+    String valid = "{\"ranges\":[{\"range\":0,\"portion\":1}],\"predicate\":\"p\"}";
     String[][] cases = {
-      {"404", postRequest("/unheard-of", "a", "10m", one)},
+      {"404", postRequest("/unheard-of", "a", "10m", valid)},
       {"404", "GET /health/other HTTP/1.1\r\n\r\n"},
       {"405", "GET /whole HTTP/1.1\r\n\r\n"},
-      {"400", postRequest("/whole", "", "10m", one)},
-      {"400", postRequest("/whole", "a b", "10m", one)},
-      {"400", postRequest("/whole", "a", "", one)},
-      {"400", postRequest("/whole", "a", "0m", one)},
-      {"400", postRequest("/whole", "a", "-5m", one)},
-      {"400", postRequest("/whole", "a", "10s", one)},
+      {"400", postRequest("/whole", "", "10m", valid)},
+      {"400", postRequest("/whole", "a b", "10m", valid)},
+      {"400", postRequest("/whole", "a", "", valid)},
+      {"400", postRequest("/whole", "a", "0m", valid)},
+      {"400", postRequest("/whole", "a", "-5m", valid)},
+      {"400", postRequest("/whole", "a", "10s", valid)},
       {"400", postRequest("/whole", "a", "10m", "no JSON")},
       {"400", postRequest("/whole", "a", "10m", "")},
       {"400", postRequest("/whole", "a", "10m", "{\"ranges\":[],\"predicate\":\"p\"}")},
       {"400", postRequest("/whole", "a", "10m", "{\"ranges\":[{\"range\":0,\"portion\":1}]}")},
-      {"400", postRequest("/whole", "a", "10m", one.replace("\"range\":0", "\"range\":4"))},
-      {"400", postRequest("/whole", "a", "10m", one.replace("\"range\":0", "\"range\":-1"))},
-      {"400", postRequest("/whole", "a", "10m", one.replace("\"portion\":1", "\"portion\":-0.5"))},
-      {"400", postRequest("/whole", "a", "10m", one.replace("\"portion\":1", "\"portion\":1e300"))},
-      {"400", postRequest("/whole", "a", "10m", one.replace("]", ",{\"range\":0,\"portion\":0}]"))},
-      {"400", postRequest("/whole", "a", "10m", one.replace("\"portion\":1", "\"portion\":0.9"))},
-      {"400", postRequest("/whole", "a", "10m", one.replace("\"portion\":1", "\"portion\":1.1"))},
+      {"400", postRequest("/whole", "a", "10m", valid.replace("\"range\":0", "\"range\":4"))},
+      {"400", postRequest("/whole", "a", "10m", valid.replace("\"range\":0", "\"range\":-1"))},
+      {
+        "400", postRequest("/whole", "a", "10m", valid.replace("\"portion\":1", "\"portion\":-0.5"))
+      },
+      {
+        "400",
+        postRequest("/whole", "a", "10m", valid.replace("\"portion\":1", "\"portion\":1e300"))
+      },
+      {
+        "400",
+        postRequest("/whole", "a", "10m", valid.replace("]", ",{\"range\":0,\"portion\":0}]"))
+      },
+      {"400", postRequest("/whole", "a", "10m", valid.replace("\"portion\":1", "\"portion\":0.9"))},
+      {"400", postRequest("/whole", "a", "10m", valid.replace("\"portion\":1", "\"portion\":1.1"))},
       {
         "400",
         postRequest(
-            "/whole", "a", "10m", one.replace("\"portion\":1", "\"portion\":0.5,\"portion\":1"))
+            "/whole", "a", "10m", valid.replace("\"portion\":1", "\"portion\":0.5,\"portion\":1"))
       },
-      {"400", postRequest("/whole", "a", "10m", one + "x")},
+      {"400", postRequest("/whole", "a", "10m", valid + "x")},
       {"413", postRequest("/whole", "a", "10m", "x".repeat(66_000))},
       {"400", "POST /whole HTTP/1.1\r\nno header\u0000at all\r\n\r\n"},
       {"400", "GET /health/live HTTP/1.1\r\nBig: " + "x".repeat(20_000) + "\r\n\r\n"},
       {"400", "nonsense\r\n\r\n"}
     };
-    for (String[] odd : cases) {
+    for (String[] testCase : cases) {
       try (FakeClient client = site.connectClient()) {
-        assertThat(client.sendAndRead(odd[1]).status())
-            .as(odd[1].substring(0, Math.min(300, odd[1].length())))
-            .isEqualTo(Integer.parseInt(odd[0]));
+        assertThat(client.sendAndRead(testCase[1]).status())
+            .as(testCase[1].substring(0, Math.min(300, testCase[1].length())))
+            .isEqualTo(Integer.parseInt(testCase[0]));
       }
     }
-    assertThat(framesSoFar()).isEmpty();
+    assertThat(drainFrames()).isEmpty();
     try (FakeClient client = site.connectClient()) {
       assertThat(client.sendAndRead(queryRequest("whole", "a", 2000, 1)).status()).isEqualTo(200);
     }
   }
 
   @Test
-  void anIdThatIsInUseIsRefused() throws Exception {
-    silence();
+  void queryIdInUseIsRejected() throws Exception {
+    disableAutoRespond();
     site.start();
-    try (FakeClient one = site.connectClient();
-        FakeClient two = site.connectClient()) {
-      one.send(queryRequest("whole", "a", 2000, 1));
-      Frame frame = anyFrame();
-      assertThat(two.sendAndRead(queryRequest("whole", "a", 2000, 1)).status()).isEqualTo(400);
+    try (FakeClient first = site.connectClient();
+        FakeClient second = site.connectClient()) {
+      first.send(queryRequest("whole", "a", 2000, 1));
+      Frame frame = awaitAnyFrame();
+      assertThat(second.sendAndRead(queryRequest("whole", "a", 2000, 1)).status()).isEqualTo(400);
       frame.respond("good", "x");
-      assertThat(one.readResponse().status()).isEqualTo(200);
+      assertThat(first.readResponse().status()).isEqualTo(200);
     }
   }
 
+  /**
+   * A new connection first replaces one without a request, then an idle one. If there is neither,
+   * its request is refused with 503.
+   */
   @Test
-  void connectionsBeyondTheBudgetAreRefusedPlainlyAndSilentOnesThenRestedOnesMakeRoom()
-      throws Exception {
+  void connectionOverBudgetIsRefusedOnceNoneCanBeEvicted() throws Exception {
     site.maxSockets = 128;
     site.latencyObjectiveMs = 10_000;
-    silence();
+    disableAutoRespond();
     site.start();
     List<FakeClient> busy = new ArrayList<>();
-    try (FakeClient rests = site.connectClient();
+    try (FakeClient idle = site.connectClient();
         FakeClient silent = site.connectClient()) {
       for (int i = 0; i < 64; i++) {
         FakeClient client = site.connectClient();
         busy.add(client);
         client.send(queryRequest("whole", "b" + i, 29_000, 1));
-        anyFrame();
-        assertThat(i > 0 || rests.fetchReadinessStatus() == 200).isTrue();
+        awaitAnyFrame();
+        assertThat(i > 0 || idle.fetchReadinessStatus() == 200).isTrue();
       }
       assertThat(silent.isClosedByRouter()).isTrue();
-      assertThat(rests.isClosedByRouter()).isTrue();
+      assertThat(idle.isClosedByRouter()).isTrue();
       try (FakeClient surplus = site.connectClient()) {
-        // Refused by its head: what a connection beyond the budget sends is not kept.
+        // The header is enough for the refusal, as the body of a refused request is not buffered.
         surplus.send(postRequest("/whole", "d", "10m", "x".repeat(9000)).substring(0, 300));
         assertThat(surplus.readResponse().status()).isEqualTo(503);
       }
@@ -396,7 +415,7 @@
         client.close();
       }
     }
-    // As soon as it has met the first of those ends there is room again.
+    // There is room again as soon as the router has seen the first of those clients disconnect.
     for (int status = 503; status != 200; ) {
       try (FakeClient again = site.connectClient()) {
         status = again.fetchReadinessStatus();
@@ -404,70 +423,71 @@
     }
   }
 
+  /** Closing a connection that was idle only briefly could lose a request in transit. */
   @Test
-  void ofManyThatAskOnceAndStayTheOneThatRestsLongestIsClosedButNoneWithin2Seconds()
-      throws Exception {
+  void longestIdleConnectionIsClosedButNotWithinTwoSeconds() throws Exception {
     site.maxSockets = 128;
     site.start();
-    List<FakeClient> stay = new ArrayList<>();
+    List<FakeClient> clients = new ArrayList<>();
     for (int i = 0; i < 25; i++) {
-      stay.add(site.connectClient());
-      assertThat(stay.get(i).sendAndRead(queryRequest("whole", "a" + i, 2000, 1)).status())
+      clients.add(site.connectClient());
+      assertThat(clients.get(i).sendAndRead(queryRequest("whole", "a" + i, 2000, 1)).status())
           .isEqualTo(200);
-      // One that asks on is never the longest to rest.
-      assertThat(stay.get(0).sendAndRead(queryRequest("whole", "b" + i, 2000, 1)).status())
+      // The first client is never the longest idle one, as it keeps sending requests.
+      assertThat(clients.get(0).sendAndRead(queryRequest("whole", "b" + i, 2000, 1)).status())
           .isEqualTo(200);
     }
-    // Whoever may still be asking on is not cut off.
-    assertThat(stay.get(1).fetchReadinessStatus()).isEqualTo(200);
+    // No connection is closed yet, as its client may be about to send another request.
+    assertThat(clients.get(1).fetchReadinessStatus()).isEqualTo(200);
     long until = System.nanoTime() + 2_500_000_000L;
     for (int i = 0; System.nanoTime() < until; i++) {
-      assertThat(stay.get(0).sendAndRead(queryRequest("whole", "c" + i, 2000, 1)).status())
+      assertThat(clients.get(0).sendAndRead(queryRequest("whole", "c" + i, 2000, 1)).status())
           .isEqualTo(200);
     }
-    assertThat(stay.remove(2).isClosedByRouter()).isTrue();
-    for (FakeClient client : stay) {
+    assertThat(clients.remove(2).isClosedByRouter()).isTrue();
+    for (FakeClient client : clients) {
       assertThat(client.fetchReadinessStatus()).isEqualTo(200);
       client.close();
     }
   }
 
   @Test
-  void whatNeverComesWholeIsEndedWithin3SecondsOfConnecting() throws Exception {
+  void incompleteRequestTimesOutWithinThreeSeconds() throws Exception {
     site.start();
-    String whole = queryRequest("whole", "a", 2000, 1);
-    String[] halves = {
+    String complete = queryRequest("whole", "a", 2000, 1);
+    String[] requests = {
       "",
       "P",
       "POST /whole HTTP/1.1\r\nX-Corr",
-      whole.substring(0, whole.length() - 1),
-      whole.replaceAll("Content-Length: .*", "Content-Length: 60000"),
-      whole
+      complete.substring(0, complete.length() - 1),
+      complete.replaceAll("Content-Length: .*", "Content-Length: 60000"),
+      complete
           .replaceAll("Content-Length: .*", "Transfer-Encoding: chunked")
           .replaceAll("\\{.*", "5\r\n{\"ran")
     };
     long start = System.nanoTime();
     List<FakeClient> clients = new ArrayList<>();
-    for (String half : halves) {
-      clients.add(site.connectClient().send(half));
+    for (String request : requests) {
+      clients.add(site.connectClient().send(request));
     }
-    for (int i = 0; i < halves.length; i++) {
-      // Who has begun a request has its error as well.
-      if (!halves[i].isEmpty()) {
+    for (int i = 0; i < requests.length; i++) {
+      // A client that has begun a request also receives a response.
+      if (!requests[i].isEmpty()) {
         assertThat(clients.get(i).readResponse().status()).isEqualTo(408);
       }
       assertThat(clients.get(i).isClosedByRouter()).isTrue();
       clients.get(i).close();
     }
     assertThat((System.nanoTime() - start) / 1_000_000).isLessThan(3000);
-    assertThat(framesSoFar()).isEmpty();
+    assertThat(drainFrames()).isEmpty();
   }
 
+  /** Guards against request smuggling: the body is itself a request, which must not be read. */
   @Test
-  void aRequestOfTwoLengthsIsRefusedAndNothingBehindItIsRead() throws Exception {
+  void requestWithInvalidLengthIsRejectedAndConnectionClosed() throws Exception {
     site.start();
     String hidden = queryRequest("whole", "hidden", 2000, 1);
-    String[] heads = {
+    String[] headers = {
       "Transfer-Encoding: chunked",
       "Transfer-Encoding: gzip",
       "transfer-encoding:chunked, identity",
@@ -475,22 +495,22 @@
       "Content-Length: -1",
       "Content-Length: 1e3"
     };
-    for (String head : heads) {
+    for (String header : headers) {
       try (FakeClient client = site.connectClient()) {
-        String odd =
+        String request =
             postRequest("/whole", "a", "2000m", "0\r\n\r\n" + hidden)
-                .replace("\r\nX-Account: a", "\r\n" + head);
-        assertThat(client.sendAndRead(odd).status()).as(head).isEqualTo(400);
+                .replace("\r\nX-Account: a", "\r\n" + header);
+        assertThat(client.sendAndRead(request).status()).as(header).isEqualTo(400);
         assertThat(client.isClosedByRouter()).isTrue();
       }
     }
-    assertThat(framesSoFar()).isEmpty();
+    assertThat(drainFrames()).isEmpty();
   }
 
   @Test
-  void aClientThatDoesNotReadItsAnswersIsCutOff() throws Exception {
-    silence();
-    only();
+  void clientThatDoesNotReadResponsesIsDisconnected() throws Exception {
+    disableAutoRespond();
+    keepOnlyServer1();
     site.limits.putAll(java.util.Map.of("mostHeld", 10_000, "connectTimeoutMs", 2000));
     site.start();
     try (FakeClient client = site.connectClient()) {
@@ -513,22 +533,22 @@
   }
 
   @Test
-  void ofHundredsOfRequestsAtOnceOnlyAFewAreTaken() throws Exception {
-    silence();
+  void onlyFewOfManyPipelinedRequestsAreAccepted() throws Exception {
+    disableAutoRespond();
     site.start();
     try (FakeClient client = site.connectClient()) {
-      StringBuilder many = new StringBuilder();
+      StringBuilder requests = new StringBuilder();
       for (int i = 0; i < 300; i++) {
-        many.append(queryRequest("whole", "a" + i, 1000, 1));
+        requests.append(queryRequest("whole", "a" + i, 1000, 1));
       }
-      client.send(many.toString());
+      client.send(requests.toString());
       int refused = 0;
       for (int i = 0; i < 17; i++) {
         refused += client.readResponse().status() == 503 ? 1 : 0;
       }
       assertThat(refused).isPositive();
       assertThat(client.isClosedByRouter()).isTrue();
-      assertThat(framesSoFar().stream().map(Frame::requestId).distinct().count())
+      assertThat(drainFrames().stream().map(Frame::requestId).distinct().count())
           .isLessThanOrEqualTo(16);
     }
   }
@@ -536,107 +556,113 @@
   // ---- shard servers
 
   @Test
-  void answersMayBeCutAnywhereAndJoined() throws Exception {
-    silence();
-    only();
+  void fragmentedResponsesAreReassembled() throws Exception {
+    disableAutoRespond();
+    keepOnlyServer1();
     site.start();
     try (FakeClient client = site.connectClient()) {
       client.send(queryRequest("whole", "a", 2000, 0.5, 0.5));
       FakeShardServer server = site.servers.get(1);
-      Frame one = server.awaitFrame();
-      Frame two = server.awaitFrame();
-      for (byte letter : encodeFrame('q', one.requestId() + " good 1 -\nv" + one.requestId())) {
-        one.sendBytes(new byte[] {letter});
+      Frame first = server.awaitFrame();
+      Frame second = server.awaitFrame();
+      for (byte singleByte :
+          encodeFrame('q', first.requestId() + " good 1 -\nv" + first.requestId())) {
+        first.sendBytes(new byte[] {singleByte});
       }
       assertThat(client.socket.isClosed()).isFalse();
-      two.sendBytes(
-          encodeFrame('q', two.requestId() + " good 1 odd report=,\nv" + two.requestId()));
+      second.sendBytes(
+          encodeFrame('q', second.requestId() + " good 1 odd report=,\nv" + second.requestId()));
       assertThat(client.readResponse().body()).contains("va.0").contains("va.1");
       assertThat(server.acceptedCount).hasValue(1);
     }
   }
 
   @Test
-  void partsOfOneTurnShareACallUpToTheBundle() throws Exception {
+  void shardRequestsOfOneRoundShareABatch() throws Exception {
     site.maxBatchSize = 2;
-    silence();
-    only();
+    disableAutoRespond();
+    keepOnlyServer1();
     site.start();
     try (FakeClient client = site.connectClient()) {
       client.send(queryRequest("whole", "a", 2000, 0.5, 0.5));
-      String rest = site.servers.get(1).awaitFrame().content();
-      assertThat(rest).matches("a\\.0 0 d=\\d+ 8\nc41e77d0a\\.1 1 d=\\d+ 8\nc41e77d0");
+      String content = site.servers.get(1).awaitFrame().content();
+      assertThat(content).matches("a\\.0 0 d=\\d+ 8\nc41e77d0a\\.1 1 d=\\d+ 8\nc41e77d0");
     }
   }
 
   @Test
-  void aConnectionTakesNoMoreCallsThanTheSettingsSay() throws Exception {
+  void maxStreamsLimitsBatchesPerConnection() throws Exception {
     site.limits.put("maxStreams", 1);
-    silence();
-    only();
+    disableAutoRespond();
+    keepOnlyServer1();
     site.start();
     try (FakeClient client = site.connectClient()) {
       client.send(queryRequest("whole", "a", 2000, 0.5, 0.5));
-      Frame one = site.servers.get(1).awaitFrame();
-      Frame two = site.servers.get(1).awaitFrame();
-      assertThat(one.socket()).isNotSameAs(two.socket());
+      Frame first = site.servers.get(1).awaitFrame();
+      Frame second = site.servers.get(1).awaitFrame();
+      assertThat(first.socket()).isNotSameAs(second.socket());
     }
   }
 
-  /**
-   * Sends a scan of this type whose one part is met by this; the part's further frames are
-   * answered.
-   */
-  private interface Met {
-    void by(FakeShardServer server, Frame frame) throws Exception;
+  /** What a shard server does with the first attempt of a query. */
+  private interface AttemptHandler {
+    void handle(FakeShardServer server, Frame frame) throws Exception;
   }
 
-  private Response met(String type, Met met) throws Exception {
-    silence();
+  /**
+   * Sends a query with one shard request and returns its response. The handler gets the first
+   * attempt; later ones are answered by the fake servers.
+   */
+  private Response queryWithFirstAttempt(String queryClass, AttemptHandler handler)
+      throws Exception {
+    disableAutoRespond();
     site.start();
     try (FakeClient client = site.connectClient()) {
-      client.send(queryRequest(type, "a", 2500, 1));
-      Frame frame = anyFrame();
+      client.send(queryRequest(queryClass, "a", 2500, 1));
+      Frame frame = awaitAnyFrame();
       FakeShardServer first =
           site.servers.stream()
               .filter(server -> server.sockets.contains(frame.socket()))
               .findFirst()
               .orElseThrow();
       site.servers.forEach(server -> server.autoRespond = true);
-      met.by(first, frame);
+      handler.handle(first, frame);
       return client.readResponse();
     }
   }
 
   @Test
-  void aReplayablePartWhoseConnectionBreaksGoesToAnotherServer() throws Exception {
-    assertThat(met("whole", (server, frame) -> server.resetConnections()).body())
+  void idempotentRequestIsRetriedAfterConnectionLoss() throws Exception {
+    assertThat(queryWithFirstAttempt("whole", (server, frame) -> server.resetConnections()).body())
         .contains("value of a.0");
   }
 
+  /** The shard server may have executed the request before the connection was lost. */
   @Test
-  void aNonReplayablePartThatMayHaveRunIsAbandonedAndNotSentAgain() throws Exception {
-    assertThat(met("once", (server, frame) -> server.resetConnections()).status()).isEqualTo(500);
-    assertThat(framesSoFar()).isEmpty();
+  void nonIdempotentRequestIsNotRetriedAfterConnectionLoss() throws Exception {
+    assertThat(queryWithFirstAttempt("once", (server, frame) -> server.resetConnections()).status())
+        .isEqualTo(500);
+    assertThat(drainFrames()).isEmpty();
   }
 
+  /** An overloaded shard server has not executed the request. */
   @Test
-  void aNonReplayablePartThatWasTurnedAwayGoesOn() throws Exception {
-    assertThat(met("once", (server, frame) -> frame.respond("later", "")).body())
+  void nonIdempotentRequestIsRetriedAfterOverload() throws Exception {
+    assertThat(queryWithFirstAttempt("once", (server, frame) -> frame.respond("later", "")).body())
         .contains("value of a.0");
   }
 
   @Test
-  void anErrorOfAReplayablePartGoesOn() throws Exception {
-    assertThat(met("whole", (server, frame) -> frame.respond("bad", "")).body())
+  void idempotentRequestIsRetriedAfterError() throws Exception {
+    assertThat(queryWithFirstAttempt("whole", (server, frame) -> frame.respond("bad", "")).body())
         .contains("value of a.0");
   }
 
   @Test
-  void framesThatCannotBeReadEndTheirConnection() throws Exception {
-    silence();
+  void malformedFrameFailsTheQuery() throws Exception {
+    disableAutoRespond();
     site.start();
-    byte[][] odd = {
+    byte[][] malformed = {
       {0, 0, 0, 0},
       {-1, -1, -1, -1},
       {127, 0, 0, 0, 'q'},
@@ -647,75 +673,76 @@
       encodeFrame('r', "what was that"),
       encodeFrame('o', "good")
     };
-    for (int i = 0; i < odd.length; i++) {
+    for (int i = 0; i < malformed.length; i++) {
       try (FakeClient client = site.connectClient()) {
         client.send(queryRequest("once", "a" + i, 2000, 1));
-        anyFrame().sendBytes(odd[i]);
+        awaitAnyFrame().sendBytes(malformed[i]);
         assertThat(client.readResponse().status()).as("case " + i).isEqualTo(500);
       }
     }
   }
 
   @Test
-  void anAnswerThatIsNotTheOneAwaitedIsNeverPassedOnAndEndsItsConnection() throws Exception {
-    silence();
-    FakeShardServer one = only();
+  void unexpectedResponseFailsQueryAndClosesConnection() throws Exception {
+    disableAutoRespond();
+    FakeShardServer server = keepOnlyServer1();
     site.start();
-    // Each stands where the answer to one of two parts should: the frame's letter and length, then
-    // its text.
-    String[] odd = {
+    // Each is sent instead of a valid response to one of two shard requests.
+    String[] unexpected = {
       "zz.9 good 1 -\nx",
       "%s fine 1 -\nx",
       "%s  1 -\nx",
       "%s good 1\nx",
       "%s good 1 -\n\u00ff\u00fe"
     };
-    for (int i = 0; i < odd.length + 3; i++) {
+    for (int i = 0; i < unexpected.length + 3; i++) {
       try (FakeClient client = site.connectClient()) {
         client.send(queryRequest("once", "a" + i, 2000, 0.5, 0.5));
-        Frame frame = one.awaitFrame();
-        one.awaitFrame();
-        byte[] text =
-            (i < odd.length
-                    ? odd[i].formatted(frame.requestId())
+        Frame frame = server.awaitFrame();
+        server.awaitFrame();
+        byte[] content =
+            (i < unexpected.length
+                    ? unexpected[i].formatted(frame.requestId())
                     : frame.requestId() + " good 1 -\nvalue")
                 .getBytes(java.nio.charset.StandardCharsets.ISO_8859_1);
-        byte[] whole = encodeFrame('q', text);
-        // The last three: a length that is too short, one that is too long, one of 3 GB.
-        whole[3] += i == odd.length ? -3 : i == odd.length + 1 ? 9 : 0;
-        whole[0] = i == odd.length + 2 ? (byte) 0xb0 : 0;
-        frame.sendBytes(whole);
+        byte[] response = encodeFrame('q', content);
+        // The last three cases have a length that is too short, too long, and 3 GB.
+        response[3] += i == unexpected.length ? -3 : i == unexpected.length + 1 ? 9 : 0;
+        response[0] = i == unexpected.length + 2 ? (byte) 0xb0 : 0;
+        frame.sendBytes(response);
         assertThat(client.readResponse().status()).as("case " + i).isEqualTo(500);
-        assertThat(one.acceptedCount).as("case " + i).hasValue(1 + i);
+        assertThat(server.acceptedCount).as("case " + i).hasValue(1 + i);
       }
     }
   }
 
+  /** The connection is not reused, as what follows on it cannot be trusted. */
   @Test
-  void aGoodAnswerCountsWhateverFollowsItAndItsConnectionIsNotUsedAgain() throws Exception {
-    silence();
-    FakeShardServer one = only();
+  void validResponseCountsDespiteInvalidBytesAfterIt() throws Exception {
+    disableAutoRespond();
+    FakeShardServer server = keepOnlyServer1();
     site.start();
-    // The first stands for a second copy of the answer.
-    byte[][] more = {null, {1, 2}, {0, 0, 0, 0}, encodeFrame('x', "y"), "\r\n\r\n".getBytes()};
+    // Null stands for a second copy of the response.
+    byte[][] trailers = {null, {1, 2}, {0, 0, 0, 0}, encodeFrame('x', "y"), "\r\n\r\n".getBytes()};
     try (FakeClient client = site.connectClient()) {
-      for (int i = 0; i < more.length; i++) {
+      for (int i = 0; i < trailers.length; i++) {
         client.send(queryRequest("once", "a" + i, 2000, 1));
-        Frame frame = one.awaitFrame();
-        byte[] good =
+        Frame frame = server.awaitFrame();
+        byte[] valid =
             encodeFrame('q', frame.requestId() + " good 1 util=NaN,load=-1,rate=1e999\nvalue");
-        byte[] tail = more[i] == null ? good : more[i];
-        byte[] both = java.util.Arrays.copyOf(good, good.length + tail.length);
-        System.arraycopy(tail, 0, both, good.length, tail.length);
+        byte[] trailer = trailers[i] == null ? valid : trailers[i];
+        byte[] both = java.util.Arrays.copyOf(valid, valid.length + trailer.length);
+        System.arraycopy(trailer, 0, both, valid.length, trailer.length);
         frame.sendBytes(both);
         assertThat(client.readResponse().body()).as("case " + i).contains("\"value\"");
-        assertThat(one.acceptedCount).as("case " + i).hasValue(1 + i);
+        assertThat(server.acceptedCount).as("case " + i).hasValue(1 + i);
       }
     }
   }
 
+  /** A server that refused the connection has executed nothing, so any query may be retried. */
   @Test
-  void whereConnectionsAreRefusedNothingRanAndThePartGoesOn() throws Exception {
+  void attemptIsRetriedIfConnectionIsRefused() throws Exception {
     site.start();
     site.servers.get(0).serverSocket.close();
     try (FakeClient client = site.connectClient()) {
@@ -726,15 +753,16 @@
     }
   }
 
+  /** The accept backlog of one server is full, so that connections to it are never established. */
   @Test
-  void aConnectionThatNeverComesUpIsGivenUpAndItsPartGoesOn() throws Exception {
-    try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-      List<Socket> queue = new ArrayList<>();
+  void attemptIsRetriedIfConnectingTimesOut() throws Exception {
+    try (ServerSocket fullSocket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+      List<Socket> queued = new ArrayList<>();
       for (int i = 0; i < 2; i++) {
-        queue.add(new Socket("127.0.0.1", full.getLocalPort()));
+        queued.add(new Socket("127.0.0.1", fullSocket.getLocalPort()));
       }
       site.servers.get(0).serverSocket.close();
-      site.servers.get(0).serverSocket = full;
+      site.servers.get(0).serverSocket = fullSocket;
       site.start();
       try (FakeClient client = site.connectClient()) {
         for (int i = 0; i < 8; i++) {
@@ -742,21 +770,22 @@
               .contains("value of a" + i);
         }
       }
-      for (Socket socket : queue) {
+      for (Socket socket : queued) {
         socket.close();
       }
     }
   }
 
+  /** Two connections fill the accept backlog of the server, so that the router's has to wait. */
   @Test
-  void aPartThatWaitsForAConnectionIsNeverWrittenOnceItsClientLeft() throws Exception {
-    try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-      Socket one = new Socket("127.0.0.1", full.getLocalPort());
-      Socket two = new Socket("127.0.0.1", full.getLocalPort());
+  void attemptAwaitingConnectionIsDroppedIfClientDisconnects() throws Exception {
+    try (ServerSocket fullSocket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+      Socket queued1 = new Socket("127.0.0.1", fullSocket.getLocalPort());
+      Socket queued2 = new Socket("127.0.0.1", fullSocket.getLocalPort());
       site.limits.put("connectTimeoutMs", 5000);
-      only();
+      keepOnlyServer1();
       site.servers.get(1).serverSocket.close();
-      site.servers.get(1).serverSocket = full;
+      site.servers.get(1).serverSocket = fullSocket;
       site.start();
       FakeClient client = site.connectClient();
       client.send(queryRequest("whole", "gone", 2000, 1));
@@ -764,91 +793,93 @@
         other.send(queryRequest("whole", "here", 2900, 0.5, 0.5));
         client.close();
         try (FakeClient third = site.connectClient()) {
-          // By its second answer the gatherer has also met what came before its first.
+          // Once it has answered the second request, the router has also read everything that
+          // arrived before the first one, such as the disconnect.
           third.fetchReadinessStatus();
           third.fetchReadinessStatus();
         }
-        // Room for the connection that waits: its first frames are of the scan that is still
-        // wanted.
-        full.accept().close();
-        full.accept().close();
-        try (Socket up = full.accept()) {
-          up.setSoTimeout(FakeSite.WAIT_MS);
-          java.io.DataInputStream in = new java.io.DataInputStream(up.getInputStream());
+        // Makes room in the backlog for the router's connection. Its first frames are of the query
+        // that is still pending.
+        fullSocket.accept().close();
+        fullSocket.accept().close();
+        try (Socket accepted = fullSocket.accept()) {
+          accepted.setSoTimeout(FakeSite.WAIT_MS);
+          java.io.DataInputStream in = new java.io.DataInputStream(accepted.getInputStream());
           assertThat(new String(in.readNBytes(in.readInt()), "UTF-8")).startsWith("mhere.");
           assertThat(new String(in.readNBytes(in.readInt()), "UTF-8")).startsWith("mhere.");
         }
       }
-      one.close();
-      two.close();
+      queued1.close();
+      queued2.close();
     }
   }
 
   @Test
-  void aPartThatWaitsForAConnectionGoesElsewhereOnceItsServersDrainGraceIsOver() throws Exception {
-    try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
-        Socket one = new Socket("127.0.0.1", full.getLocalPort());
-        Socket two = new Socket("127.0.0.1", full.getLocalPort())) {
+  void attemptAwaitingConnectionIsRetriedAfterDrainGrace() throws Exception {
+    try (ServerSocket fullSocket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
+        Socket queued1 = new Socket("127.0.0.1", fullSocket.getLocalPort());
+        Socket queued2 = new Socket("127.0.0.1", fullSocket.getLocalPort())) {
       site.limits.put("connectTimeoutMs", 5000);
-      FakeShardServer drains = site.servers.get(1);
-      drains.serverSocket.close();
-      drains.serverSocket = full;
+      FakeShardServer draining = site.servers.get(1);
+      draining.serverSocket.close();
+      draining.serverSocket = fullSocket;
       site.start();
       site.discovery.awaitCall("after=41");
       List<FakeClient> clients = new ArrayList<>();
       for (int i = 0; i < 8; i++) {
         clients.add(site.connectClient().send(queryRequest("once", "a" + i, 2900, 1)));
       }
-      site.discovery.updateHealth(drains, "Terminating");
+      site.discovery.updateHealth(draining, "Terminating");
       for (FakeClient client : clients) {
         assertThat(client.readResponse().body()).contains("value of a");
         client.close();
       }
-      assertThat(one.isConnected() && two.isConnected()).isTrue();
+      assertThat(queued1.isConnected() && queued2.isConnected()).isTrue();
     }
   }
 
+  /** The shard server does not read, so that a large frame is written only in part. */
   @Test
-  void aFrameThatIsStuckHalfWayEndsItsConnectionOnceItsScanIsAnswered() throws Exception {
-    try (ServerSocket deaf = new ServerSocket()) {
-      deaf.setReceiveBufferSize(4096);
-      deaf.bind(new InetSocketAddress("127.0.0.1", 0));
-      FakeShardServer server = only();
+  void connectionWithBlockedFrameIsClosedAfterItsQuery() throws Exception {
+    try (ServerSocket nonReading = new ServerSocket()) {
+      nonReading.setReceiveBufferSize(4096);
+      nonReading.bind(new InetSocketAddress("127.0.0.1", 0));
+      FakeShardServer server = keepOnlyServer1();
       server.serverSocket.close();
-      server.serverSocket = deaf;
+      server.serverSocket = nonReading;
       site.limits.put("mostHeld", 1000);
       site.start();
       List<FakeClient> clients = new ArrayList<>();
-      String large =
+      String largeBody =
           "{\"ranges\":[{\"range\":0,\"portion\":1}],\"predicate\":\"" + "x".repeat(60_000) + "\"}";
       for (int i = 0; i < 100; i++) {
-        clients.add(site.connectClient().send(postRequest("/once", "a" + i, "1000m", large)));
+        clients.add(site.connectClient().send(postRequest("/once", "a" + i, "1000m", largeBody)));
       }
-      try (Socket socket = deaf.accept()) {
+      try (Socket socket = nonReading.accept()) {
         for (FakeClient client : clients) {
           assertThat(client.readResponse().status()).isIn(500, 503);
           client.close();
         }
         socket.setSoTimeout(FakeSite.WAIT_MS);
-        // What was written whole can be read now; then the connection ends inside the frame that
-        // was stuck.
+        // The frames that were written completely can be read now. The connection is then closed in
+        // the middle of the blocked frame.
         java.io.DataInputStream in = new java.io.DataInputStream(socket.getInputStream());
-        int parts = 0;
+        int completeFrames = 0;
         try {
           for (byte[] frame = in.readNBytes(in.readInt()); ; frame = in.readNBytes(in.readInt())) {
-            parts += frame[0] == 'm' && frame.length > 60_000 ? 1 : 0;
+            completeFrames += frame[0] == 'm' && frame.length > 60_000 ? 1 : 0;
           }
-        } catch (java.io.EOFException | java.net.SocketException ended) {
-          assertThat(parts).isLessThan(100);
+        } catch (java.io.EOFException | java.net.SocketException closed) {
+          assertThat(completeFrames).isLessThan(100);
         }
       }
     }
   }
 
   @Test
-  void aConnectionIsNotUsedPastTheKeepAlive() throws Exception {
+  void connectionIsNotReusedAfterKeepAlive() throws Exception {
     site.limits.putAll(java.util.Map.of("keepaliveMs", 400, "connectTimeoutMs", 100));
-    only();
+    keepOnlyServer1();
     site.start();
     try (FakeClient client = site.connectClient()) {
       client.sendAndRead(queryRequest("whole", "a", 2000, 1));
@@ -863,22 +894,22 @@
   }
 
   @Test
-  void aConnectionThatFellSilentIsLeftForANewOne() throws Exception {
-    silence();
-    FakeShardServer one = only();
+  void silentConnectionIsReplacedByNewOne() throws Exception {
+    disableAutoRespond();
+    FakeShardServer server = keepOnlyServer1();
     site.start();
     try (FakeClient client = site.connectClient();
         FakeClient other = site.connectClient()) {
       client.send(queryRequest("whole", "a", 2000, 1));
-      Frame unheard = one.awaitFrame();
-      // Only what comes on another connection is answered from now on.
-      Frame frame = one.awaitFrame();
-      for (int i = 0; frame.socket() == unheard.socket() || frame.type() != 'm'; i++) {
+      Frame unanswered = server.awaitFrame();
+      // Only frames on another connection get a response from now on.
+      Frame frame = server.awaitFrame();
+      for (int i = 0; frame.socket() == unanswered.socket() || frame.type() != 'm'; i++) {
         other.send(queryRequest("once", "b" + i, 400, 1));
         assertThat(other.readResponse().status()).isEqualTo(500);
-        frame = one.awaitFrame();
+        frame = server.awaitFrame();
       }
-      one.autoRespond = true;
+      server.autoRespond = true;
       frame.respond("good", "heard");
       assertThat(other.sendAndRead(queryRequest("once", "c", 2000, 1)).body())
           .contains("value of c.0");
@@ -888,7 +919,7 @@
   // ---- discovery
 
   @Test
-  void itIsReadyOnceItKnowsShardServers() throws Exception {
+  void routerIsReadyOnceShardServersAreKnown() throws Exception {
     site.hasCachedList = false;
     site.discovery.responseOverride = "";
     site.start();
@@ -903,7 +934,7 @@
   }
 
   @Test
-  void theListIsWatchedFromTheKnownVersionAndItsChangesKept() throws Exception {
+  void watchStartsAtCachedVersionAndAppliesChanges() throws Exception {
     site.start();
     assertThat(site.discovery.awaitCall("")).isEqualTo("/registry/instances?after=41&wait_ms=500");
     site.discovery.updateHealth(site.servers.get(0), "Terminating");
@@ -925,7 +956,7 @@
   }
 
   @Test
-  void aWatchWithoutNewsIsRenewed() throws Exception {
+  void watchWithoutChangesIsRenewed() throws Exception {
     site.pollIntervalMs = 1200;
     site.start();
     assertThat(site.discovery.awaitCall("")).isEqualTo("/registry/instances?after=41&wait_ms=100");
@@ -935,7 +966,7 @@
   }
 
   @Test
-  void aWatchThatHangsIsGivenUpForANewOne() throws Exception {
+  void hangingWatchIsReplacedByNewOne() throws Exception {
     site.pollIntervalMs = 1200;
     site.discovery.responseOverride = "";
     site.start();
@@ -945,8 +976,9 @@
     assertThat(site.discovery.acceptedCount).hasValue(2);
   }
 
+  /** Complete lists are expensive for discovery, so a lost watch does not request one. */
   @Test
-  void aLostWatchGoesOnFromWhereItCameToAndTheWholeListIsNotAskedFor() throws Exception {
+  void lostWatchResumesAtLastKnownVersion() throws Exception {
     site.start();
     site.discovery.awaitCall("after=41");
     site.discovery.updateHealth(site.servers.get(0), "Terminating");
@@ -959,25 +991,26 @@
   }
 
   @Test
-  void aServerThatCameBackUnderANewAddressIsMetThere() throws Exception {
-    FakeShardServer moved = only();
+  void restartedServerIsReachedAtItsNewAddress() throws Exception {
+    FakeShardServer restarted = keepOnlyServer1();
     site.start();
     try (FakeClient client = site.connectClient()) {
       client.sendAndRead(queryRequest("whole", "a", 2000, 1));
-      ServerSocket old = moved.serverSocket;
-      moved.listenOnNewPort();
+      ServerSocket oldSocket = restarted.serverSocket;
+      restarted.listenOnNewPort();
       site.discovery.awaitCall("after=41");
-      site.discovery.updateHealth(moved, "Ready");
+      site.discovery.updateHealth(restarted, "Ready");
       site.discovery.awaitCall("after=42");
       assertThat(client.sendAndRead(queryRequest("whole", "b", 2000, 1)).status()).isEqualTo(200);
-      assertThat(moved.acceptedCount).hasValue(2);
-      assertThat(moved.frames.stream().map(f -> f.socket().getLocalPort()).distinct()).hasSize(2);
-      old.close();
+      assertThat(restarted.acceptedCount).hasValue(2);
+      assertThat(restarted.frames.stream().map(frame -> frame.socket().getLocalPort()).distinct())
+          .hasSize(2);
+      oldSocket.close();
     }
   }
 
   @Test
-  void aCallOfDiscoveryThatFailsLeavesTheListAndIsMadeAgain() throws Exception {
+  void failedDiscoveryCallKeepsListAndIsRetried() throws Exception {
     String[] failures = {
       "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
       "no HTTP at all\r\n\r\n",
@@ -988,7 +1021,7 @@
       FakeSite.FakeDiscovery.httpResponse(
           site.discovery.listJson(true).replace("127.0.0.1", "nowhere")),
       FakeSite.FakeDiscovery.httpResponse(site.discovery.listJson(false)),
-      FakeSite.FakeDiscovery.httpResponse(half(site.discovery.listJson(true)))
+      FakeSite.FakeDiscovery.httpResponse(firstHalf(site.discovery.listJson(true)))
     };
     site.discovery.responseOverride = failures[0];
     site.pollIntervalMs = 2000;
@@ -1010,14 +1043,15 @@
     }
   }
 
-  private static String half(String text) {
+  private static String firstHalf(String text) {
     return text.substring(0, text.length() / 2);
   }
 
+  /** The connection is closed in the middle of the response. */
   @Test
-  void aListCutOffInTheMiddleByTheEndOfItsConnectionLeavesTheOldOne() throws Exception {
+  void truncatedListIsIgnored() throws Exception {
     site.discovery.responseOverride =
-        half(FakeSite.FakeDiscovery.httpResponse(site.discovery.listJson(true)));
+        firstHalf(FakeSite.FakeDiscovery.httpResponse(site.discovery.listJson(true)));
     site.pollIntervalMs = 2000;
     site.start();
     try (FakeClient client = site.connectClient()) {
@@ -1035,7 +1069,7 @@
   }
 
   @Test
-  void anEmptyListIsBelievedSaidByReadyAndOverWithTheNextChange() throws Exception {
+  void emptyListMakesRouterNotReadyUntilNextChange() throws Exception {
     site.discovery.responseOverride =
         FakeSite.FakeDiscovery.httpResponse("{\"seq\":43,\"whole\":true,\"hosts\":[]}");
     site.start();
@@ -1044,9 +1078,10 @@
       site.discovery.responseOverride = null;
       site.discovery.awaitCall("after=43");
       assertThat(client.fetchReadinessStatus()).isEqualTo(503);
-      // Nothing was sent, so that trying again is harmless; and nobody waits for it.
+      // The query fails with 503 rather than waiting for a server. No attempt was sent, so that
+      // its client may retry it.
       assertThat(client.sendAndRead(queryRequest("once", "a", 2000, 1)).status()).isEqualTo(503);
-      assertThat(framesSoFar()).isEmpty();
+      assertThat(drainFrames()).isEmpty();
       site.discovery.version = 43;
       site.discovery.updateHealth(site.servers.get(0), "Ready");
       site.discovery.awaitCall("after=44");
@@ -1055,29 +1090,31 @@
     }
   }
 
+  /** An open connection to the old server must not be used for the new one. */
   @Test
-  void aServerReplacedUnderTheSameAddressIsAnotherAndServes() throws Exception {
-    FakeShardServer old = only();
+  void newServerAtSameAddressGetsItsOwnConnection() throws Exception {
+    FakeShardServer old = keepOnlyServer1();
     site.start();
     try (FakeClient client = site.connectClient();
-        FakeShardServer fresh = new FakeShardServer("s9", old.position)) {
+        FakeShardServer replacement = new FakeShardServer("s9", old.position)) {
       assertThat(client.sendAndRead(queryRequest("whole", "a", 2000, 1)).status()).isEqualTo(200);
-      fresh.serverSocket.close();
-      fresh.serverSocket = old.serverSocket;
+      replacement.serverSocket.close();
+      replacement.serverSocket = old.serverSocket;
       site.discovery.awaitCall("after=41");
       site.discovery.updateHealth(old, "Gone");
       site.discovery.awaitCall("after=42");
       assertThat(client.sendAndRead(queryRequest("whole", "b", 2000, 1)).status()).isEqualTo(503);
-      site.discovery.updateHealth(fresh, "Ready");
+      site.discovery.updateHealth(replacement, "Ready");
       site.discovery.awaitCall("after=43");
       assertThat(client.sendAndRead(queryRequest("whole", "c", 2000, 1)).status()).isEqualTo(200);
-      // Not on the connection that was the old one's.
+      // The query was not sent on the connection to the old server.
       assertThat(old.acceptedCount).hasValue(2);
     }
   }
 
+  /** With "push", the discovery client starts and restarts the watch without the policy. */
   @Test
-  void whereChangesComeUnaskedTheWatchIsKeptWithoutTheModule() throws Exception {
+  void clientWatchesByItselfIfChangesArePushed() throws Exception {
     site.discoveryMode = "push";
     site.discovery.responseOverride = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
     site.start();
@@ -1090,8 +1127,9 @@
     site.discovery.awaitCall("after=42");
   }
 
+  /** A lower version means that discovery has lost its state, so deltas no longer apply. */
   @Test
-  void aVersionThatGoesBackStartsTheListAnew() throws Exception {
+  void lowerVersionCausesRequestForCompleteList() throws Exception {
     site.start();
     site.discovery.awaitCall("after=41");
     site.discovery.responseOverride =
@@ -1103,10 +1141,11 @@
     assertThat(site.discovery.awaitCall("")).isEqualTo("/registry/instances");
   }
 
-  // ---- the program
+  // ---- the process
 
-  private FakeClient program() throws Exception {
-    Process program =
+  /** Starts the router as a process of its own and connects a client to it. */
+  private FakeClient startProcessAndConnect() throws Exception {
+    Process process =
         site.startProcess(
             java.util.Map.of(
                 "NODE_CONFIG",
@@ -1121,41 +1160,40 @@
     for (String line = site.stderr.readLine(); ; line = site.stderr.readLine()) {
       if (line.contains("router n7 listens on")) {
         String port = line.replaceAll(".*127.0.0.1:(\\d+).*", "$1");
-        assertThat(program.isAlive()).isTrue();
+        assertThat(process.isAlive()).isTrue();
         return new FakeClient(new InetSocketAddress("127.0.0.1", Integer.parseInt(port)));
       }
     }
   }
 
+  /** Shortly after SIGTERM new clients are served as well, but readiness fails at once. */
   @Test
-  void onSigtermStragglersAreServedWhatWasTakenIsAnsweredAndTheProgramExitsWith0()
-      throws Exception {
-    silence();
-    try (FakeClient held = program();
-        FakeClient kept = held.connectAnother();
-        FakeClient idle = held.connectAnother()) {
-      assertThat(kept.fetchReadinessStatus()).isEqualTo(200);
+  void sigtermLetsPendingQueriesFinishAndExitsWithZero() throws Exception {
+    disableAutoRespond();
+    try (FakeClient pending = startProcessAndConnect();
+        FakeClient connected = pending.connectAnother();
+        FakeClient idle = pending.connectAnother()) {
+      assertThat(connected.fetchReadinessStatus()).isEqualTo(200);
       assertThat(idle.fetchReadinessStatus()).isEqualTo(200);
-      held.send(queryRequest("once", "held", 2900, 1));
-      Frame frame = anyFrame();
+      pending.send(queryRequest("once", "held", 2900, 1));
+      Frame pendingFrame = awaitAnyFrame();
       site.process.toHandle().destroy();
       while (site.stderr.readLine().indexOf("shutdown requested") < 0) {
         assertThat(site.process.isAlive()).isTrue();
       }
       site.servers.forEach(server -> server.autoRespond = true);
-      try (FakeClient straggler = held.connectAnother();
-          FakeClient asks = held.connectAnother()) {
-        assertThat(asks.fetchReadinessStatus()).isEqualTo(503);
-        assertThat(straggler.sendAndRead(queryRequest("whole", "late", 2000, 1)).status())
+      try (FakeClient late = pending.connectAnother();
+          FakeClient checking = pending.connectAnother()) {
+        assertThat(checking.fetchReadinessStatus()).isEqualTo(503);
+        assertThat(late.sendAndRead(queryRequest("whole", "late", 2000, 1)).status())
             .isEqualTo(200);
       }
-      // Clients that are here are served on, without a word of an end, until the time left gets
-      // short.
-      Response last = kept.sendAndRead(queryRequest("whole", "kept", 2000, 1));
-      assertThat(last.status()).isEqualTo(200);
-      assertThat(last.headers()).doesNotContainKey("connection");
-      frame.respond("good", "worth the wait");
-      assertThat(held.readResponse().body()).contains("worth the wait");
+      // Connected clients are still served, without "Connection: close", until little time is left.
+      Response response = connected.sendAndRead(queryRequest("whole", "kept", 2000, 1));
+      assertThat(response.status()).isEqualTo(200);
+      assertThat(response.headers()).doesNotContainKey("connection");
+      pendingFrame.respond("good", "worth the wait");
+      assertThat(pending.readResponse().body()).contains("worth the wait");
       assertThat(idle.isClosedByRouter()).isTrue();
       assertThat(site.process.waitFor()).isZero();
       assertThat(site.stderr.lines().filter(line -> line.contains("ERROR"))).isEmpty();
@@ -1163,10 +1201,10 @@
   }
 
   @Test
-  void aSigtermBeforeItIsReadyEndsItWith0() throws Exception {
+  void sigtermBeforeReadinessExitsWithZero() throws Exception {
     site.hasCachedList = false;
     site.discovery.responseOverride = "";
-    try (FakeClient client = program()) {
+    try (FakeClient client = startProcessAndConnect()) {
       assertThat(client.fetchReadinessStatus()).isEqualTo(503);
       site.process.toHandle().destroy();
       assertThat(site.process.waitFor()).isZero();
@@ -1174,35 +1212,38 @@
     }
   }
 
+  /** Queries with a timeout beyond the shutdown deadline fail shortly before that deadline. */
   @Test
-  void whatWouldOutlastTheStopIsAnsweredBeforeIt() throws Exception {
-    silence();
+  void queriesOutlastingTheShutdownAreAnsweredBeforeItEnds() throws Exception {
+    disableAutoRespond();
     site.latencyObjectiveMs = 2000;
-    try (FakeClient held = program();
-        FakeClient late = held.connectAnother()) {
-      held.send(queryRequest("once", "held", 6000, 1));
-      anyFrame();
+    try (FakeClient pending = startProcessAndConnect();
+        FakeClient late = pending.connectAnother()) {
+      pending.send(queryRequest("once", "held", 6000, 1));
+      awaitAnyFrame();
       long start = System.nanoTime();
       site.process.toHandle().destroy();
       while (site.stderr.readLine().indexOf("shutdown requested") < 0) {
         assertThat(site.process.isAlive()).isTrue();
       }
       late.send(queryRequest("once", "late", 6000, 1));
-      assertThat(held.readResponse().status()).isEqualTo(500);
+      assertThat(pending.readResponse().status()).isEqualTo(500);
       assertThat(late.readResponse().status()).isEqualTo(500);
       assertThat(late.isClosedByRouter()).isTrue();
       assertThat(site.process.waitFor()).isZero();
-      // The longest deadline, 3 s at most, and 0.7 s.
+      // The upper bound is the longest query timeout, of which at most 3 s count, plus a grace
+      // period of 0.7 s.
       assertThat((System.nanoTime() - start) / 1_000_000).isBetween(2500L, 3700L);
     }
   }
 
+  /** The new router is started with an open connection to the killed one. */
   @Test
-  void whatIsHeldEndsWithTheProgramAndANewOneServesUnderTheSameAddress() throws Exception {
-    silence();
-    try (FakeClient client = program()) {
+  void restartAfterKillServesAtTheSameAddress() throws Exception {
+    disableAutoRespond();
+    try (FakeClient client = startProcessAndConnect()) {
       client.send(queryRequest("whole", "a", 2900, 1));
-      anyFrame();
+      awaitAnyFrame();
       site.process.destroyForcibly().waitFor();
       site.configFields.put("listen", "127.0.0.1:" + client.socket.getPort());
       site.servers.forEach(server -> server.autoRespond = true);
@@ -1214,48 +1255,48 @@
     }
   }
 
-  private void hup(String config) throws Exception {
+  /** Replaces the configuration file and sends SIGHUP. */
+  private void reloadConfig(String config) throws Exception {
     java.nio.file.Files.writeString(site.configPath, config);
     new ProcessBuilder("kill", "-HUP", String.valueOf(site.process.pid())).start().waitFor();
   }
 
   @Test
-  void onSighupDiscoveryIsFollowedToItsNewAddressAtOnceAndAFaultyFileChangesNothing()
-      throws Exception {
-    try (FakeClient client = program();
+  void sighupSwitchesDiscoveryAddressUnlessFileIsInvalid() throws Exception {
+    try (FakeClient client = startProcessAndConnect();
         FakeSite other = new FakeSite()) {
       site.discovery.awaitCall("after=41");
-      String sound = site.configJson();
-      hup(sound.substring(0, sound.length() / 2));
+      String valid = site.configJson();
+      reloadConfig(valid.substring(0, valid.length() / 2));
       while (!site.stderr.readLine().contains("stays as it was: NODE_CONFIG: found")) {
         assertThat(site.process.isAlive()).isTrue();
       }
-      hup(sound.replace(site.discovery.address(), "nowhere"));
+      reloadConfig(valid.replace(site.discovery.address(), "nowhere"));
       while (!site.stderr
           .readLine()
           .contains("stays as it was: NODE_DISCOVERY or discovery: found nowhere")) {
         assertThat(site.process.isAlive()).isTrue();
       }
-      // The new place counts its versions anew, and knows of other servers; the old one still
-      // watches.
-      hup(sound.replace(site.discovery.address(), other.discovery.address()));
+      // The new discovery has lower versions and other servers. The router still has an open watch
+      // at the old one.
+      reloadConfig(valid.replace(site.discovery.address(), other.discovery.address()));
       other.discovery.version = 3;
       other.discovery.awaitCall("after=3");
       other.discovery.updateHealth(other.servers.get(0), "Ready");
       other.discovery.awaitCall("after=4");
       assertThat(client.sendAndRead(queryRequest("whole", "a", 2000, 0.5, 0.5)).status())
           .isEqualTo(200);
-      assertThat(framesSoFar()).isEmpty();
-      hup(sound);
+      assertThat(drainFrames()).isEmpty();
+      reloadConfig(valid);
       site.discovery.awaitCall("/registry/instances");
       site.process.toHandle().destroy();
-      hup(sound);
+      reloadConfig(valid);
       assertThat(site.process.waitFor()).isZero();
     }
   }
 
   @Test
-  void wrongArgumentsAndAWrongConfigurationStopTheStartWithOneLine() throws Exception {
+  void invalidArgumentsOrConfigPreventTheStart() throws Exception {
     assertThat(site.startProcess(java.util.Map.of()).waitFor()).isEqualTo(2);
     assertThat(site.stderr.readLine())
         .isEqualTo("usage: java -jar tidebank.jar serve [--config FILE] | wirehost");
@@ -1275,11 +1316,11 @@
   }
 
   /**
-   * Found by a replay: the gatherer heard SIGTERM and never ended, as a gone server's last
-   * connection closed under its loop.
+   * Guards against a router that did not exit after SIGTERM, found by a replay: closing the last
+   * connection to a gone server modified the collection of servers during an iteration over it.
    */
   @Test
-  void itEndsAlsoWhenServersThatAreGoneStillHaveConnections() throws Exception {
+  void stopCompletesWithConnectionsToGoneServers() throws Exception {
     site.start();
     try (FakeClient client = site.connectClient()) {
       for (int i = 0; i < 8; i++) {
