--- a/router/src/test/java/tidebank/RequestFragmentationTest.java
+++ b/router/src/test/java/tidebank/RequestFragmentationTest.java
@@ -39,39 +39,40 @@
 import tidebank.runtime.QueryRouter;
 
 /**
- * Fragmentation of what peers send: client requests, frames of shard servers, discovery's
- * responses. Each is cut at every byte position and at sets of positions drawn from fixed seeds;
- * the result must equal that of one segment.
+ * Fragmentation of the data that peers send: client requests, frames of shard servers, endpoint
+ * lists of discovery. The data is cut at every byte position, and requests and frames also at
+ * random positions from fixed seeds; the result must be the same as for a single segment.
  */
 @Timeout(60)
 class RequestFragmentationTest {
-  private static final int RANDOM_CUTS = 200;
-  private static final int MOST_PIECES = 40;
+  private static final int RANDOM_CUT_SETS = 200;
+  private static final int MAX_CUTS = 40;
 
-  /** Takes the place of a query's id, and is as long. */
-  private static final String ID = "IDIDIDID";
+  /** A placeholder for query ids, which have the same length. */
+  private static final String ID_PLACEHOLDER = "IDIDIDID";
 
-  /** The last response of a pipeline: as responses keep their order, it ends the whole. */
-  private static final String LAST = "unknown path\n";
+  /** The end of a pipeline's final response; responses are written in the order of the requests. */
+  private static final String FINAL_RESPONSE_BODY = "unknown path\n";
 
   private static final String BODY =
       "{\"ranges\":[{\"range\":0,\"portion\":0.5},{\"range\":1,\"portion\":0.5}],\"predicate\":\"p\"}";
 
-  private static final String BY_LENGTH = queryRequest("whole", ID + "a", 2900, 0.5, 0.5);
+  private static final String WITH_CONTENT_LENGTH =
+      queryRequest("whole", ID_PLACEHOLDER + "a", 2900, 0.5, 0.5);
 
-  /** Header names in capitals, whitespace round values, a body of an indented object. */
-  private static final String CAPITALS =
+  /** A request with upper-case header names, whitespace around values and an indented JSON body. */
+  private static final String WITH_UPPERCASE_HEADERS =
       "POST /whole/of/it?x=1 HTTP/1.1\r\nHOST:x\r\nX-CORRELATION-ID: \t "
-          + ID
+          + ID_PLACEHOLDER
           + "b \t\r\nX-TIME-LEFT:2900000u\r\nX-REPEAT: 1\r\nCONTENT-LENGTH:  "
           + (BODY.length() + 4)
           + " \r\n\r\n \r\n\t"
           + BODY;
 
-  /** Header names in small letters, chunks with an extension, a trailer; empty lines before it. */
-  private static final String BY_CHUNKS =
+  /** A request after empty lines, with lower-case header names, a chunk extension and a trailer. */
+  private static final String WITH_CHUNKED_BODY =
       "\r\n\r\nPOST /once HTTP/1.1\r\nhost: x\r\nx-correlation-id: "
-          + ID
+          + ID_PLACEHOLDER
           + "c\r\nx-time-left: 2900m\r\ntransfer-encoding: chunked\r\n\r\n"
           + "1\r\n{\r\n00A;name=value\r\n"
           + BODY.substring(1, 11)
@@ -82,18 +83,23 @@
           + "\r\n0\r\nTrailer: of no use\r\n\r\n";
 
   private static final String WITHOUT_BODY = "GET /health/live HTTP/1.1\r\nhOsT: x\r\n\r\n";
-  private static final String END = "\r\nGET /health/none HTTP/1.1\r\nHost: x\r\n\r\n";
+  private static final String FINAL_REQUEST = "\r\nGET /health/none HTTP/1.1\r\nHost: x\r\n\r\n";
   private static final String PIPELINE =
-      BY_LENGTH + BY_CHUNKS + WITHOUT_BODY + CAPITALS + WITHOUT_BODY + END;
+      WITH_CONTENT_LENGTH
+          + WITH_CHUNKED_BODY
+          + WITHOUT_BODY
+          + WITH_UPPERCASE_HEADERS
+          + WITHOUT_BODY
+          + FINAL_REQUEST;
 
   private final FakeSite site = new FakeSite();
-  private ExecutorService loop;
-  private ClientServer clients;
-  private int runs;
+  private ExecutorService eventLoop;
+  private ClientServer clientServer;
+  private int runCount;
 
   @BeforeEach
-  void awaitedLong() {
-    // Time is no part of what is tested here: pieces may come late on a busy machine.
+  void setLongTimeouts() {
+    // Segments may arrive late on a busy machine, and timeouts are not tested here.
     site.limits.put("connectTimeoutMs", FakeSite.WAIT_MS);
     site.latencyObjectiveMs = FakeSite.WAIT_MS;
   }
@@ -105,33 +111,33 @@
 
   private void start() throws Exception {
     site.start();
-    loop = (ExecutorService) field("loop");
-    clients = (ClientServer) field("clients");
+    eventLoop = (ExecutorService) readRouterField("loop");
+    clientServer = (ClientServer) readRouterField("clients");
   }
 
-  private Object field(String name) throws Exception {
+  private Object readRouterField(String name) throws Exception {
     Field field = QueryRouter.class.getDeclaredField(name);
     field.setAccessible(true);
     return field.get(site.router());
   }
 
-  private <T> T onLoop(Callable<T> task) throws Exception {
-    return loop.submit(task).get(FakeSite.WAIT_MS, TimeUnit.MILLISECONDS);
+  private <T> T runOnEventLoop(Callable<T> task) throws Exception {
+    return eventLoop.submit(task).get(FakeSite.WAIT_MS, TimeUnit.MILLISECONDS);
   }
 
   // ---- requests
 
-  /** A connection of the gatherer's own pipeline, read in exactly the pieces that it is given. */
-  private static final class PieceChannel extends EmbeddedChannel {
+  /** A channel with the router's own pipeline, which reads exactly the segments it is given. */
+  private static final class SegmentChannel extends EmbeddedChannel {
     private final ByteArrayOutputStream written = new ByteArrayOutputStream();
-    final CompletableFuture<String> answers = new CompletableFuture<>();
+    final CompletableFuture<String> responses = new CompletableFuture<>();
 
-    PieceChannel(ClientServer clients, Method accepted) {
+    SegmentChannel(ClientServer clientServer, Method acceptMethod) {
       super(
           new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel channel) throws Exception {
-              accepted.invoke(clients, channel);
+              acceptMethod.invoke(clientServer, channel);
             }
           });
     }
@@ -144,124 +150,133 @@
       bytes.release();
       written.writeBytes(copy);
       String text = written.toString(UTF_8);
-      if (text.endsWith(LAST)) {
-        answers.complete(text);
+      if (text.endsWith(FINAL_RESPONSE_BODY)) {
+        responses.complete(text);
       }
     }
   }
 
-  private PieceChannel connection() throws Exception {
-    Method accepted = ClientServer.class.getDeclaredMethod("accept", Channel.class);
-    accepted.setAccessible(true);
-    return onLoop(() -> new PieceChannel(clients, accepted));
+  private SegmentChannel acceptChannel() throws Exception {
+    Method acceptMethod = ClientServer.class.getDeclaredMethod("accept", Channel.class);
+    acceptMethod.setAccessible(true);
+    return runOnEventLoop(() -> new SegmentChannel(clientServer, acceptMethod));
   }
 
   /**
-   * The responses to these pieces, which are read one behind the other: in one turn of the event
-   * loop, or each in a turn of its own.
+   * Sends a pipeline of requests in these segments and returns all responses.
+   *
+   * @param inOneTask whether one task of the event loop reads all segments, or a task for each
    */
-  private String answers(String[] pieces, boolean oneTurn) throws Exception {
-    String id = String.format("%08d", runs++);
-    PieceChannel connection = connection();
-    List<byte[]> parts = new ArrayList<>();
-    String whole = String.join("", pieces).replace(ID, id);
-    int at = 0;
-    for (String piece : pieces) {
-      parts.add(whole.substring(at, at + piece.length()).getBytes(ISO_8859_1));
-      at += piece.length();
+  private String sendSegments(String[] segments, boolean inOneTask) throws Exception {
+    String id = String.format("%08d", runCount++);
+    SegmentChannel channel = acceptChannel();
+    List<byte[]> encodedSegments = new ArrayList<>();
+    String pipeline = String.join("", segments).replace(ID_PLACEHOLDER, id);
+    int from = 0;
+    for (String segment : segments) {
+      encodedSegments.add(pipeline.substring(from, from + segment.length()).getBytes(ISO_8859_1));
+      from += segment.length();
     }
-    if (oneTurn) {
-      onLoop(() -> read(connection, parts));
+    if (inOneTask) {
+      runOnEventLoop(() -> writeInbound(channel, encodedSegments));
     } else {
-      for (byte[] part : parts) {
-        onLoop(() -> read(connection, List.of(part)));
+      for (byte[] segment : encodedSegments) {
+        runOnEventLoop(() -> writeInbound(channel, List.of(segment)));
       }
     }
-    String text = connection.answers.get(FakeSite.WAIT_MS, TimeUnit.MILLISECONDS);
-    onLoop(connection::close);
-    return text.replace(id, ID);
+    String text = channel.responses.get(FakeSite.WAIT_MS, TimeUnit.MILLISECONDS);
+    runOnEventLoop(channel::close);
+    return text.replace(id, ID_PLACEHOLDER);
   }
 
-  private static Void read(EmbeddedChannel connection, List<byte[]> parts) {
-    parts.forEach(part -> connection.writeInbound(Unpooled.wrappedBuffer(part)));
+  private static Void writeInbound(EmbeddedChannel channel, List<byte[]> encodedSegments) {
+    encodedSegments.forEach(segment -> channel.writeInbound(Unpooled.wrappedBuffer(segment)));
     return null;
   }
 
-  private static String[] cut(String text, TreeSet<Integer> positions) {
-    List<String> pieces = new ArrayList<>();
+  private static String[] split(String text, TreeSet<Integer> positions) {
+    List<String> segments = new ArrayList<>();
     int from = 0;
     for (int position : positions) {
-      pieces.add(text.substring(from, position));
+      segments.add(text.substring(from, position));
       from = position;
     }
-    pieces.add(text.substring(from));
-    return pieces.toArray(new String[0]);
+    segments.add(text.substring(from));
+    return segments.toArray(new String[0]);
   }
 
   private static TreeSet<Integer> randomPositions(int length, Random random) {
     TreeSet<Integer> positions = new TreeSet<>();
-    int cuts = 1 + random.nextInt(MOST_PIECES);
-    for (int i = 0; i < cuts; i++) {
+    int cutCount = 1 + random.nextInt(MAX_CUTS);
+    for (int i = 0; i < cutCount; i++) {
       positions.add(1 + random.nextInt(length - 1));
     }
     return positions;
   }
 
-  private String whole() throws Exception {
-    String whole = answers(new String[] {PIPELINE}, true);
-    assertThat(whole.split("HTTP/1.1 200 OK", -1)).hasSize(6);
-    for (String part : List.of("a.0", "a.1", "c.0", "c.1", "b.0", "b.1")) {
-      assertThat(whole).containsOnlyOnce("value of " + ID + part);
+  private String readExpectedResponses() throws Exception {
+    String expected = sendSegments(new String[] {PIPELINE}, true);
+    assertThat(expected.split("HTTP/1.1 200 OK", -1)).hasSize(6);
+    for (String requestId : List.of("a.0", "a.1", "c.0", "c.1", "b.0", "b.1")) {
+      assertThat(expected).containsOnlyOnce("value of " + ID_PLACEHOLDER + requestId);
     }
-    return whole;
+    return expected;
   }
 
+  /** A request must be decoded correctly wherever TCP splits it. */
   @Test
-  void aPipelineOfRequestsCutAtAnyBytePositionIsAnsweredAsOneSegment() throws Exception {
+  void pipelineCutAtAnyByteIsAnsweredAsOneSegment() throws Exception {
     start();
-    String whole = whole();
-    for (int at = 1; at < PIPELINE.length(); at++) {
-      String[] pieces = {PIPELINE.substring(0, at), PIPELINE.substring(at)};
-      assertThat(answers(pieces, at % 2 == 0)).as("cut at byte %d", at).isEqualTo(whole);
+    String expected = readExpectedResponses();
+    for (int cut = 1; cut < PIPELINE.length(); cut++) {
+      String[] segments = {PIPELINE.substring(0, cut), PIPELINE.substring(cut)};
+      assertThat(sendSegments(segments, cut % 2 == 0))
+          .as("cut at byte %d", cut)
+          .isEqualTo(expected);
     }
   }
 
+  /** Segments of one byte, read by one task of the event loop and by a task for each. */
   @Test
-  void aPipelineOfRequestsOfOneByteSegmentsIsAnsweredAsOneSegment() throws Exception {
+  void pipelineInOneByteSegmentsIsAnsweredAsOneSegment() throws Exception {
     start();
-    String whole = whole();
+    String expected = readExpectedResponses();
     String[] bytes = PIPELINE.split("");
-    assertThat(answers(bytes, true)).isEqualTo(whole);
-    assertThat(answers(bytes, false)).isEqualTo(whole);
+    assertThat(sendSegments(bytes, true)).isEqualTo(expected);
+    assertThat(sendSegments(bytes, false)).isEqualTo(expected);
   }
 
+  /** A decoder may handle one cut but not several: each pipeline has up to 40 cuts. */
   @Test
-  void aPipelineOfRequestsCutAtRandomPositionsIsAnsweredAsOneSegment() throws Exception {
+  void pipelineCutAtRandomBytesIsAnsweredAsOneSegment() throws Exception {
     start();
-    String whole = whole();
-    for (int seed = 0; seed < RANDOM_CUTS; seed++) {
+    String expected = readExpectedResponses();
+    for (int seed = 0; seed < RANDOM_CUT_SETS; seed++) {
       TreeSet<Integer> positions = randomPositions(PIPELINE.length(), new Random(seed));
-      assertThat(answers(cut(PIPELINE, positions), seed % 2 == 0))
+      assertThat(sendSegments(split(PIPELINE, positions), seed % 2 == 0))
           .as("seed %d, cut at %s", seed, positions)
-          .isEqualTo(whole);
+          .isEqualTo(expected);
     }
   }
 
+  /** The same over a socket, where the kernel may merge the pieces. */
   @Test
-  void aPipelineOfRequestsWrittenInPiecesToASocketIsAnsweredAsOneSegment() throws Exception {
+  void pipelineWrittenInPiecesToSocketIsAnsweredAsOneSegment() throws Exception {
     start();
-    String whole = whole();
-    for (int seed = 0; seed < RANDOM_CUTS / 4; seed++) {
+    String expected = readExpectedResponses();
+    for (int seed = 0; seed < RANDOM_CUT_SETS / 4; seed++) {
       String id = String.format("s%07d", seed);
-      String text = PIPELINE.replace(ID, id);
+      String text = PIPELINE.replace(ID_PLACEHOLDER, id);
       try (FakeClient client = site.connectClient()) {
-        for (String piece : cut(text, randomPositions(text.length(), new Random(seed)))) {
-          client.send(piece);
+        for (String segment : split(text, randomPositions(text.length(), new Random(seed)))) {
+          client.send(segment);
         }
-        byte[] answers = new byte[whole.length()];
+        byte[] responses = new byte[expected.length()];
         InputStream in = client.socket.getInputStream();
-        assertThat(in.readNBytes(answers, 0, answers.length)).isEqualTo(answers.length);
-        assertThat(new String(answers, UTF_8).replace(id, ID)).as("seed %d", seed).isEqualTo(whole);
+        assertThat(in.readNBytes(responses, 0, responses.length)).isEqualTo(responses.length);
+        assertThat(new String(responses, UTF_8).replace(id, ID_PLACEHOLDER))
+            .as("seed %d", seed)
+            .isEqualTo(expected);
       }
     }
   }
@@ -269,82 +284,89 @@
   // ---- frames of shard servers
 
   /**
-   * Answered behind all that was written to the gatherer before this call: its event loop reads
-   * every connection that has bytes between the first response and the second.
+   * Waits until the router has read all data that was written to it before this call: between the
+   * two responses, its event loop reads every connection that has data.
    */
-  private static void awaitRead(FakeClient other) throws IOException {
+  private static void awaitInputRead(FakeClient other) throws IOException {
     assertThat(other.fetchReadinessStatus()).isEqualTo(200);
     assertThat(other.fetchReadinessStatus()).isEqualTo(200);
   }
 
-  private static byte[] joined(byte[]... parts) {
+  private static byte[] concatenate(byte[]... arrays) {
     ByteArrayOutputStream all = new ByteArrayOutputStream();
-    for (byte[] part : parts) {
-      all.writeBytes(part);
+    for (byte[] array : arrays) {
+      all.writeBytes(array);
     }
     return all.toByteArray();
   }
 
-  private static byte[] answer(Frame frame, String report, String value) {
+  private static byte[] encodeResponse(Frame frame, String report, String value) {
     return encodeFrame('q', frame.requestId() + " good 12 " + report + "\n" + value);
   }
 
-  /** The two parts' answers, the second one with a value that holds line ends and a frame. */
-  private static byte[] answers(FakeShardServer server) throws InterruptedException {
-    Frame one = server.awaitFrame();
-    Frame two = server.awaitFrame();
-    return joined(
-        answer(two, "inflight=7,util=0.61", "two\n\u0000\u0000\u0000\u0005q\u00e9\u20ac"),
-        answer(one, "-", ""));
+  /**
+   * Receives two shard requests and returns the frames of their responses in reverse order. One
+   * value contains a line end and the bytes of a frame.
+   */
+  private static byte[] encodeResponses(FakeShardServer server) throws InterruptedException {
+    Frame first = server.awaitFrame();
+    Frame second = server.awaitFrame();
+    return concatenate(
+        encodeResponse(
+            second, "inflight=7,util=0.61", "two\n\u0000\u0000\u0000\u0005q\u00e9\u20ac"),
+        encodeResponse(first, "-", ""));
   }
 
-  private FakeShardServer onlyServer() {
+  /** Removes all shard servers but one, which the test answers for. */
+  private FakeShardServer useSingleServer() {
     site.servers.forEach(server -> server.health = "Gone");
-    FakeShardServer one = site.servers.get(1);
-    one.health = "Ready";
-    one.autoRespond = false;
-    return one;
+    FakeShardServer server = site.servers.get(1);
+    server.health = "Ready";
+    server.autoRespond = false;
+    return server;
   }
 
+  /** The length, header line or value of a response frame may be split between segments. */
   @Test
-  void framesOfAShardServerCutAtAnyBytePositionAreReadAsOneSegment() throws Exception {
-    FakeShardServer server = onlyServer();
+  void framesCutAtAnyByteAreReadAsOneSegment() throws Exception {
+    FakeShardServer server = useSingleServer();
     start();
     try (FakeClient client = site.connectClient();
         FakeClient other = site.connectClient()) {
-      String whole = null;
+      String expected = null;
       int length = Integer.MAX_VALUE;
-      for (int at = 0; at < length; at++) {
-        String id = String.format("%08d", at);
+      for (int cut = 0; cut < length; cut++) {
+        String id = String.format("%08d", cut);
         client.send(queryRequest("once", id, 20_000, 0.5, 0.5));
-        byte[] bytes = answers(server);
+        byte[] bytes = encodeResponses(server);
         length = bytes.length;
         Socket socket = server.sockets.iterator().next();
-        socket.getOutputStream().write(bytes, 0, at);
-        awaitRead(other);
-        socket.getOutputStream().write(bytes, at, length - at);
-        String body = client.readResponse().body().replace(id, ID);
-        whole = whole == null ? body : whole;
-        assertThat(body).as("cut at byte %d", at).isEqualTo(whole).contains("two");
+        socket.getOutputStream().write(bytes, 0, cut);
+        awaitInputRead(other);
+        socket.getOutputStream().write(bytes, cut, length - cut);
+        String body = client.readResponse().body().replace(id, ID_PLACEHOLDER);
+        expected = expected == null ? body : expected;
+        assertThat(body).as("cut at byte %d", cut).isEqualTo(expected).contains("two");
       }
-      assertThat(server.acceptedCount).as("the connection holds").hasValue(1);
+      assertThat(server.acceptedCount).as("connections accepted by the server").hasValue(1);
     }
   }
 
+  /** The frames of two responses are cut at up to 40 positions. */
   @Test
-  void framesOfAShardServerCutAtRandomPositionsAreReadAsOneSegment() throws Exception {
-    FakeShardServer server = onlyServer();
+  void framesCutAtRandomBytesAreReadAsOneSegment() throws Exception {
+    FakeShardServer server = useSingleServer();
     start();
     try (FakeClient client = site.connectClient();
         FakeClient other = site.connectClient()) {
-      for (int seed = 0; seed < RANDOM_CUTS / 2; seed++) {
+      for (int seed = 0; seed < RANDOM_CUT_SETS / 2; seed++) {
         client.send(queryRequest("once", "r" + seed, 20_000, 0.5, 0.5));
-        byte[] bytes = answers(server);
+        byte[] bytes = encodeResponses(server);
         Socket socket = server.sockets.iterator().next();
         int from = 0;
         for (int position : randomPositions(bytes.length, new Random(seed))) {
           socket.getOutputStream().write(bytes, from, position - from);
-          awaitRead(other);
+          awaitInputRead(other);
           from = position;
         }
         socket.getOutputStream().write(bytes, from, bytes.length - from);
@@ -353,21 +375,21 @@
             .startsWith("{\"total\":true,")
             .contains("\"two\\n\\u0000\\u0000\\u0000\\u0005q\u00e9\u20ac\"", "\"blob\":\"\"");
       }
-      assertThat(server.acceptedCount).as("the connection holds").hasValue(1);
+      assertThat(server.acceptedCount).as("connections accepted by the server").hasValue(1);
     }
   }
 
-  // ---- discovery's lists
+  // ---- endpoint lists of discovery
 
-  private String list(long version) {
+  private String listJson(long version) {
     return site.discovery
         .listJson(true)
         .replace("\"seq\":41", "\"seq\":" + version)
         .replace(",", ",\n  ");
   }
 
-  private String response(long version, boolean chunked) {
-    String body = list(version);
+  private String listResponse(long version, boolean chunked) {
+    String body = listJson(version);
     if (!chunked) {
       return "HTTP/1.1 200 OK\r\nCONTENT-LENGTH:" + body.length() + "\r\n\r\n" + body;
     }
@@ -380,19 +402,20 @@
         + "\r\n0\r\n\r\n";
   }
 
-  /** The path of the next call on discovery's connection. */
-  private static String call(InputStream in) throws IOException {
+  /** Reads the next request on the connection to discovery and returns its path. */
+  private static String readRequestPath(InputStream in) throws IOException {
     StringBuilder head = new StringBuilder();
     while (head.indexOf("\r\n\r\n") < 0) {
       int next = in.read();
-      assertThat(next).as("the watch goes on").isNotNegative();
+      assertThat(next).as("next byte of the watch request").isNotNegative();
       head.append((char) next);
     }
     return head.toString().split(" ")[1];
   }
 
+  /** An endpoint list must be read wherever it is split, with a content length and in chunks. */
   @Test
-  void aListOfDiscoveryCutAtAnyBytePositionIsReadAsOneSegment() throws Exception {
+  void endpointListCutAtAnyByteIsReadAsOneSegment() throws Exception {
     site.discovery.serverSocket.close();
     try (ServerSocket listener = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
       site.discovery.serverSocket = listener;
@@ -401,17 +424,17 @@
           FakeClient other = site.connectClient()) {
         watch.setTcpNoDelay(true);
         watch.setSoTimeout(FakeSite.WAIT_MS);
-        assertThat(call(watch.getInputStream())).contains("after=41&");
+        assertThat(readRequestPath(watch.getInputStream())).contains("after=41&");
         long version = 1000;
         for (boolean chunked : new boolean[] {false, true}) {
-          int length = response(version, chunked).length();
-          for (int at = 0; at < length; at++) {
-            byte[] bytes = response(++version, chunked).getBytes(UTF_8);
-            watch.getOutputStream().write(Arrays.copyOfRange(bytes, 0, at));
-            awaitRead(other);
-            watch.getOutputStream().write(Arrays.copyOfRange(bytes, at, length));
-            assertThat(call(watch.getInputStream()))
-                .as("chunked: %s, cut at byte %d", chunked, at)
+          int length = listResponse(version, chunked).length();
+          for (int cut = 0; cut < length; cut++) {
+            byte[] bytes = listResponse(++version, chunked).getBytes(UTF_8);
+            watch.getOutputStream().write(Arrays.copyOfRange(bytes, 0, cut));
+            awaitInputRead(other);
+            watch.getOutputStream().write(Arrays.copyOfRange(bytes, cut, length));
+            assertThat(readRequestPath(watch.getInputStream()))
+                .as("chunked: %s, cut at byte %d", chunked, cut)
                 .contains("after=" + version + "&");
           }
         }
