--- a/router/src/main/java/tidebank/capture/CaptureEncoder.java
+++ b/router/src/main/java/tidebank/capture/CaptureEncoder.java
@@ -11,9 +11,9 @@
 import tidebank.model.Event.Endpoint;
 
 /**
- * Encodes capture records into one block. Times of rounds are stored as differences from the
- * previous round, times within a round as differences from the round's time. A block can be decoded
- * independently of other blocks. Does no I/O.
+ * Encodes capture records into one block. The time of a round is stored as the difference from the
+ * previous round, most times within a round as the difference from the round. A block can be
+ * decoded independently of other blocks. Does no I/O.
  */
 @SuppressWarnings("EnumOrdinal") // ordinals are stored, see CaptureFormat
 final class CaptureEncoder {
--- a/router/src/main/java/tidebank/capture/CaptureRecord.java
+++ b/router/src/main/java/tidebank/capture/CaptureRecord.java
@@ -8,8 +8,7 @@
 /** A record of a capture. Records are stored in the order in which they occurred. */
 public sealed interface CaptureRecord {
   /**
-   * The routing policy was started, or restarted after a failed round. It keeps no state from
-   * before.
+   * The routing policy was started, or restarted after a failed round, with no earlier state.
    *
    * @param settings the settings of the policy
    * @param seed the seed of its random number generator
@@ -28,8 +27,9 @@
       implements CaptureRecord {}
 
   /**
-   * A failed decision round: the policy or the execution of its actions threw an exception. Some of
-   * the actions may have been executed.
+   * A failed decision round: the policy or the execution of its actions threw an exception. If an
+   * action failed, some actions may have been executed and a {@link DecisionRound} of the same
+   * round precedes.
    *
    * @param nowUs the time passed to the policy, in microseconds
    * @param events the input of the policy, in order
--- a/router/src/main/java/tidebank/capture/CaptureRecorder.java
+++ b/router/src/main/java/tidebank/capture/CaptureRecorder.java
@@ -64,8 +64,8 @@
   private final AtomicLong queuedItemCount = new AtomicLong();
 
   /**
-   * Rounds dropped by the full queue since the last gap record was queued. What remains at close is
-   * written as a final gap record.
+   * Rounds dropped since the last gap record was queued, because the queue was full. On close, the
+   * writer thread writes the remaining count as a gap record.
    */
   private final AtomicLong droppedSinceGap = new AtomicLong();
 
--- a/router/src/main/java/tidebank/capture/DecisionLog.java
+++ b/router/src/main/java/tidebank/capture/DecisionLog.java
@@ -32,7 +32,7 @@
   void policyStarted(Settings settings, long seed);
 
   /**
-   * Called after a decision round.
+   * Called after the policy decided a round and before its actions are executed.
    *
    * @param nowUs the time passed to the policy, in microseconds
    * @param events the input of the policy
