--- a/router/src/main/java/tidebank/config/JsonFields.java
+++ b/router/src/main/java/tidebank/config/JsonFields.java
@@ -4,11 +4,11 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Reads fields of JSON objects. An absent field and a null are the same. */
+/** Accessors of JSON object fields. A null counts as an absent field. */
 public final class JsonFields {
   private static final double US_PER_MS = 1000.0;
 
-  /** The most characters of a JSON text that a message quotes. */
+  /** Maximum number of characters of a JSON value that a message quotes. */
   private static final int MAX_QUOTED_LENGTH = 120;
 
   private JsonFields() {}
@@ -27,19 +27,19 @@
   }
 
   /**
-   * Returns a text field.
+   * Returns a string field.
    *
-   * @throws MalformedInputException if it is absent or not a text
+   * @throws MalformedInputException if it is absent or not a string
    */
   public static String text(JsonNode node, String field) throws MalformedInputException {
     JsonNode value = requiredField(node, field);
     if (!value.isTextual()) {
-      throw wrongType(field, value, "a text");
+      throw invalidValue(field, value, "a string");
     }
     return value.textValue();
   }
 
-  /** Returns a text field, or the default if it is absent or not a text. */
+  /** Returns a string field, or the default if it is absent or not a string. */
   public static String text(JsonNode node, String field, String defaultValue) {
     JsonNode value = node.get(field);
     return value == null || !value.isTextual() ? defaultValue : value.textValue();
@@ -53,7 +53,7 @@
   public static double number(JsonNode node, String field) throws MalformedInputException {
     JsonNode value = requiredField(node, field);
     if (!value.isNumber()) {
-      throw wrongType(field, value, "a number");
+      throw invalidValue(field, value, "a number");
     }
     return value.doubleValue();
   }
@@ -69,7 +69,7 @@
   }
 
   /**
-   * Returns a number field without its fraction.
+   * Returns a number field, truncated to an integer.
    *
    * @throws MalformedInputException if it is absent or not a number
    */
@@ -78,7 +78,7 @@
   }
 
   /**
-   * Returns a number field without its fraction, or the default if it is absent.
+   * Returns a number field, truncated to an integer, or the default if it is absent.
    *
    * @throws MalformedInputException if it is not a number
    */
@@ -88,25 +88,25 @@
   }
 
   /**
-   * Returns a boolean field; false if it is absent.
+   * Returns a boolean field, or false if it is absent.
    *
    * @throws MalformedInputException if it is not a boolean
    */
   public static boolean flag(JsonNode node, String field) throws MalformedInputException {
     JsonNode value = node.get(field);
     if (!isAbsent(value) && !value.isBoolean()) {
-      throw wrongType(field, value, "true or false");
+      throw invalidValue(field, value, "true or false");
     }
     return value != null && value.booleanValue();
   }
 
-  /** Converts milliseconds to whole microseconds. */
+  /** Converts milliseconds to microseconds, rounded to an integer. */
   public static long toMicros(double ms) {
     return Math.round(ms * US_PER_MS);
   }
 
   /**
-   * Returns a field in milliseconds as whole microseconds.
+   * Returns a field given in milliseconds, converted to microseconds.
    *
    * @throws MalformedInputException if it is absent or not a number
    */
@@ -115,7 +115,8 @@
   }
 
   /**
-   * Returns a field in milliseconds as whole microseconds, or the default if it is absent.
+   * Returns a field given in milliseconds, converted to microseconds, or the default if it is
+   * absent.
    *
    * @throws MalformedInputException if it is not a number
    */
@@ -125,15 +126,16 @@
   }
 
   /**
-   * Returns a duration in milliseconds as whole microseconds, or the default if it is absent.
+   * Returns a duration given in milliseconds, converted to microseconds, or the default if it is
+   * absent.
    *
-   * @throws MalformedInputException if it is not a number or below 0
+   * @throws MalformedInputException if it is not a number or is negative
    */
   public static long duration(JsonNode node, String field, double defaultMs)
       throws MalformedInputException {
     long duration = micros(node, field, defaultMs);
     if (duration < 0) {
-      throw wrongType(field, node.get(field), "a number from 0");
+      throw invalidValue(field, node.get(field), "a number of at least 0");
     }
     return duration;
   }
@@ -143,7 +145,7 @@
     return micros / US_PER_MS;
   }
 
-  /** Returns the number fields of an object in their order; other fields are ignored. */
+  /** Returns the number fields of an object in their order. Other fields are ignored. */
   public static Map<String, Double> numbers(JsonNode node) {
     Map<String, Double> values = new LinkedHashMap<>();
     if (node != null && node.isObject()) {
@@ -162,7 +164,7 @@
     return value == null || value.isNull();
   }
 
-  private static MalformedInputException wrongType(String field, JsonNode value, String wanted) {
+  private static MalformedInputException invalidValue(String field, JsonNode value, String wanted) {
     return new MalformedInputException(
         "field '" + field + "': found " + quoted(value) + ", wanted " + wanted);
   }
--- a/router/src/main/java/tidebank/config/OperatorConfig.java
+++ b/router/src/main/java/tidebank/config/OperatorConfig.java
@@ -9,13 +9,13 @@
 import tidebank.logging.Log;
 
 /**
- * The operator's own file: what a router does beyond its platform's configuration. All of it is off
- * or at its default if the file or a key is absent.
+ * The operator's configuration file, with options that the platform's configuration lacks. Options
+ * that are absent from the file are off or have their defaults.
  *
- * @param logging how the process logs
- * @param counterLogIntervalUs how often the counters are logged, in microseconds
- * @param capture how the inputs of decisions are recorded, or null if they are not
- * @param fleet how the router takes part in its fleet's tasks, or null if it does not
+ * @param logging the log settings
+ * @param counterLogIntervalUs the time between two logs of the counters, in microseconds
+ * @param capture the settings of the capture of decision inputs, or null if nothing is captured
+ * @param fleet the settings for singleton tasks of the fleet, or null if the router takes none
  */
 public record OperatorConfig(
     Log.Settings logging,
@@ -29,18 +29,18 @@
   private static final long DEFAULT_COUNTER_LOG_INTERVAL_S = 60;
   private static final String ADDRESS_PATTERN = "[^:]+:\\d{1,5}";
 
-  /** The configuration without a file. */
+  /** The configuration that applies if there is no file. */
   public static final OperatorConfig DEFAULT =
       new OperatorConfig(
           Log.Settings.DEFAULT, DEFAULT_COUNTER_LOG_INTERVAL_S * US_PER_SECOND, null, null);
 
-  /** How much of each decision round's actions a capture holds; the words of the file. */
+  /** What a capture records of the actions of a decision round; named in lower case in the file. */
   private enum RecordedActions {
     DIGEST,
     WHOLE
   }
 
-  /** Levels that the file may name; the words of the file. */
+  /** Log levels that the file may name. */
   private enum LogLevel {
     ERROR(Level.ERROR),
     WARN(Level.WARN),
@@ -57,7 +57,7 @@
   /**
    * Reads a file.
    *
-   * @throws MalformedInputException if it cannot be read, or names any faulty or unknown key
+   * @throws MalformedInputException if it cannot be read, or has an unknown key or an invalid value
    */
   public static OperatorConfig read(Path file) throws MalformedInputException {
     return read(Toml.read(file));
@@ -75,7 +75,7 @@
     return new OperatorConfig(logging, counterLogIntervalS * US_PER_SECOND, capture, fleet);
   }
 
-  /** Reads how a process logs from the table {@code log} of its file. */
+  /** Reads the log settings from the table {@code log} of a file. */
   public static Log.Settings readLogSettings(Toml.Table table) {
     LogLevel level = table.choice("level", LogLevel.INFO, LogLevel.class);
     Log.Format format = table.choice("form", Log.Format.TEXT, Log.Format.class);
@@ -96,7 +96,9 @@
             table.integer("budget_mb", 200, 2, 1 << 20) * BYTES_PER_MB,
             table.flag("force", false));
     if (config.maxTotalBytes() < 2 * config.segmentBytes()) {
-      table.addFault("budget_mb", "is less than two segments of segment_mb");
+      table.addFault(
+          "budget_mb",
+          "found " + config.maxTotalBytes() / BYTES_PER_MB + ", wanted at least twice segment_mb");
     }
     return folder.isEmpty() ? null : config;
   }
@@ -119,7 +121,7 @@
       return null;
     }
     if (folder.isEmpty()) {
-      table.addFault("folder", "is missing, wanted the folder that all members share");
+      table.addFault("folder", "is missing, wanted the path of the shared folder");
     }
     return new FleetAgent.Config(coordinators, Path.of(folder), intervalUs, retention);
   }
--- a/router/src/main/java/tidebank/config/RouterConfig.java
+++ b/router/src/main/java/tidebank/config/RouterConfig.java
@@ -13,16 +13,16 @@
 import tidebank.model.Settings;
 
 /**
- * What the platform starts a router with.
+ * The configuration that the platform starts a router with.
  *
- * @param name the router's name among all routers
- * @param listen where it listens; port 0 leaves the choice to the system
+ * @param name the unique name of the router
+ * @param listen the address to listen on; with port 0 the system picks a port
  * @param discovery the address of discovery
  * @param seed the seed of all random decisions
- * @param budgets how the file descriptors and buffers are shared out
- * @param transport the settings of sockets
- * @param cachedEndpointList the endpoint list as the router last had it, in discovery's form, or
- *     null
+ * @param budgets the limits on connections and buffers
+ * @param transport the settings of connections
+ * @param cachedEndpointList the last endpoint list that the router had, in the format of discovery,
+ *     or null
  * @param settings the settings of the deployment
  */
 public record RouterConfig(
@@ -39,7 +39,10 @@
   private static final int DEFAULT_SOCKETS = 1024;
   private static final int MIN_SOCKETS = 128;
 
-  /** What the heap of the start command and the JVM's own memory take at rest. */
+  /**
+   * Minimum memory limit, in MB. An idle router uses the heap set by the start command and the
+   * JVM's own memory.
+   */
   private static final int MIN_MEMORY_MB = 80;
 
   private static final int MAX_PORT = 65_535;
@@ -47,25 +50,27 @@
   private static final long SECOND_US = 1_000_000;
   private static final int KIB = 1024;
 
-  /** PROTOCOL: a body holds no more than this. */
+  /** Maximum length of a body, as set by the protocol. */
   private static final int MAX_BODY_BYTES = 64 * KIB;
 
   /**
-   * How the file descriptors are shared out, and how much one connection may hold.
+   * The limits on connections, derived from the limit on file descriptors, and on their buffers.
    *
-   * @param maxServedClients client connections beyond this are rejected with a response and closed
-   * @param maxAcceptedClients client connections beyond this are not accepted until another closes
-   * @param maxIdleClients of client connections without a request beyond this, the one that has
-   *     been idle for longest is closed: clients hold a third of the descriptors at most, and some
-   *     never send a request
-   * @param maxServerConnections connections to all shard servers
-   * @param maxConnectionsPerServer connections to one shard server
-   * @param maxPipelinedRequests requests of one client connection that are not answered
-   * @param minReadBufferBytes the least buffer to read into; small, as a body keeps it
-   * @param initialReadBufferBytes the buffer of a connection's first read
-   * @param maxReadBufferBytes the largest buffer to read into
-   * @param writeLowWaterMark bytes not yet written below which a connection is writable again
-   * @param writeHighWaterMark bytes not yet written above which a connection is not writable
+   * @param maxServedClients maximum number of client connections served; further ones get a
+   *     rejection and are closed
+   * @param maxAcceptedClients maximum number of open client connections, including rejected ones;
+   *     further ones are accepted only after another closes
+   * @param maxIdleClients maximum number of idle client connections; beyond it, the longest idle
+   *     one is closed. Clients hold at most a third of the descriptors, and some never send a
+   *     request.
+   * @param maxServerConnections maximum number of connections to all shard servers
+   * @param maxConnectionsPerServer maximum number of connections to one shard server
+   * @param maxPipelinedRequests maximum number of unanswered requests on a client connection
+   * @param minReadBufferBytes minimum size of a read buffer, small because a body keeps its buffer
+   * @param initialReadBufferBytes size of the buffer for the first read of a connection
+   * @param maxReadBufferBytes maximum size of a read buffer
+   * @param writeLowWaterMark pending bytes below which a connection becomes writable again
+   * @param writeHighWaterMark pending bytes above which a connection is not writable
    */
   public record Budgets(
       int maxServedClients,
@@ -80,9 +85,9 @@
       int writeLowWaterMark,
       int writeHighWaterMark) {
     /**
-     * Shares out descriptors: half for clients, of whom those with requests hold a third at most so
-     * that silent ones find room beside them, an eighth for rejections, a quarter for shard
-     * servers; the rest stays free.
+     * Shares out the file descriptors: half for clients, an eighth for connections that are
+     * rejected, and a quarter for shard servers; the rest stays free. Clients with requests hold at
+     * most a third of the descriptors, so that there is room for connections that never send one.
      */
     static Budgets of(int sockets) {
       int eighth = sockets / 8;
@@ -102,15 +107,15 @@
   }
 
   /**
-   * Settings of sockets, from the deployment's settings or from the protocol.
+   * The settings of connections, from the deployment's settings or from the protocol.
    *
-   * @param connectTimeoutUs how long connecting or a health check may take, in microseconds
-   * @param keepaliveUs how long servers keep an idle connection open, in microseconds
-   * @param maxStreams batches that may be in flight on one connection to a shard server
-   * @param loadReportOnHealthCheck whether servers report their load on a health check
-   * @param maxBodyBytes the longest body
-   * @param requestTimeoutUs how long a client may take to send a request, in microseconds
-   * @param minIdleUs how long a client's connection stays open without a request at least, in
+   * @param connectTimeoutUs timeout of a connection attempt and of a health check, in microseconds
+   * @param keepaliveUs time that servers keep an idle connection open, in microseconds
+   * @param maxStreams maximum number of batches in flight on a connection to a shard server
+   * @param loadReportOnHealthCheck whether servers respond to a health check with a load report
+   * @param maxBodyBytes maximum length of a body, in bytes
+   * @param requestTimeoutUs time that a client may take to send a request, in microseconds
+   * @param minIdleUs minimum idle time of a client connection before the router may close it, in
    *     microseconds
    */
   public record Transport(
@@ -131,9 +136,9 @@
           Math.max(1, JsonFields.integer(limits, "maxStreams", 100)),
           JsonFields.text(settings.path("report"), "how", "off").equals("on_probe"),
           MAX_BODY_BYTES,
-          // A client gets an error or an end within 3 s of connecting; half a second stays free.
+          // A client must get an error or a close within 3 s of connecting; 0.5 s is a reserve.
           5 * SECOND_US / 2,
-          // A connection without an open request may be closed after so long.
+          // The protocol allows closing a connection without an open request after 2 s.
           2 * SECOND_US);
     }
   }
@@ -149,8 +154,8 @@
   }
 
   /**
-   * Reads the configuration again while the router runs. The environment is that of its start, so
-   * the file's address of discovery is newer and takes precedence.
+   * Reads the configuration again while the router runs. The environment dates from the start of
+   * the process, so an address of discovery in the file is newer and takes precedence.
    *
    * @throws MalformedInputException if anything is missing or invalid
    */
@@ -192,7 +197,7 @@
 
   private static void checkSettings(Settings settings) throws MalformedInputException {
     if (settings.queryClasses().isEmpty()) {
-      throw malformed("settings.services", "none", "a list of table types");
+      throw malformed("settings.services", "none", "a list of query classes");
     }
     Settings.Layout layout = settings.layout();
     if (layout.shards() < 1 || layout.positions() < 1 || layout.replicationSpan() < 1) {
@@ -203,7 +208,7 @@
               + layout.positions()
               + " width="
               + layout.replicationSpan();
-      throw malformed("settings.specifics", found, "slices, positions and width from 1");
+      throw malformed("settings.specifics", found, "slices, positions and width of at least 1");
     }
   }
 
@@ -241,16 +246,16 @@
     String fromEnvironment = environment.getOrDefault(variable, "");
     String value = fromEnvironment.isEmpty() ? file.path(key).asText("") : fromEnvironment;
     if (value.isEmpty()) {
-      throw malformed(variable + " or " + key, "nothing", "a text");
+      throw malformed(variable + " or " + key, "nothing", "a string");
     }
     return value;
   }
 
   /**
-   * Parses an address HOST:PORT with a numeric host, as there is no DNS.
+   * Parses an address of the form HOST:PORT. The host is an IPv4 address, because there is no DNS.
    *
-   * @param key what a message calls the address
-   * @throws MalformedInputException if it is not of that form
+   * @param key the key that the message of an exception names
+   * @throws MalformedInputException if the address has another form
    */
   public static InetSocketAddress parseAddress(String key, String value)
       throws MalformedInputException {
@@ -280,12 +285,12 @@
     return Budgets.of(readLimit(limits, "sockets", MIN_SOCKETS, DEFAULT_SOCKETS));
   }
 
-  /** Reads a limit of the platform; one that is too small to run in is a fault. */
+  /** Returns a limit set by the platform. Throws if the router cannot run within it. */
   private static int readLimit(JsonNode limits, String key, int min, int defaultValue)
       throws MalformedInputException {
     JsonNode value = limits.path(key);
     if (!value.isMissingNode() && (!value.canConvertToInt() || value.intValue() < min)) {
-      throw malformed("limits." + key, value.toString(), "a whole number from " + min);
+      throw malformed("limits." + key, value.toString(), "a whole number of at least " + min);
     }
     return value.asInt(defaultValue);
   }
--- a/router/src/main/java/tidebank/config/SettingsReader.java
+++ b/router/src/main/java/tidebank/config/SettingsReader.java
@@ -9,14 +9,14 @@
 import tidebank.model.Settings;
 
 /**
- * Reads a router's settings from the platform's form. An absent value gets the default that permits
- * or promises nothing.
+ * Reader of the router settings in the platform's JSON format. An absent value gets the most
+ * restrictive default: no feature is allowed and no guarantee is assumed.
  *
- * <p>This is the only class that knows the platform's words: {@code services}, {@code specifics},
- * {@code guarantees} and so on.
+ * <p>This is the only class that knows the platform's names of settings, such as {@code services},
+ * {@code specifics} and {@code guarantees}.
  */
 public final class SettingsReader {
-  /** Longer than any router runs, in milliseconds. */
+  /** A time in milliseconds that is longer than any router runs. */
   private static final double NEVER_MS = 1e12;
 
   private SettingsReader() {}
@@ -27,9 +27,9 @@
    * @throws MalformedInputException if a value has the wrong type or is out of range
    */
   public static Settings read(JsonNode config) throws MalformedInputException {
-    JsonNode layout = childOrMissing(config, "specifics");
+    JsonNode specifics = childOrMissing(config, "specifics");
     Map<String, QueryClass> queryClasses =
-        readQueryClasses(childOrMissing(config, "services"), layout);
+        readQueryClasses(childOrMissing(config, "services"), specifics);
     Map<String, Double> quotas = readQuotas(childOrMissing(config, "tenants"));
     return new Settings(
         Math.max(1, JsonFields.integer(config, "instances", 1)),
@@ -38,22 +38,22 @@
         queryClasses,
         quotas,
         JsonFields.number(config, "overShareWorth", 1),
-        readLayout(layout),
+        readLayout(specifics),
         readLimits(childOrMissing(config, "limits"), isWatchOnRequest(config)),
         readRules(childOrMissing(config, "guarantees")));
   }
 
-  private static Map<String, QueryClass> readQueryClasses(JsonNode services, JsonNode layout)
+  private static Map<String, QueryClass> readQueryClasses(JsonNode services, JsonNode specifics)
       throws MalformedInputException {
     Map<String, QueryClass> queryClasses = new LinkedHashMap<>();
-    for (int row = 0; row < services.size(); row++) {
-      QueryClass queryClass = readQueryClass(services.get(row), layout, row);
+    for (int index = 0; index < services.size(); index++) {
+      QueryClass queryClass = readQueryClass(services.get(index), specifics, index);
       queryClasses.put(queryClass.name(), queryClass);
     }
     return queryClasses;
   }
 
-  private static QueryClass readQueryClass(JsonNode service, JsonNode layout, int row)
+  private static QueryClass readQueryClass(JsonNode service, JsonNode specifics, int index)
       throws MalformedInputException {
     return new QueryClass(
         JsonFields.text(service, "name"),
@@ -62,9 +62,9 @@
         JsonFields.duration(service, "onTimeMs", JsonFields.number(service, "deadlineMs", 0)),
         JsonFields.duration(service, "deadlineMs", 0),
         JsonFields.number(service, "lateWorth", 0),
-        readRowValue(layout, "floorByClass", row, 1),
-        readRowValue(layout, "classNeed", row, 1),
-        (int) readRowValue(layout, "secondStep", row, 0));
+        readArrayElement(specifics, "floorByClass", index, 1),
+        readArrayElement(specifics, "classNeed", index, 1),
+        (int) readArrayElement(specifics, "secondStep", index, 0));
   }
 
   private static Idempotency parseIdempotency(String semantics) {
@@ -75,9 +75,10 @@
     };
   }
 
-  /** Returns the value of a query class in an array, or the default if there is no number. */
-  private static double readRowValue(JsonNode layout, String field, int row, double defaultValue) {
-    JsonNode value = childOrMissing(layout, field).get(row);
+  /** Returns the array element of a query class, or the default if it is not a number. */
+  private static double readArrayElement(
+      JsonNode specifics, String field, int index, double defaultValue) {
+    JsonNode value = childOrMissing(specifics, field).get(index);
     return value == null || !value.isNumber() ? defaultValue : value.doubleValue();
   }
 
@@ -92,13 +93,13 @@
     return quotas;
   }
 
-  private static Settings.Layout readLayout(JsonNode layout) throws MalformedInputException {
+  private static Settings.Layout readLayout(JsonNode specifics) throws MalformedInputException {
     return new Settings.Layout(
-        Math.max(0, JsonFields.integer(layout, "slices", 0)),
-        Math.max(0, JsonFields.integer(layout, "positions", 0)),
-        Math.max(0, JsonFields.integer(layout, "width", 0)),
-        Math.max(1, JsonFields.integer(layout, "bundleMax", 1)),
-        JsonFields.duration(layout, "callMs", 0));
+        Math.max(0, JsonFields.integer(specifics, "slices", 0)),
+        Math.max(0, JsonFields.integer(specifics, "positions", 0)),
+        Math.max(0, JsonFields.integer(specifics, "width", 0)),
+        Math.max(1, JsonFields.integer(specifics, "bundleMax", 1)),
+        JsonFields.duration(specifics, "callMs", 0));
   }
 
   private static boolean isWatchOnRequest(JsonNode config) {
--- a/router/src/main/java/tidebank/config/Toml.java
+++ b/router/src/main/java/tidebank/config/Toml.java
@@ -20,9 +20,9 @@
 import java.util.function.Function;
 
 /**
- * A TOML file whose keys are checked. The reader asks for each key that it knows; faults are
- * collected rather than thrown one by one, and {@link #check} reports all faulty, missing and
- * unknown keys with their lines, an unknown one with the known key that is nearest to it.
+ * A TOML file with checked keys. The caller reads each key that it knows. Faults are collected, and
+ * {@link #check} reports all invalid, missing and unknown keys together, with their lines. For an
+ * unknown key it suggests the known key with the most similar name.
  */
 public final class Toml {
   private final String name;
@@ -42,11 +42,11 @@
     try {
       return new TomlMapper().readTree(text);
     } catch (JsonProcessingException invalid) {
-      JsonLocation at = invalid.getLocation();
-      String place = at == null ? name : name + ":" + at.getLineNr();
-      throw new MalformedInputException(place + ": " + invalid.getOriginalMessage());
+      JsonLocation location = invalid.getLocation();
+      String prefix = location == null ? name : name + ":" + location.getLineNr();
+      throw new MalformedInputException(prefix + ": " + invalid.getOriginalMessage());
     } catch (RuntimeException invalid) {
-      throw new MalformedInputException(name + ": no TOML: " + invalid.getMessage());
+      throw new MalformedInputException(name + ": not valid TOML: " + invalid.getMessage());
     }
   }
 
@@ -67,29 +67,29 @@
   }
 
   /**
-   * Reads a text.
+   * Reads TOML from a string.
    *
-   * @param name what messages call the text
+   * @param name the name that messages use for the file
    * @throws MalformedInputException if it is not TOML
    */
   public static Toml read(String name, String text) throws MalformedInputException {
     return new Toml(name, text);
   }
 
-  /** Returns the table of the keys outside any table. */
+  /** Returns the root table, which holds the top-level keys and tables. */
   public Table root() {
     return root;
   }
 
-  /** Adds a fault that the caller found, at the line of a key. */
+  /** Adds a fault that the caller found, with the line number of the key. */
   public void addFault(String key, String description) {
     faults.add(name + ":" + lines.lineOf(key) + ": " + key + ": " + description);
   }
 
   /**
-   * Reports all faults.
+   * Throws if there are faults. A key that the caller has not read counts as unknown.
    *
-   * @throws MalformedInputException if there is any; a key that was never asked for is one
+   * @throws MalformedInputException with one line for each fault
    */
   public void check() throws MalformedInputException {
     for (Table table : List.copyOf(openedTables)) {
@@ -100,14 +100,14 @@
     }
   }
 
-  /** Returns the known word nearest to an unknown one, or null if none is near. */
+  /** Returns the known word that is most similar to {@code word}, or null if none is similar. */
   public static String findNearest(String word, Collection<String> known) {
     return KeySuggestions.findNearest(word, known).orElse(null);
   }
 
   /**
-   * A table of the file. Each key that is asked for counts as known. A value of the wrong type or
-   * out of range is a fault, and the default is returned in its place.
+   * A table of the file. Each key that the caller reads counts as known. For a value of the wrong
+   * type or out of range, a fault is added and the default is returned.
    */
   public final class Table {
     private final String path;
@@ -121,7 +121,7 @@
       openedTables.add(this);
     }
 
-    /** Returns the table's name with those of the tables around it; empty for the root. */
+    /** Returns the dotted path of the table, which is empty for the root. */
     public String path() {
       return path;
     }
@@ -140,12 +140,12 @@
       return !value(key).isMissingNode();
     }
 
-    /** Adds a fault that the caller found, at the line of a key of this table. */
+    /** Adds a fault that the caller found, with the line number of a key of this table. */
     public void addFault(String key, String description) {
       Toml.this.addFault(pathOf(key), description);
     }
 
-    /** Returns a value that {@code reader} can read; it returns null for any other. */
+    /** Returns a converted value; {@code reader} returns null if the value is invalid. */
     private <T> T read(String key, T defaultValue, String wanted, Function<JsonNode, T> reader) {
       JsonNode value = value(key);
       if (value.isMissingNode()) {
@@ -163,16 +163,16 @@
       addFault(key, "found " + value + ", wanted " + wanted);
     }
 
-    /** Returns a text, or the default if the key is absent. */
+    /** Returns a string, or the default if the key is absent. */
     public String text(String key, String defaultValue) {
       return read(
-          key, defaultValue, "a text", value -> value.isTextual() ? value.textValue() : null);
+          key, defaultValue, "a string", value -> value.isTextual() ? value.textValue() : null);
     }
 
-    /** Returns a text; it is a fault if the key is absent. */
+    /** Returns a string. If the key is absent, adds a fault and returns an empty string. */
     public String requiredText(String key) {
       if (!has(key)) {
-        addFault(key, "is missing, wanted a text");
+        addFault(key, "is missing, wanted a string");
       }
       return text(key, "");
     }
@@ -186,9 +186,10 @@
           value -> value.isBoolean() ? value.booleanValue() : null);
     }
 
-    /** Returns a whole number from {@code min} to {@code max}, or the default if it is absent. */
+    /** Returns an integer from {@code min} to {@code max}, or the default if the key is absent. */
     public long integer(String key, long defaultValue, long min, long max) {
-      String wanted = "a whole number from " + min + (max == Long.MAX_VALUE ? "" : " to " + max);
+      String wanted =
+          "a whole number from " + min + (max == Long.MAX_VALUE ? " upwards" : " to " + max);
       return read(
           key,
           defaultValue,
@@ -202,7 +203,7 @@
                   : null);
     }
 
-    /** Returns a number from {@code min} to {@code max}, or the default if it is absent. */
+    /** Returns a number from {@code min} to {@code max}, or the default if the key is absent. */
     public double number(String key, double defaultValue, double min, double max) {
       return read(
           key,
@@ -215,7 +216,7 @@
     }
 
     /**
-     * Returns the constant that a text names in lower case, with dashes for underscores, or the
+     * Returns an enum constant by its name in lower case with dashes for underscores, or the
      * default if the key is absent.
      */
     public <E extends Enum<E>> E choice(String key, E defaultValue, Class<E> type) {
@@ -235,12 +236,12 @@
       return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    /** Returns a list of texts, empty if the key is absent. */
+    /** Returns a list of strings, which is empty if the key is absent. */
     public List<String> texts(String key) {
-      return readList(key, "a list of texts", item -> item.isTextual() ? item.textValue() : null);
+      return readList(key, "a list of strings", item -> item.isTextual() ? item.textValue() : null);
     }
 
-    /** Returns a list of numbers, empty if the key is absent. */
+    /** Returns a list of numbers, which is empty if the key is absent. */
     public List<Double> numbers(String key) {
       return readList(
           key, "a list of numbers", item -> item.isNumber() ? item.doubleValue() : null);
@@ -254,17 +255,17 @@
           value -> {
             List<T> items = new ArrayList<>();
             for (JsonNode item : value) {
-              T read = itemReader.apply(item);
-              if (read == null) {
+              T converted = itemReader.apply(item);
+              if (converted == null) {
                 return null;
               }
-              items.add(read);
+              items.add(converted);
             }
             return value.isArray() ? items : null;
           });
     }
 
-    /** Returns a table below this one; an absent one is empty. */
+    /** Returns a table within this one, which is empty if the key is absent. */
     public Table table(String key) {
       JsonNode value = value(key);
       if (!value.isMissingNode() && !value.isObject()) {
@@ -273,12 +274,12 @@
       return new Table(pathOf(key), value);
     }
 
-    /** Returns the tables of an array such as {@code [[row]]}. */
+    /** Returns the tables of an array of tables, as in {@code [[row]]}. */
     public List<Table> tables(String key) {
       JsonNode value = value(key);
       List<Table> tables = new ArrayList<>();
       if (!value.isMissingNode() && !value.isArray()) {
-        addTypeFault(key, value, "tables [[" + pathOf(key) + "]]");
+        addTypeFault(key, value, "an array of tables [[" + pathOf(key) + "]]");
       }
       for (int i = 0; value.isArray() && i < value.size(); i++) {
         tables.add(new Table(pathOf(key) + "[" + i + "]", value.get(i)));
@@ -286,7 +287,7 @@
       return tables;
     }
 
-    /** Returns each key's value as a text; the table may have any keys. */
+    /** Returns the values of all keys as strings. The table may have any keys. */
     public Map<String, String> textsByKey() {
       anyKeyAllowed = true;
       Map<String, String> values = new LinkedHashMap<>();
@@ -297,7 +298,7 @@
                 if (value.isValueNode()) {
                   values.put(entry.getKey(), value.asText());
                 } else {
-                  addTypeFault(entry.getKey(), value, "a text");
+                  addTypeFault(entry.getKey(), value, "a string");
                 }
               });
       return values;
@@ -317,10 +318,10 @@
     }
 
     private String suggestion(String key) {
-      Optional<String> near = KeySuggestions.findNearest(key, knownKeys);
-      return near.isPresent()
-          ? "; did you mean \"" + near.get() + "\"?"
-          : "; known are " + String.join(", ", knownKeys);
+      Optional<String> nearest = KeySuggestions.findNearest(key, knownKeys);
+      return nearest.isPresent()
+          ? "; did you mean \"" + nearest.get() + "\"?"
+          : "; known keys are " + String.join(", ", knownKeys);
     }
   }
 }
--- a/router/src/main/java/tidebank/config/TomlLineIndex.java
+++ b/router/src/main/java/tidebank/config/TomlLineIndex.java
@@ -7,8 +7,8 @@
 import java.util.regex.Pattern;
 
 /**
- * The line numbers of a TOML file's tables and keys. The parser drops them, so they are found by a
- * scan of the text that knows headers, keys and multi-line strings only.
+ * An index of the line numbers of a TOML file's tables and keys. The parser does not report them,
+ * so the text is scanned again for table headers, keys and multi-line strings.
  */
 final class TomlLineIndex {
   private static final Pattern HEADER =
@@ -24,10 +24,10 @@
   TomlLineIndex(String text) {
     String tablePrefix = "";
     Map<String, Integer> arrayLengths = new HashMap<>();
-    int number = 0;
+    int lineNumber = 0;
     String openQuotes = null;
     for (String line : text.split("\n", -1)) {
-      number++;
+      lineNumber++;
       if (openQuotes != null) {
         openQuotes = line.contains(openQuotes) ? null : openQuotes;
         continue;
@@ -36,16 +36,16 @@
       Matcher key = KEY.matcher(line);
       if (header.matches()) {
         String path = resolveTablePath(line, unquote(header.group(1)), arrayLengths);
-        lineByPath.putIfAbsent(path, number);
+        lineByPath.putIfAbsent(path, lineNumber);
         tablePrefix = path + ".";
       } else if (key.matches()) {
-        lineByPath.putIfAbsent(tablePrefix + unquote(key.group(1)), number);
+        lineByPath.putIfAbsent(tablePrefix + unquote(key.group(1)), lineNumber);
         openQuotes = findOpenQuotes(line);
       }
     }
   }
 
-  /** Returns the path of a table; that of an array's table ends in its index. */
+  /** Returns the path of a table. For a table of an array, it ends in the index, as in a[0]. */
   private static String resolveTablePath(
       String line, String name, Map<String, Integer> arrayLengths) {
     if (!line.trim().startsWith("[[")) {
@@ -55,7 +55,7 @@
     return name + "[" + (length - 1) + "]";
   }
 
-  /** Returns the quotes of a multi-line string that begins in this line and does not end in it. */
+  /** Returns the quotes of a multi-line string that is still open after the line, or null. */
   private static String findOpenQuotes(String line) {
     String open = null;
     for (String quotes : MULTI_LINE_QUOTES) {
@@ -71,10 +71,13 @@
     return key.replaceAll("\\s*\\.\\s*", ".").replace("\"", "").replace("'", "");
   }
 
-  /** Returns the line of a key, or of the innermost table around it that has one; 1 if none has. */
+  /**
+   * Returns the line number of a key from 1. If the key has none, returns that of the innermost
+   * table around it, or 1 if no table has one either.
+   */
   int lineOf(String path) {
-    for (String at = path; !at.isEmpty(); at = parentOf(at)) {
-      Integer line = lineByPath.get(at);
+    for (String ancestor = path; !ancestor.isEmpty(); ancestor = parentOf(ancestor)) {
+      Integer line = lineByPath.get(ancestor);
       if (line != null) {
         return line;
       }
--- a/router/src/main/java/tidebank/config/package-info.java
+++ b/router/src/main/java/tidebank/config/package-info.java
@@ -1,15 +1,15 @@
 /**
- * Reads, checks and defaults the environment, the configuration files and the settings. No other
- * package reads them.
+ * Reads the environment, the configuration files and the settings, checks them and applies the
+ * defaults. No other package reads them.
  *
- * <p>{@link tidebank.config.RouterConfig} is what the platform starts a router with: a JSON file
- * and environment variables. {@link tidebank.config.OperatorConfig} is the operator's own TOML
- * file. {@link tidebank.config.Toml} reads TOML files by a checked description of their keys and
- * collects all faults, and {@link tidebank.config.JsonFields} reads single fields of JSON objects.
- * Every fault is a {@link tidebank.config.MalformedInputException} whose message names the key,
- * what was found and what is expected.
+ * <p>{@link tidebank.config.RouterConfig} is the configuration that the platform starts a router
+ * with: a JSON file and environment variables. {@link tidebank.config.OperatorConfig} is the TOML
+ * file of the operator. {@link tidebank.config.Toml} reads TOML files, checks their keys and values
+ * and collects all faults. {@link tidebank.config.JsonFields} reads single fields of JSON objects.
+ * Faults are thrown as a {@link tidebank.config.MalformedInputException} with a message that names
+ * the key, the value found and the value expected.
  *
- * <p>All results are immutable and may be used on any thread. Start reading at {@link
+ * <p>All configurations are immutable and may be used on any thread. The entry point is {@link
  * tidebank.config.RouterConfig#read}.
  */
 package tidebank.config;
--- a/router/src/test/java/tidebank/OperatorConfigTest.java
+++ b/router/src/test/java/tidebank/OperatorConfigTest.java
@@ -12,7 +12,7 @@
 import tidebank.config.OperatorConfig;
 import tidebank.logging.Log;
 
-/** The operator's own file: its defaults, its values, and faults by key and line. */
+/** Tests the operator's file: defaults, values, and faults with their key and line. */
 class OperatorConfigTest {
   private static final Path SHIPPED = Path.of("../deploy/gatherer.toml");
 
@@ -22,16 +22,21 @@
     return OperatorConfig.read(Files.writeString(folder.resolve("g.toml"), text));
   }
 
+  /**
+   * Guards against a shipped file with other values than the code's defaults, which it documents.
+   */
   @Test
-  void theShippedFileHoldsTheDefaults() throws Exception {
+  void shippedFileHoldsTheDefaults() throws Exception {
     assertThat(OperatorConfig.read(SHIPPED)).isEqualTo(OperatorConfig.DEFAULT);
   }
 
+  /** Guards against options that must be present in the file. */
   @Test
-  void anEmptyFileLeavesTheDefaults() throws Exception {
+  void emptyFileGivesTheDefaults() throws Exception {
     assertThat(read("")).isEqualTo(OperatorConfig.DEFAULT);
   }
 
+  /** Guards against options that are read but have no effect. */
   @Test
   void valuesReplaceTheDefaults() throws Exception {
     assertThat(read("[log]\nlevel = 'debug'\nform = 'json'\n[report]\ncounters_every_s = 5\n"))
@@ -40,8 +45,9 @@
                 new Log.Settings(Level.DEBUG, Log.Format.JSON, 50), 5_000_000, null, null));
   }
 
+  /** Guards against misspelt keys that are ignored, and faults that hide the ones after them. */
   @Test
-  void eachFaultIsReportedWithItsLineAndAMisspeltKeyWithTheNearestOne() {
+  void faultsAreReportedTogetherWithLineAndSuggestedKey() {
     String text =
         """
         [log]
@@ -64,13 +70,15 @@
         .hasMessageContaining("g.toml:7: reprot: unknown key; did you mean \"report\"?");
   }
 
+  /** Guards against a syntax error that is reported without its position. */
   @Test
-  void textThatIsNoTomlIsReportedWithItsLine() {
+  void invalidTomlIsReportedWithItsLine() {
     assertThatThrownBy(() -> read("[log]\nlevel = \n")).hasMessageContaining("g.toml:2: ");
   }
 
+  /** Guards against a mistyped path that is treated as an empty file. */
   @Test
-  void aMissingFileIsReported() {
+  void missingFileIsReported() {
     assertThatThrownBy(() -> OperatorConfig.read(folder.resolve("none.toml")))
         .hasMessageContaining("cannot be read");
   }
--- a/router/src/test/java/tidebank/RouterConfigTest.java
+++ b/router/src/test/java/tidebank/RouterConfigTest.java
@@ -17,7 +17,7 @@
 import tidebank.config.MalformedInputException;
 import tidebank.config.RouterConfig;
 
-/** The platform's configuration: what takes precedence, and what faults are called. */
+/** Tests the platform's configuration: precedence of its sources and messages for faults. */
 class RouterConfigTest {
   @TempDir Path folder;
   private final FakeSite site = new FakeSite();
@@ -34,6 +34,7 @@
     return RouterConfig.read(withFile);
   }
 
+  /** Guards against a file that overrides the environment, which the platform sets per router. */
   @Test
   void variablesTakePrecedenceOverTheFile() throws Exception {
     RouterConfig config =
@@ -43,8 +44,9 @@
     assertThat(config.listen().toString()).isEqualTo("/127.0.0.2:80");
   }
 
+  /** Guards against values of the file that are ignored or converted to the wrong unit. */
   @Test
-  void valuesOfTheFileAreRead() throws Exception {
+  void valuesAreReadFromTheFile() throws Exception {
     RouterConfig config = read(site.configJson(), Map.of());
 
     assertThat(config.seed()).isEqualTo(0x8c1f30d27a5be964L);
@@ -52,6 +54,7 @@
     assertThat(config.settings().queryClasses()).containsOnlyKeys("whole", "part", "once");
   }
 
+  /** Guards against a router that does not start after the platform has added a key. */
   @Test
   void unknownKeysAreIgnored() throws Exception {
     RouterConfig without = read(site.configJson(), Map.of());
@@ -60,26 +63,30 @@
     assertThat(read(site.configJson(), Map.of())).isEqualTo(without);
   }
 
+  /** Guards against an empty file that is accepted, or reported without its variable. */
   @Test
-  void anEmptyFileIsAFault() {
+  void emptyFileIsRejected() {
     assertThatThrownBy(() -> read("", Map.of()))
         .isInstanceOf(MalformedInputException.class)
         .message()
         .matches("NODE_CONFIG: found .*, wanted a file that holds a JSON object");
   }
 
+  /** Guards against a start without a configuration file. */
   @Test
-  void aMissingVariableIsAFault() {
+  void missingNodeConfigIsRejected() {
     assertThatThrownBy(() -> RouterConfig.read(Map.of()))
         .hasMessage("NODE_CONFIG: found nothing, wanted the path of a JSON file");
   }
 
   /**
-   * A text of a valid file, its replacement, with single quotes for double ones, and the message.
+   * Returns cases of a text in a valid file, its replacement, and a pattern that the message has to
+   * match. Single quotes in the texts stand for double quotes.
    */
-  private static Stream<Arguments> faults() {
+  private static Stream<Arguments> invalidValues() {
     return Stream.of(
-        Arguments.of("'name':'n0'", "'name':''", "NODE_NAME or name: found nothing, wanted a text"),
+        Arguments.of(
+            "'name':'n0'", "'name':''", "NODE_NAME or name: found nothing, wanted a string"),
         Arguments.of(
             "'listen':'127.0.0.1:0'",
             "'listen':'here:80'",
@@ -92,16 +99,16 @@
         Arguments.of(
             "'sockets':1024",
             "'memory_mb':16",
-            "limits.memory_mb: found 16, wanted a whole number from 80"),
+            "limits.memory_mb: found 16, wanted a whole number of at least 80"),
         Arguments.of(
             "'sockets':1024",
             "'sockets':-3",
-            "limits.sockets: found -3, wanted a whole number from 128"),
+            "limits.sockets: found -3, wanted a whole number of at least 128"),
         Arguments.of("'settings':{", "'settings':7,'x':{", "settings: found 7, wanted an object"),
         Arguments.of(
             "'services':[",
             "'services':[],'x':[",
-            "settings.services: found none, wanted a list of table types"),
+            "settings.services: found none, wanted a list of query classes"),
         Arguments.of("'slices':4", "'slices':0", "settings.specifics: found .*, wanted slices.*"),
         Arguments.of(
             "'connectTimeoutMs':200",
@@ -110,17 +117,18 @@
         Arguments.of(
             "'onTimeMs':1000",
             "'onTimeMs':-1",
-            "settings: field 'onTimeMs': found -1, wanted a number from 0"),
+            "settings: field 'onTimeMs': found -1, wanted a number of at least 0"),
         Arguments.of(
-            "'name':'whole'", "'name':3", "settings: field 'name': found 3, wanted a text"));
+            "'name':'whole'", "'name':3", "settings: field 'name': found 3, wanted a string"));
   }
 
+  /** Guards against invalid values that are accepted or reported with an unclear message. */
   @ParameterizedTest(name = "{0} replaced by {1}")
-  @MethodSource("faults")
-  void aFaultNamesTheKeyWhatWasFoundAndWhatIsWanted(
+  @MethodSource("invalidValues")
+  void invalidValueIsReportedWithKeyAndExpectedValue(
       String replaced, String replacement, String message) {
     String valid = site.configJson();
-    String invalid = valid.replace(quoted(replaced), quoted(replacement));
+    String invalid = valid.replace(withDoubleQuotes(replaced), withDoubleQuotes(replacement));
 
     assertThat(invalid).isNotEqualTo(valid);
     assertThatThrownBy(() -> read(invalid, Map.of()))
@@ -129,7 +137,7 @@
         .matches(message);
   }
 
-  private static String quoted(String text) {
+  private static String withDoubleQuotes(String text) {
     return text.replace('\'', '"');
   }
 }
--- a/router/src/test/java/tidebank/StartupFaultsFixtureTest.java
+++ b/router/src/test/java/tidebank/StartupFaultsFixtureTest.java
@@ -26,114 +26,122 @@
 import tidebank.config.RouterConfig;
 
 /**
- * Faulty starts, with the lines on standard error and the exit code. {@code faults.json} says for
- * each the environment, a replacement in a sound file, or the whole file, or the operator's file;
- * {@code $JSON} and {@code $TOML} stand for the two paths and {@code $PORT} for a port in use.
- * Those with an {@code exit} code run as processes, the others read their files only. To record the
- * lines anew: {@code mvn -o -pl gatherer test -Dtest=StartupFaultsFixtureTest
- * -Dfixtures.record=true}
+ * Guards against invalid configurations that do not prevent the start, or that are reported with
+ * unclear lines on standard error or with the wrong exit code.
+ *
+ * <p>Each case in {@code faults.json} gives the environment, a replacement in a valid configuration
+ * file or the whole file, or the operator's file. {@code $JSON} and {@code $TOML} stand for the
+ * paths of the two files and {@code $PORT} for a port in use. Cases with an {@code exit} code start
+ * a process; the others only read the files. To overwrite the expected lines with the current ones,
+ * run {@code mvn -o -pl router test -Dtest=StartupFaultsFixtureTest -Dfixtures.record=true}.
  */
 @Timeout(60)
 class StartupFaultsFixtureTest {
-  private static final Path FILE = Path.of("src/test/resources/fixtures/startup/faults.json");
+  private static final Path CASES_FILE = Path.of("src/test/resources/fixtures/startup/faults.json");
   private static final ObjectMapper JSON =
       new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
 
   @TempDir Path folder;
   private final FakeSite site = new FakeSite();
-  private ServerSocket taken;
-  private Path json;
-  private Path toml;
+  private ServerSocket occupiedPort;
+  private Path configFile;
+  private Path operatorFile;
 
   @BeforeEach
-  void begin() throws Exception {
-    taken = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
-    json = folder.resolve("node.json");
-    toml = folder.resolve("own.toml");
+  void setUp() throws Exception {
+    occupiedPort = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
+    configFile = folder.resolve("node.json");
+    operatorFile = folder.resolve("own.toml");
   }
 
   @AfterEach
-  void close() throws Exception {
-    taken.close();
+  void tearDown() throws Exception {
+    occupiedPort.close();
     site.close();
   }
 
-  private String fill(String text) {
-    return text.replace("$JSON", json.toString())
-        .replace("$TOML", toml.toString())
-        .replace("$PORT", String.valueOf(taken.getLocalPort()));
+  private String fillPlaceholders(String text) {
+    return text.replace("$JSON", configFile.toString())
+        .replace("$TOML", operatorFile.toString())
+        .replace("$PORT", String.valueOf(occupiedPort.getLocalPort()));
   }
 
-  private String withholdPaths(String text) {
-    return text.replace(json.toString(), "$JSON")
-        .replace(toml.toString(), "$TOML")
-        .replace(":" + taken.getLocalPort(), ":$PORT");
+  private String restorePlaceholders(String text) {
+    return text.replace(configFile.toString(), "$JSON")
+        .replace(operatorFile.toString(), "$TOML")
+        .replace(":" + occupiedPort.getLocalPort(), ":$PORT");
   }
 
-  private Map<String, String> prepare(JsonNode fault) throws Exception {
-    String sound = site.configJson();
+  private Map<String, String> writeFiles(JsonNode testCase) throws Exception {
+    String valid = site.configJson();
     String text =
-        fault.has("json")
-            ? fault.path("json").asText()
-            : sound.replace(fault.path("replace").asText("\n"), fault.path("by").asText());
-    assertThat(fault.has("replace") && text.equals(sound)).as("nothing replaced").isFalse();
-    Files.writeString(json, fill(text));
-    Files.writeString(toml, fault.path("toml").asText());
-    Map<String, String> env = new HashMap<>();
-    env.put("NODE_CONFIG", json.toString());
-    fault
+        testCase.has("json")
+            ? testCase.path("json").asText()
+            : valid.replace(testCase.path("replace").asText("\n"), testCase.path("by").asText());
+    assertThat(testCase.has("replace") && text.equals(valid))
+        .as("text to replace is absent")
+        .isFalse();
+    Files.writeString(configFile, fillPlaceholders(text));
+    Files.writeString(operatorFile, testCase.path("toml").asText());
+    Map<String, String> environment = new HashMap<>();
+    environment.put("NODE_CONFIG", configFile.toString());
+    testCase
         .path("env")
         .fields()
-        .forEachRemaining(e -> env.put(e.getKey(), fill(e.getValue().asText())));
-    return env;
+        .forEachRemaining(
+            variable ->
+                environment.put(variable.getKey(), fillPlaceholders(variable.getValue().asText())));
+    return environment;
   }
 
-  private String[] arguments(JsonNode fault) {
-    if (fault.has("arguments")) {
-      return fault.path("arguments").asText().split(" ");
+  private String[] arguments(JsonNode testCase) {
+    if (testCase.has("arguments")) {
+      return testCase.path("arguments").asText().split(" ");
     }
-    return fault.has("toml")
-        ? new String[] {"serve", "--config", toml.toString()}
+    return testCase.has("toml")
+        ? new String[] {"serve", "--config", operatorFile.toString()}
         : new String[] {"serve"};
   }
 
+  /** Guards against a case with other lines or another exit code than in the fixture. */
   @Test
-  void eachFaultIsNamedInTheseLines() throws Exception {
-    ArrayNode faults = (ArrayNode) JSON.readTree(FILE.toFile());
-    for (JsonNode fault : faults) {
-      Map<String, String> env = prepare(fault);
-      String lines = fault.has("exit") ? run(fault, env) : message(fault, env);
+  void faultyStartsPrintTheLinesOfTheFixture() throws Exception {
+    ArrayNode cases = (ArrayNode) JSON.readTree(CASES_FILE.toFile());
+    for (JsonNode testCase : cases) {
+      Map<String, String> environment = writeFiles(testCase);
+      String lines =
+          testCase.has("exit") ? run(testCase, environment) : readFiles(testCase, environment);
       if (Boolean.getBoolean("fixtures.record")) {
-        ((ObjectNode) fault).put("lines", withholdPaths(lines));
+        ((ObjectNode) testCase).put("lines", restorePlaceholders(lines));
       }
-      assertThat(withholdPaths(lines))
-          .as(fault.path("name").asText())
-          .isEqualTo(fault.path("lines").asText());
+      assertThat(restorePlaceholders(lines))
+          .as(testCase.path("name").asText())
+          .isEqualTo(testCase.path("lines").asText());
     }
     if (Boolean.getBoolean("fixtures.record")) {
-      Files.write(FILE, (JSON.writeValueAsString(faults) + "\n").getBytes(UTF_8));
+      Files.write(CASES_FILE, (JSON.writeValueAsString(cases) + "\n").getBytes(UTF_8));
     }
   }
 
-  private String run(JsonNode fault, Map<String, String> env) throws Exception {
-    int exit = site.startProcess(env, arguments(fault)).waitFor();
-    assertThat(exit).as(fault.path("name").asText()).isEqualTo(fault.path("exit").asInt());
+  private String run(JsonNode testCase, Map<String, String> environment) throws Exception {
+    int exit = site.startProcess(environment, arguments(testCase)).waitFor();
+    assertThat(exit).as(testCase.path("name").asText()).isEqualTo(testCase.path("exit").asInt());
     List<String> lines = site.stderr.lines().filter(line -> !line.isEmpty()).toList();
     return String.join("\n", lines);
   }
 
-  /** What the program makes of the message of the fault. */
-  private String message(JsonNode fault, Map<String, String> env) {
-    MalformedInputException found =
+  /** Returns the lines that the program prints for the fault that reading the files throws. */
+  private String readFiles(JsonNode testCase, Map<String, String> environment) {
+    MalformedInputException fault =
         catchThrowableOfType(
             MalformedInputException.class,
             () -> {
-              if (fault.has("toml")) {
-                OperatorConfig.read(toml);
+              if (testCase.has("toml")) {
+                OperatorConfig.read(operatorFile);
               }
-              RouterConfig.read(env);
+              RouterConfig.read(environment);
             });
-    assertThat(found).as(fault.path("name").asText()).isNotNull();
-    return "tidebank: " + found.getMessage().replace("\n", "\ntidebank: ");
+    assertThat(fault).as(testCase.path("name").asText()).isNotNull();
+    return "tidebank: " + fault.getMessage().replace("\n", "\ntidebank: ");
   }
 }
--- a/router/src/test/java/tidebank/config/ConfigFixtureTest.java
+++ b/router/src/test/java/tidebank/config/ConfigFixtureTest.java
@@ -18,7 +18,10 @@
 import tidebank.model.QueryClass;
 import tidebank.model.Settings;
 
-/** Configurations are read as they were, and faults named as they were. */
+/**
+ * Guards against a setting that is read into the wrong field, gets another default, or is rejected
+ * with another message than before. The fixtures hold the inputs and the expected results.
+ */
 class ConfigFixtureTest {
   private static final Map<Idempotency, String> SEMANTICS =
       Map.of(
@@ -31,7 +34,7 @@
 
   @TempDir Path folder;
 
-  /** Fields in the words of the file, in order. */
+  /** Named values in the order in which the fixture lists them. */
   private static final class Fields {
     private final Map<String, Object> values = new LinkedHashMap<>();
 
@@ -40,38 +43,38 @@
       return this;
     }
 
-    String lines() {
+    String toLines() {
       return values.entrySet().stream()
           .map(entry -> entry.getKey() + "=" + entry.getValue() + "\n")
           .collect(Collectors.joining());
     }
   }
 
-  private RouterConfig read(byte[] text, Map<String, String> env) throws Exception {
+  private RouterConfig read(byte[] text, Map<String, String> environment) throws Exception {
     Path file = Files.write(folder.resolve("node.json"), text);
-    Map<String, String> all = new TreeMap<>(env);
-    all.put("NODE_CONFIG", file.toString());
-    return RouterConfig.read(all);
+    Map<String, String> withFile = new TreeMap<>(environment);
+    withFile.put("NODE_CONFIG", file.toString());
+    return RouterConfig.read(withFile);
   }
 
-  private static String address(InetSocketAddress address) {
+  private static String formatAddress(InetSocketAddress address) {
     return address.getAddress().getHostAddress() + ":" + address.getPort();
   }
 
-  private static void type(Fields fields, String key, QueryClass type) {
+  private static void putQueryClass(Fields fields, String key, QueryClass queryClass) {
     fields
-        .put(key + ".name", type.name())
-        .put(key + ".semantics", SEMANTICS.get(type.idempotency()))
-        .put(key + ".windowUs", type.idempotencyWindowUs())
-        .put(key + ".onTimeUs", type.latencyObjectiveUs())
-        .put(key + ".deadlineUs", type.timeoutUs())
-        .put(key + ".lateWorth", type.lateWeight())
-        .put(key + ".floorByClass", type.minimumWeight())
-        .put(key + ".classNeed", type.completeWeight())
-        .put(key + ".secondStep", type.secondStageRequests());
+        .put(key + ".name", queryClass.name())
+        .put(key + ".semantics", SEMANTICS.get(queryClass.idempotency()))
+        .put(key + ".windowUs", queryClass.idempotencyWindowUs())
+        .put(key + ".onTimeUs", queryClass.latencyObjectiveUs())
+        .put(key + ".deadlineUs", queryClass.timeoutUs())
+        .put(key + ".lateWorth", queryClass.lateWeight())
+        .put(key + ".floorByClass", queryClass.minimumWeight())
+        .put(key + ".classNeed", queryClass.completeWeight())
+        .put(key + ".secondStep", queryClass.secondStageRequests());
   }
 
-  private static void settings(Fields fields, Settings settings) {
+  private static void putSettings(Fields fields, Settings settings) {
     fields
         .put("instances", settings.routers())
         .put("rank", settings.routerIndex())
@@ -80,7 +83,9 @@
         .put("overShareWorth", settings.overQuotaWeight())
         .put("slowestUs", settings.longestTimeoutUs())
         .put("shortestOnTimeUs", settings.shortestObjectiveUs());
-    settings.queryClasses().forEach((name, type) -> type(fields, "services." + name, type));
+    settings
+        .queryClasses()
+        .forEach((name, queryClass) -> putQueryClass(fields, "services." + name, queryClass));
     Settings.Layout layout = settings.layout();
     fields
         .put("slices", layout.shards())
@@ -116,11 +121,11 @@
     Fields fields =
         new Fields()
             .put("name", config.name())
-            .put("listen", address(config.listen()))
-            .put("discovery", address(config.discovery()))
+            .put("listen", formatAddress(config.listen()))
+            .put("discovery", formatAddress(config.discovery()))
             .put("seed", Long.toHexString(config.seed()))
             .put("known", config.cachedEndpointList());
-    settings(fields, config.settings());
+    putSettings(fields, config.settings());
     RouterConfig.Budgets budgets = config.budgets();
     fields
         .put("budget.clients", budgets.maxServedClients())
@@ -143,17 +148,17 @@
         .put("bodyMost", transport.maxBodyBytes())
         .put("requestWithinUs", transport.requestTimeoutUs())
         .put("restLeastUs", transport.minIdleUs())
-        .lines();
+        .toLines();
   }
 
-  private static String describe(OperatorConfig file) {
+  private static String describe(OperatorConfig config) {
     Fields fields =
         new Fields()
-            .put("log.level", file.logging().minLevel())
-            .put("log.form", file.logging().format())
-            .put("log.lines_a_second", file.logging().maxLinesPerSecond())
-            .put("report.counters_every_us", file.counterLogIntervalUs());
-    CaptureRecorder.Config capture = file.capture();
+            .put("log.level", config.logging().minLevel())
+            .put("log.form", config.logging().format())
+            .put("log.lines_a_second", config.logging().maxLinesPerSecond())
+            .put("report.counters_every_us", config.counterLogIntervalUs());
+    CaptureRecorder.Config capture = config.capture();
     if (capture != null) {
       fields
           .put("capture.folder", capture.directory())
@@ -163,7 +168,7 @@
           .put("capture.budget_bytes", capture.maxTotalBytes())
           .put("capture.force", capture.syncEveryBlock());
     }
-    FleetAgent.Config fleet = file.fleet();
+    FleetAgent.Config fleet = config.fleet();
     if (fleet != null) {
       fields
           .put("fleet.stewards", fleet.coordinators())
@@ -172,36 +177,41 @@
           .put("fleet.keep_us", fleet.retention().maxAgeUs())
           .put("fleet.keep_bytes", fleet.retention().maxTotalBytes());
     }
-    return fields.lines();
+    return fields.toLines();
   }
 
+  /** Guards against a setting that is ignored or read into the wrong field. */
   @Test
-  void everyFieldOfAFullConfigurationIsReadAsStored() throws Exception {
+  void fullConfigurationMatchesTheFixture() throws Exception {
     byte[] full = StoredCases.readText("config/node-full.json").getBytes(UTF_8);
     StoredCases.assertMatchesFile("config/node-full.txt", describe(read(full, Map.of())));
   }
 
+  /** Guards against a changed default, which applies where the platform leaves a setting out. */
   @Test
-  void whatALeastConfigurationLeavesOutHasTheStoredDefaults() throws Exception {
-    byte[] least = StoredCases.readText("config/node-least.json").getBytes(UTF_8);
-    Map<String, String> env =
+  void minimalConfigurationGetsTheDefaultsOfTheFixture() throws Exception {
+    byte[] minimal = StoredCases.readText("config/node-least.json").getBytes(UTF_8);
+    Map<String, String> environment =
         Map.of("NODE_NAME", "n7", "NODE_LISTEN", "0.0.0.0:80", "NODE_DISCOVERY", "10.1.2.3:4");
-    StoredCases.assertMatchesFile("config/node-least.txt", describe(read(least, env)));
+    StoredCases.assertMatchesFile("config/node-least.txt", describe(read(minimal, environment)));
   }
 
-  /** Each input is a replacement in the full configuration. */
+  /**
+   * Guards against invalid values that are accepted or reported with an unclear message. Each input
+   * is a replacement in the full configuration.
+   */
   @Test
-  void faultsOfAConfigurationHaveTheStoredMessages() throws Exception {
+  void invalidConfigurationsGiveTheMessagesOfTheFixture() throws Exception {
     String full = StoredCases.readText("config/node-full.json");
     StoredCases.assertParsedAsStored(
         "config/node-faults.txt",
         input -> {
-          String[] change = new String(input, UTF_8).split(" => ", -1);
-          if (!full.contains(change[0])) {
+          String[] replacement = new String(input, UTF_8).split(" => ", -1);
+          if (!full.contains(replacement[0])) {
             return "no such text";
           }
           try {
-            read(full.replace(change[0], change[1]).getBytes(UTF_8), Map.of());
+            read(full.replace(replacement[0], replacement[1]).getBytes(UTF_8), Map.of());
             return "no fault";
           } catch (MalformedInputException fault) {
             return fault.getMessage().replace(folder.toString(), "FOLDER");
@@ -209,15 +219,17 @@
         });
   }
 
+  /** Guards against an option that is ignored or read into the wrong field. */
   @Test
-  void everyFieldOfAnOperatorsFileIsReadAsStored() throws Exception {
+  void fullOperatorFileMatchesTheFixture() throws Exception {
     String full = StoredCases.readText("config/operator-full.toml");
     StoredCases.assertMatchesFile(
         "config/operator-full.txt", describe(OperatorConfig.read(Toml.read("own.toml", full))));
   }
 
+  /** Guards against changed defaults, and against faults without their key and line. */
   @Test
-  void operatorsFilesAreReadAsStored() throws Exception {
+  void operatorFilesGiveTheResultsOfTheFixture() throws Exception {
     StoredCases.assertParsedAsStored(
         "config/operator-files.txt",
         input -> {
