--- a/router/src/test/java/tidebank/MalformedInputTest.java
+++ b/router/src/test/java/tidebank/MalformedInputTest.java
@@ -32,34 +32,39 @@
 import tidebank.runtime.QueryRouter;
 
 /**
- * Malformed and abusive input of clients and shard servers: it is answered or closed, nothing is
- * sent to a shard server for it, other connections are served on and what is buffered is bounded.
+ * Malformed and abusive input from clients and shard servers. The router responds with an error or
+ * closes the connection, sends nothing to shard servers for it, keeps serving other connections and
+ * buffers a bounded amount of data.
  */
 @Timeout(30)
 class MalformedInputTest {
-  /** A sound body of 55 (hexadecimal 37) bytes: whoever reads on past a fault takes it. */
+  /** A valid body of 55 (hexadecimal 37) bytes, for decoders that would read on after a fault. */
   private static final String BODY =
       "{\"ranges\":[{\"range\":0,\"portion\":1}],\"predicate\":\"p\"}   ";
 
+  /** A request hidden behind or inside a malformed one; it must never be executed. */
   private static final String SMUGGLED = queryRequest("whole", "smuggled", 2900, 1);
 
-  /** What follows the size of the first chunk. */
-  private static final String CHUNKS = "\r\n" + BODY + "\r\n0\r\n\r\n" + SMUGGLED;
+  /** The input that follows the size of the first chunk. */
+  private static final String AFTER_CHUNK_SIZE = "\r\n" + BODY + "\r\n0\r\n\r\n" + SMUGGLED;
 
   private static final int BLOCK_BYTES = 65_536;
 
-  /** A frame of an answer may be as long as a value of 64 KiB and its line of 1 KiB. */
-  private static final int LENGTH_BOUND = 65 * 1024;
+  /** The maximum length of a response frame: a value of 64 KiB and a header line of 1 KiB. */
+  private static final int MAX_FRAME_BYTES = 65 * 1024;
 
-  /** Far below what is sent: a pooled chunk is 512 KiB, a body 64 KiB. */
-  private static final long MOST_BYTES = 16 << 20;
+  /**
+   * The limit of buffered data, far below the amount sent. The allocator's chunks have 512 KiB, and
+   * a body has up to 64 KiB.
+   */
+  private static final long MAX_BUFFERED_BYTES = 16 << 20;
 
-  /** A frame that has begun is to be whole within this. */
-  private static final int REST_WITHIN_MS = 200;
+  /** The time within which a frame must be complete once a part of it was received. */
+  private static final int FRAME_TIMEOUT_MS = 200;
 
-  private static final String WHOLE = "a value that is whole";
-  private static final int LEAVERS = 20;
-  private static final int REQUESTS = 40;
+  private static final String VALUE = "a value that is whole";
+  private static final int DEPARTING_CLIENTS = 20;
+  private static final int REQUESTS_PER_CLIENT = 40;
 
   private final FakeSite site = new FakeSite();
 
@@ -68,31 +73,37 @@
     site.close();
   }
 
-  /** With a further header in the first head; a request that hides in its body stays as it is. */
+  /**
+   * Replaces the X-Account header of the first head by another header; a request hidden in the body
+   * does not change.
+   */
   private static String withHeader(String request, String header) {
     return request.replaceFirst("\r\nX-Account: a", Matcher.quoteReplacement("\r\n" + header));
   }
 
-  private static String chunked(String chunks) {
+  private static String chunkedRequest(String chunks) {
     return postRequest("/whole", "a", "2900m", "")
             .replace("Content-Length: 0", "Transfer-Encoding: chunked")
         + chunks;
   }
 
-  private static String withLength(String length) {
+  private static String requestWithLength(String length) {
     return postRequest("/whole", "a", "2900m", BODY + SMUGGLED)
         .replaceFirst(
             "Content-Length: \\d+", Matcher.quoteReplacement("Content-Length: " + length));
   }
 
-  private void nothingIsSent() {
+  private void assertNothingSentToServers() {
     for (FakeShardServer server : site.servers) {
       assertThat(server.frames).noneMatch(frame -> frame.type() == 'm');
     }
   }
 
-  /** The statuses up to the end of the connection, which is to come in time. */
-  private static List<Integer> statuses(FakeClient client) throws IOException {
+  /**
+   * Reads responses until the router ends the connection, which must happen in time, and returns
+   * their statuses.
+   */
+  private static List<Integer> readStatuses(FakeClient client) throws IOException {
     List<Integer> statuses = new ArrayList<>();
     try {
       while (true) {
@@ -103,20 +114,24 @@
     }
   }
 
-  // ---- requests that are no HTTP, or hide another
+  // ---- invalid HTTP and request smuggling
 
+  /**
+   * Without the faults that the tests below add, both the request and the hidden one are served.
+   */
   @Test
-  void withoutTheirFaultTheRequestsBelowAndTheOneBehindThemAreServed() throws Exception {
+  void validRequestAndPipelinedRequestAreServed() throws Exception {
     site.start();
-    for (String sound : List.of(withLength("55"), chunked("37" + CHUNKS))) {
+    for (String request :
+        List.of(requestWithLength("55"), chunkedRequest("37" + AFTER_CHUNK_SIZE))) {
       try (FakeClient client = site.connectClient()) {
-        assertThat(client.sendAndRead(sound).body()).contains("value of a.0");
+        assertThat(client.sendAndRead(request).body()).contains("value of a.0");
         assertThat(client.readResponse().body()).contains("value of smuggled.0");
       }
     }
   }
 
-  private static final String[] LENGTHS = {
+  private static final String[] REJECTED_LENGTHS = {
     "-1",
     "+55",
     "0x37",
@@ -136,21 +151,22 @@
     "2147483648"
   };
 
+  /** A lenient decoder would read the rest of the input as another request. */
   @Test
-  void aLengthThatIsNoneOrTooLargeIsRefusedAndNothingBehindItIsRead() throws Exception {
+  void invalidContentLengthIsRefusedAndRestIsNotRead() throws Exception {
     site.start();
-    for (String length : LENGTHS) {
+    for (String length : REJECTED_LENGTHS) {
       try (FakeClient other = site.connectClient();
           FakeClient client = site.connectClient()) {
-        client.send(withLength(length));
-        assertThat(statuses(client)).as(length).hasSize(1).isSubsetOf(400, 413);
+        client.send(requestWithLength(length));
+        assertThat(readStatuses(client)).as(length).hasSize(1).isSubsetOf(400, 413);
         assertThat(other.fetchReadinessStatus()).isEqualTo(200);
-        nothingIsSent();
+        assertNothingSentToServers();
       }
     }
   }
 
-  private static final String[] CHUNK_SIZES = {
+  private static final String[] REJECTED_CHUNK_SIZES = {
     "-1",
     "+37",
     "g",
@@ -169,21 +185,22 @@
     "37\u0000"
   };
 
+  /** A lenient decoder would read the rest of the input as another request. */
   @Test
-  void aChunkSizeThatIsNoneOrTooLargeIsRefusedAndNothingBehindItIsRead() throws Exception {
+  void invalidChunkSizeIsRefusedAndRestIsNotRead() throws Exception {
     site.start();
-    for (String size : CHUNK_SIZES) {
+    for (String size : REJECTED_CHUNK_SIZES) {
       try (FakeClient other = site.connectClient();
           FakeClient client = site.connectClient()) {
-        client.send(chunked(size + CHUNKS));
-        assertThat(statuses(client)).as(size).hasSize(1).isSubsetOf(400, 413);
+        client.send(chunkedRequest(size + AFTER_CHUNK_SIZE));
+        assertThat(readStatuses(client)).as(size).hasSize(1).isSubsetOf(400, 413);
         assertThat(other.fetchReadinessStatus()).isEqualTo(200);
-        nothingIsSent();
+        assertNothingSentToServers();
       }
     }
   }
 
-  private static final String[] HEADERS = {
+  private static final String[] REJECTED_HEADERS = {
     "Content-Length : 55",
     " Content-Length: 55",
     "Content-Length\u0000: 55",
@@ -208,31 +225,32 @@
     "no colon"
   };
 
+  /** Decoders that disagree on the length of a body let a request be hidden in it. */
   @Test
-  void aSecondLengthOrAHeaderThatIsNoneIsRefusedAndNothingBehindItIsRead() throws Exception {
+  void conflictingOrInvalidHeaderIsRefusedAndRestIsNotRead() throws Exception {
     site.start();
-    for (String header : HEADERS) {
-      for (String body : List.of(BODY + SMUGGLED, "37" + CHUNKS)) {
+    for (String header : REJECTED_HEADERS) {
+      for (String body : List.of(BODY + SMUGGLED, "37" + AFTER_CHUNK_SIZE)) {
         try (FakeClient other = site.connectClient();
             FakeClient client = site.connectClient()) {
           client.send(withHeader(postRequest("/whole", "a", "2900m", body), header));
-          assertThat(statuses(client)).as(header).containsExactly(400);
+          assertThat(readStatuses(client)).as(header).containsExactly(400);
           assertThat(other.fetchReadinessStatus()).isEqualTo(200);
-          nothingIsSent();
+          assertNothingSentToServers();
         }
       }
     }
   }
 
+  /** A 413 or 417 response overtook the pending one, and the body was read as requests. */
   @ParameterizedTest
   @ValueSource(strings = {"100-continue", "something-else"})
-  void anExpectationBeforeABodyThatIsTooLargeLetsNothingBehindItBeReadAsARequest(String expectation)
-      throws Exception {
+  void expectWithOversizedBodyBehindRequestKeepsResponseOrder(String expectation) throws Exception {
     site.servers.forEach(server -> server.autoRespond = false);
     site.start();
     try (FakeClient client = site.connectClient()) {
       client.send(queryRequest("once", "first", 2900, 1));
-      Frame first = anyFrame();
+      Frame first = awaitBatchFrame();
       String body = SMUGGLED + " ".repeat(70_000);
       client.send(
           withHeader(postRequest("/whole", "a", "2900m", body), "Expect: " + expectation)
@@ -243,27 +261,29 @@
       }
       first.respond("good", "first");
       Response response = client.readResponse();
-      assertThat(response.status()).as("responses keep their order").isEqualTo(200);
+      assertThat(response.status()).as("status of the first response").isEqualTo(200);
       assertThat(response.body()).contains("\"first\"");
-      assertThat(statuses(client)).hasSize(1).allMatch(status -> status >= 400);
-      nothingIsSent();
+      assertThat(readStatuses(client)).hasSize(1).allMatch(status -> status >= 400);
+      assertNothingSentToServers();
     }
   }
 
+  /** After the 413 or 417 response, the body was read as requests. */
   @ParameterizedTest
   @ValueSource(strings = {"100-continue", "something-else"})
-  void aBodyThatIsTooLargeForItsExpectationIsNoRequest(String expectation) throws Exception {
+  void oversizedBodyWithExpectIsNotReadAsRequest(String expectation) throws Exception {
     site.start();
     try (FakeClient client = site.connectClient()) {
       String body = SMUGGLED + " ".repeat(70_000);
       client.send(withHeader(postRequest("/whole", "a", "2900m", body), "Expect: " + expectation));
-      assertThat(statuses(client)).hasSize(1).allMatch(status -> status >= 400);
-      nothingIsSent();
+      assertThat(readStatuses(client)).hasSize(1).allMatch(status -> status >= 400);
+      assertNothingSentToServers();
     }
   }
 
+  /** A valid expectation gets 100 (Continue), and its body is read like any other. */
   @Test
-  void anExpectationIsMetAndItsBodyTakenAsAnyOther() throws Exception {
+  void expectContinueIsAnsweredAndBodyAccepted() throws Exception {
     site.start();
     try (FakeClient client = site.connectClient()) {
       String request =
@@ -276,7 +296,8 @@
     }
   }
 
-  private Frame anyFrame() {
+  /** Waits for a batch frame at any shard server. */
+  private Frame awaitBatchFrame() {
     while (true) {
       for (FakeShardServer server : site.servers) {
         Frame frame = server.frames.poll();
@@ -288,9 +309,9 @@
     }
   }
 
-  // ---- more than may be sent
+  // ---- endless and excessive input
 
-  private static final String[] ENDLESS = {
+  private static final String[] ENDLESS_INPUT_PREFIXES = {
     "x",
     "\r\n",
     "\u0000",
@@ -304,36 +325,37 @@
     "POST /whole HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nX: y\r\n"
   };
 
-  /** What a client goes on with: its last line anew, or a letter. */
-  private static String more(String begin) {
-    String[] lines = begin.split("(?<=\n)");
+  /** Returns the input to repeat after a prefix: its last chunk, its last line or a letter. */
+  private static String repeatedInput(String prefix) {
+    String[] lines = prefix.split("(?<=\n)");
     String last = lines[lines.length - 1];
     String chunk = "1\r\nx\r\n";
-    return begin.endsWith(chunk) ? chunk : last.endsWith("\n") && !last.isBlank() ? last : "x";
+    return prefix.endsWith(chunk) ? chunk : last.endsWith("\n") && !last.isBlank() ? last : "x";
   }
 
-  /** Sends a block again and again until the gatherer has cut the connection off. */
-  private static void flood(FakeClient client, String more) throws IOException {
-    byte[] block = more.repeat(BLOCK_BYTES / more.length()).getBytes(ISO_8859_1);
+  /** Sends this input repeatedly until the router closes the connection. */
+  private static void flood(FakeClient client, String input) throws IOException {
+    byte[] block = input.repeat(BLOCK_BYTES / input.length()).getBytes(ISO_8859_1);
     try {
       while (true) {
         client.socket.getOutputStream().write(block);
       }
-    } catch (SocketException cutOff) {
+    } catch (SocketException closedByRouter) {
       assertThat(client.socket.isConnected()).isTrue();
     }
   }
 
-  private List<Thread> floods(List<FakeClient> clients) {
+  /** Starts a thread for each prefix that sends it and then endless input. */
+  private List<Thread> startFloods(List<FakeClient> clients) {
     List<Thread> threads = new ArrayList<>();
-    for (int i = 0; i < ENDLESS.length; i++) {
+    for (int i = 0; i < ENDLESS_INPUT_PREFIXES.length; i++) {
       FakeClient client = clients.get(i);
-      String begin = ENDLESS[i];
+      String prefix = ENDLESS_INPUT_PREFIXES[i];
       threads.add(
           new Thread(
               () -> {
                 try {
-                  flood(client.send(begin), more(begin));
+                  flood(client.send(prefix), repeatedInput(prefix));
                 } catch (IOException fault) {
                   throw new java.io.UncheckedIOException(fault);
                 }
@@ -343,7 +365,7 @@
     return threads;
   }
 
-  private PooledByteBufAllocatorMetric memory() throws Exception {
+  private PooledByteBufAllocatorMetric allocatorMetric() throws Exception {
     Field netty = QueryRouter.class.getDeclaredField("netty");
     netty.setAccessible(true);
     Object resources = netty.get(site.router());
@@ -352,20 +374,21 @@
     return ((PooledByteBufAllocator) allocator.get(resources)).metric();
   }
 
+  /** Input without an end must neither exhaust memory nor delay other clients. */
   @Test
-  void whatNeverEndsIsCutOffInTimeInBoundedMemoryWhileOthersAreServed() throws Exception {
+  void endlessInputIsCutOffInBoundedMemory() throws Exception {
     site.start();
     List<FakeClient> clients = new ArrayList<>();
     try (FakeClient other = site.connectClient()) {
       assertThat(other.fetchReadinessStatus()).isEqualTo(200);
-      for (int i = 0; i < ENDLESS.length; i++) {
+      for (int i = 0; i < ENDLESS_INPUT_PREFIXES.length; i++) {
         clients.add(site.connectClient());
       }
-      List<Thread> floods = floods(clients);
+      List<Thread> floods = startFloods(clients);
       for (int i = 0; floods.stream().anyMatch(Thread::isAlive); i++) {
         assertThat(other.sendAndRead(queryRequest("whole", "o" + i, 2900, 1)).status())
             .isEqualTo(200);
-        assertThat(memory().usedDirectMemory()).isLessThan(MOST_BYTES);
+        assertThat(allocatorMetric().usedDirectMemory()).isLessThan(MAX_BUFFERED_BYTES);
       }
       for (FakeShardServer server : site.servers) {
         assertThat(server.frames).allMatch(frame -> frame.requestId().startsWith("o"));
@@ -377,33 +400,34 @@
     }
   }
 
+  /** Connections and pending queries of clients that have left must be released. */
   @Test
-  void clientsThatSendMuchAtOnceAndGoLeaveNothingBehind() throws Exception {
+  void departedClientsWithManyRequestsReleaseResources() throws Exception {
     site.servers.forEach(server -> server.autoRespond = false);
     site.start();
     try (FakeClient other = site.connectClient()) {
       assertThat(other.fetchReadinessStatus()).isEqualTo(200);
-      for (int round = 0; round < LEAVERS; round++) {
-        FakeClient leaver = site.connectClient();
-        StringBuilder many = new StringBuilder();
-        for (int i = 0; i < REQUESTS; i++) {
-          many.append(queryRequest("whole", "l" + round + "x" + i, 2900, 0.5, 0.5));
+      for (int round = 0; round < DEPARTING_CLIENTS; round++) {
+        FakeClient departingClient = site.connectClient();
+        StringBuilder requests = new StringBuilder();
+        for (int i = 0; i < REQUESTS_PER_CLIENT; i++) {
+          requests.append(queryRequest("whole", "l" + round + "x" + i, 2900, 0.5, 0.5));
         }
         if (round % 2 == 0) {
-          leaver.socket.setSoLinger(true, 0);
+          departingClient.socket.setSoLinger(true, 0);
         }
         try {
-          leaver.send(many.toString());
-        } catch (SocketException cutOff) {
-          assertThat(leaver.socket.isConnected()).isTrue();
+          departingClient.send(requests.toString());
+        } catch (SocketException closedByRouter) {
+          assertThat(departingClient.socket.isConnected()).isTrue();
         }
-        leaver.close();
+        departingClient.close();
         assertThat(other.fetchReadinessStatus()).isEqualTo(200);
       }
-      while (connections() > 1) {
+      while (countConnections() > 1) {
         assertThat(other.fetchReadinessStatus()).isEqualTo(200);
       }
-      // As many may be held as before: what leavers asked for is held no longer.
+      // The queries of the departed clients no longer count as pending, so others are accepted.
       site.servers.forEach(server -> server.autoRespond = true);
       Response response = other.sendAndRead(queryRequest("whole", "other", 2900, 1));
       while (response.status() == 503) {
@@ -413,30 +437,34 @@
     }
   }
 
-  private int connections() throws Exception {
+  private int countConnections() throws Exception {
     Field loop = QueryRouter.class.getDeclaredField("loop");
     Field clients = QueryRouter.class.getDeclaredField("clients");
     loop.setAccessible(true);
     clients.setAccessible(true);
-    ClientServer side = (ClientServer) clients.get(site.router());
-    return ((ExecutorService) loop.get(site.router())).submit(side::connectionCount).get();
+    ClientServer server = (ClientServer) clients.get(site.router());
+    return ((ExecutorService) loop.get(site.router())).submit(server::connectionCount).get();
   }
 
   // ---- shard servers
 
-  private FakeShardServer onlyServer() {
+  /** Removes all shard servers but one, which the test answers for. */
+  private FakeShardServer useSingleServer() {
     site.servers.forEach(server -> server.health = "Gone");
-    FakeShardServer one = site.servers.get(1);
-    one.health = "Ready";
-    one.autoRespond = false;
-    return one;
+    FakeShardServer server = site.servers.get(1);
+    server.health = "Ready";
+    server.autoRespond = false;
+    return server;
   }
 
-  /** A frame of some length whose content never ends: cut off once it is over its bound. */
+  /**
+   * A response frame that is never completed must fail its requests in time; one with a length over
+   * the limit is cut off.
+   */
   @ParameterizedTest
   @ValueSource(ints = {60_000, 66_000, 1 << 24, Integer.MAX_VALUE})
-  void anAnswerThatNeverEndsFailsItsPartsInTimeAndInBoundedMemory(int length) throws Exception {
-    FakeShardServer server = onlyServer();
+  void incompleteResponseFrameFailsItsRequestsInBoundedMemory(int length) throws Exception {
+    FakeShardServer server = useSingleServer();
     site.start();
     try (FakeClient client = site.connectClient()) {
       client.send(queryRequest("once", "a", 2900, 0.5, 0.5));
@@ -445,28 +473,30 @@
       byte[] head = encodeFrame('q', frame.requestId() + " good 1 -\n");
       java.nio.ByteBuffer.wrap(head).putInt(0, length);
       frame.sendBytes(head);
-      // A part of what it says, and no more.
+      // Sends only a part of the announced length.
       try {
         frame.sendBytes(new byte[Math.min(length, BLOCK_BYTES) / 2]);
       } catch (IOException closed) {
-        assertThat(length).as("a length in bounds ends no connection").isGreaterThan(LENGTH_BOUND);
+        assertThat(length)
+            .as("length of a frame that closes the connection")
+            .isGreaterThan(MAX_FRAME_BYTES);
       }
       assertThat(client.readResponse().status()).isEqualTo(500);
-      assertThat(memory().usedDirectMemory()).isLessThan(MOST_BYTES);
+      assertThat(allocatorMetric().usedDirectMemory()).isLessThan(MAX_BUFFERED_BYTES);
       server.autoRespond = true;
       assertThat(client.sendAndRead(queryRequest("once", "b", 2900, 1)).body())
           .contains("value of b.0");
-      assertThat(server.acceptedCount).as("a connection of its own").hasValue(2);
+      assertThat(server.acceptedCount).as("connections accepted by the server").hasValue(2);
     }
   }
 
-  /** Small frames without an end that answer nothing which is out. */
+  /** A server must not keep the router busy with small frames that match no pending request. */
   @Test
-  void framesWithoutEndThatNobodyAskedForEndTheirConnection() throws Exception {
-    FakeShardServer server = onlyServer();
+  void endlessUnexpectedFramesCloseTheConnection() throws Exception {
+    FakeShardServer server = useSingleServer();
     site.start();
     try (FakeClient client = site.connectClient()) {
-      for (byte[] odd :
+      for (byte[] unexpectedFrame :
           List.of(
               encodeFrame('q', "z.0 good 1 -\nx"),
               encodeFrame('o', "good"),
@@ -476,7 +506,7 @@
         org.assertj.core.api.Assertions.assertThatThrownBy(
                 () -> {
                   while (true) {
-                    frame.sendBytes(odd);
+                    frame.sendBytes(unexpectedFrame);
                   }
                 })
             .isInstanceOf(IOException.class);
@@ -488,81 +518,88 @@
     }
   }
 
-  /** How a connection ends on which half a frame was read. */
-  enum Close {
-    BY_THE_SERVER,
-    BEHIND_AN_UNREADABLE_FRAME,
-    AS_THE_REST_IS_LATE,
-    AS_THE_REST_NEVER_COMES
+  /** What follows on a connection after a part of a frame was read. */
+  enum IncompleteFrameCase {
+    SERVER_CLOSES_CONNECTION,
+    PRECEDED_BY_INVALID_FRAME,
+    REST_ARRIVES_LATE,
+    REST_ARRIVES_AFTER_TIMEOUT
   }
 
-  /** Behind the answer to one part, cut in its length, in its line or in its value. */
+  /**
+   * An incomplete frame follows the response to another request; it is cut in its length, its
+   * header line or its value. It must not be taken for a response, and nothing may be sent again.
+   */
   @ParameterizedTest
-  @EnumSource(Close.class)
-  void halfAFrameOnAConnectionThatClosesIsNoAnswerAndNothingIsSentAgain(Close close)
-      throws Exception {
-    site.limits.put("connectTimeoutMs", REST_WITHIN_MS);
-    FakeShardServer server = onlyServer();
+  @EnumSource(IncompleteFrameCase.class)
+  void incompleteFrameIsNoResponseAndCausesNoRetry(IncompleteFrameCase frameCase) throws Exception {
+    site.limits.put("connectTimeoutMs", FRAME_TIMEOUT_MS);
+    FakeShardServer server = useSingleServer();
     site.start();
-    for (int cut : new int[] {2, 12, WHOLE.length() - 2}) {
+    for (int cut : new int[] {2, 12, VALUE.length() - 2}) {
       server.autoRespond = false;
-      try (FakeClient one = site.connectClient();
-          FakeClient two = site.connectClient()) {
-        one.send(queryRequest("once", "a" + cut, 2900, 1));
+      try (FakeClient firstClient = site.connectClient();
+          FakeClient secondClient = site.connectClient()) {
+        firstClient.send(queryRequest("once", "a" + cut, 2900, 1));
         Frame first = server.awaitFrame();
-        two.send(queryRequest("once", "b" + cut, 2900, 1));
+        secondClient.send(queryRequest("once", "b" + cut, 2900, 1));
         Frame second = server.awaitFrame();
         assertThat(second.socket()).isSameAs(first.socket());
-        byte[] half = encodeFrame('q', second.requestId() + " good 1 -\n" + WHOLE);
-        int end = cut == WHOLE.length() - 2 ? half.length - 2 : cut;
-        closes(close, first, half, end);
-        // By the half behind it, the length of a whole answer may be as wrong.
-        assertThat(one.readResponse().status()).isIn(200, 500);
-        Response response = two.readResponse();
-        if (close == Close.AS_THE_REST_IS_LATE) {
-          assertThat(response.body()).contains(WHOLE);
+        byte[] frameBytes = encodeFrame('q', second.requestId() + " good 1 -\n" + VALUE);
+        int partLength = cut == VALUE.length() - 2 ? frameBytes.length - 2 : cut;
+        sendIncompleteFrame(frameCase, first, frameBytes, partLength);
+        // The frame before an incomplete one may fail too, as its own length may be wrong.
+        assertThat(firstClient.readResponse().status()).isIn(200, 500);
+        Response response = secondClient.readResponse();
+        if (frameCase == IncompleteFrameCase.REST_ARRIVES_LATE) {
+          assertThat(response.body()).contains(VALUE);
         } else {
           assertThat(response.status()).isEqualTo(500);
         }
-        if (close == Close.AS_THE_REST_NEVER_COMES) {
-          restBehindTheEnd(first, Arrays.copyOfRange(half, end, half.length));
+        if (frameCase == IncompleteFrameCase.REST_ARRIVES_AFTER_TIMEOUT) {
+          sendRestAfterTimeout(
+              first, Arrays.copyOfRange(frameBytes, partLength, frameBytes.length));
         }
         assertThat(server.frames).noneMatch(frame -> frame.type() == 'm');
         server.autoRespond = true;
-        assertThat(two.sendAndRead(queryRequest("once", "c" + cut, 2900, 1)).body())
+        assertThat(secondClient.sendAndRead(queryRequest("once", "c" + cut, 2900, 1)).body())
             .contains("value of c");
         server.awaitFrame();
       }
     }
   }
 
-  private void closes(Close close, Frame first, byte[] half, int end) throws Exception {
-    CountDownLatch go = site.stallEventLoop();
+  private void sendIncompleteFrame(
+      IncompleteFrameCase frameCase, Frame first, byte[] frameBytes, int partLength)
+      throws Exception {
+    CountDownLatch resume = site.stallEventLoop();
     first.respond("good", "first");
-    if (close == Close.BEHIND_AN_UNREADABLE_FRAME) {
+    if (frameCase == IncompleteFrameCase.PRECEDED_BY_INVALID_FRAME) {
       first.sendBytes(encodeFrame('x', "y"));
     }
-    first.sendBytes(Arrays.copyOfRange(half, 0, end));
-    if (close == Close.BY_THE_SERVER) {
+    first.sendBytes(Arrays.copyOfRange(frameBytes, 0, partLength));
+    if (frameCase == IncompleteFrameCase.SERVER_CLOSES_CONNECTION) {
       first.socket().close();
-    } else if (close == Close.AS_THE_REST_IS_LATE) {
-      go.countDown();
-      // Once the half is read, the loop stands still past the time for the rest, which comes then.
+    } else if (frameCase == IncompleteFrameCase.REST_ARRIVES_LATE) {
+      resume.countDown();
+      // Once the part is read, the event loop stalls past the time limit of the frame. The rest
+      // arrives during the stall.
       try (FakeClient other = site.connectClient()) {
         assertThat(other.fetchReadinessStatus()).isEqualTo(200);
         assertThat(other.fetchReadinessStatus()).isEqualTo(200);
       }
-      go = site.stallEventLoop();
-      long late = System.nanoTime() + 2_000_000L * REST_WITHIN_MS;
-      while (System.nanoTime() < late) {
+      resume = site.stallEventLoop();
+      long stallEnd = System.nanoTime() + 2_000_000L * FRAME_TIMEOUT_MS;
+      while (System.nanoTime() < stallEnd) {
         Thread.onSpinWait();
       }
-      first.sendBytes(Arrays.copyOfRange(half, end, half.length));
+      first.sendBytes(Arrays.copyOfRange(frameBytes, partLength, frameBytes.length));
     }
-    go.countDown();
+    resume.countDown();
   }
 
-  private static void restBehindTheEnd(Frame first, byte[] rest) {
+  /** Sends the rest of a frame to a connection that the router may have reset. */
+  private static void sendRestAfterTimeout(Frame first, byte[] rest) {
     try {
       first.sendBytes(rest);
     } catch (IOException reset) {
