--- a/testbed/src/main/java/tidebank/testbed/chaos/StepExecutor.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/StepExecutor.java
@@ -45,7 +45,7 @@
     this.onOperation = onOperation;
   }
 
-  /** Carries out the operation of a step, whose condition is met already. */
+  /** Carries out the operation of a step, after its condition was met. */
   void execute(Step step) throws IOException {
     List<String> targets = step.target().isEmpty() ? List.of() : processes.resolve(step.target());
     if (!step.alias().isEmpty()) {
--- a/testbed/src/main/java/tidebank/testbed/chaos/TestCluster.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/TestCluster.java
@@ -287,8 +287,8 @@
   }
 
   /**
-   * Returns how many queries may be missing from all reports: those sent to routers that have ended
-   * since then.
+   * Returns how many queries may be missing from all reports: those sent to routers that ended
+   * afterwards.
    */
   int queriesPossiblyUnreported() {
     return queriesPossiblyUnreported;
