--- a/cli/src/main/java/tidebank/cli/ChaosCommands.java
+++ b/cli/src/main/java/tidebank/cli/ChaosCommands.java
@@ -262,7 +262,7 @@
 
     @Override
     public Integer call() throws IOException {
-      ScriptRunner.Verdict verdict = RunArtifacts.verdict(run);
+      ScriptRunner.Verdict verdict = RunArtifacts.readVerdict(run);
       PrintWriter out = out();
       if (json) {
         out.println(
--- a/testbed/src/main/java/tidebank/testbed/chaos/ClusterObserver.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/ClusterObserver.java
@@ -124,11 +124,11 @@
     int first = Math.max(0, observation.leader());
     for (int i = 0; i < coordinators.size(); i++) {
       int coordinator = (first + i) % coordinators.size();
-      Set<String> removed = sharedFolder.removedFiles();
+      Set<String> removed = sharedFolder.findRemovedFiles();
       long calledAt = history.now();
       LeaseTableState state = readState(coordinators.get(coordinator));
       if (state != null) {
-        history.stateRead("observer", calledAt, state);
+        history.recordRead("observer", calledAt, state);
         checkPublications(state, removed);
         observation =
             new Observation(state, coordinator, observation.round() + 1, reports.queriesCounted());
@@ -147,7 +147,7 @@
     }
     TaskLease retention = LeaseRules.findTask(state, "retention");
     if (retention != null) {
-      sharedFolder.check(retention, removed);
+      sharedFolder.checkRemovals(retention, removed);
     }
   }
 
--- a/testbed/src/main/java/tidebank/testbed/chaos/ConnectionOwners.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/ConnectionOwners.java
@@ -26,11 +26,11 @@
    * @param peerPort of the other end
    * @param processes process numbers by name
    */
-  static String owner(int port, int peerPort, Map<String, Long> processes) {
+  static String findOwner(int port, int peerPort, Map<String, Long> processes) {
     String inode = findInode(port, peerPort);
     if (inode != null) {
       for (Map.Entry<String, Long> process : processes.entrySet()) {
-        if (hasOpen(process.getValue(), "socket:[" + inode + "]")) {
+        if (hasOpenFile(process.getValue(), "socket:[" + inode + "]")) {
           return process.getKey();
         }
       }
@@ -58,7 +58,7 @@
     return null;
   }
 
-  private static boolean hasOpen(long pid, String socket) {
+  private static boolean hasOpenFile(long pid, String socket) {
     try (DirectoryStream<Path> files = Files.newDirectoryStream(Path.of("/proc/" + pid + "/fd"))) {
       for (Path file : files) {
         if (isLinkTo(file, socket)) {
--- a/testbed/src/main/java/tidebank/testbed/chaos/FaultProxy.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/FaultProxy.java
@@ -43,7 +43,7 @@
 
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private final CallerLookup callers;
+  private final CallerLookup callerLookup;
   private final History history;
   private final long seed;
   private final List<Channel> listeners = new ArrayList<>();
@@ -51,7 +51,7 @@
   private final Set<ProxiedConnection> connections = new HashSet<>();
 
   FaultProxy(CallerLookup callers, History history, long seed) {
-    this.callers = callers;
+    this.callerLookup = callers;
     this.history = history;
     this.seed = seed;
   }
@@ -64,7 +64,8 @@
    * @return the listener's own address
    * @throws IOException if it can't listen
    */
-  InetSocketAddress open(String to, InetSocketAddress target, boolean recorded) throws IOException {
+  InetSocketAddress openListener(String to, InetSocketAddress target, boolean recorded)
+      throws IOException {
     ChannelFuture binding =
         new ServerBootstrap()
             .group(group)
@@ -101,13 +102,13 @@
         .next()
         .submit(
             () -> {
-              FaultyLink link = link(from, to);
+              FaultyLink link = linkBetween(from, to);
               if (!fault.isMomentary()) {
                 link.heal();
               }
               List<ProxiedConnection> affected = connectionsOf(link);
               switch (fault) {
-                case DELAY -> link.delay(delayUs, jitterUs);
+                case DELAY -> link.setDelay(delayUs, jitterUs);
                 case SILENT_UP -> link.silenceUp();
                 case SILENT_DOWN -> link.silenceDown();
                 case CUT -> {
@@ -116,11 +117,11 @@
                 }
                 case TRICKLE -> link.limitBandwidth(bytesPerS);
                 case RESET -> affected.forEach(ProxiedConnection::reset);
-                case HALF_OPEN -> affected.forEach(ProxiedConnection::closeCalledSide);
+                case HALF_OPEN -> affected.forEach(ProxiedConnection::closeTargetSide);
                 case REFUSE -> refuse(link);
                 case FLAP -> {
-                  link.flapEvery(delayUs);
-                  flap(link, link.generation());
+                  link.setFlapInterval(delayUs);
+                  toggleRefusal(link, link.generation());
                 }
                 default -> {}
               }
@@ -129,7 +130,7 @@
         .syncUninterruptibly();
   }
 
-  private FaultyLink link(String from, String to) {
+  private FaultyLink linkBetween(String from, String to) {
     return links.computeIfAbsent(from + ">" + to, key -> new FaultyLink(seed + key.hashCode()));
   }
 
@@ -138,26 +139,30 @@
   }
 
   private void refuse(FaultyLink link) {
-    link.refuse(true);
+    link.setRefusing(true);
     connectionsOf(link).forEach(ProxiedConnection::reset);
   }
 
-  private void flap(FaultyLink link, int generation) {
+  private void toggleRefusal(FaultyLink link, int generation) {
     if (link.generation() != generation || group.isShuttingDown()) {
       return;
     }
     if (link.isRefusing()) {
-      link.refuse(false);
+      link.setRefusing(false);
     } else {
       refuse(link);
     }
-    group.next().schedule(() -> flap(link, generation), link.flapUs(), TimeUnit.MICROSECONDS);
+    group
+        .next()
+        .schedule(
+            () -> toggleRefusal(link, generation), link.flapIntervalUs(), TimeUnit.MICROSECONDS);
   }
 
   private void accept(
       SocketChannel channel, String to, InetSocketAddress target, boolean recorded) {
-    String from = callers.find(channel.remoteAddress().getPort(), channel.localAddress().getPort());
-    FaultyLink link = from == null ? null : link(from, to);
+    String from =
+        callerLookup.find(channel.remoteAddress().getPort(), channel.localAddress().getPort());
+    FaultyLink link = from == null ? null : linkBetween(from, to);
     if (link == null || link.isRefusing()) {
       ProxiedConnection.reset(channel);
       return;
@@ -180,12 +185,12 @@
             new ChannelInitializer<SocketChannel>() {
               @Override
               protected void initChannel(SocketChannel called) {
-                connection.attach(called);
-                called.pipeline().addLast(connection.calledHandler());
+                connection.setTarget(called);
+                called.pipeline().addLast(connection.targetHandler());
               }
             })
         .connect(target)
-        .addListener(connected -> connection.connected(connected.isSuccess()));
+        .addListener(connected -> connection.onConnected(connected.isSuccess()));
   }
 
   @Override
--- a/testbed/src/main/java/tidebank/testbed/chaos/FaultyLink.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/FaultyLink.java
@@ -55,7 +55,7 @@
       silent = false;
     }
 
-    private void delay(long fixedUs, long randomUs) {
+    private void setDelay(long fixedUs, long randomUs) {
       delayUs = fixedUs;
       jitterUs = randomUs;
     }
@@ -82,7 +82,7 @@
   private final Direction up;
   private final Direction down;
   private boolean refusing;
-  private long flapUs;
+  private long flapIntervalUs;
 
   /** Counts changes, by which a scheduled flap notices that it was ended. */
   private int generation;
@@ -107,13 +107,13 @@
     up.heal();
     down.heal();
     refusing = false;
-    flapUs = 0;
+    flapIntervalUs = 0;
     generation++;
   }
 
-  void delay(long fixedUs, long randomUs) {
-    up.delay(fixedUs, randomUs);
-    down.delay(fixedUs, randomUs);
+  void setDelay(long fixedUs, long randomUs) {
+    up.setDelay(fixedUs, randomUs);
+    down.setDelay(fixedUs, randomUs);
   }
 
   void limitBandwidth(long bytesPerS) {
@@ -129,7 +129,7 @@
     down.silent = true;
   }
 
-  void refuse(boolean on) {
+  void setRefusing(boolean on) {
     refusing = on;
   }
 
@@ -137,12 +137,12 @@
     return refusing;
   }
 
-  void flapEvery(long us) {
-    flapUs = us;
+  void setFlapInterval(long us) {
+    flapIntervalUs = us;
   }
 
-  long flapUs() {
-    return flapUs;
+  long flapIntervalUs() {
+    return flapIntervalUs;
   }
 
   int generation() {
--- a/testbed/src/main/java/tidebank/testbed/chaos/History.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/History.java
@@ -74,12 +74,12 @@
       long at, @JsonProperty("who") String process, @JsonProperty("what") String description) {}
 
   private final long startedNs = System.nanoTime();
-  private final Map<String, Integer> commandIndex = new HashMap<>();
+  private final Map<String, Integer> indexByCommandKey = new HashMap<>();
   private final List<RecordedCommand> commands = new ArrayList<>();
   private final List<RecordedRead> reads = new ArrayList<>();
   private final List<TimelineEvent> events = new ArrayList<>();
   private final List<String> violations = new ArrayList<>();
-  private final Map<String, Integer> commandsSent = new HashMap<>();
+  private final Map<String, Integer> copiesSentByProcess = new HashMap<>();
 
   /** Returns the time of this history, in microseconds. */
   public long now() {
@@ -91,9 +91,9 @@
   }
 
   /** Records that a process sent a command, or another copy of it. */
-  public synchronized void commandSent(String from, LeaseCommand command) {
-    commandsSent.merge(from, 1, Integer::sum);
-    Integer index = commandIndex.putIfAbsent(key(command), commands.size());
+  public synchronized void recordSentCommand(String from, LeaseCommand command) {
+    copiesSentByProcess.merge(from, 1, Integer::sum);
+    Integer index = indexByCommandKey.putIfAbsent(key(command), commands.size());
     if (index == null) {
       commands.add(new RecordedCommand(from, command, now(), Long.MAX_VALUE, null, 1));
       return;
@@ -107,8 +107,8 @@
   }
 
   /** Records a decided result of a command. An error that only kept it undecided is none. */
-  public synchronized void commandAnswered(LeaseCommand command, CommandResult result) {
-    int index = commandIndex.get(key(command));
+  public synchronized void recordResult(LeaseCommand command, CommandResult result) {
+    int index = indexByCommandKey.get(key(command));
     RecordedCommand recorded = commands.get(index);
     if (recorded.result() == null) {
       commands.set(index, recorded.withResult(now(), result));
@@ -119,22 +119,22 @@
   }
 
   /** Records that a process read the coordinators' state. */
-  public synchronized void stateRead(String from, long calledAt, LeaseTableState state) {
+  public synchronized void recordRead(String from, long calledAt, LeaseTableState state) {
     reads.add(new RecordedRead(from, calledAt, now(), state));
   }
 
   /** Records an event for people. */
-  public synchronized void event(String process, String description) {
+  public synchronized void recordEvent(String process, String description) {
     events.add(new TimelineEvent(now(), process, description));
   }
 
   /** Returns how many commands a process has sent, each copy counted. */
-  public synchronized int commandsSentBy(String process) {
-    return commandsSent.getOrDefault(process, 0);
+  public synchronized int countCommandsSentBy(String process) {
+    return copiesSentByProcess.getOrDefault(process, 0);
   }
 
   /** Returns how many renewals of a process succeeded. */
-  public synchronized int renewalsAnsweredTo(String process) {
+  public synchronized int countSuccessfulRenewalsBy(String process) {
     return count(
         recorded ->
             recorded.from().equals(process)
@@ -144,7 +144,7 @@
   }
 
   /** Returns how many claims of a task a process has sent, answered or not. */
-  public synchronized int claimsSentBy(String process, String task) {
+  public synchronized int countClaimsSentBy(String process, String task) {
     return count(
         recorded ->
             recorded.from().equals(process)
@@ -153,7 +153,7 @@
   }
 
   /** Returns how many publications of a task were sent by any process, answered or not. */
-  public synchronized int publicationsSentFor(String task) {
+  public synchronized int countPublicationsSentFor(String task) {
     return count(
         recorded ->
             recorded.command().kind() == LeaseCommand.Kind.PUBLISH
--- a/testbed/src/main/java/tidebank/testbed/chaos/LeaseRules.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/LeaseRules.java
@@ -36,15 +36,15 @@
       return fencingToken == command.fencingToken() && session.equals(command.session());
     }
 
-    private TaskState released() {
+    private TaskState withoutHolder() {
       return new TaskState(fencingToken, "", revision, value);
     }
 
-    private TaskState grantedTo(String newSession) {
+    private TaskState withGrantTo(String newSession) {
       return new TaskState(fencingToken + 1, newSession, revision, value);
     }
 
-    private TaskState published(String newValue) {
+    private TaskState withPublication(String newValue) {
       return new TaskState(fencingToken, session, revision + 1, newValue);
     }
 
@@ -56,18 +56,18 @@
   private LeaseRules() {}
 
   /** Returns all violations in a history; empty if every rule holds. */
-  public static List<String> violations(History history, LeaseConfig config) {
+  public static List<String> findViolations(History history, LeaseConfig config) {
     List<String> violations = new ArrayList<>(history.violations());
     TreeSet<String> tasks = new TreeSet<>();
     history.reads().forEach(read -> read.state().tasks().forEach(task -> tasks.add(task.task())));
     for (String task : tasks) {
       LinearizabilityChecker.Outcome outcome =
           LinearizabilityChecker.check(
-              operations(history.commands(), history.reads(), task), TaskState.INITIAL);
+              operationsOn(history.commands(), history.reads(), task), TaskState.INITIAL);
       if (!outcome.holds()) {
         violations.add(task + " is not linearizable: " + outcome.violation());
       }
-      violations.addAll(overlappingGrants(history.commands(), task, config));
+      violations.addAll(findOverlappingGrants(history.commands(), task, config));
     }
     return violations;
   }
@@ -75,14 +75,14 @@
   // ---- linearizability
 
   /** Returns the operations of a history on one task. */
-  static List<LinearizabilityChecker.Operation<TaskState>> operations(
+  static List<LinearizabilityChecker.Operation<TaskState>> operationsOn(
       List<RecordedCommand> commands, List<RecordedRead> reads, String task) {
     List<LinearizabilityChecker.Operation<TaskState>> operations = new ArrayList<>();
     for (RecordedCommand recorded : commands) {
       UnaryOperator<TaskState> transition =
           recorded.result() == null
-              ? possibleEffect(recorded.command(), task)
-              : effectWithGrants(recorded.command(), recorded.result(), task);
+              ? transitionWithoutResult(recorded.command(), task)
+              : transitionWithResult(recorded.command(), recorded.result(), task);
       if (transition != null) {
         operations.add(
             new LinearizabilityChecker.Operation<>(
@@ -133,32 +133,33 @@
    * Returns the effect that a command without a result may have had, wherever it fits; null if it
    * has none on the task.
    */
-  private static UnaryOperator<TaskState> possibleEffect(LeaseCommand command, String task) {
+  private static UnaryOperator<TaskState> transitionWithoutResult(
+      LeaseCommand command, String task) {
     if (command.kind() == Kind.LEAVE) {
-      return leaveEffect(command);
+      return leaveTransition(command);
     }
     if (!command.task().equals(task)) {
       return null;
     }
     return switch (command.kind()) {
-      case CLAIM -> now -> now.grantedTo(command.session());
-      case RELEASE -> now -> now.isHeldBy(command) ? now.released() : now;
-      case PUBLISH -> now -> now.accepts(command) ? now.published(command.value()) : now;
+      case CLAIM -> now -> now.withGrantTo(command.session());
+      case RELEASE -> now -> now.isHeldBy(command) ? now.withoutHolder() : now;
+      case PUBLISH -> now -> now.accepts(command) ? now.withPublication(command.value()) : now;
       default -> null;
     };
   }
 
-  private static UnaryOperator<TaskState> leaveEffect(LeaseCommand command) {
-    return now -> now.session().equals(command.session()) ? now.released() : now;
+  private static UnaryOperator<TaskState> leaveTransition(LeaseCommand command) {
+    return now -> now.session().equals(command.session()) ? now.withoutHolder() : now;
   }
 
   /**
    * Returns the effect of a command, after which the task must be as the leases in its result say;
    * null if the result says nothing of the task.
    */
-  private static UnaryOperator<TaskState> effectWithGrants(
+  private static UnaryOperator<TaskState> transitionWithResult(
       LeaseCommand command, CommandResult result, String task) {
-    UnaryOperator<TaskState> effect = effect(command, result, task);
+    UnaryOperator<TaskState> effect = transitionWithoutGrantCheck(command, result, task);
     long token = grantedToken(result, task);
     if (token == 0) {
       return effect;
@@ -173,31 +174,31 @@
     };
   }
 
-  private static UnaryOperator<TaskState> effect(
+  private static UnaryOperator<TaskState> transitionWithoutGrantCheck(
       LeaseCommand command, CommandResult result, String task) {
     TidebankException.Details error = result.error();
     if (command.kind() == Kind.LEAVE && error == null) {
-      return leaveEffect(command);
+      return leaveTransition(command);
     }
     if (!command.task().equals(task)) {
       return null;
     }
     return switch (command.kind()) {
-      case CLAIM -> claimEffect(command, result, task);
+      case CLAIM -> claimTransition(command, result, task);
       case RELEASE ->
           error == null
-              ? now -> now.isHeldBy(command) ? now.released() : null
-              : rejectedEffect(command, error);
-      case PUBLISH -> publishEffect(command, result);
+              ? now -> now.isHeldBy(command) ? now.withoutHolder() : null
+              : rejectionTransition(command, error);
+      case PUBLISH -> publishTransition(command, result);
       default -> null;
     };
   }
 
-  private static UnaryOperator<TaskState> claimEffect(
+  private static UnaryOperator<TaskState> claimTransition(
       LeaseCommand command, CommandResult result, String task) {
     TidebankException.Details error = result.error();
     if (error == null) {
-      return now -> claimed(now, command, grantedToken(result, task));
+      return now -> applyClaim(now, command, grantedToken(result, task));
     }
     if (error.is(MembershipException.LeaseHeldByOther.class)) {
       return now -> now.session().equals(command.session()) || now.session().isEmpty() ? null : now;
@@ -205,29 +206,29 @@
     return null;
   }
 
-  private static TaskState claimed(TaskState now, LeaseCommand command, long token) {
+  private static TaskState applyClaim(TaskState now, LeaseCommand command, long token) {
     if (token == now.fencingToken() && now.session().equals(command.session())) {
       return now;
     }
-    return token == now.fencingToken() + 1 ? now.grantedTo(command.session()) : null;
+    return token == now.fencingToken() + 1 ? now.withGrantTo(command.session()) : null;
   }
 
-  private static UnaryOperator<TaskState> publishEffect(
+  private static UnaryOperator<TaskState> publishTransition(
       LeaseCommand command, CommandResult result) {
     TidebankException.Details error = result.error();
     if (error == null) {
       return now ->
           now.accepts(command) && result.revision() == now.revision() + 1
-              ? now.published(command.value())
+              ? now.withPublication(command.value())
               : null;
     }
     if (error.is(MembershipException.RevisionConflict.class)) {
       return now -> now.isHeldBy(command) && now.revision() != command.revision() ? now : null;
     }
-    return rejectedEffect(command, error);
+    return rejectionTransition(command, error);
   }
 
-  private static UnaryOperator<TaskState> rejectedEffect(
+  private static UnaryOperator<TaskState> rejectionTransition(
       LeaseCommand command, TidebankException.Details error) {
     if (error.is(MembershipException.StaleFencingToken.class)) {
       return now -> now.isHeldBy(command) ? null : now;
@@ -246,7 +247,7 @@
    * / (1 + drift) from before, by a clock that is 1 - drift slow at the worst. No successor may
    * have its result before, unless the holder released the task.
    */
-  static List<String> overlappingGrants(
+  static List<String> findOverlappingGrants(
       List<RecordedCommand> commands, String task, LeaseConfig config) {
     List<String> violations = new ArrayList<>();
     long leaseUs = (long) (config.leaseUs() / (1 + config.maxClockDrift()));
@@ -260,7 +261,7 @@
         if (held > 0
             && held < token
             && next.returnedAt() < before.calledAt() + leaseUs
-            && !isReleased(commands, before, held, task, next.returnedAt())) {
+            && !wasReleased(commands, before, held, task, next.returnedAt())) {
           violations.add(describeOverlap(task, before, held, next, token, leaseUs));
         }
       }
@@ -296,7 +297,7 @@
         + " ms";
   }
 
-  private static boolean isReleased(
+  private static boolean wasReleased(
       List<RecordedCommand> commands, RecordedCommand holder, long token, String task, long until) {
     return commands.stream()
         .filter(one -> one.command().session().equals(holder.command().session()))
--- a/testbed/src/main/java/tidebank/testbed/chaos/LinearizabilityChecker.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/LinearizabilityChecker.java
@@ -60,41 +60,41 @@
   private static final class Search<S> {
     private record Choice<S>(int operation, S before) {}
 
-    private record Visited<S>(BitSet done, S state) {}
+    private record Configuration<S>(BitSet done, S state) {}
 
     private final List<Operation<S>> operations;
-    private final BitSet done;
+    private final BitSet applied;
     private final Deque<Choice<S>> path = new ArrayDeque<>();
-    private final Set<Visited<S>> visited = new HashSet<>();
+    private final Set<Configuration<S>> visited = new HashSet<>();
     private S state;
-    private int undone;
-    private int mostDone = -1;
-    private String stuckAt = "";
+    private int unappliedReturned;
+    private int maxApplied = -1;
+    private String furthestDeadEnd = "";
 
     Search(List<Operation<S>> history, S initial) {
       operations = new ArrayList<>(history);
       operations.sort(Comparator.comparingLong(Operation::calledAt));
-      done = new BitSet(operations.size());
+      applied = new BitSet(operations.size());
       state = initial;
-      undone = (int) operations.stream().filter(Operation::hasReturned).count();
+      unappliedReturned = (int) operations.stream().filter(Operation::hasReturned).count();
     }
 
     Outcome run() {
       int from = 0;
       int steps = 0;
-      while (undone > 0) {
+      while (unappliedReturned > 0) {
         if (++steps > MAX_STEPS) {
           return new Outcome("undecided after " + MAX_STEPS + " steps", steps);
         }
-        int next = nextOperation(from);
+        int next = findNextOperation(from);
         if (next >= 0) {
           apply(next);
           from = 0;
           continue;
         }
-        noteWhereStuck();
+        recordFurthestState();
         if (path.isEmpty()) {
-          return new Outcome(stuckAt, steps);
+          return new Outcome(furthestDeadEnd, steps);
         }
         from = undoLast() + 1;
       }
@@ -105,65 +105,65 @@
      * Returns the first operation from an index on that may take effect next and leads to a pair of
      * done operations and state that was not visited; -1 if there is none.
      */
-    private int nextOperation(int from) {
+    private int findNextOperation(int from) {
       long earliestReturn = Long.MAX_VALUE;
-      for (int i = done.nextClearBit(0);
+      for (int i = applied.nextClearBit(0);
           i < operations.size() && operations.get(i).calledAt() <= earliestReturn;
-          i = done.nextClearBit(i + 1)) {
+          i = applied.nextClearBit(i + 1)) {
         earliestReturn = Math.min(earliestReturn, operations.get(i).returnedAt());
-        if (i >= from && isNew(i)) {
+        if (i >= from && leadsToUnvisitedState(i)) {
           return i;
         }
       }
       return -1;
     }
 
-    private boolean isNew(int operation) {
+    private boolean leadsToUnvisitedState(int operation) {
       S after = operations.get(operation).transition().apply(state);
       if (after == null) {
         return false;
       }
-      done.set(operation);
-      boolean added = visited.add(new Visited<>((BitSet) done.clone(), after));
-      done.clear(operation);
+      applied.set(operation);
+      boolean added = visited.add(new Configuration<>((BitSet) applied.clone(), after));
+      applied.clear(operation);
       return added;
     }
 
     private void apply(int operation) {
       path.push(new Choice<>(operation, state));
-      done.set(operation);
-      undone -= operations.get(operation).hasReturned() ? 1 : 0;
+      applied.set(operation);
+      unappliedReturned -= operations.get(operation).hasReturned() ? 1 : 0;
       state = operations.get(operation).transition().apply(state);
     }
 
     /** Takes the last operation back; returns its index. */
     private int undoLast() {
       Choice<S> last = path.pop();
-      done.clear(last.operation());
-      undone += operations.get(last.operation()).hasReturned() ? 1 : 0;
+      applied.clear(last.operation());
+      unappliedReturned += operations.get(last.operation()).hasReturned() ? 1 : 0;
       state = last.before();
       return last.operation();
     }
 
     /** Keeps a description of the state in which most operations were done. */
-    private void noteWhereStuck() {
-      if (done.cardinality() > mostDone) {
-        mostDone = done.cardinality();
-        stuckAt = describeStuck();
+    private void recordFurthestState() {
+      if (applied.cardinality() > maxApplied) {
+        maxApplied = applied.cardinality();
+        furthestDeadEnd = describeDeadEnd();
       }
     }
 
-    private String describeStuck() {
+    private String describeDeadEnd() {
       long earliestReturn = Long.MAX_VALUE;
       List<String> candidates = new ArrayList<>();
-      for (int i = done.nextClearBit(0);
+      for (int i = applied.nextClearBit(0);
           i < operations.size() && operations.get(i).calledAt() <= earliestReturn;
-          i = done.nextClearBit(i + 1)) {
+          i = applied.nextClearBit(i + 1)) {
         earliestReturn = Math.min(earliestReturn, operations.get(i).returnedAt());
         candidates.add(operations.get(i).description());
       }
       return "after "
-          + done.cardinality()
+          + applied.cardinality()
           + " of "
           + operations.size()
           + " operations, with "
--- a/testbed/src/main/java/tidebank/testbed/chaos/ProxiedConnection.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/ProxiedConnection.java
@@ -30,10 +30,10 @@
   private final TrafficRecorder recorder;
   private final LongSupplier clock;
   private final Consumer<ProxiedConnection> onClosed;
-  private final Pipe up;
-  private final Pipe down;
-  private Channel called;
-  private boolean calledSideClosed;
+  private final DelayQueue up;
+  private final DelayQueue down;
+  private Channel target;
+  private boolean targetSideClosed;
   private boolean closed;
 
   /**
@@ -52,8 +52,8 @@
     this.recorder = recorder;
     this.clock = clock;
     this.onClosed = onClosed;
-    up = new Pipe(link.up());
-    down = new Pipe(link.down());
+    up = new DelayQueue(link.up());
+    down = new DelayQueue(link.down());
   }
 
   FaultyLink link() {
@@ -64,32 +64,32 @@
     return new CallerHandler();
   }
 
-  ChannelHandler calledHandler() {
-    return new CalledHandler();
+  ChannelHandler targetHandler() {
+    return new TargetHandler();
   }
 
   /** Sets the channel to the called process, before it is connected. */
-  void attach(Channel channel) {
-    called = channel;
+  void setTarget(Channel channel) {
+    target = channel;
   }
 
   /** Starts to forward once the called process has accepted, or resets the caller. */
-  void connected(boolean success) {
+  void onConnected(boolean success) {
     if (!success) {
       reset();
     } else if (closed) {
       // The caller has gone meanwhile.
-      called.close();
+      target.close();
     } else {
       caller.config().setAutoRead(true);
-      called.config().setAutoRead(true);
+      target.config().setAutoRead(true);
     }
   }
 
   /** Resets both channels. */
   void reset() {
     reset(caller);
-    reset(called);
+    reset(target);
     close();
   }
 
@@ -102,10 +102,10 @@
   }
 
   /** Closes the called side; the caller's channel stays open, and what it sends is lost. */
-  void closeCalledSide() {
-    calledSideClosed = true;
-    if (called != null) {
-      called.close();
+  void closeTargetSide() {
+    targetSideClosed = true;
+    if (target != null) {
+      target.close();
     }
   }
 
@@ -127,7 +127,7 @@
     down.forward();
   }
 
-  private void inactive(Channel other, Pipe toOther) {
+  private void onInactive(Channel other, DelayQueue toOther) {
     if (other != null && other.isOpen()) {
       toOther.end();
     } else {
@@ -144,27 +144,27 @@
   private record Chunk(ByteBuf bytes, long dueAt) {}
 
   /** The bytes under way in one direction. */
-  private final class Pipe {
+  private final class DelayQueue {
     private final FaultyLink.Direction direction;
     private final Deque<Chunk> chunks = new ArrayDeque<>();
     private long bytesUnderWay;
     private long lastDueAt;
     private boolean scheduled;
 
-    Pipe(FaultyLink.Direction direction) {
+    DelayQueue(FaultyLink.Direction direction) {
       this.direction = direction;
     }
 
     private Channel source() {
-      return this == up ? caller : called;
+      return this == up ? caller : target;
     }
 
     private Channel destination() {
-      return this == up ? called : caller;
+      return this == up ? target : caller;
     }
 
     void add(ByteBuf bytes) {
-      if (calledSideClosed) {
+      if (targetSideClosed) {
         bytes.release();
         return;
       }
@@ -249,7 +249,7 @@
     public void channelRead(ChannelHandlerContext context, Object message) {
       ByteBuf bytes = (ByteBuf) message;
       if (recorder != null) {
-        recorder.requestBytes(bytes);
+        recorder.decodeRequests(bytes);
       }
       up.add(bytes);
     }
@@ -257,7 +257,7 @@
     @Override
     public void channelInactive(ChannelHandlerContext context) {
       if (!closed) {
-        inactive(called, up);
+        onInactive(target, up);
       }
     }
 
@@ -269,20 +269,20 @@
   }
 
   /** Takes in what the called process sends. */
-  private final class CalledHandler extends ChannelInboundHandlerAdapter {
+  private final class TargetHandler extends ChannelInboundHandlerAdapter {
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
       ByteBuf bytes = (ByteBuf) message;
       if (recorder != null) {
-        recorder.responseBytes(bytes);
+        recorder.decodeResponses(bytes);
       }
       down.add(bytes);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-      if (!closed && !calledSideClosed) {
-        inactive(caller, down);
+      if (!closed && !targetSideClosed) {
+        onInactive(caller, down);
       }
     }
 
--- a/testbed/src/main/java/tidebank/testbed/chaos/RunArtifacts.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/RunArtifacts.java
@@ -87,7 +87,7 @@
    * @throws TestbedException.RunUnknown if there is none
    * @throws IOException if it can't be read
    */
-  public static Verdict verdict(Path folder) throws IOException {
+  public static Verdict readVerdict(Path folder) throws IOException {
     Path file = folder.resolve(VERDICT_FILE);
     if (!Files.isRegularFile(file)) {
       throw new TestbedException.RunUnknown(folder.toString());
--- a/testbed/src/main/java/tidebank/testbed/chaos/ScriptRunner.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/ScriptRunner.java
@@ -127,7 +127,7 @@
     violations.addAll(reports.violations());
     violations.addAll(sharedFolder.violations());
     violations.addAll(
-        LeaseRules.violations(
+        LeaseRules.findViolations(
             history, new LeaseConfig(script.leaseMs() * US_PER_MS, script.maxClockDrift(), 0, 0)));
     Verdict verdict = buildVerdict(reports, queriesSent);
     RunArtifacts.write(runFolder, script, history, verdict);
@@ -168,11 +168,11 @@
         history.commands().size(),
         history.reads().size(),
         reports.count(),
-        UnownedIntervals.of(history.events(), history.commands(), "report"));
+        UnownedIntervals.measure(history.events(), history.commands(), "report"));
   }
 
   private void recordEvent(String process, String description) {
-    history.event(process, description);
+    history.recordEvent(process, description);
     progress.accept(
         String.format("%6.2f s  %-8s %s", history.now() / US_PER_S, process, description));
   }
@@ -235,7 +235,7 @@
         () -> observer.observation().queriesCounted() >= queriesToBeCounted());
     awaitCondition(
         "all expired files removed from the shared folder",
-        () -> sharedFolder.expiredFilesLeft() == 0);
+        () -> sharedFolder.countExpiredFilesLeft() == 0);
     recordEvent(
         "fleet",
         observer.observation().queriesCounted()
--- a/testbed/src/main/java/tidebank/testbed/chaos/SharedFolderCheck.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/SharedFolderCheck.java
@@ -27,7 +27,7 @@
   private final Path folder;
   private final Set<String> expired = new HashSet<>();
   private final Set<String> kept = new HashSet<>();
-  private final Set<String> listed = new HashSet<>();
+  private final Set<String> namesInLists = new HashSet<>();
   private final Set<String> reported = new HashSet<>();
   private final List<String> violations = new ArrayList<>();
   private String lastList = "";
@@ -59,7 +59,7 @@
   }
 
   /** Returns the files that were removed so far. To be called before the state is read. */
-  synchronized Set<String> removedFiles() {
+  synchronized Set<String> findRemovedFiles() {
     Set<String> removed = new HashSet<>(expired);
     removed.addAll(kept);
     removed.removeIf(name -> Files.exists(folder.resolve(name)));
@@ -70,17 +70,17 @@
    * Checks removals against the lists published so far.
    *
    * @param lease of the retention task, read after the removals were seen
-   * @param removed as {@link #removedFiles} returned them
+   * @param removed as {@link #findRemovedFiles} returned them
    */
-  synchronized void check(TaskLease lease, Set<String> removed) {
+  synchronized void checkRemovals(TaskLease lease, Set<String> removed) {
     readNewLists(lease.value());
     for (String name : removed) {
-      boolean allowed = listed.contains(name) && !kept.contains(name);
+      boolean allowed = namesInLists.contains(name) && !kept.contains(name);
       if (!allowed && reported.add(name)) {
         violations.add(
             name
                 + " was removed, and "
-                + (listed.contains(name) ? "was not too old" : "no published list names it"));
+                + (namesInLists.contains(name) ? "was not too old" : "no published list names it"));
       }
     }
   }
@@ -91,7 +91,7 @@
         RemovalList list =
             LeaseCodec.read(
                 Files.readAllBytes(folder.resolve("removals").resolve(name)), RemovalList.class);
-        listed.addAll(list.names());
+        namesInLists.addAll(list.names());
         name = list.previous();
       }
     } catch (IOException fault) {
@@ -101,7 +101,7 @@
   }
 
   /** Returns how many expired files are still there. */
-  synchronized long expiredFilesLeft() {
+  synchronized long countExpiredFilesLeft() {
     return expired.stream().filter(name -> Files.exists(folder.resolve(name))).count();
   }
 
--- a/testbed/src/main/java/tidebank/testbed/chaos/StepConditions.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/StepConditions.java
@@ -58,10 +58,10 @@
             report == null ? 0 : report.fencingToken(),
             observation.leader(),
             observation.round(),
-            countByMember(history::commandsSentBy),
-            countByMember(history::renewalsAnsweredTo),
+            countByMember(history::countCommandsSentBy),
+            countByMember(history::countSuccessfulRenewalsBy),
             countByMember(this::countReportClaims),
-            history.publicationsSentFor("retention"));
+            history.countPublicationsSentFor("retention"));
   }
 
   private Map<String, Integer> countByMember(ToIntFunction<String> count) {
@@ -73,7 +73,7 @@
   }
 
   private int countReportClaims(String member) {
-    return history.claimsSentBy(member, "report");
+    return history.countClaimsSentBy(member, "report");
   }
 
   /** Returns whether the condition of a step is met. */
@@ -83,11 +83,12 @@
     return switch (step.condition()) {
       case NOTHING -> true;
       case PUBLICATIONS -> report.revision() >= baseline.revision() + step.count();
-      case RENEWALS -> hasReachedCount(step, history::renewalsAnsweredTo, baseline.renewals());
-      case CALLS -> hasReachedCount(step, history::commandsSentBy, baseline.commands());
+      case RENEWALS ->
+          hasReachedCount(step, history::countSuccessfulRenewalsBy, baseline.renewals());
+      case CALLS -> hasReachedCount(step, history::countCommandsSentBy, baseline.commands());
       case CLAIMS -> hasReachedCount(step, this::countReportClaims, baseline.claims());
       case LISTS ->
-          history.publicationsSentFor("retention") >= baseline.removalLists() + step.count();
+          history.countPublicationsSentFor("retention") >= baseline.removalLists() + step.count();
       case GRANT -> report.fencingToken() > baseline.fencingToken();
       case SUCCESSOR -> report.publishingToken() > baseline.fencingToken();
       case EXPIRED ->
--- a/testbed/src/main/java/tidebank/testbed/chaos/TestCluster.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/TestCluster.java
@@ -96,7 +96,7 @@
   private String openProxy(int coordinator, boolean isRaft, String address) throws IOException {
     int colon = address.lastIndexOf(':');
     InetSocketAddress listener =
-        proxy.open(
+        proxy.openListener(
             "s" + coordinator,
             new InetSocketAddress(
                 address.substring(0, colon), Integer.parseInt(address.substring(colon + 1))),
@@ -124,7 +124,7 @@
                     })));
     pidByName.values().removeIf(pid -> pid == null);
     pidByName.put(TESTBED, ProcessHandle.current().pid());
-    return ConnectionOwners.owner(port, proxyPort, pidByName);
+    return ConnectionOwners.findOwner(port, proxyPort, pidByName);
   }
 
   private double clockRate(String name) {
@@ -329,7 +329,7 @@
     for (String name : new ArrayList<>(processes.keySet())) {
       resume(name);
       if (!isAlive(name)) {
-        history.event(name, "started");
+        history.recordEvent(name, "started");
         startProcess(name, clockRate(name));
       }
     }
--- a/testbed/src/main/java/tidebank/testbed/chaos/TimelineSvg.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/TimelineSvg.java
@@ -50,7 +50,7 @@
                 + " font-family=\"sans-serif\" font-size=\"11\">\n",
             LEFT_PX + WIDTH_PX + RIGHT_PX, height));
     drawLanes();
-    leases().forEach(this::drawLease);
+    leasesByToken().forEach(this::drawLease);
     history.commands().forEach(this::drawPublication);
     drawEvents();
     return svg.append("</svg>\n").toString();
@@ -87,7 +87,7 @@
     }
   }
 
-  private Map<Long, Lease> leases() {
+  private Map<Long, Lease> leasesByToken() {
     Map<Long, Lease> byToken = new LinkedHashMap<>();
     for (RecordedCommand command : history.commands()) {
       if (command.result() != null && command.result().leases() != null) {
--- a/testbed/src/main/java/tidebank/testbed/chaos/TrafficRecorder.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/TrafficRecorder.java
@@ -51,7 +51,7 @@
   }
 
   /** Decodes bytes from the caller. The buffer is only read. */
-  void requestBytes(ByteBuf bytes) {
+  void decodeRequests(ByteBuf bytes) {
     requests.writeInbound(bytes.copy());
     for (FullHttpRequest request = requests.readInbound();
         request != null;
@@ -60,7 +60,7 @@
       try {
         if (request.uri().equals(COMMAND_PATH)) {
           command = LeaseCodec.readCommand(ByteBufUtil.getBytes(request.content()));
-          history.commandSent(from, command);
+          history.recordSentCommand(from, command);
         }
       } catch (IOException fault) {
         LOG.warn("unreadable command: from={} error={}", from, fault.getMessage());
@@ -71,7 +71,7 @@
   }
 
   /** Decodes bytes from the coordinator. The buffer is only read. */
-  void responseBytes(ByteBuf bytes) {
+  void decodeResponses(ByteBuf bytes) {
     responses.writeInbound(bytes.copy());
     for (FullHttpResponse response = responses.readInbound();
         response != null;
@@ -90,12 +90,12 @@
 
   private void record(PendingCall call, byte[] body) throws IOException {
     if (call.readsState()) {
-      history.stateRead(from, call.calledAt(), LeaseCodec.read(body, LeaseTableState.class));
+      history.recordRead(from, call.calledAt(), LeaseCodec.read(body, LeaseTableState.class));
     } else if (call.command() != null) {
       CommandResult result = LeaseCodec.read(body, CommandResult.class);
       // A result without a configuration was not decided by a leader.
       if (result != null && result.config() != null) {
-        history.commandAnswered(call.command(), result);
+        history.recordResult(call.command(), result);
       }
     }
   }
--- a/testbed/src/main/java/tidebank/testbed/chaos/UnownedIntervals.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/UnownedIntervals.java
@@ -30,15 +30,15 @@
    * Returns the intervals from each loss of the holder to the result of the next grant, in
    * microseconds, by kind of fault and in the order of the run.
    */
-  public static Map<String, List<Long>> of(
+  public static Map<String, List<Long>> measure(
       List<TimelineEvent> events, List<RecordedCommand> commands, String task) {
-    List<Grant> grants = grants(commands, task);
+    List<Grant> grants = findGrants(commands, task);
     Map<String, List<Long>> intervals = new TreeMap<>();
     for (TimelineEvent event : events) {
       Matcher lost = HOLDER_LOST.matcher(event.description());
       if (lost.matches()) {
         String kind = lost.group(1) != null ? lost.group(1) : lost.group(2);
-        nextGrant(grants, event)
+        findGrantAfterLoss(grants, event)
             .ifPresent(
                 next ->
                     intervals
@@ -49,7 +49,7 @@
     return intervals;
   }
 
-  private static List<Grant> grants(List<RecordedCommand> commands, String task) {
+  private static List<Grant> findGrants(List<RecordedCommand> commands, String task) {
     List<Grant> grants = new ArrayList<>();
     for (RecordedCommand claim : commands) {
       if (claim.command().kind() == Kind.CLAIM
@@ -66,7 +66,7 @@
   }
 
   /** Returns the grant that ended the interval, if the event hit the holder of that moment. */
-  private static Optional<Grant> nextGrant(List<Grant> grants, TimelineEvent event) {
+  private static Optional<Grant> findGrantAfterLoss(List<Grant> grants, TimelineEvent event) {
     Optional<Grant> held =
         grants.stream()
             .filter(grant -> grant.at() <= event.at())
--- a/testbed/src/test/java/tidebank/testbed/chaos/ChaosTest.java
+++ b/testbed/src/test/java/tidebank/testbed/chaos/ChaosTest.java
@@ -104,7 +104,7 @@
     assertThat(verdict.violations())
         .isNotEmpty()
         .allMatch(violation -> violation.contains("was granted at"));
-    assertThat(RunArtifacts.verdict(folder)).isEqualTo(verdict);
+    assertThat(RunArtifacts.readVerdict(folder)).isEqualTo(verdict);
     assertThat(Files.readString(folder.resolve("report.html")))
         .contains("broken")
         .contains("bin/tidebank chaos run owner-unheard");
--- a/testbed/src/test/java/tidebank/testbed/chaos/FaultProxyTest.java
+++ b/testbed/src/test/java/tidebank/testbed/chaos/FaultProxyTest.java
@@ -56,8 +56,11 @@
     echo.start();
     proxy =
         new FaultProxy(
-            (port, proxyPort) -> ConnectionOwners.owner(port, proxyPort, processes), history, 1);
-    listener = proxy.open("echo", (InetSocketAddress) server.getLocalSocketAddress(), false);
+            (port, proxyPort) -> ConnectionOwners.findOwner(port, proxyPort, processes),
+            history,
+            1);
+    listener =
+        proxy.openListener("echo", (InetSocketAddress) server.getLocalSocketAddress(), false);
   }
 
   @AfterEach
@@ -162,11 +165,12 @@
     Socket socket = connect();
     send(socket, "x");
     got(socket, 1);
-    assertThat(ConnectionOwners.owner(socket.getLocalPort(), listener.getPort(), processes))
+    assertThat(ConnectionOwners.findOwner(socket.getLocalPort(), listener.getPort(), processes))
         .isEqualTo("me");
     assertThat(
-            ConnectionOwners.owner(socket.getLocalPort(), listener.getPort(), Map.of("other", 1L)))
+            ConnectionOwners.findOwner(
+                socket.getLocalPort(), listener.getPort(), Map.of("other", 1L)))
         .isNull();
-    assertThat(ConnectionOwners.owner(1, listener.getPort(), processes)).isNull();
+    assertThat(ConnectionOwners.findOwner(1, listener.getPort(), processes)).isNull();
   }
 }
--- a/testbed/src/test/java/tidebank/testbed/chaos/LeaseRulesTest.java
+++ b/testbed/src/test/java/tidebank/testbed/chaos/LeaseRulesTest.java
@@ -78,12 +78,12 @@
 
   private boolean linear() {
     return LinearizabilityChecker.check(
-            LeaseRules.operations(asked, List.of(), DUTY), LeaseRules.TaskState.INITIAL)
+            LeaseRules.operationsOn(asked, List.of(), DUTY), LeaseRules.TaskState.INITIAL)
         .holds();
   }
 
   private List<String> early() {
-    return LeaseRules.overlappingGrants(asked, DUTY, TERMS);
+    return LeaseRules.findOverlappingGrants(asked, DUTY, TERMS);
   }
 
   /**
@@ -143,7 +143,7 @@
             new History.TimelineEvent(310_000, "a", "stop owner as x"),
             new History.TimelineEvent(320_000, "a", "scans 2"),
             new History.TimelineEvent(1_400_000, "b", "link b to stewards: cut"));
-    assertThat(UnownedIntervals.of(events, asked, DUTY))
+    assertThat(UnownedIntervals.measure(events, asked, DUTY))
         .isEqualTo(Map.of("stop", List.of(1_000_000L)));
     assertThat(UnownedIntervals.describe(Map.of("stop", List.of(9000L, 1000L, 5000L))))
         .isEqualTo("stop 3: median 5 ms, most 9 ms");
@@ -187,7 +187,7 @@
         new LeaseTableState(TERMS, 1, 0, 0, List.of(), List.of(cell), List.of());
     assertThat(
             LinearizabilityChecker.check(
-                    LeaseRules.operations(
+                    LeaseRules.operationsOn(
                         asked,
                         List.of(new History.RecordedRead("o", 1_000_000, 1_100_000, state)),
                         DUTY),
@@ -196,7 +196,7 @@
         .isTrue();
     assertThat(
             LinearizabilityChecker.check(
-                    LeaseRules.operations(
+                    LeaseRules.operationsOn(
                         asked,
                         List.of(new History.RecordedRead("o", 1_340_000, 1_390_000, state)),
                         DUTY),
@@ -210,12 +210,12 @@
   void twoAnswersToOneCommandAreFoundAndALateCopyIsNone() {
     History history = new History();
     LeaseCommand command = new LeaseCommand(Kind.CLAIM, "a", 1, "a", DUTY, 0, 0, "", null);
-    history.commandSent("a", command);
-    history.commandSent("a", command);
+    history.recordSentCommand("a", command);
+    history.recordSentCommand("a", command);
     CommandResult first = new CommandResult(null, List.of(new Grant(DUTY, 1)), List.of(), TERMS, 0);
-    history.commandAnswered(command, first);
-    history.commandAnswered(command, first);
-    history.commandAnswered(
+    history.recordResult(command, first);
+    history.recordResult(command, first);
+    history.recordResult(
         command,
         new CommandResult(
             new MembershipException.StaleSequenceNumber("a", 1, 2).details(),
@@ -225,7 +225,7 @@
             0));
     assertThat(history.violations()).isEmpty();
     assertThat(history.commands()).singleElement().matches(one -> one.copies() == 2);
-    history.commandAnswered(
+    history.recordResult(
         command, new CommandResult(null, List.of(new Grant(DUTY, 2)), List.of(), TERMS, 0));
     assertThat(history.violations()).singleElement().asString().contains("two answers");
   }
--- a/testbed/src/test/java/tidebank/testbed/chaos/SharedFolderCheckTest.java
+++ b/testbed/src/test/java/tidebank/testbed/chaos/SharedFolderCheckTest.java
@@ -38,19 +38,19 @@
   @Test
   void whatAPublishedListNamesMayGo() throws Exception {
     TaskLease duty = published(OLD);
-    assertThat(stored.removedFiles()).isEmpty();
+    assertThat(stored.findRemovedFiles()).isEmpty();
     Files.delete(folder.resolve(OLD));
-    stored.check(duty, stored.removedFiles());
-    assertThat(stored.expiredFilesLeft()).isZero();
+    stored.checkRemovals(duty, stored.findRemovedFiles());
+    assertThat(stored.countExpiredFilesLeft()).isZero();
     assertThat(stored.violations()).isEmpty();
   }
 
   @Test
   void whatGoesBeforeItsListIsPublishedIsFound() throws Exception {
     Files.delete(folder.resolve(OLD));
-    Set<String> gone = stored.removedFiles();
-    stored.check(new TaskLease("retention", 1, "g0", "x", 0, "g0", "", 0, 0, ""), gone);
-    stored.check(published(OLD), gone);
+    Set<String> gone = stored.findRemovedFiles();
+    stored.checkRemovals(new TaskLease("retention", 1, "g0", "x", 0, "g0", "", 0, 0, ""), gone);
+    stored.checkRemovals(published(OLD), gone);
     assertThat(stored.violations())
         .containsExactly(OLD + " was removed, and no published list names it");
   }
@@ -59,7 +59,7 @@
   void whatAListNamesThatIsNotTooOldIsFound() throws Exception {
     TaskLease duty = published(YOUNG);
     Files.delete(folder.resolve(YOUNG));
-    stored.check(duty, stored.removedFiles());
+    stored.checkRemovals(duty, stored.findRemovedFiles());
     assertThat(stored.violations()).containsExactly(YOUNG + " was removed, and was not too old");
   }
 }
--- a/testbed/src/test/java/tidebank/testbed/chaos/StoredRunTest.java
+++ b/testbed/src/test/java/tidebank/testbed/chaos/StoredRunTest.java
@@ -49,8 +49,8 @@
 
   private static History history() {
     History history = new History();
-    history.event("g0", "kill g0");
-    history.event("", "over");
+    history.recordEvent("g0", "kill g0");
+    history.recordEvent("", "over");
     long number = 0;
     for (LeaseCommand.Kind kind : LeaseCommand.Kind.values()) {
       LeaseCommand command =
@@ -66,9 +66,9 @@
               kind == LeaseCommand.Kind.PLAN
                   ? new LeaseCommand.Plan(TERMS, List.of("report", "retention"))
                   : null);
-      history.commandSent("g0", command);
+      history.recordSentCommand("g0", command);
       if (kind == LeaseCommand.Kind.CLAIM) {
-        history.commandAnswered(
+        history.recordResult(
             command,
             new CommandResult(
                 null,
@@ -77,10 +77,10 @@
                 TERMS,
                 4));
       } else if (kind == LeaseCommand.Kind.PUBLISH) {
-        history.commandAnswered(command, new CommandResult(refused(), null, null, null, 5));
+        history.recordResult(command, new CommandResult(refused(), null, null, null, 5));
       }
     }
-    history.stateRead("g1", 0, state());
+    history.recordRead("g1", 0, state());
     return history;
   }
 
@@ -134,7 +134,7 @@
 
   @Test
   void theVerdictOfAStoredRunIsRead() throws Exception {
-    assertThat(RunArtifacts.verdict(STORED)).isEqualTo(verdict());
+    assertThat(RunArtifacts.readVerdict(STORED)).isEqualTo(verdict());
     assertThat(RunArtifacts.replayCommand(verdict(), STORED))
         .isEqualTo("bin/tidebank chaos run owner-killed");
   }
