--- a/router/src/main/java/tidebank/config/SettingsReader.java
+++ b/router/src/main/java/tidebank/config/SettingsReader.java
@@ -9,8 +9,8 @@
 import tidebank.model.Settings;
 
 /**
- * Reader of the router settings in the platform's JSON format. An absent value gets the most
- * restrictive default: no feature is allowed and no guarantee is assumed.
+ * Reader of the router settings in the platform's JSON format. An absent value gets a default that
+ * enables no feature and assumes no guarantee.
  *
  * <p>This is the only class that knows the platform's names of settings, such as {@code services},
  * {@code specifics} and {@code guarantees}.
