--- a/router/src/test/java/tidebank/CrossingsTest.java
+++ b/router/src/test/java/tidebank/CrossingsTest.java
@@ -23,8 +23,8 @@
 import tidebank.FakeSite.FakeShardServer.Frame;
 
 /**
- * Two things that happen at one moment, forced over loopback from both sides.
- * docs/notes/crossings.md has the table.
+ * Races between two events, each forced over loopback sockets. docs/notes/crossings.md lists the
+ * cases.
  */
 @Timeout(30)
 class CrossingsTest {
@@ -35,24 +35,25 @@
     site.close();
   }
 
-  /** What a client says of the time that it has left, and for how long the loop stands still. */
-  private static final int TIME_LEFT_MS = 1500;
+  /** The timeout of queries that arrive around a stall of the event loop. */
+  private static final int TIMEOUT_MS = 1500;
 
-  private static final long STANDSTILL_MS = 1000;
+  private static final long STALL_MS = 1000;
 
-  private void silence() {
+  private void disableAutoRespond() {
     site.servers.forEach(server -> server.autoRespond = false);
   }
 
-  /** One server in service, s1, for the shards 0 and 1. */
-  private FakeShardServer only() {
+  /** Removes all shard servers but s1, which holds shards 0 and 1. */
+  private FakeShardServer useSingleServer() {
     site.servers.forEach(server -> server.health = "Gone");
-    FakeShardServer one = site.servers.get(1);
-    one.health = "Ready";
-    return one;
+    FakeShardServer server = site.servers.get(1);
+    server.health = "Ready";
+    return server;
   }
 
-  private FakeClient program() throws Exception {
+  /** Starts a router process and connects a client to it. */
+  private FakeClient startProcessAndConnect() throws Exception {
     site.startProcess(
         Map.of(
             "NODE_CONFIG",
@@ -66,30 +67,31 @@
         new InetSocketAddress(
             "127.0.0.1",
             Integer.parseInt(
-                log("router n7 listens on").replaceAll(".*127.0.0.1:(\\d+).*", "$1"))));
+                awaitLogLine("router n7 listens on").replaceAll(".*127.0.0.1:(\\d+).*", "$1"))));
   }
 
-  private String log(String part) throws IOException {
+  /** Reads the log up to the first line that contains this text, and returns that line. */
+  private String awaitLogLine(String text) throws IOException {
     for (String line = site.stderr.readLine(); ; line = site.stderr.readLine()) {
-      assertThat(line).as("a line of the log with " + part).isNotNull();
-      if (line.contains(part)) {
+      assertThat(line).as("log line with " + text).isNotNull();
+      if (line.contains(text)) {
         return line;
       }
     }
   }
 
-  private void signal(String name) throws Exception {
+  private void sendSignal(String name) throws Exception {
     new ProcessBuilder("kill", "-" + name, String.valueOf(site.process.pid())).start().waitFor();
   }
 
-  private void endsWith0() throws Exception {
+  private void assertExitsWithZero() throws Exception {
     assertThat(site.process.waitFor(FakeSite.WAIT_MS, TimeUnit.MILLISECONDS)).isTrue();
     assertThat(site.process.exitValue()).isZero();
   }
 
-  // ---- clients that leave
+  // ---- disconnecting clients
 
-  /** How a client ends its connection. */
+  /** How a client closes its connection. */
   enum CloseMode {
     FIN,
     RESET,
@@ -107,41 +109,46 @@
     }
   }
 
+  /** A request must not be sent to shard servers if its client has already disconnected. */
   @ParameterizedTest
   @EnumSource(CloseMode.class)
-  void whatIsReadInOnePassWithTheEndOfItsClientIsNeverSent(CloseMode end) throws Exception {
+  void requestReadWithClientCloseInOnePassIsNotSent(CloseMode closeMode) throws Exception {
     site.start();
-    List<FakeClient> leavers = new ArrayList<>();
-    try (FakeClient stays = site.connectClient()) {
+    List<FakeClient> departingClients = new ArrayList<>();
+    try (FakeClient remainingClient = site.connectClient()) {
       for (int i = 0; i < 20; i++) {
-        leavers.add(site.connectClient());
-        assertThat(leavers.get(i).fetchReadinessStatus()).isEqualTo(200);
+        departingClients.add(site.connectClient());
+        assertThat(departingClients.get(i).fetchReadinessStatus()).isEqualTo(200);
       }
-      CountDownLatch go = site.stallEventLoop();
-      for (FakeClient leaver : leavers) {
-        end.close(
-            leaver.send(queryRequest("whole", "gone" + leavers.indexOf(leaver), 2900, 0.5, 0.5)));
+      CountDownLatch resume = site.stallEventLoop();
+      for (FakeClient departingClient : departingClients) {
+        closeMode.close(
+            departingClient.send(
+                queryRequest(
+                    "whole", "gone" + departingClients.indexOf(departingClient), 2900, 0.5, 0.5)));
       }
-      stays.send(queryRequest("whole", "stays", 2900, 0.5, 0.5));
-      go.countDown();
-      assertThat(stays.readResponse().status()).isEqualTo(200);
-      // Once more: whatever the first pass left over would go by now.
-      assertThat(stays.sendAndRead(queryRequest("whole", "again", 2900, 0.5, 0.5)).status())
+      remainingClient.send(queryRequest("whole", "stays", 2900, 0.5, 0.5));
+      resume.countDown();
+      assertThat(remainingClient.readResponse().status()).isEqualTo(200);
+      // Any request left over from the first pass is sent before this response.
+      assertThat(
+              remainingClient.sendAndRead(queryRequest("whole", "again", 2900, 0.5, 0.5)).status())
           .isEqualTo(200);
       for (FakeShardServer server : site.servers) {
         assertThat(server.frames).noneMatch(frame -> frame.content().startsWith("gone"));
       }
     } finally {
-      for (FakeClient leaver : leavers) {
-        leaver.close();
+      for (FakeClient departingClient : departingClients) {
+        departingClient.close();
       }
     }
   }
 
+  /** If reading paused while the pipeline is full, the disconnect would go unnoticed. */
   @Test
-  void theEndOfAClientWithAFullPipelineIsSeen() throws Exception {
-    silence();
-    FakeShardServer server = only();
+  void closeOfClientWithFullPipelineCancelsItsRequests() throws Exception {
+    disableAutoRespond();
+    FakeShardServer server = useSingleServer();
     site.latencyObjectiveMs = 10_000;
     site.start();
     FakeClient client = site.connectClient();
@@ -155,125 +162,130 @@
     }
   }
 
+  /** A response for a client that has left must not close the connection to the shard server. */
   @ParameterizedTest
   @EnumSource(CloseMode.class)
-  void anAnswerAndTheEndOfItsClientInOnePassLeaveNothingBehind(CloseMode end) throws Exception {
-    silence();
-    FakeShardServer server = only();
+  void responseAndClientCloseInOnePassKeepServerConnection(CloseMode closeMode) throws Exception {
+    disableAutoRespond();
+    FakeShardServer server = useSingleServer();
     site.start();
-    FakeClient leaver = site.connectClient();
-    leaver.send(queryRequest("once", "a", 2900, 1));
+    FakeClient departingClient = site.connectClient();
+    departingClient.send(queryRequest("once", "a", 2900, 1));
     Frame frame = server.awaitFrame();
-    CountDownLatch go = site.stallEventLoop();
-    end.close(leaver);
+    CountDownLatch resume = site.stallEventLoop();
+    closeMode.close(departingClient);
     frame.respond("good", "in one pass");
-    go.countDown();
+    resume.countDown();
     server.autoRespond = true;
     try (FakeClient other = site.connectClient()) {
       assertThat(other.sendAndRead(queryRequest("once", "b", 2900, 1)).body())
           .contains("value of b.0");
-      assertThat(server.acceptedCount).as("the connection to it holds").hasValue(1);
+      assertThat(server.acceptedCount).as("connections accepted by the server").hasValue(1);
     }
-    leaver.close();
+    departingClient.close();
   }
 
-  // ---- a loop that stood still
+  // ---- stalls of the event loop
 
+  /** The overdue timer of the first request must not fire before the input is read. */
   @Test
-  void whatCameInTimeIsTakenAlthoughTheLoopStoodStillPastTheTimeForIt() throws Exception {
+  void requestReceivedDuringStallIsAcceptedAfterItsTimeLimit() throws Exception {
     site.start();
-    try (FakeClient asks = site.connectClient();
-        FakeClient first = site.connectClient()) {
-      // By this answer both are accepted, and the time for their first requests runs.
-      assertThat(asks.fetchReadinessStatus()).isEqualTo(200);
-      CountDownLatch go = site.stallEventLoop();
-      first.send(queryRequest("whole", "a", 29_000, 0.5, 0.5));
-      long late = System.nanoTime() + 2_700_000_000L;
-      while (System.nanoTime() < late) {
+    try (FakeClient readinessClient = site.connectClient();
+        FakeClient queryClient = site.connectClient()) {
+      // Both connections are accepted before this response; the time limits of their first requests
+      // are running.
+      assertThat(readinessClient.fetchReadinessStatus()).isEqualTo(200);
+      CountDownLatch resume = site.stallEventLoop();
+      queryClient.send(queryRequest("whole", "a", 29_000, 0.5, 0.5));
+      long stallEnd = System.nanoTime() + 2_700_000_000L;
+      while (System.nanoTime() < stallEnd) {
         Thread.onSpinWait();
       }
-      go.countDown();
-      assertThat(first.readResponse().status()).isEqualTo(200);
+      resume.countDown();
+      assertThat(queryClient.readResponse().status()).isEqualTo(200);
     }
   }
 
+  /** Counting the timeout from when the stalled loop reads the request would delay the response. */
   @Test
-  void theTimeOfARequestThatCameWhileTheLoopStoodStillRunsFromThenOn() throws Exception {
-    silence();
-    FakeShardServer server = only();
+  void timeoutOfRequestReceivedDuringStallRunsFromArrival() throws Exception {
+    disableAutoRespond();
+    FakeShardServer server = useSingleServer();
     site.start();
-    try (FakeClient first = site.connectClient();
+    try (FakeClient otherClient = site.connectClient();
         FakeClient client = site.connectClient()) {
       assertThat(client.fetchReadinessStatus()).isEqualTo(200);
-      // Its end is due amid the standstill, by which the gatherer learns of that.
-      first.send(queryRequest("whole", "a", 200, 1));
+      // Its deadline falls into the stall; the late timer lets the router detect the stall.
+      otherClient.send(queryRequest("whole", "a", 200, 1));
       server.awaitFrame();
-      CountDownLatch go = site.stallEventLoop();
-      long sent = System.nanoTime();
-      client.send(queryRequest("whole", "b", TIME_LEFT_MS, 1));
-      while (System.nanoTime() - sent < STANDSTILL_MS * 1_000_000) {
+      CountDownLatch resume = site.stallEventLoop();
+      long sentAt = System.nanoTime();
+      client.send(queryRequest("whole", "b", TIMEOUT_MS, 1));
+      while (System.nanoTime() - sentAt < STALL_MS * 1_000_000) {
         Thread.onSpinWait();
       }
-      go.countDown();
+      resume.countDown();
       assertThat(client.readResponse().status()).isEqualTo(503);
-      assertThat((System.nanoTime() - sent) / 1_000_000)
-          .isLessThan(TIME_LEFT_MS + STANDSTILL_MS / 2);
+      assertThat((System.nanoTime() - sentAt) / 1_000_000).isLessThan(TIMEOUT_MS + STALL_MS / 2);
     }
   }
 
+  /** The stall must not be subtracted from the timeout of a request that arrives after it. */
   @Test
-  void aRequestThatComesAfterAStandstillHasAllOfItsTime() throws Exception {
-    silence();
-    FakeShardServer server = only();
+  void requestReceivedAfterStallHasItsFullTimeout() throws Exception {
+    disableAutoRespond();
+    FakeShardServer server = useSingleServer();
     site.start();
-    try (FakeClient first = site.connectClient();
+    try (FakeClient otherClient = site.connectClient();
         FakeClient client = site.connectClient()) {
       assertThat(client.fetchReadinessStatus()).isEqualTo(200);
-      first.send(queryRequest("whole", "a", 200, 1));
+      otherClient.send(queryRequest("whole", "a", 200, 1));
       server.awaitFrame();
-      CountDownLatch go = site.stallEventLoop();
-      long stoodFrom = System.nanoTime();
-      while (System.nanoTime() - stoodFrom < STANDSTILL_MS * 1_000_000) {
+      CountDownLatch resume = site.stallEventLoop();
+      long stalledAt = System.nanoTime();
+      while (System.nanoTime() - stalledAt < STALL_MS * 1_000_000) {
         Thread.onSpinWait();
       }
-      go.countDown();
-      // By this answer the loop has met what came meanwhile, and its late timers have fired.
-      assertThat(first.readResponse().status()).isEqualTo(503);
+      resume.countDown();
+      // Before this response, the loop has read the pending input and run the overdue timers.
+      assertThat(otherClient.readResponse().status()).isEqualTo(503);
       server.autoRespond = true;
-      assertThat(client.sendAndRead(queryRequest("whole", "b", TIME_LEFT_MS / 2, 1)).status())
+      assertThat(client.sendAndRead(queryRequest("whole", "b", TIMEOUT_MS / 2, 1)).status())
           .isEqualTo(200);
     }
   }
 
-  // ---- closing over bytes that were not read
+  // ---- closing connections with unread input
 
+  /** Closing the socket with unread input would reset the connection and lose the response. */
   @Test
-  void aLastAnswerComesWholeThoughItsClientHasSentMore() throws Exception {
-    silence();
-    FakeShardServer server = only();
+  void finalResponseArrivesInFullDespiteFurtherInput() throws Exception {
+    disableAutoRespond();
+    FakeShardServer server = useSingleServer();
     site.start();
-    // It takes in a part of the answer only; a reset would have the system drop the rest.
+    // The small receive buffer holds only a part of the response; a reset would discard the rest.
     try (FakeClient client = new FakeClient(site.router().address(), 4096)) {
       client.send(
           queryRequest("whole", "a", 2900, 1).replace("Host: x", "Host: x\r\nConnection: close"));
       Frame frame = server.awaitFrame();
-      CountDownLatch go = site.stallEventLoop();
-      // More than is read in one pass, and it goes on while the answer is under way.
+      CountDownLatch resume = site.stallEventLoop();
+      // More than is read in one pass; the client goes on sending while the response is in transit.
       client.send("x".repeat(300_000));
-      Thread more =
+      Thread sender =
           new Thread(
               () -> {
                 try {
                   client.send("x".repeat(3_000_000));
                 } catch (IOException ended) {
-                  // The gatherer's time for it is up, or it has read enough.
+                  // The router closed the connection after its time limit, or after reading enough.
                 }
               });
-      more.start();
+      sender.start();
       frame.respond("good", "y".repeat(60_000));
-      go.countDown();
+      resume.countDown();
       try (FakeClient other = site.connectClient()) {
-        // By its second answer the gatherer has done all that it would to end the first connection.
+        // Before the second response, the router has done everything to end the first connection.
         assertThat(other.fetchReadinessStatus()).isEqualTo(200);
         assertThat(other.fetchReadinessStatus()).isEqualTo(200);
       }
@@ -284,8 +296,9 @@
     }
   }
 
+  /** A client that goes on sending after its final response must not keep the connection open. */
   @Test
-  void aClientThatStaysPastItsLastAnswerIsClosedInTime() throws Exception {
+  void clientThatStaysAfterFinalResponseIsClosedInTime() throws Exception {
     site.start();
     try (FakeClient client = site.connectClient()) {
       client.sendAndRead(
@@ -304,177 +317,182 @@
 
   // ---- shutdown
 
+  /** With a shutdown hook that is set only after listening, the process would exit with 143. */
   @Test
-  void aSigtermBeforeTheConfigurationIsReadEndsItWith0() throws Exception {
+  void sigtermBeforeConfigurationIsReadExitsWithZero() throws Exception {
     Path pipe = Files.createTempDirectory("pipe").resolve("config");
     assertThat(new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor()).isZero();
     site.startProcess(Map.of("NODE_CONFIG", pipe.toString()), "serve");
-    // Opening a pipe for writing waits for its reader, so the program is about to read its
-    // configuration now.
+    // Opening a pipe for writing waits for its reader, so the router is about to read its
+    // configuration.
     try (java.io.OutputStream writer = Files.newOutputStream(pipe)) {
-      signal("HUP");
-      signal("TERM");
-      endsWith0();
+      sendSignal("HUP");
+      sendSignal("TERM");
+      assertExitsWithZero();
     }
   }
 
+  /** A second SIGTERM, or SIGHUP during the shutdown, must not interrupt it. */
   @Test
-  void twoSigtermsWithSighupBetweenAndBehindAnswerWhatWasTakenAndEndItWith0() throws Exception {
-    silence();
-    FakeShardServer server = only();
-    try (FakeClient held = program()) {
-      held.send(queryRequest("once", "held", 2900, 1));
+  void pendingRequestIsAnsweredDespiteRepeatedSignals() throws Exception {
+    disableAutoRespond();
+    FakeShardServer server = useSingleServer();
+    try (FakeClient client = startProcessAndConnect()) {
+      client.send(queryRequest("once", "held", 2900, 1));
       Frame frame = server.awaitFrame();
-      signal("TERM");
-      log("shutdown requested");
-      signal("HUP");
-      signal("TERM");
-      signal("HUP");
+      sendSignal("TERM");
+      awaitLogLine("shutdown requested");
+      sendSignal("HUP");
+      sendSignal("TERM");
+      sendSignal("HUP");
       frame.respond("good", "worth the wait");
-      assertThat(held.readResponse().body()).contains("worth the wait");
-      assertThat(held.isClosedByRouter()).isTrue();
-      endsWith0();
+      assertThat(client.readResponse().body()).contains("worth the wait");
+      assertThat(client.isClosedByRouter()).isTrue();
+      assertExitsWithZero();
     }
   }
 
+  /** A request begun before SIGTERM must get a response, or 408 after 2.5 s, not just be closed. */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void aRequestWhoseHeadIsInAtSigtermIsAnsweredIfItsBodyComesAndNeverHoldsTheEndUp(boolean comes)
-      throws Exception {
+  void partialRequestAtSigtermIsAnsweredOrTimesOut(boolean bodyArrives) throws Exception {
     String request = queryRequest("once", "half", 2900, 1);
-    try (FakeClient half = program();
-        FakeClient rests = half.connectAnother()) {
-      assertThat(rests.fetchReadinessStatus()).isEqualTo(200);
+    try (FakeClient partialClient = startProcessAndConnect();
+        FakeClient idleClient = partialClient.connectAnother()) {
+      assertThat(idleClient.fetchReadinessStatus()).isEqualTo(200);
       long start = System.nanoTime();
-      half.send(request.substring(0, request.length() - 5));
-      // By its answer the gatherer has also met what came before on the other connection.
-      assertThat(rests.fetchReadinessStatus()).isEqualTo(200);
-      signal("TERM");
-      log("shutdown requested");
-      // Rests until it is ended, by when no more requests are let in.
-      assertThat(rests.isClosedByRouter()).isTrue();
-      if (comes) {
-        half.send(request.substring(request.length() - 5));
-        assertThat(half.readResponse().body()).contains("value of half.0");
+      partialClient.send(request.substring(0, request.length() - 5));
+      // Before this response, the router has also read the partial request.
+      assertThat(idleClient.fetchReadinessStatus()).isEqualTo(200);
+      sendSignal("TERM");
+      awaitLogLine("shutdown requested");
+      // The idle connection is closed when the router stops accepting requests.
+      assertThat(idleClient.isClosedByRouter()).isTrue();
+      if (bodyArrives) {
+        partialClient.send(request.substring(request.length() - 5));
+        assertThat(partialClient.readResponse().body()).contains("value of half.0");
       } else {
-        assertThat(half.readResponse().status()).isEqualTo(408);
+        assertThat(partialClient.readResponse().status()).isEqualTo(408);
       }
-      assertThat(half.isClosedByRouter()).isTrue();
-      endsWith0();
+      assertThat(partialClient.isClosedByRouter()).isTrue();
+      assertExitsWithZero();
       assertThat((System.nanoTime() - start) / 1_000_000).isLessThan(3700);
     }
   }
 
+  /** Lingering connections must not keep the process running until its deadline. */
   @Test
-  void aClientThatKeepsItsSideOpenPastItsLastAnswerIsWaitedForShortlyOnly() throws Exception {
-    silence();
-    FakeShardServer server = only();
-    try (FakeClient stays = program();
-        FakeClient waits = stays.connectAnother()) {
-      stays.send(queryRequest("once", "a", 2900, 1));
-      Frame first = server.awaitFrame();
-      waits.send(queryRequest("once", "b", 2900, 1));
-      Frame second = server.awaitFrame();
-      signal("TERM");
-      log("shutdown requested");
-      first.respond("good", "x");
-      assertThat(stays.readResponse().status()).isEqualTo(200);
-      second.respond("good", "y");
-      assertThat(waits.readResponse().status()).isEqualTo(200);
-      // Both are still open on our side; the program ends well before the time that it was
-      // promised.
-      long answered = System.nanoTime();
-      endsWith0();
-      assertThat((System.nanoTime() - answered) / 1_000_000).isLessThan(2000);
+  void clientThatStaysConnectedDelaysShutdownBriefly() throws Exception {
+    disableAutoRespond();
+    FakeShardServer server = useSingleServer();
+    try (FakeClient firstClient = startProcessAndConnect();
+        FakeClient secondClient = firstClient.connectAnother()) {
+      firstClient.send(queryRequest("once", "a", 2900, 1));
+      Frame firstFrame = server.awaitFrame();
+      secondClient.send(queryRequest("once", "b", 2900, 1));
+      Frame secondFrame = server.awaitFrame();
+      sendSignal("TERM");
+      awaitLogLine("shutdown requested");
+      firstFrame.respond("good", "x");
+      assertThat(firstClient.readResponse().status()).isEqualTo(200);
+      secondFrame.respond("good", "y");
+      assertThat(secondClient.readResponse().status()).isEqualTo(200);
+      // The clients have closed neither connection; the router exits well before its deadline.
+      long answeredAt = System.nanoTime();
+      assertExitsWithZero();
+      assertThat((System.nanoTime() - answeredAt) / 1_000_000).isLessThan(2000);
     }
   }
 
+  /** Queries to silent or closed servers must be answered before the process exits. */
   @Test
-  void whoComesAtSigtermIsServedWhatHangsIsAbandonedAndItEndsWith0() throws Exception {
-    silence();
-    try (FakeClient first = program()) {
+  void newClientsAtSigtermGetErrorsIfServersDoNotRespond() throws Exception {
+    disableAutoRespond();
+    try (FakeClient first = startProcessAndConnect()) {
       assertThat(first.fetchReadinessStatus()).isEqualTo(200);
       long start = System.nanoTime();
-      signal("TERM");
-      log("shutdown requested");
-      List<FakeClient> late = new ArrayList<>();
+      sendSignal("TERM");
+      awaitLogLine("shutdown requested");
+      List<FakeClient> lateClients = new ArrayList<>();
       for (int i = 0; i < 20; i++) {
-        late.add(first.connectAnother().send(queryRequest("once", "late" + i, 2900, 1)));
+        lateClients.add(first.connectAnother().send(queryRequest("once", "late" + i, 2900, 1)));
       }
       site.servers.get(0).close();
-      for (FakeClient client : late) {
+      for (FakeClient client : lateClients) {
         assertThat(client.readResponse().status()).isIn(500, 503);
         assertThat(client.isClosedByRouter()).isTrue();
         client.close();
       }
-      endsWith0();
+      assertExitsWithZero();
       assertThat((System.nanoTime() - start) / 1_000_000).isLessThan(3700);
     }
   }
 
+  /** Unread responses must not keep the process running past its deadline. */
   @Test
-  void aClientThatNeverReadsDoesNotHoldTheEndUp() throws Exception {
-    FakeShardServer server = only();
-    silence();
+  void clientThatNeverReadsDoesNotDelayShutdown() throws Exception {
+    FakeShardServer server = useSingleServer();
+    disableAutoRespond();
     site.limits.put("mostHeld", 10_000);
-    try (FakeClient deaf = program()) {
+    try (FakeClient client = startProcessAndConnect()) {
       for (int i = 0; i < 60; i++) {
-        deaf.send(queryRequest("whole", "a" + i, 2900, 1));
+        client.send(queryRequest("whole", "a" + i, 2900, 1));
         Frame frame = server.frames.poll(200, TimeUnit.MILLISECONDS);
         if (frame != null && frame.type() == 'm') {
           frame.respond("good", "x".repeat(60_000));
         }
       }
       long start = System.nanoTime();
-      signal("TERM");
-      endsWith0();
+      sendSignal("TERM");
+      assertExitsWithZero();
       assertThat((System.nanoTime() - start) / 1_000_000).isLessThan(3700);
-    } catch (java.net.SocketException cutOff) {
-      // So may a client be that does not read.
-      signal("TERM");
-      endsWith0();
+    } catch (java.net.SocketException closedByRouter) {
+      // The router may close the connection of a client that does not read.
+      sendSignal("TERM");
+      assertExitsWithZero();
     }
   }
 
+  /** A request that was sent to a shard server must not lose its response at the shutdown. */
   @Test
-  void onConnectionsThatAreSentOnUpToTheEndEachRequestIsAnsweredOrNeverSentOn() throws Exception {
+  void requestsDuringShutdownAreAnsweredOrNotSentToServers() throws Exception {
     java.util.Set<String> unanswered = java.util.concurrent.ConcurrentHashMap.newKeySet();
-    try (FakeClient first = program()) {
+    try (FakeClient first = startProcessAndConnect()) {
       assertThat(first.fetchReadinessStatus()).isEqualTo(200);
-      List<Thread> clients = new ArrayList<>();
-      CountDownLatch asked = new CountDownLatch(8);
+      List<Thread> threads = new ArrayList<>();
+      CountDownLatch firstResponses = new CountDownLatch(8);
       for (int i = 0; i < 8; i++) {
-        FakeClient one = first.connectAnother();
+        FakeClient client = first.connectAnother();
         String name = "c" + i;
-        Thread asks =
+        Thread thread =
             new Thread(
                 () -> {
                   String id = "";
-                  try (one) {
+                  try (client) {
                     for (int n = 0; ; n++) {
                       id = name + "x" + n;
-                      if (one.sendAndRead(queryRequest("once", id, 2900, 0.5, 0.5)).status()
+                      if (client.sendAndRead(queryRequest("once", id, 2900, 0.5, 0.5)).status()
                           != 200) {
                         unanswered.add("refused " + id);
                       }
-                      asked.countDown();
+                      firstResponses.countDown();
                     }
                   } catch (IOException ended) {
                     unanswered.add(id);
                   }
                 });
-        clients.add(asks);
-        asks.start();
+        threads.add(thread);
+        thread.start();
       }
-      asked.await();
-      signal("TERM");
-      for (Thread client : clients) {
-        client.join();
+      firstResponses.await();
+      sendSignal("TERM");
+      for (Thread thread : threads) {
+        thread.join();
       }
-      endsWith0();
+      assertExitsWithZero();
     }
-    // One a client: the request that crossed the end of its connection, which its client may send
-    // again elsewhere.
+    // One request per client was sent as its connection was closed; the client may retry it
+    // elsewhere.
     assertThat(unanswered).hasSize(8).noneMatch(id -> id.startsWith("refused"));
     for (FakeShardServer server : site.servers) {
       assertThat(server.frames)
@@ -482,40 +500,43 @@
     }
   }
 
-  // ---- repeats
+  // ---- hedged attempts
 
+  /** The late response must neither replace the first one nor count as a protocol error. */
   @Test
-  void aLateAnswerOfTheFirstBehindTheSecondsIsDroppedAndItsConnectionHolds() throws Exception {
-    silence();
+  void lateResponseOfFirstAttemptIsDroppedAndConnectionKept() throws Exception {
+    disableAutoRespond();
     site.start();
     try (FakeClient client = site.connectClient()) {
       client.send(queryRequest("whole", "a", 2900, 1));
-      Frame first = frameOf("a.0");
-      // Nothing was heard for the time that a straggler has: a copy goes to the other replica.
-      Frame second = frameOf("a.0");
+      Frame first = awaitBatchFrame("a.0");
+      // Without a response in time, a hedged attempt goes to the other replica.
+      Frame second = awaitBatchFrame("a.0");
       assertThat(second.socket()).isNotSameAs(first.socket());
       second.respond("good", "the second");
       assertThat(client.readResponse().body()).contains("the second");
       first.respond("good", "the first");
       site.servers.forEach(server -> server.autoRespond = true);
-      int before = site.servers.stream().mapToInt(server -> server.acceptedCount.get()).sum();
+      int acceptedBefore =
+          site.servers.stream().mapToInt(server -> server.acceptedCount.get()).sum();
       for (int i = 0; i < 8; i++) {
         assertThat(client.sendAndRead(queryRequest("whole", "b" + i, 2900, 1)).body())
             .contains("value of b" + i + ".0");
       }
-      // Each replica of shard 0 has one connection, or a new one in place of that which had been
-      // silent.
+      // Each replica of shard 0 keeps its connection; the silent one may have been replaced.
       assertThat(
-              site.servers.stream().mapToInt(server -> server.acceptedCount.get()).sum() - before)
+              site.servers.stream().mapToInt(server -> server.acceptedCount.get()).sum()
+                  - acceptedBefore)
           .isLessThanOrEqualTo(1);
     }
   }
 
-  private Frame frameOf(String part) {
+  /** Waits for a batch frame with this shard request at any server. */
+  private Frame awaitBatchFrame(String requestId) {
     while (true) {
       for (FakeShardServer server : site.servers) {
         Frame frame = server.frames.poll();
-        if (frame != null && frame.type() == 'm' && frame.requestId().equals(part)) {
+        if (frame != null && frame.type() == 'm' && frame.requestId().equals(requestId)) {
           return frame;
         }
       }
@@ -523,59 +544,66 @@
     }
   }
 
+  /** Shard requests that wait for a connection must be dropped when their query ends. */
   @Test
-  void aDialThatComesUpWhenItsScanIsOverCarriesNothingOfIt() throws Exception {
-    try (java.net.ServerSocket full =
+  void connectionEstablishedAfterQueryEndedSendsNothingOfIt() throws Exception {
+    try (java.net.ServerSocket fullSocket =
             new java.net.ServerSocket(0, 1, java.net.InetAddress.getByName("127.0.0.1"));
-        java.net.Socket one = new java.net.Socket("127.0.0.1", full.getLocalPort());
-        java.net.Socket two = new java.net.Socket("127.0.0.1", full.getLocalPort())) {
-      FakeShardServer server = only();
+        java.net.Socket firstInBacklog =
+            new java.net.Socket("127.0.0.1", fullSocket.getLocalPort());
+        java.net.Socket secondInBacklog =
+            new java.net.Socket("127.0.0.1", fullSocket.getLocalPort())) {
+      FakeShardServer server = useSingleServer();
       server.serverSocket.close();
-      server.serverSocket = full;
+      server.serverSocket = fullSocket;
       site.limits.put("connectTimeoutMs", 5000);
       site.start();
       try (FakeClient client = site.connectClient();
           FakeClient other = site.connectClient()) {
-        // Abandoned, as for the module a part that waits for its dial is out; throttled if that is
-        // known never to have run by then.
+        // The policy counts a shard request that waits for its connection as sent, so the query
+        // fails; it is throttled if the request is known by then not to have run.
         assertThat(client.sendAndRead(queryRequest("once", "over", 300, 1)).status())
             .isIn(500, 503);
         other.send(queryRequest("once", "here", 2900, 1));
         assertThat(client.fetchReadinessStatus()).isEqualTo(200);
-        full.accept().close();
-        full.accept().close();
-        try (java.net.Socket up = full.accept()) {
-          up.setSoTimeout(FakeSite.WAIT_MS);
-          java.io.DataInputStream in = new java.io.DataInputStream(up.getInputStream());
+        fullSocket.accept().close();
+        fullSocket.accept().close();
+        try (java.net.Socket connection = fullSocket.accept()) {
+          connection.setSoTimeout(FakeSite.WAIT_MS);
+          java.io.DataInputStream in = new java.io.DataInputStream(connection.getInputStream());
           assertThat(new String(in.readNBytes(in.readInt()), "UTF-8")).startsWith("mhere.0");
         }
       }
-      assertThat(one.isConnected() && two.isConnected()).isTrue();
+      assertThat(firstInBacklog.isConnected() && secondInBacklog.isConnected()).isTrue();
     }
   }
 
-  // ---- descriptors
+  // ---- file descriptors
 
+  /**
+   * Idle clients must not use up the file descriptors for discovery, shard servers and other
+   * clients.
+   */
   @Test
-  void idleClientsUpToTheLimitWhileDiscoveryIsDownLeaveRoomForItForServersAndForWhoAsks()
-      throws Exception {
+  void idleClientsAtDescriptorLimitLeaveRoomForOthers() throws Exception {
     site.maxSockets = 128;
     site.limitDescriptors = true;
     site.discovery.responseOverride = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
-    List<FakeClient> idle = new ArrayList<>();
-    try (FakeClient first = program()) {
+    List<FakeClient> idleClients = new ArrayList<>();
+    try (FakeClient first = startProcessAndConnect()) {
       assertThat(first.fetchReadinessStatus()).isEqualTo(200);
       for (int i = 0; i < 300; i++) {
-        // Half never ask, half ask once and stay.
-        FakeClient one = first.connectAnother();
-        idle.add(one);
+        // Half of the clients send one request, the others none.
+        FakeClient client = first.connectAnother();
+        idleClients.add(client);
         if (i % 2 == 0) {
-          one.send("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
+          client.send("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
         }
         if (i % 20 == 0) {
-          try (FakeClient asks = first.connectAnother()) {
+          try (FakeClient queryClient = first.connectAnother()) {
             assertThat(
-                    asks.sendAndRead(queryRequest("whole", "a" + i, 2900, 0.25, 0.25, 0.25, 0.25))
+                    queryClient
+                        .sendAndRead(queryRequest("whole", "a" + i, 2900, 0.25, 0.25, 0.25, 0.25))
                         .status())
                 .as("after %d", i)
                 .isEqualTo(200);
@@ -587,69 +615,71 @@
       site.discovery.responseOverride = null;
       site.discovery.updateHealth(site.servers.get(0), "Gone");
       site.discovery.awaitCall("after=42");
-      signal("TERM");
-      endsWith0();
+      sendSignal("TERM");
+      assertExitsWithZero();
       assertThat(
               site.stderr
                   .lines()
                   .filter(line -> line.contains("Too many open files") || line.contains("ERROR")))
           .isEmpty();
     } finally {
-      for (FakeClient one : idle) {
-        one.close();
+      for (FakeClient client : idleClients) {
+        client.close();
       }
     }
   }
 
+  /** Closing a refused connection must not count as room for another one. */
   @Test
-  void aRefusedClientThatStaysMakesNoRoomBeyondTheBudget() throws Exception {
-    silence();
-    FakeShardServer server = only();
+  void refusedClientThatStaysMakesNoRoomBeyondTheBudget() throws Exception {
+    disableAutoRespond();
+    FakeShardServer server = useSingleServer();
     site.maxSockets = 128;
     site.latencyObjectiveMs = 10_000;
     site.start();
-    List<FakeClient> all = new ArrayList<>();
+    List<FakeClient> clients = new ArrayList<>();
     try {
       for (int i = 0; i < 64; i++) {
-        all.add(site.connectClient().send(queryRequest("whole", "b" + i, 29_000, 1)));
+        clients.add(site.connectClient().send(queryRequest("whole", "b" + i, 29_000, 1)));
         assertThat(server.awaitFrame().type()).isEqualTo('m');
       }
       for (int i = 0; i < 10; i++) {
-        FakeClient surplus = site.connectClient();
-        all.add(surplus);
-        assertThat(surplus.sendAndRead(queryRequest("whole", "c" + i, 2000, 1)).status())
+        FakeClient refusedClient = site.connectClient();
+        clients.add(refusedClient);
+        assertThat(refusedClient.sendAndRead(queryRequest("whole", "c" + i, 2000, 1)).status())
             .isEqualTo(503);
       }
       assertThat(server.frames).isEmpty();
     } finally {
-      for (FakeClient one : all) {
-        one.close();
+      for (FakeClient client : clients) {
+        client.close();
       }
     }
   }
 
-  // ---- membership
+  // ---- endpoint lists
 
+  /** A body without a content length ends with the connection; a reset may have cut it short. */
   @Test
-  void anAnswerWithoutALengthIsWholeByItsEndAndNeverByAReset() throws Exception {
+  void listWithoutContentLengthIsCompleteAtFinNotAtReset() throws Exception {
     site.pollIntervalMs = 6000;
-    String only1 =
+    String response =
         "HTTP/1.1 200 OK\r\n\r\n"
             + site.discovery
                 .listJson(true)
                 .replace("\"seq\":41", "\"seq\":77")
                 .replace("Ready", "Terminating");
-    site.discovery.responseOverride = only1;
+    site.discovery.responseOverride = response;
     site.discovery.closeByReset = true;
     site.start();
     try (FakeClient client = site.connectClient()) {
       site.discovery.awaitCall("after=41");
-      // All of it is here, and would parse; what ends it is a reset.
+      // The complete list has arrived and is valid, but the connection ends with a reset.
       assertThat(client.sendAndRead(queryRequest("whole", "a", 2000, 1)).status()).isEqualTo(200);
       site.discovery.closePermits.release();
       site.discovery.awaitCall("after=41");
       assertThat(client.sendAndRead(queryRequest("whole", "b", 2000, 1)).status()).isEqualTo(200);
-      // The call that is out now ends by a reset too, the next one by an end.
+      // The outstanding call ends with a reset too, the next one with a FIN.
       site.discovery.closeByReset = false;
       site.discovery.closePermits.release();
       site.discovery.awaitCall("after=41");
@@ -659,8 +689,9 @@
     }
   }
 
+  /** Whitespace and line ends between the elements of the JSON must be accepted. */
   @Test
-  void anIndentedListIsAList() throws Exception {
+  void indentedEndpointListIsAccepted() throws Exception {
     site.discovery.responseOverride =
         FakeSite.FakeDiscovery.httpResponse(
             site.discovery
@@ -674,8 +705,9 @@
     site.discovery.awaitCall("after=77");
   }
 
+  /** Without any endpoint list, the router must become ready so that clients get 503 at once. */
   @Test
-  void withoutAnyListItIsReadyWithinHalfItsBoundAndAnswersHonestly() throws Exception {
+  void routerWithoutListBecomesReadyAndRefusesQueries() throws Exception {
     site.hasCachedList = false;
     site.discovery.serverSocket.close();
     site.start();
--- a/router/src/test/java/tidebank/MalformedInputTest.java
+++ b/router/src/test/java/tidebank/MalformedInputTest.java
@@ -242,7 +242,10 @@
     }
   }
 
-  /** A 413 or 417 response overtook the pending one, and the body was read as requests. */
+  /**
+   * A 413 or 417 response must not overtake the pending one, and the body must not be read as
+   * requests.
+   */
   @ParameterizedTest
   @ValueSource(strings = {"100-continue", "something-else"})
   void expectWithOversizedBodyBehindRequestKeepsResponseOrder(String expectation) throws Exception {
@@ -268,7 +271,7 @@
     }
   }
 
-  /** After the 413 or 417 response, the body was read as requests. */
+  /** After the 413 or 417 response, the body must not be read as requests. */
   @ParameterizedTest
   @ValueSource(strings = {"100-continue", "something-else"})
   void oversizedBodyWithExpectIsNotReadAsRequest(String expectation) throws Exception {
--- a/router/src/test/java/tidebank/UnfinishedRequestTest.java
+++ b/router/src/test/java/tidebank/UnfinishedRequestTest.java
@@ -13,8 +13,8 @@
 import tidebank.FakeSite.FakeShardServer.Frame;
 
 /**
- * Incomplete input after a pending request. A connection had a single timer for both incomplete
- * requests and unread responses, and its expiry after 2.5 s closed the connection with all pending
+ * Incomplete input after a pending request. With a single timer per connection for both incomplete
+ * requests and unread responses, its expiry after 2.5 s closed the connection and left all pending
  * requests unanswered. Of four requests that their server answered after 2.8 s, only the one
  * without further input got its response; an empty line, a partial head or a partial body lost the
  * others. An empty line also started the timeout of the next request: one of 4,000 ms that arrived
