--- a/router/src/test/java/tidebank/FakeSite.java
+++ b/router/src/test/java/tidebank/FakeSite.java
@@ -102,7 +102,10 @@
   /** The router's own process; null if none was started. */
   Process process;
 
+  /** The path of the configuration file; null until it is written. */
   Path configPath;
+
+  /** The standard error of the process, which contains its log. */
   BufferedReader stderr;
 
   /**
--- a/router/src/test/java/tidebank/QueryRouterTest.java
+++ b/router/src/test/java/tidebank/QueryRouterTest.java
@@ -118,6 +118,9 @@
 
   // ---- queries
 
+  /**
+   * Each shard request is sent to a replica of its shard, with the time that the query has left.
+   */
   @Test
   void queryGoesToReplicasAndConnectionStaysOpen() throws Exception {
     site.start();
@@ -142,6 +145,7 @@
     }
   }
 
+  /** Quotes, line breaks and non-ASCII characters must survive the encoding as JSON. */
   @Test
   void valuesAreReturnedUnchanged() throws Exception {
     disableAutoRespond();
@@ -172,6 +176,7 @@
     }
   }
 
+  /** An attempt could no longer be answered in time and would only load the shard servers. */
   @Test
   void nearlyExpiredQueryIsRejectedWithoutAttempts() throws Exception {
     site.start();
@@ -191,6 +196,7 @@
     }
   }
 
+  /** The client has to receive the failure before its own timeout expires. */
   @Test
   void queryWithoutShardResponsesFailsBeforeItsTimeout() throws Exception {
     disableAutoRespond();
@@ -202,6 +208,7 @@
     }
   }
 
+  /** All servers are draining. The advised delay is at most the configured maximum. */
   @Test
   void rejectionHasRetryAfterHeaderIfEnabled() throws Exception {
     site.limits.putAll(java.util.Map.of("retryAfter", true, "maxRetryAfterMs", 300));
@@ -231,6 +238,7 @@
     }
   }
 
+  /** A late response to a cancelled attempt must not affect the next query. */
   @Test
   void attemptIsCancelledWhenClientDisconnects() throws Exception {
     disableAutoRespond();
@@ -251,6 +259,7 @@
 
   // ---- clients
 
+  /** The requests arrive byte by byte, with a body of 64 KiB, and with chunked encoding. */
   @Test
   void fragmentedAndChunkedRequestsAreAnswered() throws Exception {
     site.start();
@@ -306,6 +315,7 @@
     }
   }
 
+  /** An invalid request must not cause attempts or affect later requests. */
   @Test
   void invalidRequestIsRejectedWithoutAttempts() throws Exception {
     site.start();
@@ -363,6 +373,7 @@
     }
   }
 
+  /** The ids of the shard requests of two such queries would be equal. */
   @Test
   void queryIdInUseIsRejected() throws Exception {
     disableAutoRespond();
@@ -451,6 +462,7 @@
     }
   }
 
+  /** A slow or silent client must not occupy a connection for long. */
   @Test
   void incompleteRequestTimesOutWithinThreeSeconds() throws Exception {
     site.start();
@@ -507,6 +519,7 @@
     assertThat(drainFrames()).isEmpty();
   }
 
+  /** Unread responses must not accumulate in memory. */
   @Test
   void clientThatDoesNotReadResponsesIsDisconnected() throws Exception {
     disableAutoRespond();
@@ -532,6 +545,7 @@
     }
   }
 
+  /** A single connection must not hold an unlimited number of pending requests. */
   @Test
   void onlyFewOfManyPipelinedRequestsAreAccepted() throws Exception {
     disableAutoRespond();
@@ -555,6 +569,7 @@
 
   // ---- shard servers
 
+  /** One response arrives byte by byte, the other has an invalid load report. Both are valid. */
   @Test
   void fragmentedResponsesAreReassembled() throws Exception {
     disableAutoRespond();
@@ -577,6 +592,7 @@
     }
   }
 
+  /** The maximum batch size is 2, so both shard requests are sent in one frame. */
   @Test
   void shardRequestsOfOneRoundShareABatch() throws Exception {
     site.maxBatchSize = 2;
@@ -590,6 +606,7 @@
     }
   }
 
+  /** With one batch per connection, the second batch needs a second connection. */
   @Test
   void maxStreamsLimitsBatchesPerConnection() throws Exception {
     site.limits.put("maxStreams", 1);
@@ -631,6 +648,7 @@
     }
   }
 
+  /** A retry is safe, whether or not the server executed the request. */
   @Test
   void idempotentRequestIsRetriedAfterConnectionLoss() throws Exception {
     assertThat(queryWithFirstAttempt("whole", (server, frame) -> server.resetConnections()).body())
@@ -652,12 +670,14 @@
         .contains("value of a.0");
   }
 
+  /** A retry is safe, whether or not the server executed the request. */
   @Test
   void idempotentRequestIsRetriedAfterError() throws Exception {
     assertThat(queryWithFirstAttempt("whole", (server, frame) -> frame.respond("bad", "")).body())
         .contains("value of a.0");
   }
 
+  /** The server may have executed the request, which is not idempotent, so there is no retry. */
   @Test
   void malformedFrameFailsTheQuery() throws Exception {
     disableAutoRespond();
@@ -682,6 +702,7 @@
     }
   }
 
+  /** Such a response must never be returned as the value of a shard request. */
   @Test
   void unexpectedResponseFailsQueryAndClosesConnection() throws Exception {
     disableAutoRespond();
@@ -814,6 +835,7 @@
     }
   }
 
+  /** No attempt may be sent to a server after its drain grace, even if it was decided before. */
   @Test
   void attemptAwaitingConnectionIsRetriedAfterDrainGrace() throws Exception {
     try (ServerSocket fullSocket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
@@ -876,6 +898,7 @@
     }
   }
 
+  /** The server may close an idle connection at any time after its keep-alive. */
   @Test
   void connectionIsNotReusedAfterKeepAlive() throws Exception {
     site.limits.putAll(java.util.Map.of("keepaliveMs", 400, "connectTimeoutMs", 100));
@@ -893,6 +916,7 @@
     }
   }
 
+  /** A connection without responses may be broken while others to the same server work. */
   @Test
   void silentConnectionIsReplacedByNewOne() throws Exception {
     disableAutoRespond();
@@ -918,6 +942,7 @@
 
   // ---- discovery
 
+  /** Without a cached list, the router is not ready until discovery has responded. */
   @Test
   void routerIsReadyOnceShardServersAreKnown() throws Exception {
     site.hasCachedList = false;
@@ -933,6 +958,7 @@
     }
   }
 
+  /** The cached list saves the request for a complete list. */
   @Test
   void watchStartsAtCachedVersionAndAppliesChanges() throws Exception {
     site.start();
@@ -955,6 +981,7 @@
     assertThat(site.servers.get(1).frames).isNotEmpty();
   }
 
+  /** The calls follow each other on one connection. */
   @Test
   void watchWithoutChangesIsRenewed() throws Exception {
     site.pollIntervalMs = 1200;
@@ -965,6 +992,7 @@
     assertThat(site.discovery.acceptedCount).hasValue(1);
   }
 
+  /** Discovery does not respond, so the call fails and the next one uses a new connection. */
   @Test
   void hangingWatchIsReplacedByNewOne() throws Exception {
     site.pollIntervalMs = 1200;
@@ -990,6 +1018,7 @@
     assertThat(site.discovery.awaitCall("")).isEqualTo("/registry/instances?after=42&wait_ms=500");
   }
 
+  /** An open connection to the old address must not be used any more. */
   @Test
   void restartedServerIsReachedAtItsNewAddress() throws Exception {
     FakeShardServer restarted = keepOnlyServer1();
@@ -1009,6 +1038,7 @@
     }
   }
 
+  /** HTTP errors and invalid lists must neither replace the known list nor end the watch. */
   @Test
   void failedDiscoveryCallKeepsListAndIsRetried() throws Exception {
     String[] failures = {
@@ -1068,6 +1098,7 @@
     }
   }
 
+  /** An empty list is valid. The router must not keep using the servers that it knew before. */
   @Test
   void emptyListMakesRouterNotReadyUntilNextChange() throws Exception {
     site.discovery.responseOverride =
@@ -1200,6 +1231,7 @@
     }
   }
 
+  /** The router has no endpoint list, and its call to discovery is still pending. */
   @Test
   void sigtermBeforeReadinessExitsWithZero() throws Exception {
     site.hasCachedList = false;
@@ -1261,6 +1293,7 @@
     new ProcessBuilder("kill", "-HUP", String.valueOf(site.process.pid())).start().waitFor();
   }
 
+  /** An invalid file or address changes nothing. SIGHUP after SIGTERM does not prevent the exit. */
   @Test
   void sighupSwitchesDiscoveryAddressUnlessFileIsInvalid() throws Exception {
     try (FakeClient client = startProcessAndConnect();
@@ -1295,6 +1328,7 @@
     }
   }
 
+  /** The exit code is 2 for invalid arguments or configuration, and 1 if the port is in use. */
   @Test
   void invalidArgumentsOrConfigPreventTheStart() throws Exception {
     assertThat(site.startProcess(java.util.Map.of()).waitFor()).isEqualTo(2);
