--- a/cli/src/main/java/tidebank/cli/Playing.java
+++ b/cli/src/main/java/tidebank/cli/Playing.java
@@ -13,8 +13,8 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicInteger;
 import sun.misc.Signal;
-import tidebank.testbed.account.Account;
 import tidebank.testbed.account.RuleAudit;
+import tidebank.testbed.account.ServiceScore;
 import tidebank.testbed.replay.Replay;
 import tidebank.testbed.report.RunFolder;
 import tidebank.testbed.trace.TraceRow;
@@ -44,10 +44,10 @@
       throws IOException {
     Map<String, Object> manifest = new LinkedHashMap<>();
     manifest.put("trace", trace);
-    manifest.put("gatherers", plan.gatherers());
+    manifest.put("gatherers", plan.routers());
     manifest.put("servers", plan.servers());
     manifest.put("seed", plan.seed());
-    manifest.put("site", plan.site().toString());
+    manifest.put("site", plan.deployment().toString());
     manifest.put("incidents", plan.incidents().toString());
     manifest.put("commit", RunFolder.commit(Path.of(System.getProperty("tidebank.home", "."))));
     manifest.put("java", System.getProperty("java.runtime.version"));
@@ -63,7 +63,7 @@
         Progress progress = new Progress("sent", count)) {
       Replay replay =
           new Replay(
-              capture ? plan.capturing(folder.folder().resolve("capture")) : plan,
+              capture ? plan.withCaptureFolder(folder.folder().resolve("capture")) : plan,
               folder::add,
               progress);
       AtomicInteger interrupts = new AtomicInteger();
@@ -89,7 +89,7 @@
         print(outcome, folder.folder(), out);
       }
       out.flush();
-      return outcome.rulesKept()
+      return outcome.hasNoViolations()
               && outcome.exitCodes().values().stream().allMatch(code -> code == 0)
           ? Tidebank.DONE
           : Tidebank.FAILED;
@@ -97,15 +97,15 @@
   }
 
   private static void print(Replay.Outcome outcome, Path folder, PrintWriter out) {
-    Account.Figures figures = outcome.figures();
+    ServiceScore.Summary figures = outcome.scoreSummary();
     out.printf(
         Locale.ROOT,
         "%,d scans in %.1f s, %,d dispatches at the shard servers%n",
-        figures.scans(),
-        outcome.seconds(),
-        outcome.dispatches());
+        figures.queries(),
+        outcome.durationS(),
+        outcome.attempts());
     figures
-        .ends()
+        .countByOutcome()
         .forEach(
             (end, number) ->
                 out.printf(
@@ -117,13 +117,13 @@
         Locale.ROOT,
         "service %.3f; worst 10 s %.3f (from second %d); worst table type %.3f%s; worst account"
             + " %.3f%s%n",
-        figures.whole(),
+        figures.wholeRun(),
         figures.worstWindow(),
         figures.worstWindowFromS(),
-        figures.worstType(),
-        named(figures.worstTypeName()),
-        figures.worstAccount(),
-        named(figures.worstAccountName()));
+        figures.worstClass(),
+        named(figures.worstClassName()),
+        figures.worstTenant(),
+        named(figures.worstTenantName()));
     out.printf(Locale.ROOT, "score %.3f%n", figures.score());
     out.printf(
         Locale.ROOT,
@@ -133,14 +133,14 @@
         outcome.latency().getValueAtPercentile(99) / 1000.0,
         outcome.lateness().getValueAtPercentile(99) / 1000.0,
         outcome.lateness().getMaxValue() / 1000.0);
-    if (outcome.rulesKept()) {
+    if (outcome.hasNoViolations()) {
       out.printf(
-          Locale.ROOT, "all six rules kept, checked over %,d tries%n", outcome.scansJudged());
+          Locale.ROOT, "all six rules kept, checked over %,d tries%n", outcome.checkedQueries());
     } else {
-      out.println("RULES BROKEN: " + outcome.brokenRules());
-      for (RuleAudit.Broken broken :
-          outcome.broken().subList(0, Math.min(10, outcome.broken().size()))) {
-        out.println("  rule " + broken.rule() + ": " + broken.what());
+      out.println("RULES BROKEN: " + outcome.violationsByRule());
+      for (RuleAudit.Violation broken :
+          outcome.violations().subList(0, Math.min(10, outcome.violations().size()))) {
+        out.println("  rule " + broken.rule() + ": " + broken.description());
       }
     }
     outcome
--- a/testbed/src/main/java/tidebank/testbed/account/QueryRecord.java
+++ b/testbed/src/main/java/tidebank/testbed/account/QueryRecord.java
@@ -7,28 +7,28 @@
  * @param intendedUs when it was to be sent, from the start of the replay
  * @param sentUs when its first try was sent
  * @param endUs when its last answer was whole, or when the client gave up
- * @param end how it ended
- * @param share of the parts' weight that the answer holds, 0 without one
- * @param whole whether the answer is marked whole
- * @param tries how often it was sent
+ * @param outcome how it ended
+ * @param answeredWeight of the parts' weight that the answer holds, 0 without one
+ * @param complete whether the answer is marked whole
+ * @param attempts how often it was sent
  * @param benefit of a whole answer in time
- * @param earned what this end earned of it
+ * @param earnedBenefit what this end earned of it
  */
 public record QueryRecord(
     long number,
-    String tableType,
-    String account,
+    String queryClass,
+    String tenant,
     long intendedUs,
     long sentUs,
     long endUs,
-    End end,
-    double share,
-    boolean whole,
-    int tries,
+    Outcome outcome,
+    double answeredWeight,
+    boolean complete,
+    int attempts,
     double benefit,
-    double earned) {
+    double earnedBenefit) {
   /** How a scan ended for its client: back-pressure is told apart from loss. */
-  public enum End {
+  public enum Outcome {
     COMPLETED,
     COMPLETED_LATE,
     THROTTLED,
--- a/testbed/src/main/java/tidebank/testbed/account/RuleAudit.java
+++ b/testbed/src/main/java/tidebank/testbed/account/RuleAudit.java
@@ -26,39 +26,39 @@
   private static final int KEPT = 50;
 
   /** What the rules depend on. */
-  public record Figures(
+  public record Settings(
       long answerSlackUs,
-      long sendSlackUs,
+      long deliverySlackUs,
       long drainGraceUs,
-      double fallMultiple,
-      long fallAfterUs,
-      double freeFurther,
-      double furtherShare,
-      long furtherSpanUs) {}
+      double overloadMultiple,
+      long overloadWindowUs,
+      double retryBudgetFloor,
+      double retryBudgetRatio,
+      long retryBudgetWindowUs) {}
 
   /** How an answer came back to the client. */
-  public enum Reply {
+  public enum Response {
     ANSWERED,
     THROTTLED,
     FAILED,
     /** The client left before it had asked in full. */
-    NONE_AND_CLIENT_LEFT,
+    REQUEST_NOT_SENT,
     /**
      * The gatherer ended the connection. Lost if it had begun on the scan; else the end may have
      * crossed the request.
      */
-    CONNECTION_ENDED,
-    NONE
+    CONNECTION_CLOSED,
+    NO_RESPONSE
   }
 
   /** What became of a dispatch at its server. */
-  public enum Run {
-    RAN,
-    NEVER_RAN
+  public enum Execution {
+    EXECUTED,
+    NOT_EXECUTED
   }
 
   /** A broken rule: which, when, and what was seen. */
-  public record Broken(int rule, long atUs, String what) {}
+  public record Violation(int rule, long atUs, String description) {}
 
   private static final class Held {
     final int gatherer;
@@ -68,7 +68,7 @@
     final Map<Integer, Double> weights;
     final Map<Integer, List<Sent>> sent = new HashMap<>();
     long answeredUs = -1;
-    Reply reply = Reply.NONE;
+    Response reply = Response.NO_RESPONSE;
     int answers;
     boolean gathererDied;
 
@@ -86,7 +86,7 @@
     }
   }
 
-  private record Sent(long atUs, int server, Run run) {}
+  private record Sent(long atUs, int server, Execution run) {}
 
   private record Told(long atUs, boolean mayHaveWork) {}
 
@@ -96,23 +96,23 @@
     boolean fell;
   }
 
-  private final Figures figures;
+  private final Settings figures;
   private final Map<String, Held> scans = new LinkedHashMap<>();
-  private final Map<Integer, Map<Integer, Deque<Told>>> told = new HashMap<>();
+  private final Map<Integer, Map<Integer, Deque<Told>>> recordAnnouncement = new HashMap<>();
   private final Map<Integer, Cold> cold = new HashMap<>();
   private final Map<Integer, Deque<Long>> taken = new HashMap<>();
   private final Map<Integer, Deque<Long>> further = new HashMap<>();
-  private final Map<Integer, Long> counts = new TreeMap<>();
-  private final List<Broken> broken = new ArrayList<>();
-  private long judged;
-  private long dispatches;
+  private final Map<Integer, Long> countsByRule = new TreeMap<>();
+  private final List<Violation> violations = new ArrayList<>();
+  private long checkedQueries;
+  private long attempts;
 
-  public RuleAudit(Figures figures) {
+  public RuleAudit(Settings figures) {
     this.figures = figures;
   }
 
   /** A client's try was written whole to a gatherer. */
-  public void scanSent(
+  public void recordQuery(
       String id,
       int gatherer,
       Idempotency repeat,
@@ -121,7 +121,7 @@
       long limitUs,
       Map<Integer, Double> weights) {
     scans.put(id, new Held(gatherer, repeat, floor, limitUs, Map.copyOf(weights)));
-    if (figures.furtherSpanUs() > 0) {
+    if (figures.retryBudgetWindowUs() > 0) {
       Deque<Long> times = taken.computeIfAbsent(gatherer, g -> new ArrayDeque<>());
       for (int i = 0; i <= weights.size(); i++) {
         times.add(atUs);
@@ -131,8 +131,9 @@
   }
 
   /** A part came whole to a server. */
-  public void dispatched(String id, int shard, int gatherer, int server, long atUs, Run run) {
-    dispatches++;
+  public void recordAttempt(
+      String id, int shard, int gatherer, int server, long atUs, Execution run) {
+    attempts++;
     Held held = scans.get(id);
     if (held == null) {
       // Its scan was judged long ago, or never asked: either way nothing should come.
@@ -144,14 +145,14 @@
       breaks(5, atUs, "scan " + id + " never asked for shard " + shard);
     }
     before.add(new Sent(atUs, server, run));
-    Deque<Told> lines = told.getOrDefault(gatherer, Map.of()).get(server);
+    Deque<Told> lines = recordAnnouncement.getOrDefault(gatherer, Map.of()).get(server);
     Told last = null;
     for (Told line : lines == null ? new ArrayDeque<Told>() : lines) {
       last = line.atUs <= atUs ? line : last;
     }
     if (last != null
         && !last.mayHaveWork
-        && atUs > last.atUs + figures.drainGraceUs() + figures.sendSlackUs()) {
+        && atUs > last.atUs + figures.drainGraceUs() + figures.deliverySlackUs()) {
       breaks(
           3,
           atUs,
@@ -163,11 +164,12 @@
               + (atUs - last.atUs) / 1000
               + " ms after it was told that it drains or is gone");
     }
-    if (before.size() > 1 && figures.furtherSpanUs() > 0) {
+    if (before.size() > 1 && figures.retryBudgetWindowUs() > 0) {
       Deque<Long> times = further.computeIfAbsent(gatherer, g -> new ArrayDeque<>());
       times.add(atUs);
       double allowed =
-          figures.freeFurther() + figures.furtherShare() * within(taken.get(gatherer), atUs);
+          figures.retryBudgetFloor()
+              + figures.retryBudgetRatio() * within(taken.get(gatherer), atUs);
       long made = within(times, atUs);
       if (made > allowed) {
         breaks(
@@ -185,7 +187,9 @@
   }
 
   private long within(Deque<Long> times, long now) {
-    while (times != null && !times.isEmpty() && times.peekFirst() < now - figures.furtherSpanUs()) {
+    while (times != null
+        && !times.isEmpty()
+        && times.peekFirst() < now - figures.retryBudgetWindowUs()) {
       times.pollFirst();
     }
     return times == null ? 0 : times.size();
@@ -195,7 +199,8 @@
    * Work came to a server that can do only this share of its work now (1: warm), of so much a
    * second.
    */
-  public void workAt(int server, long atUs, double workUs, double capacityUsPerS, double warmth) {
+  public void recordWork(
+      int server, long atUs, double workUs, double capacityUsPerS, double warmth) {
     if (warmth >= 1) {
       cold.remove(server);
       return;
@@ -203,10 +208,11 @@
     Cold state = cold.computeIfAbsent(server, s -> new Cold());
     state.arrivals.add(new double[] {atUs, workUs});
     state.sum += workUs;
-    while (state.arrivals.peekFirst()[0] < atUs - figures.fallAfterUs()) {
+    while (state.arrivals.peekFirst()[0] < atUs - figures.overloadWindowUs()) {
       state.sum -= state.arrivals.pollFirst()[1];
     }
-    double allowed = figures.fallMultiple() * warmth * capacityUsPerS * figures.fallAfterUs() / 1e6;
+    double allowed =
+        figures.overloadMultiple() * warmth * capacityUsPerS * figures.overloadWindowUs() / 1e6;
     if (state.sum > allowed * 1.1 && !state.fell) {
       state.fell = true;
       breaks(
@@ -219,15 +225,16 @@
               + "% of its capacity, was sent "
               + Math.round(state.sum / 1000)
               + " ms of work in "
-              + figures.fallAfterUs() / 1000
+              + figures.overloadWindowUs() / 1000
               + " ms");
     }
   }
 
   /** Discovery wrote to a gatherer that a server may have work, or may have no new work. */
-  public void told(int gatherer, int server, boolean mayHaveWork, long atUs) {
+  public void recordAnnouncement(int gatherer, int server, boolean mayHaveWork, long atUs) {
     Deque<Told> lines =
-        told.computeIfAbsent(gatherer, g -> new HashMap<>())
+        recordAnnouncement
+            .computeIfAbsent(gatherer, g -> new HashMap<>())
             .computeIfAbsent(server, s -> new ArrayDeque<>());
     if (lines.isEmpty() || lines.peekLast().mayHaveWork != mayHaveWork) {
       lines.add(new Told(atUs, mayHaveWork));
@@ -238,7 +245,7 @@
   }
 
   /** A gatherer was killed or ended: what it held is no longer its duty. */
-  public void ended(int gatherer) {
+  public void recordRouterExit(int gatherer) {
     scans.values().stream()
         .filter(held -> held.gatherer == gatherer && held.answers == 0)
         .forEach(held -> held.gathererDied = true);
@@ -250,18 +257,18 @@
    * @param in the shards whose right value stands in the answer
    * @param wrong how many values stand in it that no server made for it
    */
-  public void replied(
-      String id, long atUs, Reply reply, Set<Integer> in, int wrong, boolean whole) {
+  public void recordResponse(
+      String id, long atUs, Response reply, Set<Integer> in, int wrong, boolean whole) {
     Held held = scans.get(id);
     if (held == null) {
       return;
     }
-    if (reply == Reply.NONE_AND_CLIENT_LEFT || reply == Reply.CONNECTION_ENDED) {
+    if (reply == Response.REQUEST_NOT_SENT || reply == Response.CONNECTION_CLOSED) {
       held.reply = reply;
       held.answeredUs = atUs;
       return;
     }
-    if (reply == Reply.NONE) {
+    if (reply == Response.NO_RESPONSE) {
       held.answeredUs = atUs;
       return;
     }
@@ -271,13 +278,13 @@
     if (held.answers > 1) {
       breaks(1, atUs, "scan " + id + " got " + held.answers + " final answers");
     }
-    if (atUs > held.limitUs + figures.answerSlackUs() + figures.sendSlackUs()) {
+    if (atUs > held.limitUs + figures.answerSlackUs() + figures.deliverySlackUs()) {
       breaks(
           1,
           atUs,
           "scan " + id + " got its answer " + (atUs - held.limitUs) / 1000 + " ms after its time");
     }
-    if (reply == Reply.ANSWERED) {
+    if (reply == Response.ANSWERED) {
       double share = 0;
       for (int shard : new HashSet<>(in)) {
         share += held.weights.getOrDefault(shard, 0.0);
@@ -317,7 +324,7 @@
   /**
    * Judges what has had its time; to be called now and then, and with the end of time at the end.
    */
-  public void judge(long nowUs) {
+  public void checkDueQueries(long nowUs) {
     Iterator<Map.Entry<String, Held>> entries = scans.entrySet().iterator();
     while (entries.hasNext()) {
       Map.Entry<String, Held> entry = entries.next();
@@ -327,24 +334,27 @@
         // judgement.
         continue;
       }
-      judge(entry.getKey(), held);
-      judged++;
+      checkDueQueries(entry.getKey(), held);
+      checkedQueries++;
       entries.remove();
     }
   }
 
-  private void judge(String id, Held held) {
+  private void checkDueQueries(String id, Held held) {
     boolean answered =
-        held.reply == Reply.ANSWERED || held.reply == Reply.THROTTLED || held.reply == Reply.FAILED;
+        held.reply == Response.ANSWERED
+            || held.reply == Response.THROTTLED
+            || held.reply == Response.FAILED;
     boolean taken =
-        held.reply == Reply.NONE || held.reply == Reply.CONNECTION_ENDED && !held.sent.isEmpty();
+        held.reply == Response.NO_RESPONSE
+            || held.reply == Response.CONNECTION_CLOSED && !held.sent.isEmpty();
     if (!answered && !held.gathererDied && taken) {
       breaks(
           1,
           held.limitUs,
           "scan "
               + id
-              + (held.reply == Reply.NONE
+              + (held.reply == Response.NO_RESPONSE
                   ? " never got a final answer"
                   : " lost its connection though parts of it had been sent"));
     }
@@ -353,7 +363,7 @@
       sent.sort((a, b) -> Long.compare(a.atUs, b.atUs));
       if (answered) {
         for (Sent one : sent) {
-          if (one.atUs > held.answeredUs + figures.sendSlackUs()) {
+          if (one.atUs > held.answeredUs + figures.deliverySlackUs()) {
             breaks(
                 1,
                 one.atUs,
@@ -380,9 +390,9 @@
                     + id
                     + ", which must not run twice, was sent again after it may have run");
           }
-          ran |= one.run == Run.RAN;
+          ran |= one.run == Execution.EXECUTED;
         }
-        if (ran && held.reply == Reply.THROTTLED) {
+        if (ran && held.reply == Response.THROTTLED) {
           breaks(
               2,
               held.answeredUs,
@@ -393,27 +403,27 @@
   }
 
   private void breaks(int rule, long atUs, String what) {
-    counts.merge(rule, 1L, Long::sum);
-    if (broken.size() < KEPT) {
-      broken.add(new Broken(rule, atUs, what));
+    countsByRule.merge(rule, 1L, Long::sum);
+    if (violations.size() < KEPT) {
+      violations.add(new Violation(rule, atUs, what));
     }
   }
 
   /** How often each rule was broken; empty is good. */
-  public Map<Integer, Long> counts() {
-    return counts;
+  public Map<Integer, Long> countsByRule() {
+    return countsByRule;
   }
 
   /** The first of them, in words. */
-  public List<Broken> broken() {
-    return broken;
+  public List<Violation> violations() {
+    return violations;
   }
 
-  public long judged() {
-    return judged;
+  public long checkedQueries() {
+    return checkedQueries;
   }
 
-  public long dispatches() {
-    return dispatches;
+  public long attempts() {
+    return attempts;
   }
 }
--- a/testbed/src/main/java/tidebank/testbed/account/Account.java
+++ b/testbed/src/main/java/tidebank/testbed/account/ServiceScore.java
@@ -9,7 +9,7 @@
  * run 40, the worst ten seconds 30, the worst table type 20, the worst account 10. Pure; grows with
  * the length of the run in seconds, not with its scans.
  */
-public final class Account {
+public final class ServiceScore {
   /** Weights in tenths, so that a run without loss scores 1 and not a little less. */
   private static final int WHOLE = 4;
 
@@ -31,7 +31,7 @@
 
     void add(QueryRecord scan) {
       asked += scan.benefit();
-      earned += scan.earned();
+      earned += scan.earnedBenefit();
     }
 
     double service() {
@@ -40,27 +40,27 @@
   }
 
   /** The figures. Where there is nothing to count, a figure is that of the whole run. */
-  public record Figures(
+  public record Summary(
       double score,
-      double whole,
+      double wholeRun,
       double worstWindow,
       long worstWindowFromS,
-      double worstType,
-      String worstTypeName,
-      double worstAccount,
-      String worstAccountName,
-      long scans,
-      Map<QueryRecord.End, Long> ends) {}
+      double worstClass,
+      String worstClassName,
+      double worstTenant,
+      String worstTenantName,
+      long queries,
+      Map<QueryRecord.Outcome, Long> countByOutcome) {}
 
   private final Sum all = new Sum();
   private final Map<Long, Sum> seconds = new TreeMap<>();
   private final Map<String, Sum> types = new TreeMap<>();
   private final Map<String, Sum> accounts = new TreeMap<>();
-  private final Map<QueryRecord.End, Long> ends = new TreeMap<>();
+  private final Map<QueryRecord.Outcome, Long> ends = new TreeMap<>();
   private long scans;
 
   /** What an end earns of a benefit. */
-  public static double earned(
+  public static double computeEarnedBenefit(
       double benefit,
       long tookUs,
       long targetUs,
@@ -79,31 +79,31 @@
     seconds
         .computeIfAbsent(Math.floorDiv(scan.intendedUs(), SECOND_US), second -> new Sum())
         .add(scan);
-    types.computeIfAbsent(scan.tableType(), type -> new Sum()).add(scan);
-    accounts.computeIfAbsent(scan.account(), account -> new Sum()).add(scan);
-    ends.merge(scan.end(), 1L, Long::sum);
+    types.computeIfAbsent(scan.queryClass(), type -> new Sum()).add(scan);
+    accounts.computeIfAbsent(scan.tenant(), account -> new Sum()).add(scan);
+    ends.merge(scan.outcome(), 1L, Long::sum);
   }
 
   /** Service by second of the run, NaN where nothing was asked. */
-  public Map<Long, Double> bySecond() {
+  public Map<Long, Double> serviceBySecond() {
     Map<Long, Double> by = new TreeMap<>();
     seconds.forEach((second, sum) -> by.put(second, sum.service()));
     return by;
   }
 
-  public Map<String, Double> byType() {
+  public Map<String, Double> serviceByClass() {
     Map<String, Double> by = new TreeMap<>();
     types.forEach((type, sum) -> by.put(type, sum.service()));
     return by;
   }
 
-  public Map<String, Double> byAccount() {
+  public Map<String, Double> serviceByTenant() {
     Map<String, Double> by = new TreeMap<>();
     accounts.forEach((account, sum) -> by.put(account, sum.service()));
     return by;
   }
 
-  public Figures figures() {
+  public Summary summarize() {
     double whole = scans == 0 ? 1 : all.service();
     double worst = whole;
     long from = seconds.isEmpty() ? 0 : ((TreeMap<Long, Sum>) seconds).firstKey();
@@ -131,7 +131,7 @@
                 + WORST_TYPE * type.getValue()
                 + WORST_ACCOUNT * account.getValue())
             / 10;
-    return new Figures(
+    return new Summary(
         score,
         whole,
         worst,
--- a/testbed/src/main/java/tidebank/testbed/emulator/EmulatorLog.java
+++ b/testbed/src/main/java/tidebank/testbed/emulator/EmulatorLog.java
@@ -11,7 +11,7 @@
 
   /** A part came whole to a server. */
   public record Dispatched(
-      String scan, int shard, int gatherer, int server, long atUs, RuleAudit.Run run)
+      String scan, int shard, int gatherer, int server, long atUs, RuleAudit.Execution run)
       implements Entry {}
 
   /** Work came to a server of this warmth. */
@@ -31,11 +31,11 @@
   public void drainTo(RuleAudit audit) {
     for (Entry entry = entries.poll(); entry != null; entry = entries.poll()) {
       if (entry instanceof Dispatched seen) {
-        audit.dispatched(seen.scan, seen.shard, seen.gatherer, seen.server, seen.atUs, seen.run);
+        audit.recordAttempt(seen.scan, seen.shard, seen.gatherer, seen.server, seen.atUs, seen.run);
       } else if (entry instanceof Work work) {
-        audit.workAt(work.server, work.atUs, work.workUs, work.capacityUsPerS, work.warmth);
+        audit.recordWork(work.server, work.atUs, work.workUs, work.capacityUsPerS, work.warmth);
       } else if (entry instanceof Told told) {
-        audit.told(told.gatherer, told.server, told.mayHaveWork, told.atUs);
+        audit.recordAnnouncement(told.gatherer, told.server, told.mayHaveWork, told.atUs);
       }
     }
   }
--- a/testbed/src/main/java/tidebank/testbed/emulator/ShardServerEmulator.java
+++ b/testbed/src/main/java/tidebank/testbed/emulator/ShardServerEmulator.java
@@ -315,7 +315,7 @@
               gatherer,
               number,
               now,
-              taken ? RuleAudit.Run.RAN : RuleAudit.Run.NEVER_RAN));
+              taken ? RuleAudit.Execution.EXECUTED : RuleAudit.Execution.NOT_EXECUTED));
       double warmth = model.warmth(now);
       if (warmth < 1) {
         ledger.add(new EmulatorLog.Work(number, now, work, model.capacityUsPerS(), warmth));
--- a/testbed/src/main/java/tidebank/testbed/replay/ClientRules.java
+++ b/testbed/src/main/java/tidebank/testbed/replay/ClientRetryPolicy.java
@@ -9,9 +9,9 @@
  * run twice is asked again only if no try of it can have run. Pure: time comes in, chance comes
  * from a seed and the request's own name.
  */
-public final class ClientRules {
+public final class ClientRetryPolicy {
   /** How a try came back. */
-  public enum Came {
+  public enum AttemptResult {
     ANSWERED,
     THROTTLED,
     FAILED,
@@ -28,7 +28,7 @@
   private final long waitUs;
   private final long seed;
 
-  public ClientRules(int retries, long waitUs, long seed) {
+  public ClientRetryPolicy(int retries, long waitUs, long seed) {
     this.retries = retries;
     this.waitUs = waitUs;
     this.seed = seed;
@@ -41,7 +41,7 @@
    * @param turn counts tries
    * @param admitted whether each gatherer is
    */
-  static int gatherer(long turn, boolean[] admitted) {
+  static int selectRouter(long turn, boolean[] admitted) {
     int count = 0;
     for (boolean one : admitted) {
       count += one ? 1 : 0;
@@ -58,7 +58,7 @@
   }
 
   /** Whether trying again can do no harm: proved never to have run, or may run again. */
-  static boolean harmless(Idempotency repeat, Came came) {
+  static boolean isSafeToRetry(Idempotency repeat, AttemptResult came) {
     return switch (came) {
       case ANSWERED, TIMED_OUT -> false;
       case THROTTLED, NOT_REACHED -> true;
@@ -74,15 +74,15 @@
    * @param holdOffUs what the gatherer asked to wait, 0 if nothing
    * @param limitUs when the client's time is over
    */
-  public long again(
+  public long computeRetryTime(
       String name,
       Idempotency repeat,
-      Came came,
+      AttemptResult came,
       int tries,
       long nowUs,
       long holdOffUs,
       long limitUs) {
-    if (tries > retries || !harmless(repeat, came)) {
+    if (tries > retries || !isSafeToRetry(repeat, came)) {
       return -1;
     }
     long doubled = waitUs << Math.min(tries - 1, DOUBLINGS_MOST);
--- a/testbed/src/main/java/tidebank/testbed/replay/Incident.java
+++ b/testbed/src/main/java/tidebank/testbed/replay/Incident.java
@@ -5,9 +5,9 @@
  *
  * @param atUs from the start of the replay
  * @param kind what happens
- * @param number which server or gatherer
+ * @param index which server or gatherer
  */
-public record Incident(long atUs, Kind kind, int number) {
+public record Incident(long atUs, Kind kind, int index) {
   /** What can happen. */
   public enum Kind {
     /** The server takes no more and ends what it has; the roster says so. */
--- a/testbed/src/main/java/tidebank/testbed/replay/Clients.java
+++ b/testbed/src/main/java/tidebank/testbed/replay/LoadGenerator.java
@@ -43,12 +43,12 @@
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
 import tidebank.runtime.Clock;
-import tidebank.testbed.account.Account;
 import tidebank.testbed.account.QueryRecord;
 import tidebank.testbed.account.RuleAudit;
+import tidebank.testbed.account.ServiceScore;
 import tidebank.testbed.deployment.Deployment;
 import tidebank.testbed.emulator.Values;
-import tidebank.testbed.replay.ClientRules.Came;
+import tidebank.testbed.replay.ClientRetryPolicy.AttemptResult;
 import tidebank.testbed.trace.TraceRow;
 
 /**
@@ -57,7 +57,7 @@
  * a scan's time counts from when it was intended. All of it belongs to one event loop; only the
  * reading of the trace has a thread of its own.
  */
-final class Clients {
+final class LoadGenerator {
   private static final int AHEAD = 20_000;
   private static final int BODY_MOST = 4 << 20;
 
@@ -69,15 +69,15 @@
   private static final int CONNECTIONS_MOST = 2000;
 
   /** One gatherer as its clients see it. */
-  static final class Target {
-    final int number;
+  static final class RouterEndpoint {
+    final int index;
     volatile InetSocketAddress address;
-    volatile boolean admitted = true;
+    volatile boolean available = true;
     private final Deque<Channel> idle = new ArrayDeque<>();
     private int open;
 
-    Target(int number, InetSocketAddress address) {
-      this.number = number;
+    RouterEndpoint(int number, InetSocketAddress address) {
+      this.index = number;
       this.address = address;
     }
   }
@@ -128,14 +128,14 @@
 
   private final class Try {
     final Scan scan;
-    final Target target;
+    final RouterEndpoint target;
     final String id;
     Channel channel;
     ScheduledFuture<?> timer;
     boolean written;
     boolean over;
 
-    Try(Scan scan, Target target) {
+    Try(Scan scan, RouterEndpoint target) {
       this.scan = scan;
       this.target = target;
       id = seedText + "-" + Long.toString(scan.number, 36) + "-" + scan.tries;
@@ -143,8 +143,8 @@
   }
 
   private final Deployment site;
-  private final List<Target> targets;
-  private final ClientRules rules;
+  private final List<RouterEndpoint> targets;
+  private final ClientRetryPolicy rules;
   private final RuleAudit audit;
   private final Clock clock;
   private final EventLoop loop;
@@ -159,13 +159,13 @@
   private volatile boolean read;
   private long startUs;
   private long held;
-  private long sent;
+  private long sentQueries;
   private long turn;
 
-  Clients(
+  LoadGenerator(
       Deployment site,
-      List<Target> targets,
-      ClientRules rules,
+      List<RouterEndpoint> targets,
+      ClientRetryPolicy rules,
       RuleAudit audit,
       Clock clock,
       EventLoop loop,
@@ -203,7 +203,7 @@
    * Begins to send rows whose times count from this moment. The future ends when the last has its
    * end.
    */
-  CompletableFuture<Void> begin(Iterator<TraceRow> rows, long startAtUs) {
+  CompletableFuture<Void> start(Iterator<TraceRow> rows, long startAtUs) {
     startUs = startAtUs;
     Thread reader =
         new Thread(
@@ -244,8 +244,8 @@
     ended.complete(null);
   }
 
-  long sent() {
-    return sent;
+  long sentQueries() {
+    return sentQueries;
   }
 
   Histogram lateness() {
@@ -267,7 +267,7 @@
       held++;
       next.sent = now;
       lateness.recordValue(Math.min(lateness.getHighestTrackableValue(), now - next.intended));
-      sent++;
+      sentQueries++;
       send(next);
     }
     Scan next = ahead.peek();
@@ -279,12 +279,12 @@
     loop.schedule(this::pump, wait, TimeUnit.MICROSECONDS);
   }
 
-  private Target target() {
+  private RouterEndpoint target() {
     boolean[] admitted = new boolean[targets.size()];
     for (int i = 0; i < admitted.length; i++) {
-      admitted[i] = targets.get(i).admitted;
+      admitted[i] = targets.get(i).available;
     }
-    return targets.get(ClientRules.gatherer(turn++, admitted));
+    return targets.get(ClientRetryPolicy.selectRouter(turn++, admitted));
   }
 
   private void send(Scan scan) {
@@ -292,7 +292,7 @@
     Try one = new Try(scan, target());
     one.timer =
         loop.schedule(
-            () -> over(one, Came.TIMED_OUT, 0),
+            () -> over(one, AttemptResult.TIMED_OUT, 0),
             scan.limit + PATIENCE_US - clock.now(),
             TimeUnit.MICROSECONDS);
     Channel idle;
@@ -303,7 +303,7 @@
       }
     }
     if (one.target.open >= CONNECTIONS_MOST) {
-      over(one, Came.NOT_REACHED, 0);
+      over(one, AttemptResult.NOT_REACHED, 0);
       return;
     }
     one.target.open++;
@@ -313,7 +313,7 @@
             (ChannelFuture connected) -> {
               if (!connected.isSuccess()) {
                 one.target.open--;
-                over(one, Came.NOT_REACHED, 0);
+                over(one, AttemptResult.NOT_REACHED, 0);
                 return;
               }
               Channel channel = connected.channel();
@@ -338,7 +338,7 @@
     long left = scan.limit - now;
     if (left <= 0) {
       one.target.idle.add(channel);
-      over(one, Came.TIMED_OUT, 0);
+      over(one, AttemptResult.TIMED_OUT, 0);
       return;
     }
     one.channel = channel;
@@ -358,9 +358,9 @@
       request.headers().set("X-Repeat", "1");
     }
     // Told before it is written, so that no dispatch of it can be seen first.
-    audit.scanSent(
+    audit.recordQuery(
         one.id,
-        one.target.number,
+        one.target.index,
         scan.type.repeat(),
         scan.type.floor(),
         now,
@@ -373,13 +373,13 @@
               one.written = written.isSuccess();
               if (!written.isSuccess()) {
                 channel.close();
-                over(one, Came.NOT_REACHED, 0);
+                over(one, AttemptResult.NOT_REACHED, 0);
               }
             });
   }
 
   /** A try is over, and with it perhaps the scan. */
-  private void over(Try one, Came came, long holdOffUs) {
+  private void over(Try one, AttemptResult came, long holdOffUs) {
     if (one.over) {
       return;
     }
@@ -387,17 +387,17 @@
     one.timer.cancel(false);
     long now = clock.now();
     if (one.channel != null
-        && came != Came.ANSWERED
-        && came != Came.THROTTLED
-        && came != Came.FAILED) {
+        && came != AttemptResult.ANSWERED
+        && came != AttemptResult.THROTTLED
+        && came != AttemptResult.FAILED) {
       // No answer: the client leaves; whether that was the gatherer's fault is the audit's to say.
-      audit.replied(
+      audit.recordResponse(
           one.id,
           now,
           switch (came) {
-            case TIMED_OUT -> RuleAudit.Reply.NONE;
-            case BROKEN_OFF -> RuleAudit.Reply.CONNECTION_ENDED;
-            default -> RuleAudit.Reply.NONE_AND_CLIENT_LEFT;
+            case TIMED_OUT -> RuleAudit.Response.NO_RESPONSE;
+            case BROKEN_OFF -> RuleAudit.Response.CONNECTION_CLOSED;
+            default -> RuleAudit.Response.REQUEST_NOT_SENT;
           },
           Set.of(),
           0,
@@ -406,7 +406,7 @@
     }
     Scan scan = one.scan;
     long again =
-        rules.again(
+        rules.computeRetryTime(
             String.valueOf(scan.number),
             scan.type.repeat(),
             came,
@@ -418,14 +418,14 @@
       loop.schedule(() -> send(scan), again - now, TimeUnit.MICROSECONDS);
       return;
     }
-    QueryRecord.End end =
+    QueryRecord.Outcome end =
         switch (came) {
-          case ANSWERED -> QueryRecord.End.COMPLETED;
-          case THROTTLED -> QueryRecord.End.THROTTLED;
-          case FAILED -> QueryRecord.End.ABANDONED;
-          case NOT_REACHED -> QueryRecord.End.NOT_REACHED;
-          case BROKEN_OFF -> QueryRecord.End.BROKEN_OFF;
-          case TIMED_OUT -> QueryRecord.End.TIMED_OUT;
+          case ANSWERED -> QueryRecord.Outcome.COMPLETED;
+          case THROTTLED -> QueryRecord.Outcome.THROTTLED;
+          case FAILED -> QueryRecord.Outcome.ABANDONED;
+          case NOT_REACHED -> QueryRecord.Outcome.NOT_REACHED;
+          case BROKEN_OFF -> QueryRecord.Outcome.BROKEN_OFF;
+          case TIMED_OUT -> QueryRecord.Outcome.TIMED_OUT;
         };
     record(scan, end, now, 0, false);
   }
@@ -438,24 +438,25 @@
     record(
         one.scan,
         took <= one.scan.type.targetUs()
-            ? QueryRecord.End.COMPLETED
+            ? QueryRecord.Outcome.COMPLETED
             : took <= one.scan.type.timeoutUs()
-                ? QueryRecord.End.COMPLETED_LATE
-                : QueryRecord.End.TIMED_OUT,
+                ? QueryRecord.Outcome.COMPLETED_LATE
+                : QueryRecord.Outcome.TIMED_OUT,
         now,
         share,
         whole);
   }
 
-  private void record(Scan scan, QueryRecord.End end, long now, double share, boolean whole) {
-    boolean completed = end == QueryRecord.End.COMPLETED || end == QueryRecord.End.COMPLETED_LATE;
+  private void record(Scan scan, QueryRecord.Outcome end, long now, double share, boolean whole) {
+    boolean completed =
+        end == QueryRecord.Outcome.COMPLETED || end == QueryRecord.Outcome.COMPLETED_LATE;
     long took = now - scan.intended;
     if (completed) {
       latency.recordValue(Math.min(latency.getHighestTrackableValue(), took));
     }
     double earned =
         completed
-            ? Account.earned(
+            ? ServiceScore.computeEarnedBenefit(
                 scan.type.benefit(),
                 took,
                 scan.type.targetUs(),
@@ -501,16 +502,16 @@
         ok(one, response, now);
       } else {
         boolean throttled = status == 429 || status == 503;
-        audit.replied(
+        audit.recordResponse(
             one.id,
             now,
-            throttled ? RuleAudit.Reply.THROTTLED : RuleAudit.Reply.FAILED,
+            throttled ? RuleAudit.Response.THROTTLED : RuleAudit.Response.FAILED,
             Set.of(),
             0,
             false);
         over(
             one,
-            throttled ? Came.THROTTLED : Came.FAILED,
+            throttled ? AttemptResult.THROTTLED : AttemptResult.FAILED,
             holdOff(response.headers().get("Retry-After")));
       }
       if (stays) {
@@ -539,11 +540,11 @@
           }
         }
       } catch (IOException fault) {
-        audit.replied(one.id, now, RuleAudit.Reply.FAILED, Set.of(), 0, false);
-        over(one, Came.FAILED, 0);
+        audit.recordResponse(one.id, now, RuleAudit.Response.FAILED, Set.of(), 0, false);
+        over(one, AttemptResult.FAILED, 0);
         return;
       }
-      audit.replied(one.id, now, RuleAudit.Reply.ANSWERED, in, wrong, whole);
+      audit.recordResponse(one.id, now, RuleAudit.Response.ANSWERED, in, wrong, whole);
       if (!one.over) {
         answered(one, share, whole);
       }
@@ -562,7 +563,7 @@
       Try one = current;
       current = null;
       if (one != null) {
-        over(one, one.written ? Came.BROKEN_OFF : Came.NOT_REACHED, 0);
+        over(one, one.written ? AttemptResult.BROKEN_OFF : AttemptResult.NOT_REACHED, 0);
       }
     }
 
@@ -579,7 +580,7 @@
   void close() {
     loop.submit(
             () -> {
-              for (Target target : targets) {
+              for (RouterEndpoint target : targets) {
                 new ArrayList<>(target.idle).forEach(Channel::close);
                 target.idle.clear();
               }
--- a/testbed/src/main/java/tidebank/testbed/replay/Replay.java
+++ b/testbed/src/main/java/tidebank/testbed/replay/Replay.java
@@ -24,9 +24,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import tidebank.runtime.Clock;
-import tidebank.testbed.account.Account;
 import tidebank.testbed.account.QueryRecord;
 import tidebank.testbed.account.RuleAudit;
+import tidebank.testbed.account.ServiceScore;
 import tidebank.testbed.deployment.Deployment;
 import tidebank.testbed.emulator.DiscoveryEmulator;
 import tidebank.testbed.emulator.DiscoveryEmulator.Health;
@@ -56,63 +56,63 @@
   /**
    * What to play with.
    *
-   * @param gatherers processes
+   * @param routers processes
    * @param servers stand-ins
    * @param seed of ids and chance
    * @param incidents what happens meanwhile
-   * @param captures where each gatherer records what it is told, in a folder of its own; null for
-   *     nowhere
-   * @param jvm what the gatherers' JVMs are told beside the deployment's flags
+   * @param captureFolder where each gatherer records what it is told, in a folder of its own; null
+   *     for nowhere
+   * @param jvmFlags what the gatherers' JVMs are told beside the deployment's flags
    */
   public record Plan(
-      Deployment site,
-      int gatherers,
+      Deployment deployment,
+      int routers,
       int servers,
       long seed,
       List<Incident> incidents,
-      Path captures,
-      List<String> jvm) {
+      Path captureFolder,
+      List<String> jvmFlags) {
     public Plan(Deployment site, int gatherers, int servers, long seed, List<Incident> incidents) {
       this(site, gatherers, servers, seed, incidents, null, List.of());
     }
 
-    public Plan capturing(Path folder) {
-      return new Plan(site, gatherers, servers, seed, incidents, folder, jvm);
+    public Plan withCaptureFolder(Path folder) {
+      return new Plan(deployment, routers, servers, seed, incidents, folder, jvmFlags);
     }
 
     public Plan withJvmFlags(String... flags) {
-      return new Plan(site, gatherers, servers, seed, incidents, captures, List.of(flags));
+      return new Plan(deployment, routers, servers, seed, incidents, captureFolder, List.of(flags));
     }
   }
 
   /** What came of it. */
   public record Outcome(
-      Account.Figures figures,
+      ServiceScore.Summary scoreSummary,
       Map<Long, Double> serviceBySecond,
-      Map<String, Double> serviceByType,
-      Map<String, Double> serviceByAccount,
-      Map<Integer, Long> brokenRules,
-      List<RuleAudit.Broken> broken,
-      long scansJudged,
-      long dispatches,
+      Map<String, Double> serviceByClass,
+      Map<String, Double> serviceByTenant,
+      Map<Integer, Long> violationsByRule,
+      List<RuleAudit.Violation> violations,
+      long checkedQueries,
+      long attempts,
       Histogram lateness,
       Histogram latency,
       Map<String, Integer> exitCodes,
-      long sent,
-      double seconds) {
-    public boolean rulesKept() {
-      return brokenRules.isEmpty();
+      long sentQueries,
+      double durationS) {
+    public boolean hasNoViolations() {
+      return violationsByRule.isEmpty();
     }
   }
 
   private final Plan plan;
   private final Consumer<QueryRecord> records;
   private final LongConsumer progress;
-  private final Account account = new Account();
+  private final ServiceScore account = new ServiceScore();
   private final List<RouterProcess> processes = new ArrayList<>();
   private final Map<String, Integer> exits = new TreeMap<>();
   private volatile boolean ending;
-  private volatile Clients clients;
+  private volatile LoadGenerator clients;
 
   /** Records are handed on as scans end, on an event loop; the progress is told the scans sent. */
   public Replay(Plan plan, Consumer<QueryRecord> records, LongConsumer progress) {
@@ -123,7 +123,7 @@
 
   /** Ends a replay that is under way; what was sent so far is accounted for. */
   public void interrupt() {
-    Clients running = clients;
+    LoadGenerator running = clients;
     if (running != null) {
       running.stop();
     }
@@ -139,12 +139,12 @@
 
   /** Plays the rows to their end. */
   public Outcome run(Iterator<TraceRow> rows) throws IOException {
-    Deployment site = plan.site();
+    Deployment site = plan.deployment();
     Clock clock = new Clock();
     EmulatorLog ledger = new EmulatorLog();
     RuleAudit audit =
         new RuleAudit(
-            new RuleAudit.Figures(
+            new RuleAudit.Settings(
                 site.rules().answerSlackUs(),
                 SEND_SLACK_US,
                 site.rules().drainGraceUs(),
@@ -171,18 +171,18 @@
                 site.server().warmUs());
         ShardServerEmulator server =
             new ShardServerEmulator(
-                i, plan.servers(), plan.gatherers(), site, model, ledger, clock, back);
+                i, plan.servers(), plan.routers(), site, model, ledger, clock, back);
         server.open();
         servers.add(server);
       }
       DiscoveryEmulator discovery =
-          new DiscoveryEmulator(servers, plan.gatherers(), ledger, clock, back);
+          new DiscoveryEmulator(servers, plan.routers(), ledger, clock, back);
       discovery.open();
-      List<Clients.Target> targets = startGatherers(discovery);
-      ClientRules rules =
-          new ClientRules(site.clients().retries(), site.clients().waitUs(), plan.seed());
-      Clients sender =
-          new Clients(
+      List<LoadGenerator.RouterEndpoint> targets = startGatherers(discovery);
+      ClientRetryPolicy rules =
+          new ClientRetryPolicy(site.clients().retries(), site.clients().waitUs(), plan.seed());
+      LoadGenerator sender =
+          new LoadGenerator(
               site,
               targets,
               rules,
@@ -198,14 +198,14 @@
       front.scheduleAtFixedRate(
           () -> {
             ledger.drainTo(audit);
-            audit.judge(clock.now() - SEND_SLACK_US);
-            progress.accept(sender.sent());
+            audit.checkDueQueries(clock.now() - SEND_SLACK_US);
+            progress.accept(sender.sentQueries());
           },
           AUDIT_EVERY_MS,
           AUDIT_EVERY_MS,
           TimeUnit.MILLISECONDS);
       clients = sender;
-      CompletableFuture<Void> ended = sender.begin(rows, start);
+      CompletableFuture<Void> ended = sender.start(rows, start);
       Thread script =
           new Thread(
               () -> play(start, clock, servers, discovery, targets, audit, front, ended),
@@ -220,24 +220,24 @@
           .submit(
               () -> {
                 ledger.drainTo(audit);
-                audit.judge(Long.MAX_VALUE / 2);
+                audit.checkDueQueries(Long.MAX_VALUE / 2);
               })
           .syncUninterruptibly();
       sender.close();
       stopGatherers();
       return new Outcome(
-          account.figures(),
-          account.bySecond(),
-          account.byType(),
-          account.byAccount(),
-          audit.counts(),
-          audit.broken(),
-          audit.judged(),
-          audit.dispatches(),
+          account.summarize(),
+          account.serviceBySecond(),
+          account.serviceByClass(),
+          account.serviceByTenant(),
+          audit.countsByRule(),
+          audit.violations(),
+          audit.checkedQueries(),
+          audit.attempts(),
           sender.lateness(),
           sender.latency(),
           exits,
-          sender.sent(),
+          sender.sentQueries(),
           seconds);
     } finally {
       kill();
@@ -250,15 +250,16 @@
     }
   }
 
-  private List<Clients.Target> startGatherers(DiscoveryEmulator discovery) throws IOException {
+  private List<LoadGenerator.RouterEndpoint> startGatherers(DiscoveryEmulator discovery)
+      throws IOException {
     List<RouterProcess> started = new ArrayList<>();
-    for (int i = 0; i < plan.gatherers(); i++) {
+    for (int i = 0; i < plan.routers(); i++) {
       started.add(start(i, "127.0.0.1:0", discovery));
     }
-    List<Clients.Target> targets = new ArrayList<>();
+    List<LoadGenerator.RouterEndpoint> targets = new ArrayList<>();
     for (int i = 0; i < started.size(); i++) {
       started.get(i).awaitReady();
-      targets.add(new Clients.Target(i, started.get(i).awaitAddress()));
+      targets.add(new LoadGenerator.RouterEndpoint(i, started.get(i).awaitAddress()));
     }
     return targets;
   }
@@ -270,17 +271,17 @@
     RouterProcess process =
         RouterProcess.start(
             "g" + number,
-            plan.site()
+            plan.deployment()
                 .gathererFile(
                     "g" + number,
                     listen,
                     "127.0.0.1:" + from.getPort(),
                     seed,
-                    plan.gatherers(),
+                    plan.routers(),
                     plan.servers(),
                     SOCKETS),
             own(number),
-            plan.jvm());
+            plan.jvmFlags());
     synchronized (processes) {
       processes.add(process);
       if (ending) {
@@ -295,10 +296,10 @@
    * folder.
    */
   private Path own(int number) throws IOException {
-    if (plan.captures() == null) {
+    if (plan.captureFolder() == null) {
       return null;
     }
-    Path folder = plan.captures().toAbsolutePath().resolve("g" + number);
+    Path folder = plan.captureFolder().toAbsolutePath().resolve("g" + number);
     Files.createDirectories(folder);
     return Files.writeString(
         folder.resolve("gatherer.toml"),
@@ -321,7 +322,7 @@
       Clock clock,
       List<ShardServerEmulator> servers,
       DiscoveryEmulator discovery,
-      List<Clients.Target> targets,
+      List<LoadGenerator.RouterEndpoint> targets,
       RuleAudit audit,
       EventLoop front,
       CompletableFuture<Void> ended) {
@@ -341,7 +342,7 @@
       } catch (ExecutionException | InterruptedException over) {
         return;
       }
-      LOG.debug("incident: {} {}", incident.kind(), incident.number());
+      LOG.debug("incident: {} {}", incident.kind(), incident.index());
       try {
         happen(incident, clock, servers, discovery, targets, audit, front);
       } catch (IOException | RuntimeException fault) {
@@ -356,11 +357,11 @@
       Clock clock,
       List<ShardServerEmulator> servers,
       DiscoveryEmulator discovery,
-      List<Clients.Target> targets,
+      List<LoadGenerator.RouterEndpoint> targets,
       RuleAudit audit,
       EventLoop front)
       throws IOException {
-    int number = incident.number();
+    int number = incident.index();
     switch (incident.kind()) {
       case SERVER_DRAINS -> {
         discovery.change(number, Health.Terminating, 0);
@@ -376,21 +377,21 @@
       case SERVER_SPEAKS -> servers.get(number).silent(false);
       case GATHERER_KILLED, GATHERER_RESTARTED -> {
         RouterProcess old = latest(number);
-        Clients.Target target = targets.get(number);
+        LoadGenerator.RouterEndpoint target = targets.get(number);
         if (incident.kind() == Incident.Kind.GATHERER_KILLED) {
           old.kill();
-          front.execute(() -> audit.ended(number));
-          target.admitted = false;
+          front.execute(() -> audit.recordRouterExit(number));
+          target.available = false;
           old.waitFor(2000);
         } else {
-          target.admitted = false;
+          target.available = false;
           old.terminate();
           exits.put("g" + number + " restarted", old.waitFor(10_000));
         }
         RouterProcess fresh = start(number, "127.0.0.1:" + target.address.getPort(), discovery);
         fresh.awaitReady();
         target.address = fresh.awaitAddress();
-        target.admitted = true;
+        target.available = true;
       }
     }
   }
--- a/testbed/src/main/java/tidebank/testbed/report/RunFolder.java
+++ b/testbed/src/main/java/tidebank/testbed/report/RunFolder.java
@@ -23,9 +23,9 @@
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
 import org.HdrHistogram.HistogramLogWriter;
-import tidebank.testbed.account.Account;
 import tidebank.testbed.account.QueryRecord;
 import tidebank.testbed.account.RuleAudit;
+import tidebank.testbed.account.ServiceScore;
 import tidebank.testbed.replay.Replay;
 
 /**
@@ -112,22 +112,22 @@
     try {
       scans.add(
           scan.number(),
-          scan.tableType(),
-          scan.account(),
+          scan.queryClass(),
+          scan.tenant(),
           scan.intendedUs(),
           scan.sentUs(),
           scan.endUs(),
-          scan.end().name(),
-          scan.share(),
-          scan.whole(),
-          scan.tries(),
+          scan.outcome().name(),
+          scan.answeredWeight(),
+          scan.complete(),
+          scan.attempts(),
           scan.benefit(),
-          scan.earned());
+          scan.earnedBenefit());
     } catch (IOException failed) {
       fault = failed;
     }
     ends.computeIfAbsent(Math.floorDiv(scan.intendedUs(), 1_000_000), second -> new TreeMap<>())
-        .merge(scan.end().name(), 1L, Long::sum);
+        .merge(scan.outcome().name(), 1L, Long::sum);
   }
 
   /** Writes all but the rows, which are there already. */
@@ -148,7 +148,7 @@
           Map.of("latency_us", outcome.latency(), "lateness_us", outcome.lateness()).entrySet()) {
         one.getValue().setTag(one.getKey());
         one.getValue().setStartTimeStamp(0);
-        one.getValue().setEndTimeStamp((long) (outcome.seconds() * 1000));
+        one.getValue().setEndTimeStamp((long) (outcome.durationS() * 1000));
         writer.outputIntervalHistogram(one.getValue());
       }
     }
@@ -157,29 +157,31 @@
   }
 
   private static ObjectNode report(Replay.Outcome outcome) {
-    Account.Figures figures = outcome.figures();
+    ServiceScore.Summary figures = outcome.scoreSummary();
     ObjectNode report = JSON.createObjectNode();
     report
         .put("score", figures.score())
-        .put("whole", figures.whole())
+        .put("whole", figures.wholeRun())
         .put("worst_10s", figures.worstWindow())
         .put("worst_10s_from_s", figures.worstWindowFromS())
-        .put("worst_table_type", figures.worstType())
-        .put("worst_table_type_name", figures.worstTypeName())
-        .put("worst_account", figures.worstAccount())
-        .put("worst_account_name", figures.worstAccountName())
-        .put("scans", figures.scans())
-        .put("seconds", outcome.seconds())
-        .put("dispatches", outcome.dispatches())
-        .put("scans_judged", outcome.scansJudged())
-        .put("rules_kept", outcome.rulesKept());
+        .put("worst_table_type", figures.worstClass())
+        .put("worst_table_type_name", figures.worstClassName())
+        .put("worst_account", figures.worstTenant())
+        .put("worst_account_name", figures.worstTenantName())
+        .put("scans", figures.queries())
+        .put("seconds", outcome.durationS())
+        .put("dispatches", outcome.attempts())
+        .put("scans_judged", outcome.checkedQueries())
+        .put("rules_kept", outcome.hasNoViolations());
     ObjectNode ends = report.putObject("ends");
-    figures.ends().forEach((end, count) -> ends.put(end.name(), count));
+    figures.countByOutcome().forEach((end, count) -> ends.put(end.name(), count));
     ObjectNode types = report.putObject("by_table_type");
-    outcome.serviceByType().forEach(types::put);
+    outcome.serviceByClass().forEach(types::put);
     ObjectNode rules = report.putObject("broken_rules");
-    outcome.brokenRules().forEach((rule, count) -> rules.put(String.valueOf(rule), count));
-    report.putPOJO("first_broken", outcome.broken().stream().map(RuleAudit.Broken::what).toList());
+    outcome.violationsByRule().forEach((rule, count) -> rules.put(String.valueOf(rule), count));
+    report.putPOJO(
+        "first_broken",
+        outcome.violations().stream().map(RuleAudit.Violation::description).toList());
     quantiles(report.putObject("latency_ms"), outcome.latency());
     quantiles(report.putObject("lateness_of_sending_ms"), outcome.lateness());
     ObjectNode exits = report.putObject("exit_codes");
@@ -201,27 +203,27 @@
   }
 
   private Page page(Replay.Outcome outcome, Map<String, Object> manifest) {
-    Account.Figures figures = outcome.figures();
+    ServiceScore.Summary figures = outcome.scoreSummary();
     Page page = new Page("Replay of " + manifest.get("trace"));
     page.verdict(
-        outcome.rulesKept(),
-        outcome.rulesKept()
+        outcome.hasNoViolations(),
+        outcome.hasNoViolations()
             ? "All six rules were kept."
-            : "Rules were broken: " + outcome.brokenRules());
+            : "Rules were broken: " + outcome.violationsByRule());
     page.table(
         List.of("service", "figure", "share of the score"),
         List.of(
-            List.of("whole run", three(figures.whole()), "40%"),
+            List.of("whole run", three(figures.wholeRun()), "40%"),
             List.of(
                 "worst 10 s, from second " + figures.worstWindowFromS(),
                 three(figures.worstWindow()),
                 "30%"),
             List.of(
-                "worst table type: " + figures.worstTypeName(), three(figures.worstType()), "20%"),
+                "worst table type: " + figures.worstClassName(),
+                three(figures.worstClass()),
+                "20%"),
             List.of(
-                "worst account: " + figures.worstAccountName(),
-                three(figures.worstAccount()),
-                "10%"),
+                "worst account: " + figures.worstTenantName(), three(figures.worstTenant()), "10%"),
             List.of("score", three(figures.score()), "")));
     page.heading("Service over time");
     List<Charts.Line> service = new ArrayList<>();
@@ -252,10 +254,12 @@
                 .map(entry -> new Charts.Line(entry.getKey(), entry.getValue()))
                 .toList()));
     List<List<String>> rows = new ArrayList<>();
-    figures.ends().forEach((end, count) -> rows.add(List.of(end.name(), String.valueOf(count))));
+    figures
+        .countByOutcome()
+        .forEach((end, count) -> rows.add(List.of(end.name(), String.valueOf(count))));
     page.table(List.of("end", "scans"), rows);
     List<List<String>> types = new ArrayList<>();
-    outcome.serviceByType().forEach((type, value) -> types.add(List.of(type, three(value))));
+    outcome.serviceByClass().forEach((type, value) -> types.add(List.of(type, three(value))));
     page.table(List.of("table type", "service"), types);
     page.heading("Times");
     Map<Double, Double> latency = new TreeMap<>();
@@ -277,10 +281,12 @@
         "The sender never waits for answers. How late it was itself is in the chart and in"
             + " report.json; a scan's time counts from when it was intended, so a late sender makes"
             + " the figures worse, never better.");
-    if (!outcome.broken().isEmpty()) {
+    if (!outcome.violations().isEmpty()) {
       page.heading("Broken rules");
       List<List<String>> broken = new ArrayList<>();
-      outcome.broken().forEach(one -> broken.add(List.of("rule " + one.rule(), one.what())));
+      outcome
+          .violations()
+          .forEach(one -> broken.add(List.of("rule " + one.rule(), one.description())));
       page.table(List.of("rule", "what was seen"), broken);
     }
     page.heading("Manifest");
--- a/testbed/src/test/java/tidebank/testbed/ReplayTest.java
+++ b/testbed/src/test/java/tidebank/testbed/ReplayTest.java
@@ -63,11 +63,12 @@
   void aCalmReplayAnswersEverythingKeepsTheRulesAndLeavesAReport() throws Exception {
     RunFolder run = RunFolder.create(folder, "calm");
     Replay.Outcome outcome = play(rows(2, 60), List.of(), run);
-    assertThat(outcome.broken()).isEmpty();
-    assertThat(outcome.figures().ends()).isEqualTo(Map.of(QueryRecord.End.COMPLETED, 120L));
-    assertThat(outcome.figures().score()).isEqualTo(1);
-    assertThat(outcome.scansJudged()).isEqualTo(120);
-    assertThat(outcome.dispatches()).isGreaterThanOrEqualTo(30 + 30 * 3 + 60 * 8);
+    assertThat(outcome.violations()).isEmpty();
+    assertThat(outcome.scoreSummary().countByOutcome())
+        .isEqualTo(Map.of(QueryRecord.Outcome.COMPLETED, 120L));
+    assertThat(outcome.scoreSummary().score()).isEqualTo(1);
+    assertThat(outcome.checkedQueries()).isEqualTo(120);
+    assertThat(outcome.attempts()).isGreaterThanOrEqualTo(30 + 30 * 3 + 60 * 8);
     assertThat(outcome.exitCodes()).isEqualTo(Map.of("g0", 0, "g1", 0));
     run.finish(outcome, Map.of("trace", "calm"));
     assertThat(run.folder().resolve("report.html"))
@@ -92,9 +93,9 @@
                 new Incident(2 * S, Kind.SERVER_BACK, 4),
                 new Incident(3 * S / 2, Kind.GATHERER_KILLED, 1)),
             run);
-    assertThat(outcome.broken()).isEmpty();
-    assertThat(outcome.figures().scans()).isEqualTo(240);
-    assertThat(outcome.figures().whole()).isGreaterThan(0.6);
+    assertThat(outcome.violations()).isEmpty();
+    assertThat(outcome.scoreSummary().queries()).isEqualTo(240);
+    assertThat(outcome.scoreSummary().wholeRun()).isGreaterThan(0.6);
     assertThat(outcome.exitCodes()).containsEntry("g0", 0).containsEntry("g1", 0);
     run.close();
   }
@@ -110,7 +111,8 @@
       sent.add(
           records.stream()
               .sorted((a, b) -> Long.compare(a.number(), b.number()))
-              .map(record -> record.number() + " " + record.tableType() + " " + record.intendedUs())
+              .map(
+                  record -> record.number() + " " + record.queryClass() + " " + record.intendedUs())
               .toList());
     }
     assertThat(sent.get(0)).hasSize(50).isEqualTo(sent.get(1));
--- a/testbed/src/test/java/tidebank/testbed/replay/ClientRulesTest.java
+++ b/testbed/src/test/java/tidebank/testbed/replay/ClientRetryPolicyTest.java
@@ -5,11 +5,11 @@
 import org.junit.jupiter.api.Test;
 
 /** Which gatherer a try goes to. */
-class ClientRulesTest {
+class ClientRetryPolicyTest {
   private static int[] six(boolean... admitted) {
     int[] to = new int[6];
     for (int turn = 0; turn < to.length; turn++) {
-      to[turn] = ClientRules.gatherer(turn, admitted);
+      to[turn] = ClientRetryPolicy.selectRouter(turn, admitted);
     }
     return to;
   }
