--- a/testbed/src/main/java/tidebank/testbed/deployment/Deployment.java
+++ b/testbed/src/main/java/tidebank/testbed/deployment/Deployment.java
@@ -14,9 +14,16 @@
 import tidebank.model.Idempotency;
 
 /**
- * What a replay plays against: table types, how the shards lie on servers, the servers' figures,
- * limits, rules and how clients behave. Read from TOML over the defaults that are built in; handed
- * to gatherers in the platform's form.
+ * The simulated environment of a replay: query classes, placement of shards on servers, shard
+ * server parameters, limits, rules and client behaviour. A TOML file overrides the built-in
+ * defaults; {@link #routerConfigJson} gives routers the same values in the platform's format.
+ *
+ * <p>The names of the nested records and of all components appear in the manifest of a run, which
+ * contains the result of {@code toString}.
+ *
+ * @param types query classes by name
+ * @param shards number of shards
+ * @param width number of servers that hold each shard
  */
 public record Deployment(
     Map<String, Type> types,
@@ -27,14 +34,17 @@
     Rules rules,
     Clients clients) {
   /**
-   * A table type.
+   * A query class.
    *
-   * @param targetUs an answer within this earns all of the benefit
-   * @param timeoutUs how long a client waits over all its tries
-   * @param lateShare what an answer between the two still earns, as a share
-   * @param floor the least share of the parts' weight that makes an answer
-   * @param partialShare what an answer in part earns, times its share
-   * @param benefit of a whole answer in time
+   * @param repeat whether the shard requests may be executed more than once
+   * @param targetUs latency objective; an answer within it earns the full benefit
+   * @param timeoutUs how long a client waits for an answer, all attempts included
+   * @param lateShare share of the benefit earned by an answer after the latency objective and
+   *     within the timeout
+   * @param floor minimum share of the total weight of the shard requests that an answer must cover
+   * @param partialShare factor on the benefit of a partial answer, applied together with the share
+   *     of the weight that the answer covers
+   * @param benefit benefit of a complete answer within the latency objective
    */
   public record Type(
       String name,
@@ -47,16 +57,26 @@
       double benefit) {}
 
   /**
-   * Figures of a stand-in server.
+   * Parameters of an emulated shard server.
    *
-   * @param slots parts it works on at once
-   * @param queue parts that may wait
-   * @param coldFrom the share of its capacity it starts with
-   * @param warmUs how long it takes to be warm
+   * @param slots number of shard requests executed at once
+   * @param queue number of shard requests that may be queued
+   * @param coldFrom share of its capacity that a restarted server begins with
+   * @param warmUs duration of the warm-up after a restart
    */
   public record ServerFigures(int slots, int queue, double coldFrom, long warmUs) {}
 
-  /** What the platform allows. */
+  /**
+   * Features and limits of the platform.
+   *
+   * @param dispatchesMost maximum number of attempts of a shard request
+   * @param secondCopies whether hedged attempts are allowed
+   * @param connectTimeoutUs timeout for connecting to a shard server
+   * @param idleUs time that shard servers keep an idle connection open
+   * @param streamsMost maximum number of batches in flight on a connection to a shard server
+   * @param held maximum number of queries and shard requests that a router may hold
+   * @param holdOff whether throttled clients are told how long to wait before a retry
+   */
   public record Limits(
       int dispatchesMost,
       boolean secondCopies,
@@ -66,7 +86,17 @@
       int held,
       boolean holdOff) {}
 
-  /** The rules' figures. */
+  /**
+   * Parameters of the rules that each router has to comply with.
+   *
+   * @param answerSlackUs how long after its deadline a final answer still counts
+   * @param drainGraceUs how long attempts may be sent to a draining server after the notification
+   * @param fallMultiple multiple of its capacity at which a starting server collapses
+   * @param fallAfterUs how long that load has to last for the server to collapse
+   * @param freeFurther number of retries in a window that are permitted at any traffic
+   * @param furtherShare further retries for each query and shard request received in the window
+   * @param furtherSpanUs length of the window, or 0 for no retry budget
+   */
   public record Rules(
       long answerSlackUs,
       long drainGraceUs,
@@ -77,16 +107,18 @@
       long furtherSpanUs) {}
 
   /**
-   * How clients behave.
+   * Client behaviour.
    *
-   * @param retries how often one asks again
-   * @param waitUs how long it waits before, at least; doubled each time, with jitter
+   * @param retries maximum number of retries of a query
+   * @param waitUs minimum wait before the first retry; doubled for each further one, with jitter
    */
   public record Clients(int retries, long waitUs) {}
 
-  private static final long MS = 1000;
+  private static final long US_PER_MS = 1000;
 
-  /** Words of a deployment's file for whether a request may run more than once. */
+  /**
+   * The values of {@code repeat} in a deployment file, written there in lower case with hyphens.
+   */
   private enum Repeat {
     REPLAYABLE(Idempotency.IDEMPOTENT),
     KEYED(Idempotency.WITH_KEY),
@@ -102,21 +134,36 @@
   private static final ObjectMapper JSON = new ObjectMapper();
 
   /**
-   * The built-in site: three table types like those of pallet movement queries, 24 shards on three
-   * servers each.
+   * Returns the built-in deployment: three query classes modelled on pallet movement queries and 24
+   * shards, each on three servers.
    */
   public static Deployment standard() {
     Map<String, Type> types = new LinkedHashMap<>();
     for (Type type :
         List.of(
             new Type(
-                "network-trace", Idempotency.IDEMPOTENT, 1000 * MS, 3000 * MS, 0.1, 0.4, 0.9, 3),
-            new Type("depot-manifest", Idempotency.IDEMPOTENT, 800 * MS, 3000 * MS, 0.1, 1, 0.9, 1),
+                "network-trace",
+                Idempotency.IDEMPOTENT,
+                1000 * US_PER_MS,
+                3000 * US_PER_MS,
+                0.1,
+                0.4,
+                0.9,
+                3),
+            new Type(
+                "depot-manifest",
+                Idempotency.IDEMPOTENT,
+                800 * US_PER_MS,
+                3000 * US_PER_MS,
+                0.1,
+                1,
+                0.9,
+                1),
             new Type(
                 "delivery-confirm",
                 Idempotency.NON_IDEMPOTENT,
-                800 * MS,
-                3000 * MS,
+                800 * US_PER_MS,
+                3000 * US_PER_MS,
                 0.3,
                 1,
                 0.9,
@@ -127,107 +174,142 @@
         types,
         24,
         3,
-        new ServerFigures(4, 64, 0.3, 4000 * MS),
-        new Limits(3, true, 250 * MS, 20_000 * MS, 100, 600, true),
-        new Rules(50 * MS, 500 * MS, 2.5, 1500 * MS, 0, 0, 0),
-        new Clients(2, 100 * MS));
+        new ServerFigures(4, 64, 0.3, 4000 * US_PER_MS),
+        new Limits(3, true, 250 * US_PER_MS, 20_000 * US_PER_MS, 100, 600, true),
+        new Rules(50 * US_PER_MS, 500 * US_PER_MS, 2.5, 1500 * US_PER_MS, 0, 0, 0),
+        new Clients(2, 100 * US_PER_MS));
   }
 
+  /**
+   * Reads a deployment file. Keys that are absent outside {@code table_type} have the values of
+   * {@link #standard}; so have the table types if the file lists none.
+   *
+   * @throws MalformedInputException if the file is malformed
+   */
   public static Deployment read(Path path) throws MalformedInputException {
     return read(Toml.read(path));
   }
 
   static Deployment read(Toml file) throws MalformedInputException {
-    Deployment base = standard();
+    Deployment defaults = standard();
     Toml.Table root = file.root();
     Map<String, Type> types = new LinkedHashMap<>();
     for (Toml.Table row : root.tables("table_type")) {
-      long target = row.integer("target_ms", 1000, 1, 600_000) * MS;
+      long targetUs = row.integer("target_ms", 1000, 1, 600_000) * US_PER_MS;
       Type type =
           new Type(
               row.requiredText("name"),
               row.choice("repeat", Repeat.NON_REPLAYABLE, Repeat.class).idempotency,
-              target,
-              row.integer("timeout_ms", 3 * target / MS, 1, 600_000) * MS,
+              targetUs,
+              row.integer("timeout_ms", 3 * targetUs / US_PER_MS, 1, 600_000) * US_PER_MS,
               row.number("late_share", 0, 0, 1),
               row.number("floor", 1, 0.0001, 1),
               row.number("partial_share", 1, 0, 1),
               row.number("benefit", 1, 0, 1e6));
-      if (type.timeoutUs() < target) {
-        row.addFault("timeout_ms", "is below target_ms");
+      if (type.timeoutUs() < targetUs) {
+        row.addFault(
+            "timeout_ms",
+            "found "
+                + type.timeoutUs() / US_PER_MS
+                + ", wanted at least target_ms, which is "
+                + targetUs / US_PER_MS);
       }
       if (type.repeat() == Idempotency.WITH_KEY) {
-        row.addFault("repeat", "keyed table types have no place in the platform's frames yet");
+        row.addFault(
+            "repeat",
+            "found keyed, wanted replayable or non-replayable: the platform's frames have no field"
+                + " for an idempotency key");
       }
       if (types.put(type.name(), type) != null) {
-        row.addFault("name", "stands twice");
+        row.addFault(
+            "name", "found " + type.name() + ", wanted a name that no earlier table type has");
       }
     }
     Toml.Table servers = root.table("servers");
     Toml.Table limits = root.table("limits");
     Toml.Table rules = root.table("rules");
     Toml.Table clients = root.table("clients");
-    Deployment site =
+    Deployment deployment =
         new Deployment(
-            types.isEmpty() ? base.types : types,
-            (int) root.integer("shards", base.shards, 1, 100_000),
-            (int) root.integer("width", base.width, 1, 100),
+            types.isEmpty() ? defaults.types : types,
+            (int) root.integer("shards", defaults.shards, 1, 100_000),
+            (int) root.integer("width", defaults.width, 1, 100),
             new ServerFigures(
-                (int) servers.integer("slots", base.server.slots, 1, 1024),
-                (int) servers.integer("queue", base.server.queue, 0, 100_000),
-                servers.number("cold_from", base.server.coldFrom, 0.01, 1),
-                servers.integer("warm_ms", base.server.warmUs / MS, 0, 600_000) * MS),
+                (int) servers.integer("slots", defaults.server.slots, 1, 1024),
+                (int) servers.integer("queue", defaults.server.queue, 0, 100_000),
+                servers.number("cold_from", defaults.server.coldFrom, 0.01, 1),
+                servers.integer("warm_ms", defaults.server.warmUs / US_PER_MS, 0, 600_000)
+                    * US_PER_MS),
             new Limits(
-                (int) limits.integer("dispatches", base.limits.dispatchesMost, 1, 100),
-                limits.flag("second_copies", base.limits.secondCopies),
-                limits.integer("connect_timeout_ms", base.limits.connectTimeoutUs / MS, 1, 60_000)
-                    * MS,
-                limits.integer("idle_ms", base.limits.idleUs / MS, 1000, 600_000) * MS,
-                (int) limits.integer("streams", base.limits.streamsMost, 1, 10_000),
-                (int) limits.integer("held", base.limits.held, 1, 1_000_000),
-                limits.flag("hold_off", base.limits.holdOff)),
+                (int) limits.integer("dispatches", defaults.limits.dispatchesMost, 1, 100),
+                limits.flag("second_copies", defaults.limits.secondCopies),
+                limits.integer(
+                        "connect_timeout_ms",
+                        defaults.limits.connectTimeoutUs / US_PER_MS,
+                        1,
+                        60_000)
+                    * US_PER_MS,
+                limits.integer("idle_ms", defaults.limits.idleUs / US_PER_MS, 1000, 600_000)
+                    * US_PER_MS,
+                (int) limits.integer("streams", defaults.limits.streamsMost, 1, 10_000),
+                (int) limits.integer("held", defaults.limits.held, 1, 1_000_000),
+                limits.flag("hold_off", defaults.limits.holdOff)),
             new Rules(
-                rules.integer("answer_slack_ms", base.rules.answerSlackUs / MS, 0, 10_000) * MS,
-                rules.integer("drain_grace_ms", base.rules.drainGraceUs / MS, 0, 60_000) * MS,
-                rules.number("fall_multiple", base.rules.fallMultiple, 1, 100),
-                rules.integer("fall_after_ms", base.rules.fallAfterUs / MS, 1, 60_000) * MS,
-                rules.number("free_further", base.rules.freeFurther, 0, 1e6),
-                rules.number("further_share", base.rules.furtherShare, 0, 10),
-                rules.integer("further_span_ms", base.rules.furtherSpanUs / MS, 0, 600_000) * MS),
+                rules.integer(
+                        "answer_slack_ms", defaults.rules.answerSlackUs / US_PER_MS, 0, 10_000)
+                    * US_PER_MS,
+                rules.integer("drain_grace_ms", defaults.rules.drainGraceUs / US_PER_MS, 0, 60_000)
+                    * US_PER_MS,
+                rules.number("fall_multiple", defaults.rules.fallMultiple, 1, 100),
+                rules.integer("fall_after_ms", defaults.rules.fallAfterUs / US_PER_MS, 1, 60_000)
+                    * US_PER_MS,
+                rules.number("free_further", defaults.rules.freeFurther, 0, 1e6),
+                rules.number("further_share", defaults.rules.furtherShare, 0, 10),
+                rules.integer(
+                        "further_span_ms", defaults.rules.furtherSpanUs / US_PER_MS, 0, 600_000)
+                    * US_PER_MS),
             new Clients(
-                (int) clients.integer("retries", base.clients.retries, 0, 20),
-                clients.integer("wait_ms", base.clients.waitUs / MS, 1, 60_000) * MS));
+                (int) clients.integer("retries", defaults.clients.retries, 0, 20),
+                clients.integer("wait_ms", defaults.clients.waitUs / US_PER_MS, 1, 60_000)
+                    * US_PER_MS));
     file.check();
-    return site;
+    return deployment;
   }
 
-  /** The servers that hold a shard, of so many, as the platform lays them out: cells in a ring. */
+  /**
+   * Returns the servers that hold a shard: {@code width} consecutive positions on a ring, starting
+   * at the position with the shard's number. Server i is at position i.
+   */
   public List<Integer> holders(int shard, int servers) {
     List<Integer> holders = new ArrayList<>();
-    for (int j = 0; j < Math.min(width, servers); j++) {
-      holders.add((shard + j) % servers);
+    for (int offset = 0; offset < Math.min(width, servers); offset++) {
+      holders.add((shard + offset) % servers);
     }
     return holders;
   }
 
+  /** Returns whether a server holds a shard. */
   public boolean holds(int server, int shard, int servers) {
     return Math.floorMod(server - shard, servers) < Math.min(width, servers);
   }
 
-  /** A gatherer's configuration file for this site. Server i stands at cell i. */
-  public String gathererFile(
+  /**
+   * Returns the configuration file of a router for this deployment, as JSON. Server i is at
+   * position i of the shard layout.
+   */
+  public String routerConfigJson(
       String name,
       String listen,
       String discovery,
       String seed,
-      int gatherers,
+      int routers,
       int servers,
       int sockets) {
-    ObjectNode file = JSON.createObjectNode();
-    file.put("name", name).put("listen", listen).put("discovery", discovery).put("seed", seed);
-    file.putObject("limits").put("sockets", sockets);
-    ObjectNode settings = file.putObject("settings");
-    settings.put("instances", gatherers).put("tickMs", 5).put("discovery", "ask");
+    ObjectNode config = JSON.createObjectNode();
+    config.put("name", name).put("listen", listen).put("discovery", discovery).put("seed", seed);
+    config.putObject("limits").put("sockets", sockets);
+    ObjectNode settings = config.putObject("settings");
+    settings.put("instances", routers).put("tickMs", 5).put("discovery", "ask");
     ArrayNode services = settings.putArray("services");
     ObjectNode layout = settings.putObject("specifics");
     ArrayNode floors = layout.putArray("floorByClass");
@@ -238,8 +320,8 @@
           .put("name", type.name())
           .put(
               "semantics", type.repeat() == Idempotency.IDEMPOTENT ? "read_like" : "non_idempotent")
-          .put("onTimeMs", type.targetUs() / MS)
-          .put("deadlineMs", type.timeoutUs() / MS)
+          .put("onTimeMs", type.targetUs() / US_PER_MS)
+          .put("deadlineMs", type.timeoutUs() / US_PER_MS)
           .put("lateWorth", type.lateShare())
           .put("worth", type.benefit());
       floors.add(type.floor());
@@ -255,8 +337,8 @@
         .put("maxAttempts", limits.dispatchesMost)
         .put("secondCopies", limits.secondCopies)
         .put("cancel", true)
-        .put("connectTimeoutMs", limits.connectTimeoutUs / MS)
-        .put("keepaliveMs", limits.idleUs / MS)
+        .put("connectTimeoutMs", limits.connectTimeoutUs / US_PER_MS)
+        .put("keepaliveMs", limits.idleUs / US_PER_MS)
         .put("maxStreams", limits.streamsMost)
         .put("mostHeld", limits.held)
         .put("retryAfter", limits.holdOff)
@@ -264,24 +346,24 @@
     ObjectNode guarantees =
         settings
             .putObject("guarantees")
-            .put("answerSlackMs", rules.answerSlackUs / MS)
+            .put("answerSlackMs", rules.answerSlackUs / US_PER_MS)
             .put("askEveryMs", 5000)
-            .put("stopSendingWithinMs", rules.drainGraceUs / MS)
+            .put("stopSendingWithinMs", rules.drainGraceUs / US_PER_MS)
             .put("coldFrom", server.coldFrom)
-            .put("coldMs", server.warmUs / MS)
+            .put("coldMs", server.warmUs / US_PER_MS)
             .put("fallMultiple", rules.fallMultiple)
-            .put("tipAfterMs", rules.fallAfterUs / MS);
+            .put("tipAfterMs", rules.fallAfterUs / US_PER_MS);
     if (rules.furtherSpanUs > 0) {
       guarantees
           .put("freeResends", rules.freeFurther)
           .put("extraRatio", rules.furtherShare)
-          .put("ratioSpanMs", rules.furtherSpanUs / MS);
+          .put("ratioSpanMs", rules.furtherSpanUs / US_PER_MS);
     }
     settings.putObject("report").put("how", "inline").putArray("columns").add("util");
     try {
-      return JSON.writeValueAsString(file);
-    } catch (JsonProcessingException fault) {
-      throw new IllegalStateException(fault);
+      return JSON.writeValueAsString(config);
+    } catch (JsonProcessingException e) {
+      throw new IllegalStateException(e);
     }
   }
 }
--- a/testbed/src/main/java/tidebank/testbed/emulator/DiscoveryEmulator.java
+++ b/testbed/src/main/java/tidebank/testbed/emulator/DiscoveryEmulator.java
@@ -36,69 +36,77 @@
 import tidebank.runtime.Clock;
 
 /**
- * Discovery's stand-in on loopback, with an address of its own for each gatherer. All of it belongs
- * to one event loop.
+ * Emulates the discovery service on loopback, with a separate listener for each router, so that the
+ * router behind each request is known. The endpoint list and the watches are accessed only on one
+ * event loop.
  */
 public final class DiscoveryEmulator {
-  private static final long WAIT_MOST_MS = 60_000;
-  private static final int CHANGES_KEPT = 256;
+  private static final long MAX_WAIT_MS = 60_000;
+  private static final int MAX_RETAINED_CHANGES = 256;
 
-  /** How a server stands in the roster, in the protocol's words. */
+  /** The state of a listed server; the protocol sends the names of the constants. */
   public enum Health {
     Ready,
     Terminating,
     Gone
   }
 
-  private record Line(ListedServer server, int cell, Health health, long bornMs) {}
+  private record ListEntry(ListedServer server, int position, Health health, long startedAtMs) {}
 
-  private record Watch(int gatherer, Channel channel, long after, ScheduledFuture<?> end) {}
+  private record Watch(
+      int router, Channel channel, long afterVersion, ScheduledFuture<?> timeout) {}
 
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  /** What was told to whom, for an audit; null where nobody audits. */
-  private final EmulatorLog ledger;
+  /** Records which router was sent which state of a server; null if there is no audit. */
+  private final EmulatorLog emulatorLog;
 
   private final Clock clock;
   private final EventLoop loop;
-  private final Map<Integer, Line> lines = new TreeMap<>();
+  private final Map<Integer, ListEntry> entries = new TreeMap<>();
   private final TreeMap<Long, Integer> changes = new TreeMap<>();
   private final List<Watch> watches = new ArrayList<>();
   private final List<Channel> listeners = new ArrayList<>();
   private final Map<Channel, Integer> connections = new LinkedHashMap<>();
   private final InetSocketAddress[] addresses;
-  private BiConsumer<Integer, ChannelPipeline> observer = (gatherer, pipeline) -> {};
+  private BiConsumer<Integer, ChannelPipeline> observer = (router, pipeline) -> {};
   private long version = 1;
-  private long calls;
+  private long requests;
 
   /**
-   * Lists these servers, all in service.
+   * Creates an endpoint list with all servers in service.
    *
-   * @param ledger takes what was told to whom; may be null, then nothing is kept of it
+   * @param servers the listed servers, each at the position equal to its index
+   * @param routers number of routers
+   * @param emulatorLog records which router was sent which state of a server; null for no record
    */
   public DiscoveryEmulator(
       List<? extends ListedServer> servers,
-      int gatherers,
-      EmulatorLog ledger,
+      int routers,
+      EmulatorLog emulatorLog,
       Clock clock,
       EventLoop loop) {
-    this.ledger = ledger;
+    this.emulatorLog = emulatorLog;
     this.clock = clock;
     this.loop = loop;
-    addresses = new InetSocketAddress[gatherers];
+    addresses = new InetSocketAddress[routers];
     for (int i = 0; i < servers.size(); i++) {
-      lines.put(i, new Line(servers.get(i), i, Health.Ready, 0));
+      entries.put(i, new ListEntry(servers.get(i), i, Health.Ready, 0));
     }
   }
 
-  /** Hands the pipeline of each connection, once it is whole, to this; set before {@link #open}. */
-  public void observe(BiConsumer<Integer, ChannelPipeline> wanted) {
-    observer = wanted;
+  /**
+   * Sets a callback that gets the router's index and the complete pipeline of each new connection.
+   * Must be called before {@link #open}.
+   */
+  public void setConnectionObserver(BiConsumer<Integer, ChannelPipeline> observer) {
+    this.observer = observer;
   }
 
+  /** Opens the listeners, on free ports the first time and on the same ports after that. */
   public void open() {
-    for (int gatherer = 0; gatherer < addresses.length; gatherer++) {
-      int who = gatherer;
+    for (int i = 0; i < addresses.length; i++) {
+      int router = i;
       Channel listener =
           new ServerBootstrap()
               .group(loop)
@@ -113,148 +121,166 @@
                           .addLast(
                               new HttpServerCodec(),
                               new HttpObjectAggregator(1 << 16),
-                              new Calls(who));
-                      observer.accept(who, channel.pipeline());
+                              new RequestHandler(router));
+                      observer.accept(router, channel.pipeline());
                     }
                   })
-              .bind(
-                  addresses[gatherer] == null
-                      ? new InetSocketAddress("127.0.0.1", 0)
-                      : addresses[gatherer])
+              .bind(addresses[i] == null ? new InetSocketAddress("127.0.0.1", 0) : addresses[i])
               .syncUninterruptibly()
               .channel();
-      addresses[gatherer] = (InetSocketAddress) listener.localAddress();
+      addresses[i] = (InetSocketAddress) listener.localAddress();
       listeners.add(listener);
     }
   }
 
-  public InetSocketAddress address(int gatherer) {
-    return addresses[gatherer];
+  /** Returns the address at which a router, counted from 0, reaches discovery. */
+  public InetSocketAddress address(int router) {
+    return addresses[router];
   }
 
-  public long calls() {
-    return calls;
+  /** Returns the number of requests received so far. */
+  public long requests() {
+    return requests;
   }
 
   /**
-   * A server's line changes; a start time in Unix milliseconds if it started anew, else 0 for the
-   * one it had.
+   * Changes a server's entry in the list and answers all watches.
+   *
+   * @param startedAtMs when the server was restarted, in Unix milliseconds; 0 to keep the start
+   *     time
    */
-  public void change(int server, Health health, long bornMs) {
+  public void updateServer(int server, Health health, long startedAtMs) {
     loop.execute(
         () -> {
-          Line old = lines.get(server);
-          lines.put(
-              server, new Line(old.server, old.cell, health, bornMs == 0 ? old.bornMs : bornMs));
+          ListEntry old = entries.get(server);
+          entries.put(
+              server,
+              new ListEntry(
+                  old.server,
+                  old.position,
+                  health,
+                  startedAtMs == 0 ? old.startedAtMs : startedAtMs));
           changes.put(++version, server);
-          if (changes.size() > CHANGES_KEPT) {
+          if (changes.size() > MAX_RETAINED_CHANGES) {
             changes.pollFirstEntry();
           }
           answerWatches();
         });
   }
 
-  /** Answers each watch now, as if the time for which it may wait were over. */
-  public void endWaits() {
+  /** Answers each watch now, as if its wait time had passed. */
+  public void expireWatches() {
     loop.execute(this::answerWatches);
   }
 
   private void answerWatches() {
-    List<Watch> due = List.copyOf(watches);
+    List<Watch> pending = List.copyOf(watches);
     watches.clear();
-    for (Watch watch : due) {
-      watch.end.cancel(false);
-      since(watch.gatherer, watch.channel, watch.after);
+    for (Watch watch : pending) {
+      watch.timeout.cancel(false);
+      sendChanges(watch.router, watch.channel, watch.afterVersion);
     }
   }
 
-  /** Goes down: connections end, new ones are refused; up again by {@link #open}. */
-  public void down() {
+  /**
+   * Closes listeners and connections. New connections are refused until {@link #open} is called.
+   */
+  public void stop() {
     loop.submit(
             () -> {
               listeners.forEach(Channel::close);
               listeners.clear();
-              watches.forEach(watch -> watch.end.cancel(false));
+              watches.forEach(watch -> watch.timeout.cancel(false));
               watches.clear();
               List.copyOf(connections.keySet()).forEach(Channel::close);
             })
         .awaitUninterruptibly();
   }
 
-  private void whole(int gatherer, Channel to) {
+  private void sendSnapshot(int router, Channel channel) {
     send(
-        gatherer,
-        to,
+        router,
+        channel,
         true,
-        lines.values().stream().filter(line -> line.health != Health.Gone).toList());
+        entries.values().stream().filter(entry -> entry.health != Health.Gone).toList());
   }
 
-  private void since(int gatherer, Channel to, long after) {
-    if (!changes.isEmpty() && changes.firstKey() > after + 1) {
-      whole(gatherer, to);
+  /**
+   * Sends the entries changed after a version, or a snapshot if some of those changes are no longer
+   * retained.
+   */
+  private void sendChanges(int router, Channel channel, long afterVersion) {
+    if (!changes.isEmpty() && changes.firstKey() > afterVersion + 1) {
+      sendSnapshot(router, channel);
       return;
     }
     send(
-        gatherer,
-        to,
+        router,
+        channel,
         false,
-        changes.tailMap(after, false).values().stream().distinct().map(lines::get).toList());
+        changes.tailMap(afterVersion, false).values().stream()
+            .distinct()
+            .map(entries::get)
+            .toList());
   }
 
-  private void send(int gatherer, Channel to, boolean whole, List<Line> some) {
-    ObjectNode body = JSON.createObjectNode().put("seq", version).put("whole", whole);
+  private void send(int router, Channel channel, boolean snapshot, List<ListEntry> sent) {
+    ObjectNode body = JSON.createObjectNode().put("seq", version).put("whole", snapshot);
     ArrayNode hosts = body.putArray("hosts");
-    for (Line line : some) {
-      InetSocketAddress dial = line.server.address(gatherer);
+    for (ListEntry entry : sent) {
+      InetSocketAddress address = entry.server.address(router);
       hosts
           .addObject()
-          .put("host", line.server.name())
-          .put("dial", "127.0.0.1:" + dial.getPort())
+          .put("host", entry.server.name())
+          .put("dial", "127.0.0.1:" + address.getPort())
           .put("site", "a")
           .put("class", "stand-in")
-          .put("block", line.cell)
-          .put("health", line.health.name())
+          .put("block", entry.position)
+          .put("health", entry.health.name())
           .put("share", 1.0)
-          .put("born_ms", line.bornMs);
+          .put("born_ms", entry.startedAtMs);
     }
-    if (ledger != null) {
-      keep(gatherer, whole, some);
+    if (emulatorLog != null) {
+      logSent(router, snapshot, sent);
     }
-    respond(to, HttpResponseStatus.OK, body.toString());
+    respond(channel, HttpResponseStatus.OK, body.toString());
   }
 
-  /** Keeps what a gatherer is told; the time is linear in the lines of the list. */
-  private void keep(int gatherer, boolean whole, List<Line> some) {
-    Set<Line> told = new HashSet<>(some);
+  /**
+   * Records which states of servers a router is sent. A server missing from a snapshot is recorded
+   * as not in service. Takes time linear in the length of the list.
+   */
+  private void logSent(int router, boolean snapshot, List<ListEntry> sent) {
+    Set<ListEntry> sentEntries = new HashSet<>(sent);
     long now = clock.now();
-    for (Map.Entry<Integer, Line> entry : lines.entrySet()) {
-      boolean named = told.contains(entry.getValue());
-      if (named || whole) {
-        ledger.add(
-            new EmulatorLog.Told(
-                gatherer, entry.getKey(), named && entry.getValue().health == Health.Ready, now));
+    for (Map.Entry<Integer, ListEntry> listed : entries.entrySet()) {
+      boolean isSent = sentEntries.contains(listed.getValue());
+      if (isSent || snapshot) {
+        emulatorLog.add(
+            new EmulatorLog.ServerAnnounced(
+                router, listed.getKey(), isSent && listed.getValue().health == Health.Ready, now));
       }
     }
   }
 
-  private static void respond(Channel to, HttpResponseStatus status, String body) {
+  private static void respond(Channel channel, HttpResponseStatus status, String body) {
     DefaultFullHttpResponse response =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1, status, Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
     response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
-    to.writeAndFlush(response);
+    channel.writeAndFlush(response);
   }
 
-  private final class Calls extends SimpleChannelInboundHandler<FullHttpRequest> {
-    private final int gatherer;
+  private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final int router;
 
-    Calls(int gatherer) {
-      this.gatherer = gatherer;
+    RequestHandler(int router) {
+      this.router = router;
     }
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
-      connections.put(context.channel(), gatherer);
+      connections.put(context.channel(), router);
     }
 
     @Override
@@ -262,53 +288,53 @@
       connections.remove(context.channel());
       watches.removeIf(
           watch -> {
-            boolean mine = watch.channel == context.channel();
-            if (mine) {
-              watch.end.cancel(false);
+            boolean isClosed = watch.channel == context.channel();
+            if (isClosed) {
+              watch.timeout.cancel(false);
             }
-            return mine;
+            return isClosed;
           });
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
-      calls++;
+      requests++;
       QueryStringDecoder uri = new QueryStringDecoder(request.uri());
       if (!uri.path().equals("/registry/instances")) {
         respond(context.channel(), HttpResponseStatus.NOT_FOUND, "{}");
         return;
       }
       try {
-        List<String> after = uri.parameters().get("after");
-        if (after == null) {
-          whole(gatherer, context.channel());
+        List<String> afterValues = uri.parameters().get("after");
+        if (afterValues == null) {
+          sendSnapshot(router, context.channel());
           return;
         }
-        long from = Long.parseLong(after.get(0));
-        long wait =
+        long afterVersion = Long.parseLong(afterValues.get(0));
+        long waitMs =
             Math.min(
-                WAIT_MOST_MS,
+                MAX_WAIT_MS,
                 Long.parseLong(uri.parameters().getOrDefault("wait_ms", List.of("0")).get(0)));
-        if (from > version) {
-          whole(gatherer, context.channel());
-        } else if (from < version) {
-          since(gatherer, context.channel(), from);
+        if (afterVersion > version) {
+          sendSnapshot(router, context.channel());
+        } else if (afterVersion < version) {
+          sendChanges(router, context.channel(), afterVersion);
         } else {
           Channel channel = context.channel();
           watches.add(
               new Watch(
-                  gatherer,
+                  router,
                   channel,
-                  from,
+                  afterVersion,
                   loop.schedule(
                       () -> {
                         watches.removeIf(watch -> watch.channel == channel);
-                        since(gatherer, channel, from);
+                        sendChanges(router, channel, afterVersion);
                       },
-                      wait,
+                      waitMs,
                       TimeUnit.MILLISECONDS)));
         }
-      } catch (NumberFormatException fault) {
+      } catch (NumberFormatException e) {
         respond(context.channel(), HttpResponseStatus.BAD_REQUEST, "{}");
       }
     }
--- a/testbed/src/main/java/tidebank/testbed/emulator/EmulatorLog.java
+++ b/testbed/src/main/java/tidebank/testbed/emulator/EmulatorLog.java
@@ -4,38 +4,62 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import tidebank.testbed.account.RuleAudit;
 
-/** What the stand-ins saw, handed from their threads to the one that audits. */
+/**
+ * Events observed by the emulators, passed from their threads to the thread of the audit. Safe for
+ * use by several threads.
+ */
 public final class EmulatorLog {
-  /** Something seen. */
-  public sealed interface Entry permits Dispatched, Work, Told {}
+  /** An observed event. */
+  public sealed interface Entry permits AttemptReceived, ColdServerWork, ServerAnnounced {}
 
-  /** A part came whole to a server. */
-  public record Dispatched(
-      String scan, int shard, int gatherer, int server, long atUs, RuleAudit.Execution run)
+  /**
+   * An attempt of a shard request was received in full by a server.
+   *
+   * @param execution whether the server accepted the request for execution
+   */
+  public record AttemptReceived(
+      String queryId, int shard, int router, int server, long atUs, RuleAudit.Execution execution)
       implements Entry {}
 
-  /** Work came to a server of this warmth. */
-  public record Work(int server, long atUs, double workUs, double capacityUsPerS, double warmth)
+  /**
+   * Work arrived at a server that was still warming up.
+   *
+   * @param workUs processing time of the request on a warm server
+   * @param capacityUsPerS work that the warm server completes in a second
+   * @param capacityShare share of that capacity that the server had, below 1
+   */
+  public record ColdServerWork(
+      int server, long atUs, double workUs, double capacityUsPerS, double capacityShare)
       implements Entry {}
 
-  /** A line of the roster was written to a gatherer. */
-  public record Told(int gatherer, int server, boolean mayHaveWork, long atUs) implements Entry {}
+  /** A router was sent whether a server of the endpoint list is in service. */
+  public record ServerAnnounced(int router, int server, boolean inService, long atUs)
+      implements Entry {}
 
   private final Queue<Entry> entries = new ConcurrentLinkedQueue<>();
 
+  /** Appends an event. */
   public void add(Entry entry) {
     entries.add(entry);
   }
 
-  /** Hands on all that was seen so far. */
+  /** Passes all events so far to the audit and removes them. */
   public void drainTo(RuleAudit audit) {
     for (Entry entry = entries.poll(); entry != null; entry = entries.poll()) {
-      if (entry instanceof Dispatched seen) {
-        audit.recordAttempt(seen.scan, seen.shard, seen.gatherer, seen.server, seen.atUs, seen.run);
-      } else if (entry instanceof Work work) {
-        audit.recordWork(work.server, work.atUs, work.workUs, work.capacityUsPerS, work.warmth);
-      } else if (entry instanceof Told told) {
-        audit.recordAnnouncement(told.gatherer, told.server, told.mayHaveWork, told.atUs);
+      if (entry instanceof AttemptReceived attempt) {
+        audit.recordAttempt(
+            attempt.queryId,
+            attempt.shard,
+            attempt.router,
+            attempt.server,
+            attempt.atUs,
+            attempt.execution);
+      } else if (entry instanceof ColdServerWork work) {
+        audit.recordWork(
+            work.server, work.atUs, work.workUs, work.capacityUsPerS, work.capacityShare);
+      } else if (entry instanceof ServerAnnounced announced) {
+        audit.recordAnnouncement(
+            announced.router, announced.server, announced.inService, announced.atUs);
       }
     }
   }
--- a/testbed/src/main/java/tidebank/testbed/emulator/ListedServer.java
+++ b/testbed/src/main/java/tidebank/testbed/emulator/ListedServer.java
@@ -4,9 +4,9 @@
 
 /** A shard server as discovery lists it. */
 public interface ListedServer {
-  /** Its name in the list, unique among all servers. */
+  /** Returns the name in the list, unique among all servers. */
   String name();
 
-  /** Where this gatherer, counted from 0, reaches it. */
-  InetSocketAddress address(int gatherer);
+  /** Returns the address at which a router, counted from 0, reaches the server. */
+  InetSocketAddress address(int router);
 }
--- a/testbed/src/main/java/tidebank/testbed/emulator/ServerModel.java
+++ b/testbed/src/main/java/tidebank/testbed/emulator/ServerModel.java
@@ -3,48 +3,55 @@
 import java.util.List;
 
 /**
- * What goes on inside a shard server, without its sockets. Pure: time comes in, in microseconds.
- * The stand-in on sockets hands it what arrives and asks it what is done; a finer model of queues
- * can take its place.
+ * A model of the queue and the execution of requests in a shard server, without network or clock:
+ * callers pass the time, in microseconds. {@link ShardServerEmulator} submits the requests that it
+ * receives and sends responses for those completed, so a more detailed queueing model can be
+ * substituted.
  */
 public interface ServerModel {
-  /** A part that is done: its answer is due. */
-  record Done(String part, long atUs) {}
+  /** A completed shard request, to be answered now. */
+  record Completion(String requestId, long atUs) {}
 
   /**
-   * A part arrives.
+   * Submits a shard request.
    *
-   * @param workUs its work on a warm slot
-   * @param untilUs when its gatherer stops waiting
-   * @return whether it is taken; what is not never runs
+   * @param workUs its processing time on a warm slot
+   * @param deadlineUs when the router stops waiting for the response
+   * @return whether it was accepted; a rejected request is never executed
    */
-  boolean take(long nowUs, String part, long workUs, long untilUs);
+  boolean submit(long nowUs, String requestId, long workUs, long deadlineUs);
 
   /**
-   * A part is given up: what still waits is dropped, what runs runs on. Says whether it never ran.
+   * Cancels a shard request. A queued request is removed; one in execution continues.
+   *
+   * @return whether it was removed and so is never executed
    */
-  boolean drop(long nowUs, String part);
+  boolean cancel(long nowUs, String requestId);
 
-  /** What is done by now, in order. */
-  List<Done> done(long nowUs);
+  /**
+   * Removes and returns the requests completed up to this time, in order, and starts queued ones in
+   * the slots that became free.
+   */
+  List<Completion> pollCompletions(long nowUs);
 
-  /** When something will be done next; {@link Long#MAX_VALUE} if nothing is under way. */
-  long nextUs();
+  /** Returns the time of the next completion; {@link Long#MAX_VALUE} if nothing is executing. */
+  long nextCompletionUs();
 
-  /** Takes no more from now on; what it holds it ends. */
-  void drain();
+  /** Rejects new requests from now on; accepted ones are completed. */
+  void startDraining();
 
-  /** Started anew at this moment, cold. All that it held is forgotten. */
+  /** Restarts the server: all requests are discarded and the warm-up begins at this time. */
   void restart(long nowUs);
 
-  /** The share of its capacity it has at a moment: below 1 while it is cold. */
-  double warmth(long nowUs);
+  /** Returns the share of its capacity that the server has at this time; below 1 during warm-up. */
+  double capacityShare(long nowUs);
 
-  /** Work it can do in a second when warm, in microseconds. */
+  /** Returns the work that the warm server completes in a second, in microseconds. */
   double capacityUsPerS();
 
+  /** Returns the number of requests that are executing or queued. */
   int inFlight();
 
-  /** How busy it is, from 0 to 1. */
-  double busy();
+  /** Returns the share of the slots that are busy, from 0 to 1. */
+  double utilization();
 }
--- a/testbed/src/main/java/tidebank/testbed/emulator/ShardServerEmulator.java
+++ b/testbed/src/main/java/tidebank/testbed/emulator/ShardServerEmulator.java
@@ -31,51 +31,60 @@
 import tidebank.testbed.deployment.Deployment;
 
 /**
- * A shard server's stand-in on loopback, from the protocol page. It has a listener of its own for
- * each gatherer, so that what comes is known by who sent it. All of its state belongs to one event
- * loop.
+ * Emulates a shard server on loopback with the platform's framed protocol. It has a separate
+ * listener for each router, so that the router behind each request is known. Requests and the model
+ * are accessed only on one event loop.
  */
 public final class ShardServerEmulator implements ListedServer {
-  private static final int FRAME_MOST = 1 << 20;
-  private static final long WORK_ABSENT_US = 20_000;
+  private static final int MAX_FRAME_BYTES = 1 << 20;
 
-  private record Out(Channel channel, String id) {}
+  /** Processing time of a request if its query text states none. */
+  private static final long DEFAULT_WORK_US = 20_000;
+
+  private record PendingRequest(Channel channel, String id) {}
 
   private final int number;
-  private final Deployment site;
+  private final Deployment deployment;
   private final int servers;
   private final ServerModel model;
-  private final EmulatorLog ledger;
+  private final EmulatorLog emulatorLog;
   private final Clock clock;
   private final EventLoop loop;
   private final List<Channel> listeners = new ArrayList<>();
   private final Set<Channel> connections = new HashSet<>();
-  private final Map<String, Out> out = new HashMap<>();
+  private final Map<String, PendingRequest> pending = new HashMap<>();
   private final InetSocketAddress[] addresses;
-  private ScheduledFuture<?> wake;
-  private long wakeAt = Long.MAX_VALUE;
-  private long runs;
+  private ScheduledFuture<?> wakeup;
+  private long wakeupUs = Long.MAX_VALUE;
+  private long acceptedRequests;
   private boolean refusing;
   private boolean silent;
 
-  /** Server of this number among so many; it stands at the cell of its number. */
+  /**
+   * Creates a server that does not listen yet.
+   *
+   * @param number index of the server and its position in the shard layout
+   * @param servers total number of servers
+   * @param routers number of routers
+   * @param emulatorLog records the attempts received and the work received during warm-up
+   */
   public ShardServerEmulator(
       int number,
       int servers,
-      int gatherers,
-      Deployment site,
+      int routers,
+      Deployment deployment,
       ServerModel model,
-      EmulatorLog ledger,
+      EmulatorLog emulatorLog,
       Clock clock,
       EventLoop loop) {
     this.number = number;
     this.servers = servers;
-    this.site = site;
+    this.deployment = deployment;
     this.model = model;
-    this.ledger = ledger;
+    this.emulatorLog = emulatorLog;
     this.clock = clock;
     this.loop = loop;
-    addresses = new InetSocketAddress[gatherers];
+    addresses = new InetSocketAddress[routers];
   }
 
   @Override
@@ -83,13 +92,10 @@
     return "s" + number;
   }
 
-  /**
-   * Opens the listeners, on ports of the system's choice the first time and on the same ones after
-   * that.
-   */
+  /** Opens the listeners, on free ports the first time and on the same ports after that. */
   public void open() {
-    for (int gatherer = 0; gatherer < addresses.length; gatherer++) {
-      int who = gatherer;
+    for (int i = 0; i < addresses.length; i++) {
+      int router = i;
       Channel listener =
           new ServerBootstrap()
               .group(loop)
@@ -103,28 +109,25 @@
                       channel
                           .pipeline()
                           .addLast(
-                              new LengthFieldBasedFrameDecoder(FRAME_MOST, 0, 4, 0, 4),
+                              new LengthFieldBasedFrameDecoder(MAX_FRAME_BYTES, 0, 4, 0, 4),
                               new LengthFieldPrepender(4),
-                              new Connection(who));
+                              new ConnectionHandler(router));
                     }
                   })
-              .bind(
-                  addresses[gatherer] == null
-                      ? new InetSocketAddress("127.0.0.1", 0)
-                      : addresses[gatherer])
+              .bind(addresses[i] == null ? new InetSocketAddress("127.0.0.1", 0) : addresses[i])
               .syncUninterruptibly()
               .channel();
-      addresses[gatherer] = (InetSocketAddress) listener.localAddress();
+      addresses[i] = (InetSocketAddress) listener.localAddress();
       listeners.add(listener);
     }
   }
 
   @Override
-  public InetSocketAddress address(int gatherer) {
-    return addresses[gatherer];
+  public InetSocketAddress address(int router) {
+    return addresses[router];
   }
 
-  /** Dies at once: connections are reset, new ones refused, all work is lost. */
+  /** Simulates a crash: resets connections, refuses new ones and discards all requests. */
   public void kill() {
     loop.execute(
         () -> {
@@ -134,14 +137,14 @@
             connection.config().setOption(ChannelOption.SO_LINGER, 0);
             connection.close();
           }
-          out.clear();
+          pending.clear();
           model.restart(clock.now());
           refusing = true;
         });
   }
 
-  /** Comes back cold, on the addresses it had. */
-  public void back() {
+  /** Starts again after {@link #kill}, on the same addresses, at the beginning of its warm-up. */
+  public void restart() {
     loop.execute(
         () -> {
           model.restart(clock.now());
@@ -150,63 +153,69 @@
     open();
   }
 
-  /** Takes no new part; what it has it ends. */
+  /** Rejects new requests from now on; accepted ones are completed. */
   public void drain() {
-    loop.execute(model::drain);
+    loop.execute(model::startDraining);
   }
 
-  /** Takes parts and answers none, or answers again. */
-  public void silent(boolean wanted) {
-    loop.execute(() -> silent = wanted);
+  /**
+   * Sets whether the server discards the responses to completed requests while it continues to
+   * accept and execute requests.
+   */
+  public void setSilent(boolean silent) {
+    loop.execute(() -> this.silent = silent);
   }
 
-  public long runs() {
-    return runs;
+  /** Returns the number of requests accepted so far. */
+  public long acceptedRequests() {
+    return acceptedRequests;
   }
 
-  private void settle() {
+  /** Responds to all completed requests and schedules the next call for the next completion. */
+  private void respondToCompleted() {
     long now = clock.now();
-    for (ServerModel.Done done : model.done(now)) {
-      Out waits = out.remove(done.part());
-      if (waits != null && !silent) {
-        answer(waits, "good", Values.of(waits.id));
+    for (ServerModel.Completion completion : model.pollCompletions(now)) {
+      PendingRequest request = pending.remove(completion.requestId());
+      if (request != null && !silent) {
+        respond(request, "good", EmulatorPayloads.responseValue(request.id));
       }
     }
-    long next = model.nextUs();
-    if (next < wakeAt || wakeAt <= now) {
-      if (wake != null) {
-        wake.cancel(false);
+    long next = model.nextCompletionUs();
+    if (next < wakeupUs || wakeupUs <= now) {
+      if (wakeup != null) {
+        wakeup.cancel(false);
       }
-      wakeAt = next;
-      wake =
+      wakeupUs = next;
+      wakeup =
           next == Long.MAX_VALUE
               ? null
-              : loop.schedule(this::settle, Math.max(0, next - now), TimeUnit.MICROSECONDS);
+              : loop.schedule(
+                  this::respondToCompleted, Math.max(0, next - now), TimeUnit.MICROSECONDS);
     }
   }
 
-  private void answer(Out to, String end, String value) {
-    String line =
-        to.id
+  private void respond(PendingRequest request, String outcome, String value) {
+    String header =
+        request.id
             + " "
-            + end
+            + outcome
             + " 0 inflight="
             + model.inFlight()
             + ",util="
-            + String.format(Locale.ROOT, "%.2f", model.busy())
+            + String.format(Locale.ROOT, "%.2f", model.utilization())
             + "\n";
-    ByteBuf frame = to.channel.alloc().buffer();
+    ByteBuf frame = request.channel.alloc().buffer();
     frame.writeByte('q');
-    ByteBufUtil.writeAscii(frame, line);
+    ByteBufUtil.writeAscii(frame, header);
     ByteBufUtil.writeUtf8(frame, value);
-    to.channel.writeAndFlush(frame);
+    request.channel.writeAndFlush(frame);
   }
 
-  private final class Connection extends SimpleChannelInboundHandler<ByteBuf> {
-    private final int gatherer;
+  private final class ConnectionHandler extends SimpleChannelInboundHandler<ByteBuf> {
+    private final int router;
 
-    Connection(int gatherer) {
-      this.gatherer = gatherer;
+    ConnectionHandler(int router) {
+      this.router = router;
     }
 
     @Override
@@ -222,103 +231,116 @@
     @Override
     protected void channelRead0(ChannelHandlerContext context, ByteBuf frame) {
       if (!frame.isReadable()) {
-        unusable(context, "empty frame");
+        rejectFrame(context, "empty frame");
         return;
       }
-      char letter = (char) frame.readByte();
-      switch (letter) {
-        case 'm' -> call(context, frame);
+      char frameType = (char) frame.readByte();
+      switch (frameType) {
+        case 'm' -> handleBatch(context, frame);
         case 'n' -> {
           String id = frame.toString(US_ASCII);
-          model.drop(clock.now(), key(id));
-          settle();
+          model.cancel(clock.now(), modelId(id));
+          respondToCompleted();
         }
-        case 'o' -> probe(context, letter, "good");
-        case 'p' -> probe(context, letter, "inflight=" + model.inFlight());
-        default -> unusable(context, "unknown letter");
+        case 'o' -> respondToHealthCheck(context, frameType, "good");
+        case 'p' -> respondToHealthCheck(context, frameType, "inflight=" + model.inFlight());
+        default -> rejectFrame(context, "unknown letter");
       }
     }
 
-    private String key(String id) {
-      return gatherer + "/" + id;
+    /** Returns the id under which the model holds a request; unique among all routers. */
+    private String modelId(String id) {
+      return router + "/" + id;
     }
 
-    private void probe(ChannelHandlerContext context, char letter, String text) {
-      ByteBuf frame = context.alloc().buffer().writeByte(letter);
-      ByteBufUtil.writeAscii(frame, text);
+    private void respondToHealthCheck(
+        ChannelHandlerContext context, char frameType, String status) {
+      ByteBuf frame = context.alloc().buffer().writeByte(frameType);
+      ByteBufUtil.writeAscii(frame, status);
       context.writeAndFlush(frame);
     }
 
-    private void unusable(ChannelHandlerContext context, String why) {
+    /** Reports a malformed frame and closes the connection. */
+    private void rejectFrame(ChannelHandlerContext context, String reason) {
       ByteBuf frame = context.alloc().buffer().writeByte('r');
-      ByteBufUtil.writeAscii(frame, why);
-      context.writeAndFlush(frame).addListener(done -> context.close());
+      ByteBufUtil.writeAscii(frame, reason);
+      context.writeAndFlush(frame).addListener(sent -> context.close());
     }
 
-    private void call(ChannelHandlerContext context, ByteBuf frame) {
+    private void handleBatch(ChannelHandlerContext context, ByteBuf frame) {
       long now = clock.now();
       while (frame.isReadable()) {
-        int end = frame.bytesBefore((byte) '\n');
-        String[] words =
-            end < 0 ? new String[0] : frame.readCharSequence(end, US_ASCII).toString().split(" ");
-        if (words.length != 4 || !words[2].startsWith("d=")) {
-          unusable(context, "a part without its line");
+        int lineEnd = frame.bytesBefore((byte) '\n');
+        String[] fields =
+            lineEnd < 0
+                ? new String[0]
+                : frame.readCharSequence(lineEnd, US_ASCII).toString().split(" ");
+        if (fields.length != 4 || !fields[2].startsWith("d=")) {
+          rejectFrame(context, "a part without its line");
           return;
         }
         frame.skipBytes(1);
         int shard;
-        long wait;
+        long timeoutMs;
         int length;
         try {
-          shard = Integer.parseInt(words[1]);
-          wait = Long.parseLong(words[2].substring(2));
-          length = Integer.parseInt(words[3]);
-        } catch (NumberFormatException fault) {
-          unusable(context, "a part's line with no numbers");
+          shard = Integer.parseInt(fields[1]);
+          timeoutMs = Long.parseLong(fields[2].substring(2));
+          length = Integer.parseInt(fields[3]);
+        } catch (NumberFormatException e) {
+          rejectFrame(context, "a part's line with no numbers");
           return;
         }
         if (length < 0 || length > frame.readableBytes()) {
-          unusable(context, "a part longer than its frame");
+          rejectFrame(context, "a part longer than its frame");
           return;
         }
         String text = frame.readCharSequence(length, UTF_8).toString();
-        part(context, words[0], shard, wait, text, now);
+        handleShardRequest(context, fields[0], shard, timeoutMs, text, now);
       }
-      settle();
+      respondToCompleted();
     }
 
-    private void part(
-        ChannelHandlerContext context, String id, int shard, long waitMs, String text, long now) {
-      int dot = id.lastIndexOf('.');
-      long work = Values.work(text, WORK_ABSENT_US);
+    private void handleShardRequest(
+        ChannelHandlerContext context,
+        String id,
+        int shard,
+        long timeoutMs,
+        String text,
+        long now) {
+      int separator = id.lastIndexOf('.');
+      long workUs = EmulatorPayloads.parseWorkUs(text, DEFAULT_WORK_US);
       model
-          .done(now)
+          .pollCompletions(now)
           .forEach(
-              done -> {
-                Out waits = out.remove(done.part());
-                if (waits != null && !silent) {
-                  answer(waits, "good", Values.of(waits.id));
+              completion -> {
+                PendingRequest request = pending.remove(completion.requestId());
+                if (request != null && !silent) {
+                  respond(request, "good", EmulatorPayloads.responseValue(request.id));
                 }
               });
-      boolean mine = site.holds(number, shard, servers);
-      boolean taken = mine && !refusing && model.take(now, key(id), work, now + waitMs * 1000);
-      if (taken) {
-        runs++;
-        out.put(key(id), new Out(context.channel(), id));
+      boolean holdsShard = deployment.holds(number, shard, servers);
+      boolean accepted =
+          holdsShard && !refusing && model.submit(now, modelId(id), workUs, now + timeoutMs * 1000);
+      if (accepted) {
+        acceptedRequests++;
+        pending.put(modelId(id), new PendingRequest(context.channel(), id));
       } else {
-        answer(new Out(context.channel(), id), mine ? "later" : "bad", "");
+        respond(new PendingRequest(context.channel(), id), holdsShard ? "later" : "bad", "");
       }
-      ledger.add(
-          new EmulatorLog.Dispatched(
-              dot < 0 ? id : id.substring(0, dot),
+      emulatorLog.add(
+          new EmulatorLog.AttemptReceived(
+              separator < 0 ? id : id.substring(0, separator),
               shard,
-              gatherer,
+              router,
               number,
               now,
-              taken ? RuleAudit.Execution.EXECUTED : RuleAudit.Execution.NOT_EXECUTED));
-      double warmth = model.warmth(now);
-      if (warmth < 1) {
-        ledger.add(new EmulatorLog.Work(number, now, work, model.capacityUsPerS(), warmth));
+              accepted ? RuleAudit.Execution.EXECUTED : RuleAudit.Execution.NOT_EXECUTED));
+      double capacityShare = model.capacityShare(now);
+      if (capacityShare < 1) {
+        emulatorLog.add(
+            new EmulatorLog.ColdServerWork(
+                number, now, workUs, model.capacityUsPerS(), capacityShare));
       }
     }
 
@@ -328,23 +350,26 @@
     }
   }
 
-  /** Ends it: listeners and connections. */
+  /** Closes the listeners and connections. */
   public void close() {
     loop.submit(
             () -> {
               listeners.forEach(Channel::close);
               listeners.clear();
               List.copyOf(connections).forEach(Channel::close);
-              if (wake != null) {
-                wake.cancel(false);
+              if (wakeup != null) {
+                wakeup.cancel(false);
               }
             })
         .awaitUninterruptibly();
   }
 
-  /** A group of its own for stand-ins, of daemon threads that end with the process. */
-  public static void closeAll(List<ShardServerEmulator> all, EventLoopGroup group) {
-    all.forEach(ShardServerEmulator::close);
+  /**
+   * Closes all emulators, then shuts down their event loop group without waiting for its threads.
+   * These should be daemon threads, so that they end with the process.
+   */
+  public static void closeAll(List<ShardServerEmulator> emulators, EventLoopGroup group) {
+    emulators.forEach(ShardServerEmulator::close);
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 }
--- a/testbed/src/main/java/tidebank/testbed/emulator/SlotsModel.java
+++ b/testbed/src/main/java/tidebank/testbed/emulator/SlotsModel.java
@@ -10,80 +10,92 @@
 import java.util.PriorityQueue;
 
 /**
- * A simple server: so many parts at once, a bounded queue behind them, first come first served,
- * slower while cold. What has waited past its gatherer's time is dropped before it runs.
+ * A queueing model with a fixed number of slots and a bounded first-in, first-out queue. Execution
+ * is slower during warm-up. A request that is past its deadline when it leaves the queue is dropped
+ * without being executed.
  */
 public final class SlotsModel implements ServerModel {
-  private record Waiting(String part, long workUs, long untilUs) {}
+  private record Request(String id, long workUs, long deadlineUs) {}
 
   private final int slots;
-  private final int room;
-  private final double coldFrom;
-  private final long warmUs;
-  private final PriorityQueue<Done> running =
-      new PriorityQueue<>(Comparator.comparingLong(Done::atUs).thenComparing(Done::part));
-  private final Deque<Waiting> queue = new ArrayDeque<>();
-  private final Map<String, Waiting> waiting = new HashMap<>();
+  private final int queueCapacity;
+  private final double coldShare;
+  private final long warmupUs;
+  private final PriorityQueue<Completion> running =
+      new PriorityQueue<>(
+          Comparator.comparingLong(Completion::atUs).thenComparing(Completion::requestId));
+  private final Deque<Request> queue = new ArrayDeque<>();
+  private final Map<String, Request> queuedById = new HashMap<>();
   private boolean draining;
   private long startedUs = Long.MIN_VALUE / 2;
 
-  public SlotsModel(int slots, int room, double coldFrom, long warmUs) {
+  /**
+   * Creates a warm, idle server.
+   *
+   * @param slots number of requests executed at once
+   * @param queueCapacity number of requests that may be queued
+   * @param coldShare share of its capacity that the server has right after a restart
+   * @param warmupUs time after a restart at which it has its full capacity
+   */
+  public SlotsModel(int slots, int queueCapacity, double coldShare, long warmupUs) {
     this.slots = slots;
-    this.room = room;
-    this.coldFrom = coldFrom;
-    this.warmUs = warmUs;
+    this.queueCapacity = queueCapacity;
+    this.coldShare = coldShare;
+    this.warmupUs = warmupUs;
   }
 
   @Override
-  public boolean take(long nowUs, String part, long workUs, long untilUs) {
-    if (draining || running.size() >= slots && queue.size() >= room) {
+  public boolean submit(long nowUs, String requestId, long workUs, long deadlineUs) {
+    if (draining || running.size() >= slots && queue.size() >= queueCapacity) {
       return false;
     }
-    Waiting one = new Waiting(part, workUs, untilUs);
+    Request request = new Request(requestId, workUs, deadlineUs);
     if (running.size() < slots) {
-      run(nowUs, one);
+      execute(nowUs, request);
     } else {
-      queue.add(one);
-      waiting.put(part, one);
+      queue.add(request);
+      queuedById.put(requestId, request);
     }
     return true;
   }
 
-  private void run(long nowUs, Waiting one) {
-    running.add(new Done(one.part, nowUs + Math.max(1, Math.round(one.workUs / warmth(nowUs)))));
+  private void execute(long nowUs, Request request) {
+    running.add(
+        new Completion(
+            request.id, nowUs + Math.max(1, Math.round(request.workUs / capacityShare(nowUs)))));
   }
 
   @Override
-  public boolean drop(long nowUs, String part) {
-    Waiting one = waiting.remove(part);
-    return one != null && queue.remove(one);
+  public boolean cancel(long nowUs, String requestId) {
+    Request request = queuedById.remove(requestId);
+    return request != null && queue.remove(request);
   }
 
   @Override
-  public List<Done> done(long nowUs) {
-    List<Done> done = new ArrayList<>();
+  public List<Completion> pollCompletions(long nowUs) {
+    List<Completion> completions = new ArrayList<>();
     while (!running.isEmpty() && running.peek().atUs() <= nowUs) {
-      Done first = running.poll();
-      done.add(first);
-      Waiting next;
+      Completion first = running.poll();
+      completions.add(first);
+      Request next;
       while ((next = queue.poll()) != null) {
-        waiting.remove(next.part);
-        if (next.untilUs > first.atUs()) {
-          run(first.atUs(), next);
+        queuedById.remove(next.id);
+        if (next.deadlineUs > first.atUs()) {
+          execute(first.atUs(), next);
           break;
         }
       }
     }
-    return done;
+    return completions;
   }
 
   @Override
-  public long nextUs() {
+  public long nextCompletionUs() {
     return running.isEmpty() ? Long.MAX_VALUE : running.peek().atUs();
   }
 
   @Override
-  public void drain() {
+  public void startDraining() {
     draining = true;
   }
 
@@ -91,15 +103,15 @@
   public void restart(long nowUs) {
     running.clear();
     queue.clear();
-    waiting.clear();
+    queuedById.clear();
     draining = false;
     startedUs = nowUs;
   }
 
   @Override
-  public double warmth(long nowUs) {
-    double warm = warmUs == 0 ? 1 : (double) (nowUs - startedUs) / warmUs;
-    return Math.min(1, coldFrom + (1 - coldFrom) * Math.max(0, warm));
+  public double capacityShare(long nowUs) {
+    double warmupProgress = warmupUs == 0 ? 1 : (double) (nowUs - startedUs) / warmupUs;
+    return Math.min(1, coldShare + (1 - coldShare) * Math.max(0, warmupProgress));
   }
 
   @Override
@@ -113,7 +125,7 @@
   }
 
   @Override
-  public double busy() {
+  public double utilization() {
     return Math.min(1, (double) running.size() / slots);
   }
 }
--- a/testbed/src/main/java/tidebank/testbed/replay/LoadGenerator.java
+++ b/testbed/src/main/java/tidebank/testbed/replay/LoadGenerator.java
@@ -47,7 +47,7 @@
 import tidebank.testbed.account.RuleAudit;
 import tidebank.testbed.account.ServiceScore;
 import tidebank.testbed.deployment.Deployment;
-import tidebank.testbed.emulator.Values;
+import tidebank.testbed.emulator.EmulatorPayloads;
 import tidebank.testbed.replay.ClientRetryPolicy.AttemptResult;
 import tidebank.testbed.trace.TraceRow;
 
@@ -116,7 +116,7 @@
       body =
           ranges
               .append("],\"predicate\":\"")
-              .append(Values.text(safe(row.key()), row.workUs()))
+              .append(EmulatorPayloads.queryText(safe(row.key()), row.workUs()))
               .append("\"}")
               .toString();
     }
@@ -531,7 +531,9 @@
         whole = answer.path("total").asBoolean();
         for (JsonNode part : answer.path("answers")) {
           int shard = part.path("range").asInt(-1);
-          if (part.path("blob").asText().equals(Values.of(one.id + "." + shard))) {
+          if (part.path("blob")
+              .asText()
+              .equals(EmulatorPayloads.responseValue(one.id + "." + shard))) {
             if (in.add(shard)) {
               share += one.scan.weights.getOrDefault(shard, 0.0);
             }
--- a/testbed/src/main/java/tidebank/testbed/replay/Replay.java
+++ b/testbed/src/main/java/tidebank/testbed/replay/Replay.java
@@ -272,7 +272,7 @@
         RouterProcess.start(
             "g" + number,
             plan.deployment()
-                .gathererFile(
+                .routerConfigJson(
                     "g" + number,
                     listen,
                     "127.0.0.1:" + from.getPort(),
@@ -364,17 +364,17 @@
     int number = incident.index();
     switch (incident.kind()) {
       case SERVER_DRAINS -> {
-        discovery.change(number, Health.Terminating, 0);
+        discovery.updateServer(number, Health.Terminating, 0);
         servers.get(number).drain();
       }
       case SERVER_DIES -> servers.get(number).kill();
-      case ROSTER_GONE -> discovery.change(number, Health.Gone, 0);
+      case ROSTER_GONE -> discovery.updateServer(number, Health.Gone, 0);
       case SERVER_BACK -> {
-        servers.get(number).back();
-        discovery.change(number, Health.Ready, clock.now() / 1000);
+        servers.get(number).restart();
+        discovery.updateServer(number, Health.Ready, clock.now() / 1000);
       }
-      case SERVER_SILENT -> servers.get(number).silent(true);
-      case SERVER_SPEAKS -> servers.get(number).silent(false);
+      case SERVER_SILENT -> servers.get(number).setSilent(true);
+      case SERVER_SPEAKS -> servers.get(number).setSilent(false);
       case GATHERER_KILLED, GATHERER_RESTARTED -> {
         RouterProcess old = latest(number);
         LoadGenerator.RouterEndpoint target = targets.get(number);
--- a/testbed/src/main/java/tidebank/testbed/scale/DiscoveryRig.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/DiscoveryRig.java
@@ -29,7 +29,7 @@
     List<SimulatedServer> servers =
         IntStream.range(0, size.servers()).mapToObj(SimulatedServer::new).toList();
     discovery = new DiscoveryEmulator(servers, size.gatherers(), null, new Clock(), thread.loop());
-    discovery.observe(
+    discovery.setConnectionObserver(
         (gatherer, pipeline) -> ExchangeRecorder.record(gatherer, pipeline, exchanges));
     changes = new ListChanges(discovery, size.servers(), seed);
     discovery.open();
@@ -66,7 +66,7 @@
 
   /** Ends the wait of each watch with nothing to tell; one call of each gatherer. */
   List<Exchange> idle() throws IOException {
-    discovery.endWaits();
+    discovery.expireWatches();
     exchanges.awaitAnswered(ExchangeKind.NOTHING);
     Set<Integer> seen = new HashSet<>();
     return only(ExchangeKind.NOTHING).stream()
@@ -82,7 +82,7 @@
 
   @Override
   public void close() {
-    discovery.down();
+    discovery.stop();
     thread.close();
   }
 }
--- a/testbed/src/main/java/tidebank/testbed/scale/ListChanges.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/ListChanges.java
@@ -24,9 +24,9 @@
   void next() {
     if (draining < 0) {
       draining = chance.nextInt(servers);
-      discovery.change(draining, Health.Terminating, BORN_AS_BEFORE);
+      discovery.updateServer(draining, Health.Terminating, BORN_AS_BEFORE);
     } else {
-      discovery.change(draining, Health.Ready, BORN_AS_BEFORE);
+      discovery.updateServer(draining, Health.Ready, BORN_AS_BEFORE);
       draining = -1;
     }
   }
--- a/testbed/src/main/java/tidebank/testbed/scale/RouterFiles.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/RouterFiles.java
@@ -19,7 +19,7 @@
       throws IOException {
     String text =
         Deployment.standard()
-            .gathererFile(
+            .routerConfigJson(
                 "g" + gatherer,
                 ANY_PORT,
                 discovery.getHostString() + ":" + discovery.getPort(),
