--- a/cli/src/main/java/tidebank/cli/Playing.java
+++ b/cli/src/main/java/tidebank/cli/Playing.java
@@ -49,7 +49,8 @@
     manifest.put("seed", plan.seed());
     manifest.put("site", plan.deployment().toString());
     manifest.put("incidents", plan.incidents().toString());
-    manifest.put("commit", RunFolder.commit(Path.of(System.getProperty("tidebank.home", "."))));
+    manifest.put(
+        "commit", RunFolder.readHeadCommit(Path.of(System.getProperty("tidebank.home", "."))));
     manifest.put("java", System.getProperty("java.runtime.version"));
     manifest.put(
         "machine",
--- a/cli/src/main/java/tidebank/cli/TraceStatsCommand.java
+++ b/cli/src/main/java/tidebank/cli/TraceStatsCommand.java
@@ -31,12 +31,12 @@
   @Override
   public Integer call() throws IOException {
     ObjectNode told = ResultCommand.JSON.createObjectNode();
-    List<StatsPage.Named> all = new ArrayList<>();
+    List<StatsPage.NamedTrace> all = new ArrayList<>();
     for (Path file : files) {
       RowSource rows = RowSource.file(file);
       TraceStats stats =
           TraceOutput.stats(rows.open(), file.getFileName().toString(), (long) rows.count());
-      all.add(new StatsPage.Named(file.getFileName().toString(), stats));
+      all.add(new StatsPage.NamedTrace(file.getFileName().toString(), stats));
       told.set(file.toString(), ResultCommand.JSON.valueToTree(stats.summary()));
       if (!json) {
         TraceOutput.printStats(out(), file.toString(), stats.summary());
@@ -46,7 +46,7 @@
       print(told);
     }
     if (html != null) {
-      Files.writeString(html, StatsPage.of(all));
+      Files.writeString(html, StatsPage.renderHtml(all));
     }
     return Tidebank.DONE;
   }
--- a/testbed/src/main/java/tidebank/testbed/report/Charts.java
+++ b/testbed/src/main/java/tidebank/testbed/report/Charts.java
@@ -15,12 +15,12 @@
 import org.knowm.xchart.style.Styler;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** Line charts as SVG text, to stand in a page that needs nothing else. */
+/** Renders line charts as SVG elements, for HTML pages without external resources. */
 public final class Charts {
   private static final int WIDTH = 880;
   private static final int HEIGHT = 280;
 
-  /** Told apart also by those who see few colours. */
+  /** Distinguishable also with impaired colour vision. */
   private static final Color[] COLOURS = {
     new Color(0, 114, 178),
     new Color(213, 94, 0),
@@ -30,60 +30,69 @@
     new Color(230, 159, 0)
   };
 
-  /** A line: x to y, in order of x. */
-  public record Line(String name, Map<? extends Number, Double> points) {}
+  /** A data series: y by x, in order of x. */
+  public record Series(String name, Map<? extends Number, Double> points) {}
 
   private Charts() {}
 
-  public static String lines(
-      String title, String x, String y, boolean logX, boolean logY, List<Line> lines) {
+  /**
+   * Returns a line chart as an SVG element, or a paragraph of text if there are no points to draw.
+   * Points that are missing, not finite, or not above 0 on a logarithmic axis are left out.
+   */
+  public static String renderLineChart(
+      String title,
+      String xAxisTitle,
+      String yAxisTitle,
+      boolean logX,
+      boolean logY,
+      List<Series> allSeries) {
     XYChart chart =
         new XYChartBuilder()
             .width(WIDTH)
             .height(HEIGHT)
             .title(title)
-            .xAxisTitle(x)
-            .yAxisTitle(y)
+            .xAxisTitle(xAxisTitle)
+            .yAxisTitle(yAxisTitle)
             .build();
     chart
         .getStyler()
         .setMarkerSize(0)
         .setChartBackgroundColor(Color.WHITE)
         .setLegendPosition(Styler.LegendPosition.OutsideE)
-        .setLegendVisible(lines.size() > 1);
+        .setLegendVisible(allSeries.size() > 1);
     chart.getStyler().setXAxisLogarithmic(logX).setYAxisLogarithmic(logY).setSeriesColors(COLOURS);
-    boolean any = false;
-    for (Line line : lines) {
+    boolean hasPoints = false;
+    for (Series series : allSeries) {
       List<Double> xs = new ArrayList<>();
       List<Double> ys = new ArrayList<>();
-      line.points.forEach(
-          (at, value) -> {
-            boolean fits =
-                value != null
-                    && Double.isFinite(value)
-                    && (!logX || at.doubleValue() > 0)
-                    && (!logY || value > 0);
-            if (fits) {
-              xs.add(at.doubleValue());
-              ys.add(value);
+      series.points.forEach(
+          (x, y) -> {
+            boolean isDrawable =
+                y != null
+                    && Double.isFinite(y)
+                    && (!logX || x.doubleValue() > 0)
+                    && (!logY || y > 0);
+            if (isDrawable) {
+              xs.add(x.doubleValue());
+              ys.add(y);
             }
           });
       if (!xs.isEmpty()) {
-        any = true;
-        chart.addSeries(line.name, xs, ys).setMarker(SeriesMarkers.NONE);
+        hasPoints = true;
+        chart.addSeries(series.name, xs, ys).setMarker(SeriesMarkers.NONE);
       }
     }
-    if (!any) {
-      return "<p>" + title + ": nothing to draw.</p>";
+    if (!hasPoints) {
+      return "<p>" + title + ": no data.</p>";
     }
     try {
       ByteArrayOutputStream out = new ByteArrayOutputStream();
       VectorGraphicsEncoder.saveVectorGraphic(chart, out, VectorGraphicsFormat.SVG);
       String svg = out.toString(StandardCharsets.UTF_8);
-      // Only the element itself may stand in a page, without the file's head.
+      // An HTML page may contain only the element itself, without the XML declaration and doctype.
       return svg.substring(svg.indexOf("<svg"));
-    } catch (IOException fault) {
-      throw new UncheckedIOException(fault);
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
     }
   }
 }
--- a/testbed/src/main/java/tidebank/testbed/report/Comparison.java
+++ b/testbed/src/main/java/tidebank/testbed/report/Comparison.java
@@ -21,22 +21,25 @@
 import tidebank.testbed.columns.ZstdCodecs;
 
 /**
- * Two runs side by side. How much of a difference may be noise is found by drawing stretches of ten
- * seconds again and again, the same ones of both runs where they played the same time.
+ * A comparison of two runs. The confidence interval of the difference in service comes from a
+ * paired bootstrap: it resamples windows of ten seconds, the same ones from both runs, out of the
+ * windows present in both.
  *
- * @param rows figures of both
- * @param difference second less first, of the service of the whole run
- * @param low 2.5% of the resampled differences lie below
- * @param high 2.5% lie above
+ * @param rows the figures of both runs
+ * @param difference service of the second run minus that of the first, over the windows present in
+ *     both
+ * @param low 2.5th percentile of the resampled differences
+ * @param high 97.5th percentile of the resampled differences
+ * @param verdict which run is better, if the interval excludes 0
  */
 public record Comparison(
     List<Row> rows, double difference, double low, double high, String verdict) {
-  /** One figure of both. */
+  /** One figure of both runs. */
   public record Row(String name, double first, double second) {}
 
   private static final ObjectMapper JSON = new ObjectMapper();
-  private static final int STRETCH_S = 10;
-  private static final int DRAWS = 2000;
+  private static final int WINDOW_S = 10;
+  private static final int RESAMPLES = 2000;
   private static final List<String> FIGURES =
       List.of(
           "score",
@@ -48,14 +51,22 @@
           "seconds",
           "dispatches");
 
+  /**
+   * Compares the runs in two run folders.
+   *
+   * @throws IOException if report.json or scans.parquet of a run can't be read
+   */
   public static Comparison of(Path first, Path second) throws IOException {
-    JsonNode one = report(first);
-    JsonNode other = report(second);
+    JsonNode firstReport = readReport(first);
+    JsonNode secondReport = readReport(second);
     List<Row> rows = new ArrayList<>();
     for (String figure : FIGURES) {
-      rows.add(new Row(figure, one.path(figure).asDouble(), other.path(figure).asDouble()));
+      rows.add(
+          new Row(
+              figure, firstReport.path(figure).asDouble(), secondReport.path(figure).asDouble()));
     }
-    one.path("by_table_type")
+    firstReport
+        .path("by_table_type")
         .fields()
         .forEachRemaining(
             type ->
@@ -63,32 +74,37 @@
                     new Row(
                         "service of " + type.getKey(),
                         type.getValue().asDouble(),
-                        other.path("by_table_type").path(type.getKey()).asDouble(Double.NaN))));
+                        secondReport
+                            .path("by_table_type")
+                            .path(type.getKey())
+                            .asDouble(Double.NaN))));
     for (String quantile : List.of("p50", "p99", "p99.9")) {
       rows.add(
           new Row(
               "answer " + quantile + ", ms",
-              one.path("latency_ms").path(quantile).asDouble(),
-              other.path("latency_ms").path(quantile).asDouble()));
+              firstReport.path("latency_ms").path(quantile).asDouble(),
+              secondReport.path("latency_ms").path(quantile).asDouble()));
     }
-    Map<Long, double[]> a = stretches(first);
-    Map<Long, double[]> b = stretches(second);
-    List<Long> both = a.keySet().stream().filter(b::containsKey).toList();
-    double difference = service(b, both, null) - service(a, both, null);
-    double[] draws = new double[DRAWS];
-    SplittableRandom chance = new SplittableRandom(1);
-    for (int i = 0; i < DRAWS && !both.isEmpty(); i++) {
-      int[] picked = new int[both.size()];
+    Map<Long, double[]> firstSums = readWindowSums(first);
+    Map<Long, double[]> secondSums = readWindowSums(second);
+    List<Long> windows = firstSums.keySet().stream().filter(secondSums::containsKey).toList();
+    double difference =
+        computeService(secondSums, windows, null) - computeService(firstSums, windows, null);
+    double[] differences = new double[RESAMPLES];
+    SplittableRandom random = new SplittableRandom(1);
+    for (int i = 0; i < RESAMPLES && !windows.isEmpty(); i++) {
+      int[] picked = new int[windows.size()];
       for (int j = 0; j < picked.length; j++) {
-        picked[j] = chance.nextInt(both.size());
+        picked[j] = random.nextInt(windows.size());
       }
-      draws[i] = service(b, both, picked) - service(a, both, picked);
+      differences[i] =
+          computeService(secondSums, windows, picked) - computeService(firstSums, windows, picked);
     }
-    Arrays.sort(draws);
-    double low = draws[(int) (0.025 * DRAWS)];
-    double high = draws[(int) (0.975 * DRAWS)];
+    Arrays.sort(differences);
+    double low = differences[(int) (0.025 * RESAMPLES)];
+    double high = differences[(int) (0.975 * RESAMPLES)];
     String verdict =
-        both.size() < 3
+        windows.size() < 3
             ? "too few stretches to tell"
             : low <= 0 && high >= 0
                 ? "no difference seen"
@@ -96,44 +112,54 @@
     return new Comparison(rows, difference, low, high, verdict);
   }
 
-  private static JsonNode report(Path run) throws IOException {
+  private static JsonNode readReport(Path run) throws IOException {
     Path file = run.resolve("report.json");
     if (!Files.isRegularFile(file)) {
-      throw new IOException(run + ": no folder of a run: it has no report.json");
+      throw new IOException(run + ": not a run folder, report.json is missing");
     }
     return JSON.readTree(file.toFile());
   }
 
-  private static double service(Map<Long, double[]> stretches, List<Long> both, int[] picked) {
+  /**
+   * Returns the service, which is the benefit earned divided by the benefit asked; 0 if none was
+   * asked.
+   *
+   * @param picked indexes into {@code windows} of those to include; null to include each once
+   */
+  private static double computeService(
+      Map<Long, double[]> sumsByWindow, List<Long> windows, int[] picked) {
     double asked = 0;
     double earned = 0;
-    for (int i = 0; i < both.size(); i++) {
-      double[] sums = stretches.get(both.get(picked == null ? i : picked[i]));
+    for (int i = 0; i < windows.size(); i++) {
+      double[] sums = sumsByWindow.get(windows.get(picked == null ? i : picked[i]));
       asked += sums[0];
       earned += sums[1];
     }
     return asked == 0 ? 0 : earned / asked;
   }
 
-  private static Map<Long, double[]> stretches(Path run) throws IOException {
+  /** Returns the benefit asked and earned in each window, by the index of the window. */
+  private static Map<Long, double[]> readWindowSums(Path run) throws IOException {
     Map<Long, double[]> sums = new TreeMap<>();
     try (ParquetReader<Group> reader =
-        new Groups(run.resolve("scans.parquet")).withCodecFactory(new ZstdCodecs()).build()) {
+        new GroupReaderBuilder(run.resolve("scans.parquet"))
+            .withCodecFactory(new ZstdCodecs())
+            .build()) {
       for (Group row = reader.read(); row != null; row = reader.read()) {
         double[] sum =
             sums.computeIfAbsent(
-                row.getLong("intended_us", 0) / 1_000_000 / STRETCH_S, s -> new double[2]);
+                row.getLong("intended_us", 0) / 1_000_000 / WINDOW_S, window -> new double[2]);
         sum[0] += row.getDouble("benefit", 0);
         sum[1] += row.getDouble("earned", 0);
       }
-    } catch (RuntimeException fault) {
-      throw new IOException(run + ": its scans can't be read: " + fault.getMessage(), fault);
+    } catch (RuntimeException e) {
+      throw new IOException(run + ": can't read scans.parquet: " + e.getMessage(), e);
     }
     return sums;
   }
 
-  private static final class Groups extends ParquetReader.Builder<Group> {
-    Groups(Path path) {
+  private static final class GroupReaderBuilder extends ParquetReader.Builder<Group> {
+    GroupReaderBuilder(Path path) {
       super(new LocalInputFile(path), new PlainParquetConfiguration());
     }
 
--- a/testbed/src/main/java/tidebank/testbed/report/Table.java
+++ b/testbed/src/main/java/tidebank/testbed/report/ParquetTable.java
@@ -22,20 +22,24 @@
 import tidebank.testbed.columns.ZstdCodecs;
 
 /**
- * A Parquet file of plain columns: Long, Integer, Double, Boolean or String, told by the first
- * row's types.
+ * Writes a Parquet file with required columns of messageType Long, Integer, Double, Boolean or
+ * String.
  */
-public final class Table implements Closeable {
+public final class ParquetTable implements Closeable {
   private final SimpleGroupFactory groups;
   private final List<String> names;
   private final ParquetWriter<Group> writer;
 
-  /** A table at this path with columns of these names and kinds. */
-  public Table(Path path, Map<String, Class<?>> columns) throws IOException {
+  /**
+   * Creates the file, replacing an existing one.
+   *
+   * @param columns types of the columns by name, in the order of the columns
+   */
+  public ParquetTable(Path path, Map<String, Class<?>> columns) throws IOException {
     Types.MessageTypeBuilder schema = Types.buildMessage();
     for (Map.Entry<String, Class<?>> column : new LinkedHashMap<>(columns).entrySet()) {
-      Class<?> kind = column.getValue();
-      if (kind == String.class) {
+      Class<?> columnType = column.getValue();
+      if (columnType == String.class) {
         schema
             .required(PrimitiveTypeName.BINARY)
             .as(LogicalTypeAnnotation.stringType())
@@ -43,38 +47,39 @@
       } else {
         schema
             .required(
-                kind == Long.class
+                columnType == Long.class
                     ? PrimitiveTypeName.INT64
-                    : kind == Integer.class
+                    : columnType == Integer.class
                         ? PrimitiveTypeName.INT32
-                        : kind == Boolean.class
+                        : columnType == Boolean.class
                             ? PrimitiveTypeName.BOOLEAN
                             : PrimitiveTypeName.DOUBLE)
             .named(column.getKey());
       }
     }
-    MessageType type = schema.named("rows");
-    groups = new SimpleGroupFactory(type);
+    MessageType messageType = schema.named("rows");
+    groups = new SimpleGroupFactory(messageType);
     names = new ArrayList<>(columns.keySet());
     writer =
         ExampleParquetWriter.builder(new LocalOutputFile(path))
             .withConf(new PlainParquetConfiguration())
-            .withType(type)
+            .withType(messageType)
             .withWriteMode(ParquetFileWriter.Mode.OVERWRITE)
             .withCompressionCodec(CompressionCodecName.ZSTD)
             .withCodecFactory(new ZstdCodecs())
             .build();
   }
 
+  /** Appends a row, with the values in the order of the columns. */
   public void add(Object... values) throws IOException {
     Group row = groups.newGroup();
     for (int i = 0; i < values.length; i++) {
       String name = names.get(i);
       Object value = values[i];
-      if (value instanceof Long whole) {
-        row.append(name, whole.longValue());
-      } else if (value instanceof Integer whole) {
-        row.append(name, whole.intValue());
+      if (value instanceof Long number) {
+        row.append(name, number.longValue());
+      } else if (value instanceof Integer number) {
+        row.append(name, number.intValue());
       } else if (value instanceof Double number) {
         row.append(name, number.doubleValue());
       } else if (value instanceof Boolean flag) {
--- a/testbed/src/main/java/tidebank/testbed/report/RunFolder.java
+++ b/testbed/src/main/java/tidebank/testbed/report/RunFolder.java
@@ -29,33 +29,40 @@
 import tidebank.testbed.replay.Replay;
 
 /**
- * A replay's results in a folder of their own: manifest, rows, histograms, report as JSON and as a
- * page.
+ * Writes the results of a replay into a new folder: manifest, one row for each query, histograms
+ * and the report as JSON and as an HTML page.
  */
 public final class RunFolder implements Closeable {
   private static final ObjectMapper JSON =
       new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
-  private static final DateTimeFormatter NAME =
+  private static final DateTimeFormatter NAME_TIME_FORMAT =
       DateTimeFormatter.ofPattern("yyyyMMdd-HHmmss").withZone(ZoneOffset.UTC);
-  private static final int WAITING_MOST = 200_000;
-  private static final double[] QUANTILES = {50, 90, 99, 99.9, 100};
+  private static final int MAX_QUEUED_ROWS = 200_000;
+  private static final double[] PERCENTILES = {50, 90, 99, 99.9, 100};
 
   private final Path folder;
-  private final Table scans;
-  private final Map<Long, Map<String, Long>> ends = new TreeMap<>();
-  private final BlockingQueue<Optional<QueryRecord>> waiting =
-      new ArrayBlockingQueue<>(WAITING_MOST);
-  private final Thread writer = new Thread(this::write, "rows of the run");
-  private volatile IOException fault;
-  private volatile long notKept;
+  private final ParquetTable queryTable;
+  private final Map<Long, Map<String, Long>> outcomesBySecond = new TreeMap<>();
+  private final BlockingQueue<Optional<QueryRecord>> queue =
+      new ArrayBlockingQueue<>(MAX_QUEUED_ROWS);
+  private final Thread writer = new Thread(this::writeRows, "rows of the run");
+  private volatile IOException writeFailure;
+  private volatile long droppedRows;
   private boolean closed;
 
-  /** Makes a folder below another, named by the time and a word. */
-  public static RunFolder create(Path runs, String word) throws IOException {
-    String stem = NAME.format(Instant.now()) + "-" + word.replaceAll("[^A-Za-z0-9_-]+", "-");
-    Path folder = runs.resolve(stem);
-    for (int i = 2; Files.exists(folder); i++) {
-      folder = runs.resolve(stem + "-" + i);
+  /**
+   * Creates a run folder.
+   *
+   * @param runs the folder in which to create it
+   * @param label follows the time in the folder name; characters other than ASCII letters, digits,
+   *     "_" and "-" are replaced
+   */
+  public static RunFolder create(Path runs, String label) throws IOException {
+    String baseName =
+        NAME_TIME_FORMAT.format(Instant.now()) + "-" + label.replaceAll("[^A-Za-z0-9_-]+", "-");
+    Path folder = runs.resolve(baseName);
+    for (int suffix = 2; Files.exists(folder); suffix++) {
+      folder = runs.resolve(baseName + "-" + suffix);
     }
     Files.createDirectories(folder);
     return new RunFolder(folder);
@@ -76,250 +83,273 @@
     columns.put("tries", Integer.class);
     columns.put("benefit", Double.class);
     columns.put("earned", Double.class);
-    scans = new Table(folder.resolve("scans.parquet"), columns);
+    queryTable = new ParquetTable(folder.resolve("scans.parquet"), columns);
     writer.setDaemon(true);
     writer.start();
   }
 
+  /** Returns the path of this run folder. */
   public Path folder() {
     return folder;
   }
 
   /**
-   * A scan's end. Written by a thread of its own: this is called on the sender's event loop, whose
-   * lateness is measured. A row that finds no room is not kept, and the report says how many were
-   * not; the account has them all.
+   * Queues the record of a finished query for the writer thread. This method doesn't block, because
+   * it is called on the load generator's event loop, and that loop's lateness is measured. If the
+   * queue is full, the row is dropped and counted in the report; the score includes it
+   * nevertheless.
    */
-  public void add(QueryRecord scan) {
-    if (!waiting.offer(Optional.of(scan))) {
-      notKept++;
+  public void add(QueryRecord query) {
+    if (!queue.offer(Optional.of(query))) {
+      droppedRows++;
     }
   }
 
-  private void write() {
+  private void writeRows() {
     try {
-      for (Optional<QueryRecord> next = waiting.take(); next.isPresent(); next = waiting.take()) {
-        if (fault == null) {
-          write(next.get());
+      for (Optional<QueryRecord> next = queue.take(); next.isPresent(); next = queue.take()) {
+        if (writeFailure == null) {
+          writeRow(next.get());
         }
       }
-    } catch (InterruptedException ended) {
+    } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private void write(QueryRecord scan) {
+  private void writeRow(QueryRecord query) {
     try {
-      scans.add(
-          scan.number(),
-          scan.queryClass(),
-          scan.tenant(),
-          scan.intendedUs(),
-          scan.sentUs(),
-          scan.endUs(),
-          scan.outcome().name(),
-          scan.answeredWeight(),
-          scan.complete(),
-          scan.attempts(),
-          scan.benefit(),
-          scan.earnedBenefit());
-    } catch (IOException failed) {
-      fault = failed;
+      queryTable.add(
+          query.number(),
+          query.queryClass(),
+          query.tenant(),
+          query.intendedUs(),
+          query.sentUs(),
+          query.endUs(),
+          query.outcome().name(),
+          query.answeredWeight(),
+          query.complete(),
+          query.attempts(),
+          query.benefit(),
+          query.earnedBenefit());
+    } catch (IOException e) {
+      writeFailure = e;
     }
-    ends.computeIfAbsent(Math.floorDiv(scan.intendedUs(), 1_000_000), second -> new TreeMap<>())
-        .merge(scan.outcome().name(), 1L, Long::sum);
+    outcomesBySecond
+        .computeIfAbsent(Math.floorDiv(query.intendedUs(), 1_000_000), second -> new TreeMap<>())
+        .merge(query.outcome().name(), 1L, Long::sum);
   }
 
-  /** Writes all but the rows, which are there already. */
+  /**
+   * Closes the file of rows and writes all other files.
+   *
+   * @return the report, as written to report.json
+   * @throws IOException if a file can't be written or a row could not be written earlier
+   */
   public ObjectNode finish(Replay.Outcome outcome, Map<String, Object> manifest)
       throws IOException {
     close();
-    if (fault != null) {
-      throw fault;
+    if (writeFailure != null) {
+      throw writeFailure;
     }
-    ObjectNode report = report(outcome).put("rows_not_kept", notKept);
+    ObjectNode report = createReport(outcome).put("rows_not_kept", droppedRows);
     Files.writeString(folder.resolve("manifest.json"), JSON.writeValueAsString(manifest));
     Files.writeString(folder.resolve("report.json"), JSON.writeValueAsString(report));
     try (PrintStream log = new PrintStream(Files.newOutputStream(folder.resolve("latency.hlog")))) {
-      HistogramLogWriter writer = new HistogramLogWriter(log);
-      writer.outputLogFormatVersion();
-      writer.outputLegend();
-      for (Map.Entry<String, Histogram> one :
+      HistogramLogWriter histogramWriter = new HistogramLogWriter(log);
+      histogramWriter.outputLogFormatVersion();
+      histogramWriter.outputLegend();
+      for (Map.Entry<String, Histogram> histogram :
           Map.of("latency_us", outcome.latency(), "lateness_us", outcome.lateness()).entrySet()) {
-        one.getValue().setTag(one.getKey());
-        one.getValue().setStartTimeStamp(0);
-        one.getValue().setEndTimeStamp((long) (outcome.durationS() * 1000));
-        writer.outputIntervalHistogram(one.getValue());
+        histogram.getValue().setTag(histogram.getKey());
+        histogram.getValue().setStartTimeStamp(0);
+        histogram.getValue().setEndTimeStamp((long) (outcome.durationS() * 1000));
+        histogramWriter.outputIntervalHistogram(histogram.getValue());
       }
     }
-    Files.writeString(folder.resolve("report.html"), page(outcome, manifest).toString());
+    Files.writeString(folder.resolve("report.html"), createPage(outcome, manifest).toString());
     return report;
   }
 
-  private static ObjectNode report(Replay.Outcome outcome) {
-    ServiceScore.Summary figures = outcome.scoreSummary();
+  private static ObjectNode createReport(Replay.Outcome outcome) {
+    ServiceScore.Summary summary = outcome.scoreSummary();
     ObjectNode report = JSON.createObjectNode();
     report
-        .put("score", figures.score())
-        .put("whole", figures.wholeRun())
-        .put("worst_10s", figures.worstWindow())
-        .put("worst_10s_from_s", figures.worstWindowFromS())
-        .put("worst_table_type", figures.worstClass())
-        .put("worst_table_type_name", figures.worstClassName())
-        .put("worst_account", figures.worstTenant())
-        .put("worst_account_name", figures.worstTenantName())
-        .put("scans", figures.queries())
+        .put("score", summary.score())
+        .put("whole", summary.wholeRun())
+        .put("worst_10s", summary.worstWindow())
+        .put("worst_10s_from_s", summary.worstWindowFromS())
+        .put("worst_table_type", summary.worstClass())
+        .put("worst_table_type_name", summary.worstClassName())
+        .put("worst_account", summary.worstTenant())
+        .put("worst_account_name", summary.worstTenantName())
+        .put("scans", summary.queries())
         .put("seconds", outcome.durationS())
         .put("dispatches", outcome.attempts())
         .put("scans_judged", outcome.checkedQueries())
         .put("rules_kept", outcome.hasNoViolations());
-    ObjectNode ends = report.putObject("ends");
-    figures.countByOutcome().forEach((end, count) -> ends.put(end.name(), count));
-    ObjectNode types = report.putObject("by_table_type");
-    outcome.serviceByClass().forEach(types::put);
+    ObjectNode outcomes = report.putObject("ends");
+    summary
+        .countByOutcome()
+        .forEach((queryOutcome, count) -> outcomes.put(queryOutcome.name(), count));
+    ObjectNode classes = report.putObject("by_table_type");
+    outcome.serviceByClass().forEach(classes::put);
     ObjectNode rules = report.putObject("broken_rules");
     outcome.violationsByRule().forEach((rule, count) -> rules.put(String.valueOf(rule), count));
     report.putPOJO(
         "first_broken",
         outcome.violations().stream().map(RuleAudit.Violation::description).toList());
-    quantiles(report.putObject("latency_ms"), outcome.latency());
-    quantiles(report.putObject("lateness_of_sending_ms"), outcome.lateness());
-    ObjectNode exits = report.putObject("exit_codes");
-    outcome.exitCodes().forEach(exits::put);
+    putPercentiles(report.putObject("latency_ms"), outcome.latency());
+    putPercentiles(report.putObject("lateness_of_sending_ms"), outcome.lateness());
+    ObjectNode exitCodes = report.putObject("exit_codes");
+    outcome.exitCodes().forEach(exitCodes::put);
     return report;
   }
 
-  private static void quantiles(ObjectNode to, Histogram histogram) {
-    for (double quantile : QUANTILES) {
-      to.put(
+  /** Adds percentiles in milliseconds; null if the histogram of microseconds is empty. */
+  private static void putPercentiles(ObjectNode node, Histogram histogram) {
+    for (double percentile : PERCENTILES) {
+      node.put(
           "p"
-              + (quantile == Math.rint(quantile)
-                  ? String.valueOf((int) quantile)
-                  : String.valueOf(quantile)),
+              + (percentile == Math.rint(percentile)
+                  ? String.valueOf((int) percentile)
+                  : String.valueOf(percentile)),
           histogram.getTotalCount() == 0
               ? null
-              : histogram.getValueAtPercentile(quantile) / 1000.0);
+              : histogram.getValueAtPercentile(percentile) / 1000.0);
     }
   }
 
-  private Page page(Replay.Outcome outcome, Map<String, Object> manifest) {
-    ServiceScore.Summary figures = outcome.scoreSummary();
+  private Page createPage(Replay.Outcome outcome, Map<String, Object> manifest) {
+    ServiceScore.Summary summary = outcome.scoreSummary();
     Page page = new Page("Replay of " + manifest.get("trace"));
     page.verdict(
         outcome.hasNoViolations(),
         outcome.hasNoViolations()
             ? "All six rules were kept."
-            : "Rules were broken: " + outcome.violationsByRule());
+            : "Rules violated: " + outcome.violationsByRule());
     page.table(
         List.of("service", "figure", "share of the score"),
         List.of(
-            List.of("whole run", three(figures.wholeRun()), "40%"),
+            List.of("whole run", formatThreeDecimals(summary.wholeRun()), "40%"),
             List.of(
-                "worst 10 s, from second " + figures.worstWindowFromS(),
-                three(figures.worstWindow()),
+                "worst 10 s, from second " + summary.worstWindowFromS(),
+                formatThreeDecimals(summary.worstWindow()),
                 "30%"),
             List.of(
-                "worst table type: " + figures.worstClassName(),
-                three(figures.worstClass()),
+                "worst table type: " + summary.worstClassName(),
+                formatThreeDecimals(summary.worstClass()),
                 "20%"),
             List.of(
-                "worst account: " + figures.worstTenantName(), three(figures.worstTenant()), "10%"),
-            List.of("score", three(figures.score()), "")));
+                "worst account: " + summary.worstTenantName(),
+                formatThreeDecimals(summary.worstTenant()),
+                "10%"),
+            List.of("score", formatThreeDecimals(summary.score()), "")));
     page.heading("Service over time");
-    List<Charts.Line> service = new ArrayList<>();
-    service.add(new Charts.Line("service", outcome.serviceBySecond()));
+    List<Charts.Series> serviceSeries = new ArrayList<>();
+    serviceSeries.add(new Charts.Series("service", outcome.serviceBySecond()));
     page.chart(
-        Charts.lines(
+        Charts.renderLineChart(
             "benefit earned over benefit asked",
             "second of the run",
             "service",
             false,
             false,
-            service));
-    page.heading("How scans ended");
-    Map<String, Map<Long, Double>> byEnd = new TreeMap<>();
-    ends.forEach(
+            serviceSeries));
+    page.heading("Query outcomes");
+    Map<String, Map<Long, Double>> countsByOutcome = new TreeMap<>();
+    outcomesBySecond.forEach(
         (second, counts) ->
             counts.forEach(
-                (end, count) ->
-                    byEnd.computeIfAbsent(end, e -> new TreeMap<>()).put(second, (double) count)));
+                (queryOutcome, count) ->
+                    countsByOutcome
+                        .computeIfAbsent(queryOutcome, name -> new TreeMap<>())
+                        .put(second, (double) count)));
     page.chart(
-        Charts.lines(
-            "scans by their end",
+        Charts.renderLineChart(
+            "queries by outcome",
             "second of the run",
-            "scans a second",
+            "queries per second",
             false,
             false,
-            byEnd.entrySet().stream()
-                .map(entry -> new Charts.Line(entry.getKey(), entry.getValue()))
+            countsByOutcome.entrySet().stream()
+                .map(entry -> new Charts.Series(entry.getKey(), entry.getValue()))
                 .toList()));
-    List<List<String>> rows = new ArrayList<>();
-    figures
+    List<List<String>> outcomeRows = new ArrayList<>();
+    summary
         .countByOutcome()
-        .forEach((end, count) -> rows.add(List.of(end.name(), String.valueOf(count))));
-    page.table(List.of("end", "scans"), rows);
-    List<List<String>> types = new ArrayList<>();
-    outcome.serviceByClass().forEach((type, value) -> types.add(List.of(type, three(value))));
-    page.table(List.of("table type", "service"), types);
-    page.heading("Times");
+        .forEach(
+            (queryOutcome, count) ->
+                outcomeRows.add(List.of(queryOutcome.name(), String.valueOf(count))));
+    page.table(List.of("outcome", "queries"), outcomeRows);
+    List<List<String>> classRows = new ArrayList<>();
+    outcome
+        .serviceByClass()
+        .forEach((type, value) -> classRows.add(List.of(type, formatThreeDecimals(value))));
+    page.table(List.of("table type", "service"), classRows);
+    page.heading("Latency");
     Map<Double, Double> latency = new TreeMap<>();
     Map<Double, Double> lateness = new TreeMap<>();
-    for (double q = 1; q < 100; q += q < 90 ? 1 : 0.1) {
-      latency.put(q, outcome.latency().getValueAtPercentile(q) / 1000.0);
-      lateness.put(q, outcome.lateness().getValueAtPercentile(q) / 1000.0);
+    for (double percentile = 1; percentile < 100; percentile += percentile < 90 ? 1 : 0.1) {
+      latency.put(percentile, outcome.latency().getValueAtPercentile(percentile) / 1000.0);
+      lateness.put(percentile, outcome.lateness().getValueAtPercentile(percentile) / 1000.0);
     }
     page.chart(
-        Charts.lines(
-            "time to the answer, from when the scan was intended",
+        Charts.renderLineChart(
+            "response time, from the intended send time of the query",
             "percentile",
             "ms",
             false,
             true,
             List.of(
-                new Charts.Line("answer", latency), new Charts.Line("sender late by", lateness))));
+                new Charts.Series("response time", latency),
+                new Charts.Series("lateness of sending", lateness))));
     page.text(
-        "The sender never waits for answers. How late it was itself is in the chart and in"
-            + " report.json; a scan's time counts from when it was intended, so a late sender makes"
-            + " the figures worse, never better.");
+        "The load generator never waits for responses. Its own lateness is shown in the chart and"
+            + " in report.json. Response times count from the intended send time of a query, so"
+            + " late sending makes the figures worse, never better.");
     if (!outcome.violations().isEmpty()) {
-      page.heading("Broken rules");
-      List<List<String>> broken = new ArrayList<>();
+      page.heading("Rule violations");
+      List<List<String>> violations = new ArrayList<>();
       outcome
           .violations()
-          .forEach(one -> broken.add(List.of("rule " + one.rule(), one.description())));
-      page.table(List.of("rule", "what was seen"), broken);
+          .forEach(
+              violation ->
+                  violations.add(List.of("rule " + violation.rule(), violation.description())));
+      page.table(List.of("rule", "description"), violations);
     }
     page.heading("Manifest");
-    List<List<String>> facts = new ArrayList<>();
-    manifest.forEach((key, value) -> facts.add(List.of(key, String.valueOf(value))));
-    page.table(List.of("", ""), facts);
+    List<List<String>> manifestRows = new ArrayList<>();
+    manifest.forEach((key, value) -> manifestRows.add(List.of(key, String.valueOf(value))));
+    page.table(List.of("", ""), manifestRows);
     return page;
   }
 
-  public static String three(double value) {
+  /** Formats a number with three decimals. */
+  public static String formatThreeDecimals(double value) {
     return String.format(java.util.Locale.ROOT, "%.3f", value);
   }
 
-  /** The commit of a checkout, "" if there is none. */
-  public static String commit(Path home) {
+  /** Returns the id of the checked-out commit; "" if there is none or git does not report it. */
+  public static String readHeadCommit(Path checkout) {
     try {
       Process git =
-          new ProcessBuilder("git", "-C", home.toString(), "rev-parse", "HEAD")
+          new ProcessBuilder("git", "-C", checkout.toString(), "rev-parse", "HEAD")
               .redirectErrorStream(true)
               .start();
       try (BufferedReader out = git.inputReader()) {
         String line = out.readLine();
         return git.waitFor(2, TimeUnit.SECONDS) && git.exitValue() == 0 && line != null ? line : "";
       }
-    } catch (IOException fault) {
+    } catch (IOException e) {
       return "";
-    } catch (InterruptedException fault) {
+    } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       return "";
     }
   }
 
-  /** Waits until all rows are written. */
+  /** Waits until all queued rows are written and closes the file of rows. */
   @Override
   public void close() throws IOException {
     if (closed) {
@@ -327,11 +357,11 @@
     }
     closed = true;
     try {
-      waiting.put(Optional.empty());
+      queue.put(Optional.empty());
       writer.join();
-    } catch (InterruptedException interrupted) {
+    } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    scans.close();
+    queryTable.close();
   }
 }
--- a/testbed/src/main/java/tidebank/testbed/report/StatsPage.java
+++ b/testbed/src/main/java/tidebank/testbed/report/StatsPage.java
@@ -7,77 +7,108 @@
 import java.util.TreeMap;
 import tidebank.testbed.trace.stats.TraceStats;
 
-/** What traces are like, as a page with charts. */
+/** An HTML page that compares the statistics of traces, with charts. */
 public final class StatsPage {
-  private static final int POINTS_MOST = 2000;
+  private static final int MAX_POINTS = 2000;
 
-  /** A trace's figures under its name. */
-  public record Named(String name, TraceStats stats) {}
+  /** The statistics of a trace and its name. */
+  public record NamedTrace(String name, TraceStats stats) {}
 
   private StatsPage() {}
 
-  public static String of(List<Named> traces) {
-    Page page = new Page("Traces: " + String.join(", ", traces.stream().map(Named::name).toList()));
-    List<String> head = new ArrayList<>(List.of(""));
+  /** Returns the page as HTML. */
+  public static String renderHtml(List<NamedTrace> traces) {
+    Page page =
+        new Page("Traces: " + String.join(", ", traces.stream().map(NamedTrace::name).toList()));
+    List<String> header = new ArrayList<>(List.of(""));
     List<List<String>> rows = new ArrayList<>();
-    List<TraceStats.Summary> all = traces.stream().map(trace -> trace.stats().summary()).toList();
-    traces.forEach(trace -> head.add(trace.name()));
+    List<TraceStats.Summary> summaries =
+        traces.stream().map(trace -> trace.stats().summary()).toList();
+    traces.forEach(trace -> header.add(trace.name()));
     rows.add(
-        row(
+        tableRow(
             "rows",
-            all.stream().map(one -> String.format(Locale.ROOT, "%,d", one.rows())).toList()));
-    rows.add(row("seconds", all.stream().map(one -> number(one.seconds())).toList()));
-    rows.add(row("a second", all.stream().map(one -> number(one.ratePerS())).toList()));
-    rows.add(row("peak second", all.stream().map(one -> number(one.peakPerS())).toList()));
-    rows.add(row("dispersion", all.stream().map(one -> one.dispersion().toString()).toList()));
-    rows.add(row("Zipf exponent of keys", all.stream().map(one -> number(one.zipf())).toList()));
+            summaries.stream()
+                .map(summary -> String.format(Locale.ROOT, "%,d", summary.rows()))
+                .toList()));
     rows.add(
-        row(
+        tableRow(
+            "seconds",
+            summaries.stream().map(summary -> formatThreeDecimals(summary.seconds())).toList()));
+    rows.add(
+        tableRow(
+            "a second",
+            summaries.stream().map(summary -> formatThreeDecimals(summary.ratePerS())).toList()));
+    rows.add(
+        tableRow(
+            "peak second",
+            summaries.stream().map(summary -> formatThreeDecimals(summary.peakPerS())).toList()));
+    rows.add(
+        tableRow(
+            "dispersion",
+            summaries.stream().map(summary -> summary.dispersion().toString()).toList()));
+    rows.add(
+        tableRow(
+            "Zipf exponent of keys",
+            summaries.stream().map(summary -> formatThreeDecimals(summary.zipf())).toList()));
+    rows.add(
+        tableRow(
             "keys",
-            all.stream().map(one -> String.format(Locale.ROOT, "%,d", one.keys())).toList()));
-    rows.add(row("work a second, s", all.stream().map(one -> number(one.workPerS())).toList()));
-    page.table(head, rows);
-    List<Charts.Line> rate = new ArrayList<>();
-    List<Charts.Line> keys = new ArrayList<>();
-    List<Charts.Line> work = new ArrayList<>();
-    List<Charts.Line> lags = new ArrayList<>();
+            summaries.stream()
+                .map(summary -> String.format(Locale.ROOT, "%,d", summary.keys()))
+                .toList()));
+    rows.add(
+        tableRow(
+            "work a second, s",
+            summaries.stream().map(summary -> formatThreeDecimals(summary.workPerS())).toList()));
+    page.table(header, rows);
+    List<Charts.Series> rates = new ArrayList<>();
+    List<Charts.Series> keys = new ArrayList<>();
+    List<Charts.Series> work = new ArrayList<>();
+    List<Charts.Series> lags = new ArrayList<>();
     for (int i = 0; i < traces.size(); i++) {
-      Named trace = traces.get(i);
+      NamedTrace trace = traces.get(i);
       int[] counts = trace.stats().counts();
-      int slot = Math.max(1, counts.length / POINTS_MOST);
-      Map<Integer, Double> bySlot = new TreeMap<>();
+      int secondsPerPoint = Math.max(1, counts.length / MAX_POINTS);
+      Map<Integer, Double> rateBySecond = new TreeMap<>();
       for (int second = 0; second < counts.length; second++) {
-        bySlot.merge(second / slot * slot, (double) counts[second] / slot, Double::sum);
+        rateBySecond.merge(
+            second / secondsPerPoint * secondsPerPoint,
+            (double) counts[second] / secondsPerPoint,
+            Double::sum);
       }
-      rate.add(new Charts.Line(trace.name(), bySlot));
-      long[] byRank = trace.stats().keyCounts();
-      Map<Integer, Double> ranks = new TreeMap<>();
-      for (int rank = 1; rank <= byRank.length; rank = Math.max(rank + 1, rank + rank / 10)) {
-        ranks.put(rank, (double) byRank[rank - 1]);
+      rates.add(new Charts.Series(trace.name(), rateBySecond));
+      long[] keyCounts = trace.stats().keyCounts();
+      Map<Integer, Double> countByRank = new TreeMap<>();
+      for (int rank = 1; rank <= keyCounts.length; rank = Math.max(rank + 1, rank + rank / 10)) {
+        countByRank.put(rank, (double) keyCounts[rank - 1]);
       }
-      keys.add(new Charts.Line(trace.name(), ranks));
-      work.add(new Charts.Line(trace.name(), all.get(i).workMs()));
-      Map<Integer, Double> lag = new TreeMap<>();
-      for (int at = 0; at < all.get(i).autocorrelation().size(); at++) {
-        lag.put(at + 1, all.get(i).autocorrelation().get(at));
+      keys.add(new Charts.Series(trace.name(), countByRank));
+      work.add(new Charts.Series(trace.name(), summaries.get(i).workMs()));
+      Map<Integer, Double> byLag = new TreeMap<>();
+      for (int index = 0; index < summaries.get(i).autocorrelation().size(); index++) {
+        byLag.put(index + 1, summaries.get(i).autocorrelation().get(index));
       }
-      lags.add(new Charts.Line(trace.name(), lag));
+      lags.add(new Charts.Series(trace.name(), byLag));
     }
-    page.chart(Charts.lines("arrivals", "second", "a second", false, false, rate));
-    page.chart(Charts.lines("popularity of keys", "rank", "rows", true, true, keys));
-    page.chart(Charts.lines("work a part", "percentile", "ms", false, true, work));
     page.chart(
-        Charts.lines("autocorrelation of arrivals by second", "lag, s", "", false, false, lags));
+        Charts.renderLineChart("arrivals", "second", "arrivals per second", false, false, rates));
+    page.chart(Charts.renderLineChart("popularity of keys", "rank", "rows", true, true, keys));
+    page.chart(
+        Charts.renderLineChart("work per shard request", "percentile", "ms", false, true, work));
+    page.chart(
+        Charts.renderLineChart(
+            "autocorrelation of arrivals by second", "lag, s", "", false, false, lags));
     return page.toString();
   }
 
-  private static List<String> row(String name, List<String> values) {
+  private static List<String> tableRow(String name, List<String> values) {
     List<String> row = new ArrayList<>(List.of(name));
     row.addAll(values);
     return row;
   }
 
-  private static String number(double value) {
+  private static String formatThreeDecimals(double value) {
     return String.format(Locale.ROOT, "%.3f", value);
   }
 }
