--- a/router/src/test/java/tidebank/AcceptBacklogTest.java
+++ b/router/src/test/java/tidebank/AcceptBacklogTest.java
@@ -129,8 +129,9 @@
   }
 
   /**
-   * Closing the listening socket reset the connections that were not accepted or not read. The
-   * event loop stalls past the time of the close after it has accepted none, 16, 32 or all of them.
+   * Connections that are not accepted or not read when the listening socket closes must not be
+   * reset. The event loop stalls past the time of the close after it has accepted none, 16, 32 or
+   * all of them.
    */
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 2, 3})
