--- a/testbed/src/main/java/tidebank/testbed/scale/Budgets.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/Budgets.java
@@ -3,24 +3,24 @@
 import java.util.OptionalDouble;
 
 /**
- * What each quantity may cost, derived from the operators' figures. All that one change or one
- * whole list costs a gatherer has to fit into its budget of the time in which a change is to be in
- * force. For discovery no budget is stated.
+ * The budget of each quantity, derived from the operators' target. A router has to process one
+ * change, or its first snapshot, with the bytes and processor time that it may use within the time
+ * in which a change has to take effect. The target states no budget for discovery.
  */
 final class Budgets {
   private static final double US_PER_S = 1e6;
 
   private Budgets() {}
 
-  /** In the quantity's unit; none where no figure is stated. */
+  /** Returns the budget in the quantity's unit, or empty if the target states none. */
   static OptionalDouble of(Quantity quantity, Target target) {
     Target.Control control = target.control();
-    double inForceS = target.configuration().inForceS();
+    double effectiveWithinS = target.configuration().inForceS();
     return switch (quantity) {
       case GATHERER_FIRST_LIST_BYTES, GATHERER_CHANGE_BYTES ->
-          OptionalDouble.of(control.bytesPerS() * inForceS);
+          OptionalDouble.of(control.bytesPerS() * effectiveWithinS);
       case GATHERER_FIRST_LIST_CPU, GATHERER_CHANGE_CPU ->
-          OptionalDouble.of(control.coreShare() * inForceS * US_PER_S);
+          OptionalDouble.of(control.coreShare() * effectiveWithinS * US_PER_S);
       case GATHERER_IDLE_BYTES -> OptionalDouble.of(control.bytesPerS());
       case GATHERER_RETAINED_HEAP -> OptionalDouble.of(control.memoryBytes());
       default -> OptionalDouble.empty();
--- a/testbed/src/main/java/tidebank/testbed/scale/ByteCounter.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/ByteCounter.java
@@ -5,28 +5,28 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelPromise;
 
-/** Counts the bytes of one connection; it stands next to the socket. */
+/** A counter of the bytes of one connection, installed as the first handler of its pipeline. */
 final class ByteCounter extends ChannelDuplexHandler {
-  private long read;
-  private long written;
+  private long bytesRead;
+  private long bytesWritten;
 
   @Override
   public void channelRead(ChannelHandlerContext context, Object message) {
-    read += ((ByteBuf) message).readableBytes();
+    bytesRead += ((ByteBuf) message).readableBytes();
     context.fireChannelRead(message);
   }
 
   @Override
   public void write(ChannelHandlerContext context, Object message, ChannelPromise promise) {
-    written += ((ByteBuf) message).readableBytes();
+    bytesWritten += ((ByteBuf) message).readableBytes();
     context.write(message, promise);
   }
 
   long read() {
-    return read;
+    return bytesRead;
   }
 
   long written() {
-    return written;
+    return bytesWritten;
   }
 }
--- a/testbed/src/main/java/tidebank/testbed/scale/CapacityPage.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/CapacityPage.java
@@ -4,14 +4,15 @@
 import java.util.List;
 import java.util.Map;
 
-/** The capacity page: prose that people write, and between markers the tables of a run. */
+/** The capacity page: hand-written text with generated tables of a run between markers. */
 public final class CapacityPage {
   private CapacityPage() {}
 
   /**
-   * The page with the tables of these results.
+   * Returns the page with its tables replaced by those of the given results.
    *
-   * @throws IOException if a table's markers are missing, or stand twice or in the wrong order
+   * @throws IOException if a marker of a table is missing or occurs more than once, or if an end
+   *     marker precedes its begin marker
    */
   public static String with(String page, RunFacts run, List<Fit> fits, Target target)
       throws IOException {
@@ -25,20 +26,24 @@
   private static String replace(String page, String name, String table) throws IOException {
     String begin = "<!-- scale:begin " + name + " -->\n";
     String end = "<!-- scale:end " + name + " -->\n";
-    int from = only(page, begin) + begin.length();
-    int to = only(page, end);
+    int from = indexOfUnique(page, begin) + begin.length();
+    int to = indexOfUnique(page, end);
     if (to < from) {
-      throw new IOException("markers of table " + name + ": the end stands before the beginning");
+      throw new IOException(
+          "markers of table " + name + ": the end marker precedes the begin marker");
     }
     return page.substring(0, from) + table + page.substring(to);
   }
 
-  private static int only(String page, String marker) throws IOException {
-    int at = page.indexOf(marker);
-    if (at < 0 || page.indexOf(marker, at + 1) >= 0) {
+  /** Returns the index of a marker that has to occur exactly once. */
+  private static int indexOfUnique(String page, String marker) throws IOException {
+    int index = page.indexOf(marker);
+    if (index < 0 || page.indexOf(marker, index + 1) >= 0) {
       throw new IOException(
-          (at < 0 ? "missing" : "more than once") + " in the page: " + marker.trim());
+          (index < 0 ? "marker missing" : "marker found more than once")
+              + " in the page: "
+              + marker.trim());
     }
-    return at;
+    return index;
   }
 }
--- a/testbed/src/main/java/tidebank/testbed/scale/CapacityTables.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/CapacityTables.java
@@ -7,13 +7,13 @@
 import java.util.Map;
 import java.util.OptionalDouble;
 
-/** The tables of the capacity page, from the lines of a run and the operators' target. */
+/** The tables of the capacity page, computed from the fits of a run and the operators' target. */
 final class CapacityTables {
-  private static final String NOTHING = "-";
-  private static final double LARGE = 1000;
-  private static final double LEAST = 0.0005;
+  private static final String EMPTY_CELL = "-";
+  private static final double THOUSAND = 1000;
+  private static final double MIN_SHOWN = 0.0005;
   private static final double PERCENT = 100;
-  private static final double LEAST_PERCENT = 0.05;
+  private static final double MIN_SHOWN_PERCENT = 0.05;
 
   private final RunFacts run;
   private final List<Fit> fits;
@@ -25,18 +25,18 @@
     this.target = target;
   }
 
-  /** All tables by the names of their markers. */
+  /** Returns the text of each table, by the name of its markers. */
   Map<String, String> all() {
     Map<String, String> tables = new LinkedHashMap<>();
-    tables.put("run", run());
-    tables.put("gatherer", role(Role.GATHERER));
-    tables.put("discovery", role(Role.DISCOVERY));
-    tables.put("independence", independence());
-    tables.put("not-measured", notMeasured());
+    tables.put("run", runSummary());
+    tables.put("gatherer", roleTable(Role.GATHERER));
+    tables.put("discovery", roleTable(Role.DISCOVERY));
+    tables.put("independence", independenceTable());
+    tables.put("not-measured", notMeasuredTable());
     return tables;
   }
 
-  private String run() {
+  private String runSummary() {
     Machine machine = run.machine();
     return "Run of `"
         + run.profile()
@@ -61,7 +61,7 @@
         + ".\n";
   }
 
-  private String role(Role role) {
+  private String roleTable(Role role) {
     StringBuilder table =
         new StringBuilder(
             "| quantity | unit | slope (95% interval) | constant | residual | spread of repeats |"
@@ -75,26 +75,26 @@
     fits.stream()
         .filter(fit -> fit.quantity().role() == role && fit.extrapolates())
         .sorted(Comparator.comparingDouble(this::breakingMultiple))
-        .forEach(fit -> table.append(row(fit)));
+        .forEach(fit -> table.append(fitRow(fit)));
     return table.toString();
   }
 
-  private String row(Fit fit) {
+  private String fitRow(Fit fit) {
     Size size = target.fleet().size();
     OptionalDouble budget = Budgets.of(fit.quantity(), target);
-    return line(
+    return row(
         fit.quantity().label(),
         fit.quantity().unit(),
         slope(fit),
         number(fit.constant()),
         number(fit.residual()),
         percent(fit.spread()),
-        measured(fit),
+        measuredRange(fit),
         number(fit.at(target.today())),
         number(fit.at(size)),
         budget.isPresent() ? number(budget.getAsDouble()) : "none stated",
         ratio(fit.driver().count(size) / fit.countHigh()),
-        breaking(fit, budget));
+        breaksAt(fit, budget));
   }
 
   private static String slope(Fit fit) {
@@ -108,7 +108,7 @@
         + ")";
   }
 
-  private static String measured(Fit fit) {
+  private static String measuredRange(Fit fit) {
     return number(fit.countLow())
         + " to "
         + number(fit.countHigh())
@@ -119,7 +119,11 @@
         + " points";
   }
 
-  /** The multiple of today's fleet at which the budget is passed; infinite if that is not seen. */
+  /**
+   * Returns the multiple of today's fleet at which the budget is reached: infinity without a
+   * budget, and where no growth is seen 0 if the mean exceeds the budget, else {@link
+   * Double#MAX_VALUE}.
+   */
   private double breakingMultiple(Fit fit) {
     OptionalDouble budget = Budgets.of(fit.quantity(), target);
     if (budget.isEmpty()) {
@@ -132,16 +136,16 @@
     return fit.driver().multiple(Math.max(0, count), target.today());
   }
 
-  private String breaking(Fit fit, OptionalDouble budget) {
+  private String breaksAt(Fit fit, OptionalDouble budget) {
     if (budget.isEmpty()) {
-      return NOTHING;
+      return EMPTY_CELL;
     }
     double multiple = breakingMultiple(fit);
     return multiple == Double.MAX_VALUE ? "no growth seen" : ratio(multiple);
   }
 
-  /** What a quantity does as the count grows that it is not taken to grow with. */
-  private String independence() {
+  /** Returns the table of the fits over counts that the quantities are assumed not to grow with. */
+  private String independenceTable() {
     StringBuilder table =
         new StringBuilder(
             "| role | quantity | over | slope (95% interval) | growth over that range, of the"
@@ -151,47 +155,52 @@
       if (!fit.extrapolates() && fit.quantity().driver() != Driver.LIST_ENTRIES) {
         double growth = fit.slope() * (fit.countHigh() - fit.countLow());
         table.append(
-            line(
+            row(
                 fit.quantity().role().name().toLowerCase(Locale.ROOT),
                 fit.quantity().label(),
-                measured(fit),
+                measuredRange(fit),
                 slope(fit),
-                fit.mean() == 0 ? NOTHING : percent(growth / fit.mean())));
+                fit.mean() == 0 ? EMPTY_CELL : percent(growth / fit.mean())));
       }
     }
     return table.toString();
   }
 
-  private static String notMeasured() {
+  private static String notMeasuredTable() {
     StringBuilder table = new StringBuilder("| role | state |\n| --- | --- |\n");
     for (Role role : Role.notMeasured()) {
-      table.append(line(role.label(), "not measured"));
+      table.append(row(role.label(), "not measured"));
     }
     return table.toString();
   }
 
-  private static String line(String... cells) {
+  private static String row(String... cells) {
     return "| " + String.join(" | ", cells) + " |\n";
   }
 
   private static String ratio(double value) {
-    return value > LARGE ? "over 1,000x" : String.format(Locale.ROOT, "%.2fx", value);
+    return value > THOUSAND ? "over 1,000x" : String.format(Locale.ROOT, "%.2fx", value);
   }
 
   private static String percent(double share) {
     double percent = share * PERCENT;
-    return Math.abs(percent) < LEAST_PERCENT ? "0" : String.format(Locale.ROOT, "%.1f%%", percent);
+    return Math.abs(percent) < MIN_SHOWN_PERCENT
+        ? "0"
+        : String.format(Locale.ROOT, "%.1f%%", percent);
   }
 
-  /** Three or four digits; what is below the rounding of sums is nothing. */
+  /**
+   * Formats a number: without decimals from 1,000 and for whole numbers, else with one decimal from
+   * 1 and three below. Values under 0.0005 are rounding errors of sums and shown as 0.
+   */
   private static String number(double value) {
-    double size = Math.abs(value);
-    if (size < LEAST) {
+    double magnitude = Math.abs(value);
+    if (magnitude < MIN_SHOWN) {
       return "0";
     }
-    if (size >= LARGE || value == Math.rint(value)) {
+    if (magnitude >= THOUSAND || value == Math.rint(value)) {
       return String.format(Locale.ROOT, "%,.0f", value);
     }
-    return String.format(Locale.ROOT, size >= 1 ? "%.1f" : "%.3f", value);
+    return String.format(Locale.ROOT, magnitude >= 1 ? "%.1f" : "%.3f", value);
   }
 }
--- a/testbed/src/main/java/tidebank/testbed/scale/DiscoveryRig.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/DiscoveryRig.java
@@ -11,9 +11,9 @@
 import tidebank.testbed.emulator.DiscoveryEmulator;
 
 /**
- * Discovery's stand-in with a list of hollow shard servers, and a record of each call to it. It
- * does the steps that a measurement is made of, whoever the gatherers are; each ends when all of
- * them have what was told.
+ * A discovery emulator with an endpoint list of simulated shard servers, and a log of its
+ * exchanges. It runs the steps of a measurement, for simulated and real routers alike. Each step
+ * waits for all routers.
  */
 final class DiscoveryRig implements AutoCloseable {
   private static final long FIRST_VERSION = 1;
@@ -29,55 +29,65 @@
     List<SimulatedServer> servers =
         IntStream.range(0, size.servers()).mapToObj(SimulatedServer::new).toList();
     discovery = new DiscoveryEmulator(servers, size.gatherers(), null, new Clock(), thread.loop());
-    discovery.setConnectionObserver(
-        (gatherer, pipeline) -> ExchangeRecorder.record(gatherer, pipeline, exchanges));
+    discovery.setConnectionObserver((router, pipeline) -> ExchangeRecorder.record(router, pipeline, exchanges));
     changes = new ListChanges(discovery, size.servers(), seed);
     discovery.open();
   }
 
-  InetSocketAddress address(int gatherer) {
-    return discovery.address(gatherer);
+  /** Returns the address at which a router, numbered from 0, reaches discovery. */
+  InetSocketAddress address(int router) {
+    return discovery.address(router);
   }
 
+  /** Returns the processor time of discovery's event loop, in microseconds. */
   double processorTimeUs() {
     return thread.processorTimeUs();
   }
 
-  /** Connections accepted so far. */
+  /** Returns the number of connections accepted so far. */
   int connections() {
     return exchanges.connections();
   }
 
-  /** The calls in which each gatherer gets its first list. */
+  /**
+   * Waits until each router has its first endpoint list and returns the exchanges that sent
+   * snapshots.
+   */
   List<Exchange> firstLists() throws IOException {
     exchanges.awaitAcknowledged(version);
-    return only(ExchangeKind.WHOLE_LIST);
+    return takeOfKind(ExchangeKind.WHOLE_LIST);
   }
 
-  /** Changes the list so many times, one after the other. */
+  /**
+   * Changes the endpoint list several times, each time after all routers have the previous version.
+   * Returns the exchanges that sent deltas.
+   */
   List<Exchange> change(int times) throws IOException {
     for (int i = 0; i < times; i++) {
       version++;
       changes.next();
       exchanges.awaitAcknowledged(version);
     }
-    return only(ExchangeKind.CHANGES);
+    return takeOfKind(ExchangeKind.CHANGES);
   }
 
-  /** Ends the wait of each watch with nothing to tell; one call of each gatherer. */
+  /**
+   * Ends all watches with an empty response, as at their wait limit, and returns one exchange of
+   * each router.
+   */
   List<Exchange> idle() throws IOException {
     discovery.expireWatches();
     exchanges.awaitAnswered(ExchangeKind.NOTHING);
-    Set<Integer> seen = new HashSet<>();
-    return only(ExchangeKind.NOTHING).stream()
-        .filter(exchange -> seen.add(exchange.gatherer()))
+    Set<Integer> seenRouters = new HashSet<>();
+    return takeOfKind(ExchangeKind.NOTHING).stream()
+        .filter(exchange -> seenRouters.add(exchange.gatherer()))
         .toList();
   }
 
-  private List<Exchange> only(ExchangeKind kind) {
-    List<Exchange> some = new ArrayList<>(exchanges.take());
-    some.removeIf(exchange -> exchange.kind() != kind);
-    return some;
+  private List<Exchange> takeOfKind(ExchangeKind kind) {
+    List<Exchange> taken = new ArrayList<>(exchanges.take());
+    taken.removeIf(exchange -> exchange.kind() != kind);
+    return taken;
   }
 
   @Override
--- a/testbed/src/main/java/tidebank/testbed/scale/Driver.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/Driver.java
@@ -1,10 +1,10 @@
 package tidebank.testbed.scale;
 
-/** What a cost is taken to grow with. */
+/** A count of the fleet that a quantity is assumed to grow with. */
 public enum Driver {
   SERVERS("shard server", "shard servers"),
   GATHERERS("gatherer", "gatherers"),
-  /** Each shard server in the list of each gatherer. */
+  /** The entries of the endpoint lists of all routers: routers times shard servers. */
   LIST_ENTRIES("list entry", "list entries");
 
   private final String label;
@@ -15,17 +15,17 @@
     this.plural = plural;
   }
 
-  /** Its name in tables, in the singular. */
+  /** Returns the singular name that tables show. */
   public String label() {
     return label;
   }
 
-  /** Its name in tables, in the plural. */
+  /** Returns the plural name that tables show. */
   String plural() {
     return plural;
   }
 
-  /** How many there are in a fleet of this size. */
+  /** Returns the count in a fleet of this size. */
   public double count(Size size) {
     return switch (this) {
       case SERVERS -> size.servers();
@@ -34,9 +34,12 @@
     };
   }
 
-  /** The multiple of a fleet, both its counts grown alike, at which there are so many. */
-  double multiple(double count, Size of) {
-    double ratio = count / count(of);
+  /**
+   * Returns the factor by which a fleet has to grow to reach a count, if its routers and shard
+   * servers grow by the same factor.
+   */
+  double multiple(double count, Size fleet) {
+    double ratio = count / count(fleet);
     return this == LIST_ENTRIES ? Math.sqrt(ratio) : ratio;
   }
 }
--- a/testbed/src/main/java/tidebank/testbed/scale/EventLoopThread.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/EventLoopThread.java
@@ -8,7 +8,7 @@
 import java.lang.management.ThreadMXBean;
 import java.util.concurrent.TimeUnit;
 
-/** An event loop of one thread whose processor time can be read. */
+/** An event loop with a thread of its own, and the processor time that this thread has used. */
 final class EventLoopThread implements AutoCloseable {
   private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
   private static final double NANOS_PER_US = 1000;
@@ -16,26 +16,26 @@
   private final MultiThreadIoEventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final EventLoop loop = group.next();
-  private final long thread;
+  private final long threadId;
 
   EventLoopThread() {
-    thread = loop.submit(() -> Thread.currentThread().getId()).syncUninterruptibly().getNow();
+    threadId = loop.submit(() -> Thread.currentThread().getId()).syncUninterruptibly().getNow();
   }
 
   EventLoop loop() {
     return loop;
   }
 
-  /** The processor time that its thread has taken, in microseconds. */
+  /** Returns the processor time that the thread has used, in microseconds. */
   double processorTimeUs() {
-    return THREADS.getThreadCpuTime(thread) / NANOS_PER_US;
+    return THREADS.getThreadCpuTime(threadId) / NANOS_PER_US;
   }
 
   @Override
   public void close() {
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
-    // Netty's shared executor holds on to the last task it ran, and by that to this loop and all
-    // that waits in it, until it runs another.
+    // Netty's global executor references the last task that it ran, and so this event loop and its
+    // queued tasks, until it runs another task.
     GlobalEventExecutor.INSTANCE.submit(() -> {}).syncUninterruptibly();
   }
 }
--- a/testbed/src/main/java/tidebank/testbed/scale/Exchange.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/Exchange.java
@@ -1,17 +1,20 @@
 package tidebank.testbed.scale;
 
 /**
- * One call to discovery and its answer, as they were on the wire.
+ * A request to discovery and its response.
  *
- * @param requestBytes of the TCP stream, heads included
- * @param responseBytes the same
- * @param waitMs how long the call was to wait for a change; 0 if not at all
+ * @param router number of the router that sent the request, from 0
+ * @param kind content of the response
+ * @param requestBytes bytes of the request on the TCP connection, HTTP headers included
+ * @param responseBytes bytes of the response on the TCP connection, HTTP headers included
+ * @param waitMs wait limit of the request, in milliseconds; 0 if it is not a watch
  */
 record Exchange(
     int gatherer, ExchangeKind kind, long requestBytes, long responseBytes, long waitMs) {
-  /** A request and a response. */
+  /** Messages of one exchange: the request and the response. */
   static final int MESSAGES = 2;
 
+  /** Returns the bytes of the request and the response together. */
   long bytes() {
     return requestBytes + responseBytes;
   }
--- a/testbed/src/main/java/tidebank/testbed/scale/ExchangeKind.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/ExchangeKind.java
@@ -1,9 +1,9 @@
 package tidebank.testbed.scale;
 
-/** What discovery answered a call with. */
+/** The content of a response of discovery. */
 enum ExchangeKind {
   WHOLE_LIST,
   CHANGES,
-  /** Nothing had changed when the wait was over. */
+  /** No change: the watch reached its wait limit. */
   NOTHING
 }
--- a/testbed/src/main/java/tidebank/testbed/scale/ExchangeRecorder.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/ExchangeRecorder.java
@@ -12,74 +12,82 @@
 import java.util.Map;
 
 /**
- * Tells of each call on one connection to discovery, with its bytes. A gatherer has one call out at
- * a time, so all bytes between two requests belong to the later one.
+ * A handler that records the exchanges of one connection to discovery. A router has one request in
+ * flight at a time, so all bytes read since the previous request belong to the current one.
  */
 final class ExchangeRecorder extends ChannelDuplexHandler {
-  /** The flag stands within so many bytes of an answer's beginning. */
-  private static final int HEAD = 64;
+  /**
+   * Bytes at the start of a response body that tell a snapshot, a delta and an empty response
+   * apart.
+   */
+  private static final int HEAD_BYTES = 64;
 
-  private static final String WHOLE = "\"whole\":true";
-  private static final String NO_HOSTS = "\"hosts\":[]}";
+  private static final String SNAPSHOT_FLAG = "\"whole\":true";
+  private static final String EMPTY_LIST_END = "\"hosts\":[]}";
 
-  private final int gatherer;
+  private final int router;
   private final Exchanges exchanges;
   private final ByteCounter bytes;
   private long readBefore;
   private long requestBytes;
   private long waitMs;
 
-  private ExchangeRecorder(int gatherer, Exchanges exchanges, ByteCounter bytes) {
-    this.gatherer = gatherer;
+  private ExchangeRecorder(int router, Exchanges exchanges, ByteCounter bytes) {
+    this.router = router;
     this.exchanges = exchanges;
     this.bytes = bytes;
   }
 
-  /** Records a gatherer's connection, whose pipeline ends with what answers it. */
-  static void record(int gatherer, ChannelPipeline pipeline, Exchanges exchanges) {
+  /**
+   * Installs a recorder on a router's connection, before the last handler of the pipeline, which
+   * sends the responses.
+   */
+  static void record(int router, ChannelPipeline pipeline, Exchanges exchanges) {
     ByteCounter bytes = new ByteCounter();
     pipeline.addFirst(bytes);
-    String answers = pipeline.lastContext().name();
-    pipeline.addBefore(answers, null, new ExchangeRecorder(gatherer, exchanges, bytes));
+    String responder = pipeline.lastContext().name();
+    pipeline.addBefore(responder, null, new ExchangeRecorder(router, exchanges, bytes));
     exchanges.connected();
   }
 
   @Override
   public void channelRead(ChannelHandlerContext context, Object message) {
-    Map<String, List<String>> asked =
+    Map<String, List<String>> parameters =
         new QueryStringDecoder(((FullHttpRequest) message).uri()).parameters();
     requestBytes = bytes.read() - readBefore;
     readBefore = bytes.read();
-    waitMs = number(asked, "wait_ms", 0);
+    waitMs = parseParameter(parameters, "wait_ms", 0);
     context.fireChannelRead(message);
-    exchanges.acknowledged(gatherer, number(asked, "after", 0));
+    exchanges.acknowledged(router, parseParameter(parameters, "after", 0));
   }
 
-  private static long number(Map<String, List<String>> asked, String key, long absent) {
-    List<String> values = asked.get(key);
-    return values == null ? absent : Long.parseLong(values.get(0));
+  private static long parseParameter(
+      Map<String, List<String>> parameters, String key, long defaultValue) {
+    List<String> values = parameters.get(key);
+    return values == null ? defaultValue : Long.parseLong(values.get(0));
   }
 
   @Override
   public void write(ChannelHandlerContext context, Object message, ChannelPromise promise) {
-    ExchangeKind kind = kind((FullHttpResponse) message);
-    long before = bytes.written();
+    ExchangeKind kind = kindOf((FullHttpResponse) message);
+    long writtenBefore = bytes.written();
     context.write(message, promise);
-    exchanges.add(new Exchange(gatherer, kind, requestBytes, bytes.written() - before, waitMs));
+    exchanges.add(
+        new Exchange(router, kind, requestBytes, bytes.written() - writtenBefore, waitMs));
   }
 
-  private static ExchangeKind kind(FullHttpResponse response) {
+  private static ExchangeKind kindOf(FullHttpResponse response) {
     int length = response.content().readableBytes();
     String head =
         response
             .content()
             .toString(
                 response.content().readerIndex(),
-                Math.min(HEAD, length),
+                Math.min(HEAD_BYTES, length),
                 StandardCharsets.US_ASCII);
-    if (head.contains(WHOLE)) {
+    if (head.contains(SNAPSHOT_FLAG)) {
       return ExchangeKind.WHOLE_LIST;
     }
-    return head.endsWith(NO_HOSTS) ? ExchangeKind.NOTHING : ExchangeKind.CHANGES;
+    return head.endsWith(EMPTY_LIST_END) ? ExchangeKind.NOTHING : ExchangeKind.CHANGES;
   }
 }
--- a/testbed/src/main/java/tidebank/testbed/scale/Exchanges.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/Exchanges.java
@@ -7,33 +7,33 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * All calls to discovery and what each gatherer is known to have; written by one thread, read by
- * another.
+ * The exchanges with discovery, and the list version that each router has. Thread-safe: one thread
+ * writes and another reads.
  */
 final class Exchanges {
-  /** Far beyond what any step takes: who waits so long waits for nothing. */
-  private static final long PATIENCE_NANOS = TimeUnit.SECONDS.toNanos(60);
+  /** Far longer than any step takes; after this time the step is taken to have failed. */
+  private static final long TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(60);
 
   private final long[] acknowledged;
   private List<Exchange> exchanges = new ArrayList<>();
   private int connections;
 
-  Exchanges(int gatherers) {
-    acknowledged = new long[gatherers];
+  Exchanges(int routers) {
+    acknowledged = new long[routers];
   }
 
   synchronized void connected() {
     connections++;
   }
 
-  /** Connections accepted so far. */
+  /** Returns the number of connections accepted so far. */
   synchronized int connections() {
     return connections;
   }
 
-  /** A gatherer asked for what comes after a version, so it has that. */
-  synchronized void acknowledged(int gatherer, long version) {
-    acknowledged[gatherer] = version;
+  /** Records that a router requested the changes after a version, and so has this version. */
+  synchronized void acknowledged(int router, long version) {
+    acknowledged[router] = version;
     notifyAll();
   }
 
@@ -42,52 +42,64 @@
     notifyAll();
   }
 
-  /** Takes all that were added since the last time. */
+  /** Removes and returns the exchanges added since the previous call. */
   synchronized List<Exchange> take() {
     List<Exchange> taken = exchanges;
     exchanges = new ArrayList<>();
     return taken;
   }
 
-  /** Waits until each gatherer has a version. */
+  /**
+   * Waits until each router has a version of the endpoint list.
+   *
+   * @throws IOException on timeout or interruption
+   */
   void awaitAcknowledged(long version) throws IOException {
-    await(() -> allHave(version), "not every gatherer has version " + version + " of the list");
+    await(
+        () -> allRoutersHave(version),
+        "timeout: not every router has version " + version + " of the endpoint list");
   }
 
-  private boolean allHave(long version) {
-    for (long has : acknowledged) {
-      if (has < version) {
+  private boolean allRoutersHave(long version) {
+    for (long acknowledgedVersion : acknowledged) {
+      if (acknowledgedVersion < version) {
         return false;
       }
     }
     return true;
   }
 
-  /** Waits until a call of each gatherer was answered in this way. */
+  /**
+   * Waits until each router was sent a response of this kind.
+   *
+   * @throws IOException on timeout or interruption
+   */
   void awaitAnswered(ExchangeKind kind) throws IOException {
-    await(() -> answered(kind) == acknowledged.length, "not every gatherer was told " + kind);
+    await(
+        () -> routersSent(kind) == acknowledged.length,
+        "timeout: not every router was sent a response of kind " + kind);
   }
 
-  private long answered(ExchangeKind kind) {
+  private long routersSent(ExchangeKind kind) {
     return exchanges.stream()
-        .filter(each -> each.kind() == kind)
+        .filter(exchange -> exchange.kind() == kind)
         .mapToInt(Exchange::gatherer)
         .distinct()
         .count();
   }
 
-  private synchronized void await(BooleanSupplier holds, String otherwise) throws IOException {
-    long until = System.nanoTime() + PATIENCE_NANOS;
-    while (!holds.getAsBoolean()) {
-      long left = TimeUnit.NANOSECONDS.toMillis(until - System.nanoTime());
-      if (left <= 0) {
-        throw new IOException(otherwise);
+  private synchronized void await(BooleanSupplier condition, String failure) throws IOException {
+    long deadlineNanos = System.nanoTime() + TIMEOUT_NANOS;
+    while (!condition.getAsBoolean()) {
+      long remainingMs = TimeUnit.NANOSECONDS.toMillis(deadlineNanos - System.nanoTime());
+      if (remainingMs <= 0) {
+        throw new IOException(failure);
       }
       try {
-        wait(left);
+        wait(remainingMs);
       } catch (InterruptedException fault) {
         Thread.currentThread().interrupt();
-        throw new IOException("interrupted");
+        throw new IOException("interrupted while waiting for routers");
       }
     }
   }
--- a/testbed/src/main/java/tidebank/testbed/scale/Fit.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/Fit.java
@@ -1,16 +1,23 @@
 package tidebank.testbed.scale;
 
 /**
- * A straight line through points: {@code slope x count + constant}.
+ * A linear fit of a quantity over a count: {@code slope * count + constant}.
  *
- * @param driver what is counted
- * @param points how many values, of {@code sizes} distinct counts
- * @param slopeLow lower, {@code slopeHigh} upper end of the slope's interval, of 95 in 100
+ * @param driver the count that the fit is over
+ * @param points number of values that the fit uses
+ * @param sizes number of distinct counts among them
+ * @param slope growth of the quantity per unit of the count
+ * @param slopeLow lower bound of the slope's 95% confidence interval
+ * @param slopeHigh upper bound of the slope's 95% confidence interval
+ * @param constant intercept, in the quantity's unit
  * @param residual standard deviation of the values from the line, in the quantity's unit
- * @param spread the widest range of the repeats of one size, as a share of their mean
- * @param mean of all values
- * @param countLow least, {@code countHigh} largest count that was measured
- * @param valueLow least, {@code valueHigh} largest value that was measured
+ * @param spread range of the repeats of one size, divided by their mean, for the size at which it
+ *     is widest
+ * @param mean mean of all values
+ * @param countLow smallest measured count
+ * @param countHigh largest measured count
+ * @param valueLow smallest measured value
+ * @param valueHigh largest measured value
  */
 public record Fit(
     Quantity quantity,
@@ -28,17 +35,17 @@
     double countHigh,
     double valueLow,
     double valueHigh) {
-  /** The line's value at a size; the mean where no growth is seen. */
+  /** Returns the fitted value at a size, or the mean if no growth is seen. */
   double at(Size size) {
     return grows() ? slope * driver.count(size) + constant : mean;
   }
 
-  /** Whether this is the line that its quantity is extrapolated by. */
+  /** Returns whether this fit is over the driver that its quantity is extrapolated with. */
   boolean extrapolates() {
     return driver == quantity.driver();
   }
 
-  /** Whether the slope's interval lies above zero. */
+  /** Returns whether the slope's confidence interval lies above zero. */
   boolean grows() {
     return slopeLow > 0;
   }
--- a/testbed/src/main/java/tidebank/testbed/scale/Fits.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/Fits.java
@@ -11,43 +11,47 @@
 import org.apache.commons.math3.stat.regression.SimpleRegression;
 
 /**
- * Least squares through the points of a run. A count's line takes only points at which the other
- * count stood still; that of list entries takes all. The slope's interval is that of a bootstrap
- * over the points, from the run's seed.
+ * Least-squares linear fits over the points of a run. A fit over shard servers or routers uses only
+ * the points at which the other count has its fixed value; a fit over list entries uses all points.
+ * The confidence interval of the slope comes from bootstrap resampling of the points, seeded with
+ * the run's seed.
  */
 public final class Fits {
   private static final int RESAMPLES = 1000;
-  private static final double OUTSIDE = 0.025;
 
-  /** A line through fewer counts has no residual to speak of. */
-  private static final int SIZES_LEAST = 3;
+  /** Share of the resampled slopes on each side of the 95% confidence interval. */
+  private static final double TAIL_SHARE = 0.025;
+
+  /** With fewer distinct counts, the residual of a linear fit means little. */
+  private static final int MIN_DISTINCT_COUNTS = 3;
 
   private Fits() {}
 
-  /** The lines of all quantities, each over each driver that its points allow. */
+  /** Returns the fits of each quantity over every driver with enough distinct counts. */
   public static List<Fit> of(RunFacts run, List<Point> points) {
     List<Fit> fits = new ArrayList<>();
     for (Quantity quantity : Quantity.values()) {
       for (Driver driver : Driver.values()) {
-        List<Point> some =
+        List<Point> selected =
             points.stream()
                 .filter(point -> point.quantity() == quantity)
-                .filter(point -> separates(driver, point.size(), run.fixed()))
+                .filter(point -> isPointOfFit(driver, point.size(), run.fixed()))
                 .toList();
-        if (wanted(quantity, driver) && sizes(driver, some) >= SIZES_LEAST) {
-          fits.add(fit(quantity, driver, some, run.seed()));
+        if (isFitted(quantity, driver) && countDistinct(driver, selected) >= MIN_DISTINCT_COUNTS) {
+          fits.add(computeFit(quantity, driver, selected, run.seed()));
         }
       }
     }
     return fits;
   }
 
-  /** List entries are a driver only of what is taken to grow with them. */
-  private static boolean wanted(Quantity quantity, Driver driver) {
+  /** Returns false for list entries unless the quantity is assumed to grow with them. */
+  private static boolean isFitted(Quantity quantity, Driver driver) {
     return driver != Driver.LIST_ENTRIES || quantity.driver() == driver;
   }
 
-  private static boolean separates(Driver driver, Size size, Size fixed) {
+  /** Returns whether a point of this size belongs to the fit over this driver. */
+  private static boolean isPointOfFit(Driver driver, Size size, Size fixed) {
     return switch (driver) {
       case SERVERS -> size.gatherers() == fixed.gatherers();
       case GATHERERS -> size.servers() == fixed.servers();
@@ -55,69 +59,73 @@
     };
   }
 
-  private static int sizes(Driver driver, List<Point> points) {
+  private static int countDistinct(Driver driver, List<Point> points) {
     return (int)
         points.stream().mapToDouble(point -> driver.count(point.size())).distinct().count();
   }
 
-  private static Fit fit(Quantity quantity, Driver driver, List<Point> points, long seed) {
+  private static Fit computeFit(Quantity quantity, Driver driver, List<Point> points, long seed) {
     double[][] values = new double[points.size()][];
     for (int i = 0; i < values.length; i++) {
       Point point = points.get(i);
       values[i] = new double[] {driver.count(point.size()), point.value()};
     }
-    SimpleRegression line = new SimpleRegression();
-    line.addData(values);
-    double[] slopes = resampledSlopes(values, seed ^ quantity.name().hashCode());
-    DoubleSummaryStatistics counts =
+    SimpleRegression regression = new SimpleRegression();
+    regression.addData(values);
+    double[] sortedSlopes = resampleSlopes(values, seed ^ quantity.name().hashCode());
+    DoubleSummaryStatistics countRange =
         Arrays.stream(values).mapToDouble(v -> v[0]).summaryStatistics();
-    DoubleSummaryStatistics range =
+    DoubleSummaryStatistics valueRange =
         Arrays.stream(values).mapToDouble(v -> v[1]).summaryStatistics();
     return new Fit(
         quantity,
         driver,
         values.length,
-        sizes(driver, points),
-        line.getSlope(),
-        slopes[(int) (OUTSIDE * RESAMPLES)],
-        slopes[(int) ((1 - OUTSIDE) * RESAMPLES)],
-        line.getIntercept(),
-        Math.sqrt(line.getMeanSquareError()),
-        spread(points),
-        range.getAverage(),
-        counts.getMin(),
-        counts.getMax(),
-        range.getMin(),
-        range.getMax());
+        countDistinct(driver, points),
+        regression.getSlope(),
+        sortedSlopes[(int) (TAIL_SHARE * RESAMPLES)],
+        sortedSlopes[(int) ((1 - TAIL_SHARE) * RESAMPLES)],
+        regression.getIntercept(),
+        Math.sqrt(regression.getMeanSquareError()),
+        maxRelativeSpread(points),
+        valueRange.getAverage(),
+        countRange.getMin(),
+        countRange.getMax(),
+        valueRange.getMin(),
+        valueRange.getMax());
   }
 
-  /** The slopes of lines through points drawn with replacement, ascending. */
-  private static double[] resampledSlopes(double[][] values, long seed) {
-    SplittableRandom chance = new SplittableRandom(seed);
+  /** Returns the slopes of fits through points drawn with replacement, in ascending order. */
+  private static double[] resampleSlopes(double[][] values, long seed) {
+    SplittableRandom random = new SplittableRandom(seed);
     double[] slopes = new double[RESAMPLES];
     for (int i = 0; i < RESAMPLES; i++) {
-      slopes[i] = resampledSlope(values, chance);
+      slopes[i] = resampleSlope(values, random);
     }
     Arrays.sort(slopes);
     return slopes;
   }
 
-  /** A draw of one count alone has no slope and is made again. */
-  private static double resampledSlope(double[][] values, SplittableRandom chance) {
+  /** Draws until the sample has two distinct counts; a sample with one has no slope. */
+  private static double resampleSlope(double[][] values, SplittableRandom random) {
     while (true) {
-      SimpleRegression line = new SimpleRegression();
+      SimpleRegression regression = new SimpleRegression();
       for (int i = 0; i < values.length; i++) {
-        double[] drawn = values[chance.nextInt(values.length)];
-        line.addData(drawn[0], drawn[1]);
+        double[] drawn = values[random.nextInt(values.length)];
+        regression.addData(drawn[0], drawn[1]);
       }
-      double slope = line.getSlope();
+      double slope = regression.getSlope();
       if (!Double.isNaN(slope)) {
         return slope;
       }
     }
   }
 
-  private static double spread(List<Point> points) {
+  /**
+   * Returns the range of the repeats of one size, divided by their mean, for the size at which it
+   * is widest.
+   */
+  private static double maxRelativeSpread(List<Point> points) {
     Map<String, DoubleSummaryStatistics> bySize =
         points.stream()
             .collect(
@@ -127,7 +135,10 @@
                     Collectors.summarizingDouble(Point::value)));
     return bySize.values().stream()
         .mapToDouble(
-            one -> one.getMax() == 0 ? 0 : (one.getMax() - one.getMin()) / one.getAverage())
+            repeats ->
+                repeats.getMax() == 0
+                    ? 0
+                    : (repeats.getMax() - repeats.getMin()) / repeats.getAverage())
         .max()
         .orElse(0);
   }
--- a/testbed/src/main/java/tidebank/testbed/scale/ListChanges.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/ListChanges.java
@@ -5,29 +5,34 @@
 import tidebank.testbed.emulator.DiscoveryEmulator.Health;
 
 /**
- * The changes of the list, drawn from a seed: a server drains, and with the next change is back.
+ * A seeded sequence of endpoint list changes. In turn, a randomly chosen server starts to drain and
+ * returns to service.
  */
 final class ListChanges {
-  private static final long BORN_AS_BEFORE = 0;
+  /** Tells the emulator that the server did not restart. */
+  private static final long KEEP_START_TIME = 0;
 
   private final DiscoveryEmulator discovery;
   private final int servers;
-  private final SplittableRandom chance;
-  private int draining = -1;
+  private final SplittableRandom random;
+
+  /** Number of the draining server, or -1 if none drains. */
+  private int drainingServer = -1;
 
   ListChanges(DiscoveryEmulator discovery, int servers, long seed) {
     this.discovery = discovery;
     this.servers = servers;
-    chance = new SplittableRandom(seed);
+    random = new SplittableRandom(seed);
   }
 
+  /** Applies the next change. */
   void next() {
-    if (draining < 0) {
-      draining = chance.nextInt(servers);
-      discovery.updateServer(draining, Health.Terminating, BORN_AS_BEFORE);
+    if (drainingServer < 0) {
+      drainingServer = random.nextInt(servers);
+      discovery.updateServer(drainingServer, Health.Terminating, KEEP_START_TIME);
     } else {
-      discovery.updateServer(draining, Health.Ready, BORN_AS_BEFORE);
-      draining = -1;
+      discovery.updateServer(drainingServer, Health.Ready, KEEP_START_TIME);
+      drainingServer = -1;
     }
   }
 }
--- a/testbed/src/main/java/tidebank/testbed/scale/Machine.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/Machine.java
@@ -3,7 +3,16 @@
 import com.sun.management.OperatingSystemMXBean;
 import java.lang.management.ManagementFactory;
 
-/** The figures of the machine that a run was made on. */
+/**
+ * The machine and Java virtual machine of a run.
+ *
+ * @param processors number of available processors
+ * @param memoryBytes total memory of the machine
+ * @param heapBytes maximum heap size of the process
+ * @param system name of the operating system
+ * @param architecture architecture of the operating system
+ * @param java version of the Java virtual machine
+ */
 public record Machine(
     int processors,
     long memoryBytes,
@@ -11,6 +20,7 @@
     String system,
     String architecture,
     String java) {
+  /** Returns the figures of this machine and process. */
   static Machine here() {
     OperatingSystemMXBean system = ManagementFactory.getPlatformMXBean(OperatingSystemMXBean.class);
     return new Machine(
--- a/testbed/src/main/java/tidebank/testbed/scale/Measurement.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/Measurement.java
@@ -5,55 +5,67 @@
 import tidebank.testbed.scale.Observed.Descriptors;
 import tidebank.testbed.scale.Observed.ProcessorTime;
 
-/** Measures a fleet of hollow gatherers of one size: started, told of changes, left idle. */
+/**
+ * The measurement of one fleet size: simulated routers start, receive list changes and then hold
+ * idle watches.
+ */
 final class Measurement {
   private Measurement() {}
 
+  /**
+   * Measures a size.
+   *
+   * @param listChanges number of list changes that each router receives
+   * @throws IOException if a step times out or is interrupted, or a request to discovery failed
+   */
   static Observed of(Size size, int listChanges, long seed) throws IOException {
     try (SimulatedFleet fleet = new SimulatedFleet(size, seed)) {
-      return observe(fleet, size, listChanges);
+      return measure(fleet, size, listChanges);
     }
   }
 
-  private static Observed observe(SimulatedFleet fleet, Size size, int listChanges)
+  private static Observed measure(SimulatedFleet fleet, Size size, int listChanges)
       throws IOException {
     DiscoveryRig discovery = fleet.discovery();
-    long descriptorsAtRest = ProcessFigures.descriptors();
-    long heapAtRest = ProcessFigures.retainedHeapBytes();
-    ProcessorTime atRest = fleet.processorTime();
+    long descriptorsBefore = ProcessFigures.descriptors();
+    long heapBefore = ProcessFigures.retainedHeapBytes();
+    ProcessorTime beforeLists = fleet.processorTime();
     fleet.begin();
     List<Exchange> firstLists = discovery.firstLists();
-    ProcessorTime listed = fleet.processorTime();
-    long heap = ProcessFigures.retainedHeapBytes() - heapAtRest;
-    long descriptorsMore = ProcessFigures.descriptors() - descriptorsAtRest;
+    ProcessorTime afterLists = fleet.processorTime();
+    long heap = ProcessFigures.retainedHeapBytes() - heapBefore;
+    long descriptorsOpened = ProcessFigures.descriptors() - descriptorsBefore;
     ProcessorTime beforeChanges = fleet.processorTime();
     List<Exchange> changes = discovery.change(listChanges);
-    ProcessorTime changed = fleet.processorTime();
+    ProcessorTime afterChanges = fleet.processorTime();
     List<Exchange> idle = discovery.idle();
-    checkNoCallFailed(fleet, size);
+    checkNoRequestFailed(fleet, size);
     return new Observed(
         size,
         listChanges,
         firstLists,
         changes,
         idle,
-        listed.minus(atRest),
-        changed.minus(beforeChanges),
+        afterLists.minus(beforeLists),
+        afterChanges.minus(beforeChanges),
         heap,
-        descriptors(size, descriptorsMore, discovery.connections()));
+        splitDescriptors(size, descriptorsOpened, discovery.connections()));
   }
 
-  /** Both ends of a connection are in this process; the accepted ones are discovery's. */
-  private static Descriptors descriptors(Size size, long more, long accepted) {
+  /**
+   * Divides the descriptors opened since the start. Both ends of each connection are in this
+   * process, and the accepted end belongs to discovery.
+   */
+  private static Descriptors splitDescriptors(Size size, long opened, long acceptedConnections) {
     long listeners = size.gatherers();
-    return new Descriptors(more - accepted, listeners + accepted);
+    return new Descriptors(opened - acceptedConnections, listeners + acceptedConnections);
   }
 
-  private static void checkNoCallFailed(SimulatedFleet fleet, Size size) throws IOException {
+  private static void checkNoRequestFailed(SimulatedFleet fleet, Size size) throws IOException {
     long failed = fleet.callsFailed();
     if (failed > 0) {
       throw new IOException(
-          size + ": " + failed + " calls to discovery failed, so the counts say nothing");
+          size + ": measurement is invalid, " + failed + " requests to discovery failed");
     }
   }
 }
--- a/testbed/src/main/java/tidebank/testbed/scale/MemoryNeed.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/MemoryNeed.java
@@ -2,41 +2,42 @@
 
 import java.util.Optional;
 
-/** How much memory a size may take, as a bound known before it is tried. */
+/** An upper bound of the memory that measuring a size takes, known before the measurement. */
 final class MemoryNeed {
-  /** Above what a line of the list takes with both ends of its transfer in one process. */
+  /** Upper bound for one list entry, with both ends of its transfer in this process. */
   private static final long BYTES_PER_LIST_ENTRY = 4096;
 
-  private static final long BYTES_PER_GATHERER = 2 << 20;
-  private static final long BYTES_AT_REST = 64 << 20;
+  private static final long BYTES_PER_ROUTER = 2 << 20;
+  private static final long BASE_BYTES = 64 << 20;
   private static final long MB = 1 << 20;
 
   private MemoryNeed() {}
 
+  /** Returns the upper bound in bytes. */
   static long bytes(Size size) {
-    return BYTES_AT_REST
-        + size.gatherers() * BYTES_PER_GATHERER
+    return BASE_BYTES
+        + size.gatherers() * BYTES_PER_ROUTER
         + (long) Driver.LIST_ENTRIES.count(size) * BYTES_PER_LIST_ENTRY;
   }
 
   /**
-   * Why a size is not to be tried, or nothing.
+   * Returns why a size must not be measured, or empty if there is enough memory.
    *
-   * @param machineBytes the machine's memory, of which half is ours
-   * @param heapBytes the most that this process' heap may grow to
+   * @param machineBytes memory of the machine, half of which this process may use
+   * @param heapBytes maximum heap size of this process
    */
   static Optional<String> refusal(Size size, long machineBytes, long heapBytes) {
-    long need = bytes(size);
-    long least = Math.min(machineBytes / 2, heapBytes);
-    if (need <= least) {
+    long required = bytes(size);
+    long available = Math.min(machineBytes / 2, heapBytes);
+    if (required <= available) {
       return Optional.empty();
     }
     return Optional.of(
         size
-            + " may take "
-            + need / MB
-            + " MB: more than "
-            + least / MB
-            + " MB, the lesser of half of the machine's memory and this process' heap");
+            + " may need "
+            + required / MB
+            + " MB, more than the limit of "
+            + available / MB
+            + " MB, the smaller of half of the machine's memory and the maximum heap size");
   }
 }
--- a/testbed/src/main/java/tidebank/testbed/scale/Observed.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/Observed.java
@@ -3,14 +3,16 @@
 import java.util.List;
 
 /**
- * What one measurement saw, before it is put into quantities.
+ * The raw results of one measurement, from which the quantities are computed.
  *
- * @param firstLists the calls in which each gatherer got its first whole list
- * @param changes the calls in which changes were told
- * @param idle the calls that were answered with nothing
- * @param firstListCpu processor time of first lists, {@code changesCpu} that of all changes
- * @param heapBytes that the gatherers retain together
- * @param descriptors of both sides
+ * @param listChanges number of changes of the endpoint list
+ * @param firstLists exchanges that sent each router its first snapshot
+ * @param changes exchanges that sent deltas
+ * @param idle exchanges that ended with an empty response, one for each router
+ * @param firstListCpu processor time until all routers had their first snapshot
+ * @param changesCpu processor time of all changes
+ * @param heapBytes heap that all routers together retain
+ * @param descriptors open file descriptors of the routers and of discovery
  */
 record Observed(
     Size size,
@@ -22,13 +24,15 @@
     ProcessorTime changesCpu,
     long heapBytes,
     Descriptors descriptors) {
-  /** Of the gatherers' event loop and of discovery's, in microseconds. */
+  /** Processor time of the routers' event loop and of discovery's, in microseconds. */
   record ProcessorTime(double gatherersUs, double discoveryUs) {
-    ProcessorTime minus(ProcessorTime before) {
-      return new ProcessorTime(gatherersUs - before.gatherersUs, discoveryUs - before.discoveryUs);
+    /** Returns the processor time used since an earlier reading. */
+    ProcessorTime minus(ProcessorTime earlier) {
+      return new ProcessorTime(
+          gatherersUs - earlier.gatherersUs, discoveryUs - earlier.discoveryUs);
     }
   }
 
-  /** Of all gatherers together and of discovery. */
+  /** Open file descriptors of all routers together and of discovery. */
   record Descriptors(long gatherers, long discovery) {}
 }
--- a/testbed/src/main/java/tidebank/testbed/scale/Point.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/Point.java
@@ -1,9 +1,10 @@
 package tidebank.testbed.scale;
 
 /**
- * One measured value.
+ * One measured value of a quantity.
  *
- * @param repeat from 1
- * @param seed of all chance in that measurement
+ * @param value in the quantity's unit
+ * @param repeat number of the repeat, from 1
+ * @param seed random seed of the measurement
  */
 public record Point(Size size, Quantity quantity, double value, int repeat, long seed) {}
--- a/testbed/src/main/java/tidebank/testbed/scale/Points.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/Points.java
@@ -15,7 +15,7 @@
 import java.util.List;
 
 /**
- * The file of measured values, a line each; what was added is on disk when {@link #add} returns.
+ * The CSV file of measured values, one value a line. Points are on disk when {@link #add} returns.
  */
 public final class Points implements Closeable {
   private static final int DECIMALS = 4;
@@ -23,33 +23,34 @@
     "gatherers", "servers", "role", "quantity", "unit", "value", "repeat", "seed"
   };
 
-  private final Writer file;
-  private final CsvWriter rows;
+  private final Writer writer;
+  private final CsvWriter csv;
 
-  /** Begins a new file, in place of one that is there. */
+  /** Creates the file and replaces an existing one. */
   public Points(Path path) throws IOException {
-    file = Files.newBufferedWriter(path);
-    rows = CsvWriter.builder().lineDelimiter(LineDelimiter.LF).build(file);
-    rows.writeRecord(HEADER);
-    file.flush();
+    writer = Files.newBufferedWriter(path);
+    csv = CsvWriter.builder().lineDelimiter(LineDelimiter.LF).build(writer);
+    csv.writeRecord(HEADER);
+    writer.flush();
   }
 
+  /** Appends points and flushes them to the file. */
   public void add(List<Point> points) throws IOException {
     for (Point point : points) {
-      rows.writeRecord(
+      csv.writeRecord(
           String.valueOf(point.size().gatherers()),
           String.valueOf(point.size().servers()),
           point.quantity().role().name(),
           point.quantity().key(),
           point.quantity().unit(),
-          text(point.value()),
+          format(point.value()),
           String.valueOf(point.repeat()),
           String.valueOf(point.seed()));
     }
-    rows.flush();
+    csv.flush();
   }
 
-  private static String text(double value) {
+  private static String format(double value) {
     return BigDecimal.valueOf(value)
         .setScale(DECIMALS, RoundingMode.HALF_EVEN)
         .stripTrailingZeros()
@@ -58,35 +59,38 @@
 
   @Override
   public void close() throws IOException {
-    rows.close();
+    csv.close();
   }
 
-  /** All points of a file; one with a faulty line is no file of points. */
+  /**
+   * Reads all points of a file.
+   *
+   * @throws IOException if the file cannot be read or a line is malformed; the message names the
+   *     line
+   */
   public static List<Point> read(Path path) throws IOException {
     List<Point> points = new ArrayList<>();
     try (CsvReader<NamedCsvRecord> reader = CsvReader.builder().ofNamedCsvRecord(path)) {
-      for (NamedCsvRecord line : reader) {
+      for (NamedCsvRecord row : reader) {
         try {
-          points.add(point(line));
-        } catch (RuntimeException fault) {
-          throw new IOException(
-              path + ":" + line.getStartingLineNumber() + ": " + fault.getMessage());
+          points.add(parse(row));
+        } catch (RuntimeException e) {
+          throw new IOException(path + ":" + row.getStartingLineNumber() + ": " + e.getMessage());
         }
       }
     }
     return points;
   }
 
-  private static Point point(NamedCsvRecord line) {
+  private static Point parse(NamedCsvRecord row) {
     Size size =
         new Size(
-            Integer.parseInt(line.getField("gatherers")),
-            Integer.parseInt(line.getField("servers")));
+            Integer.parseInt(row.getField("gatherers")), Integer.parseInt(row.getField("servers")));
     return new Point(
         size,
-        Quantity.of(line.getField("role"), line.getField("quantity")),
-        Double.parseDouble(line.getField("value")),
-        Integer.parseInt(line.getField("repeat")),
-        Long.parseLong(line.getField("seed")));
+        Quantity.of(row.getField("role"), row.getField("quantity")),
+        Double.parseDouble(row.getField("value")),
+        Integer.parseInt(row.getField("repeat")),
+        Long.parseLong(row.getField("seed")));
   }
 }
--- a/testbed/src/main/java/tidebank/testbed/scale/ProcessFigures.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/ProcessFigures.java
@@ -4,37 +4,37 @@
 import java.lang.management.ManagementFactory;
 import java.lang.management.OperatingSystemMXBean;
 
-/** Figures of this process. */
+/** Readings of the heap and file descriptors of this process. */
 final class ProcessFigures {
-  private static final int COLLECTIONS_MOST = 20;
+  private static final int MAX_COLLECTIONS = 20;
 
-  /** So many collections in a row have to free nothing more. */
-  private static final int STEADY = 3;
+  /** Number of consecutive collections without further reduction that end the loop. */
+  private static final int STABLE_COLLECTIONS = 3;
 
-  /** What the process itself takes between two collections. */
+  /** Bytes that the process itself allocates between two collections. */
   private static final long NOISE_BYTES = 4096;
 
   private ProcessFigures() {}
 
   /**
-   * Bytes of the heap in use after full collections, until they free nothing more: what has a
-   * finalizer holds on to all that it refers to for a collection or two, and buffers of threads
-   * that ended have some.
+   * Returns the heap in use, in bytes, after full collections that are repeated until they free
+   * nothing more. One collection is not enough: an object with a finalizer, such as those in the
+   * buffers of ended threads, keeps all objects that it references for a collection or two.
    */
   static long retainedHeapBytes() {
-    long least = Long.MAX_VALUE;
-    int steady = 0;
-    for (int i = 0; i < COLLECTIONS_MOST && steady < STEADY; i++) {
+    long lowest = Long.MAX_VALUE;
+    int stable = 0;
+    for (int i = 0; i < MAX_COLLECTIONS && stable < STABLE_COLLECTIONS; i++) {
       System.gc();
       System.runFinalization();
       long used = ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed();
-      steady = used < least - NOISE_BYTES ? 0 : steady + 1;
-      least = Math.min(least, used);
+      stable = used < lowest - NOISE_BYTES ? 0 : stable + 1;
+      lowest = Math.min(lowest, used);
     }
-    return least;
+    return lowest;
   }
 
-  /** Descriptors that are open; 0 where the system does not tell. */
+  /** Returns the number of open file descriptors, or 0 if the system does not report it. */
   static long descriptors() {
     OperatingSystemMXBean system = ManagementFactory.getOperatingSystemMXBean();
     return system instanceof UnixOperatingSystemMXBean unix ? unix.getOpenFileDescriptorCount() : 0;
--- a/testbed/src/main/java/tidebank/testbed/scale/Profile.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/Profile.java
@@ -10,15 +10,17 @@
 import tidebank.config.Toml;
 
 /**
- * What a scale run measures. One count grows while the other stands still, so that the two slopes
- * separate.
+ * The profile of a scale run. One count varies while the other has a fixed value, so that the
+ * slopes over the two counts can be told apart.
  *
- * @param seed of all chance
- * @param repeats of each size
- * @param listChanges that every gatherer is told at each size; even, as each server that drains
- *     comes back
- * @param gathererSizes counts of gatherers, ascending, each beside {@code fixedServers}
- * @param serverSizes counts of shard servers, ascending, each beside {@code fixedGatherers}
+ * @param seed random seed of the run
+ * @param repeats number of measurements of each size
+ * @param listChanges number of list changes in each measurement; even, because each server that
+ *     drains returns to service with the next change
+ * @param gathererSizes router counts in ascending order, measured with {@code fixedServers}
+ * @param fixedServers number of shard servers while the router count varies
+ * @param serverSizes shard server counts in ascending order, measured with {@code fixedGatherers}
+ * @param fixedGatherers number of routers while the shard server count varies
  */
 public record Profile(
     long seed,
@@ -28,68 +30,74 @@
     int fixedServers,
     List<Integer> serverSizes,
     int fixedGatherers) {
-  /** Fewer points say too little of whether a line is straight. */
-  private static final int SIZES_LEAST = 5;
+  /** With fewer sizes, the points do not show whether growth is linear. */
+  private static final int MIN_SIZES = 5;
 
-  private static final int GATHERERS_MOST = 10_000;
-  private static final int SERVERS_MOST = 100_000;
-  private static final int REPEATS_MOST = 100;
-  private static final int CHANGES_MOST = 10_000;
+  private static final int MAX_ROUTERS = 10_000;
+  private static final int MAX_SERVERS = 100_000;
+  private static final int MAX_REPEATS = 100;
+  private static final int MAX_LIST_CHANGES = 10_000;
 
+  /**
+   * Reads a profile from a file.
+   *
+   * @throws MalformedInputException if the file cannot be read or has faults; the message names all
+   *     of them
+   */
   public static Profile read(Path path) throws MalformedInputException {
     return read(Toml.read(path));
   }
 
   static Profile read(Toml file) throws MalformedInputException {
     Toml.Table root = file.root();
-    Toml.Table gatherers = root.table("gatherers");
+    Toml.Table routers = root.table("gatherers");
     Toml.Table servers = root.table("shard_servers");
-    int changes = (int) root.integer("list_changes", 20, 2, CHANGES_MOST);
-    if (changes % 2 != 0) {
-      root.addFault("list_changes", "found " + changes + ", wanted an even number");
+    int listChanges = (int) root.integer("list_changes", 20, 2, MAX_LIST_CHANGES);
+    if (listChanges % 2 != 0) {
+      root.addFault("list_changes", "found " + listChanges + ", wanted an even number");
     }
     Profile profile =
         new Profile(
             root.integer("seed", 1, 0, Long.MAX_VALUE),
-            (int) root.integer("repeats", 3, 1, REPEATS_MOST),
-            changes,
-            sizes(gatherers, GATHERERS_MOST),
-            (int) gatherers.integer("beside_shard_servers", 200, 1, SERVERS_MOST),
-            sizes(servers, SERVERS_MOST),
-            (int) servers.integer("beside_gatherers", 8, 1, GATHERERS_MOST));
+            (int) root.integer("repeats", 3, 1, MAX_REPEATS),
+            listChanges,
+            readSizes(routers, MAX_ROUTERS),
+            (int) routers.integer("beside_shard_servers", 200, 1, MAX_SERVERS),
+            readSizes(servers, MAX_SERVERS),
+            (int) servers.integer("beside_gatherers", 8, 1, MAX_ROUTERS));
     file.check();
     return profile;
   }
 
-  private static List<Integer> sizes(Toml.Table table, int most) {
+  private static List<Integer> readSizes(Toml.Table table, int max) {
     List<Integer> sizes = new ArrayList<>();
-    int before = 0;
+    int previous = 0;
     boolean ascending = true;
     for (double size : table.numbers("sizes")) {
-      ascending &= size == Math.rint(size) && size > before && size <= most;
-      before = (int) size;
-      sizes.add(before);
+      ascending &= size == Math.rint(size) && size > previous && size <= max;
+      previous = (int) size;
+      sizes.add(previous);
     }
-    if (!ascending || sizes.size() < SIZES_LEAST) {
+    if (!ascending || sizes.size() < MIN_SIZES) {
       table.addFault(
           "sizes",
           "found "
               + sizes
               + ", wanted at least "
-              + SIZES_LEAST
+              + MIN_SIZES
               + " whole numbers from 1 to "
-              + most
+              + max
               + ", ascending");
     }
     return sizes;
   }
 
-  /** The size that both ladders hang on. */
+  /** Returns the size with both fixed counts. */
   public Size fixed() {
     return new Size(fixedGatherers, fixedServers);
   }
 
-  /** All sizes, each once, smallest first. */
+  /** Returns all distinct sizes, in ascending order of their list entries. */
   public List<Size> sizes() {
     Set<Size> sizes = new LinkedHashSet<>();
     gathererSizes.forEach(count -> sizes.add(new Size(count, fixedServers)));
--- a/testbed/src/main/java/tidebank/testbed/scale/Quantities.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/Quantities.java
@@ -4,76 +4,78 @@
 import java.util.List;
 import java.util.Map;
 
-/** Puts what was observed into quantities: a gatherer's share, and the sum that discovery bears. */
+/** Computes the quantities of a measurement: averages per router, and totals of discovery. */
 final class Quantities {
   private static final double MS_PER_S = 1000;
 
   private Quantities() {}
 
-  static Map<Quantity, Double> of(Observed observed) {
+  /** Returns a value for each quantity, in the quantity's unit. */
+  static Map<Quantity, Double> of(Observed measurement) {
     Map<Quantity, Double> values = new EnumMap<>(Quantity.class);
-    firstLists(observed, values);
-    changes(observed, values);
-    idle(observed, values);
-    state(observed, values);
+    addFirstLists(measurement, values);
+    addChanges(measurement, values);
+    addIdleWatches(measurement, values);
+    addHeapAndDescriptors(measurement, values);
     return values;
   }
 
-  private static void firstLists(Observed observed, Map<Quantity, Double> values) {
-    double gatherers = observed.size().gatherers();
-    double bytes = bytes(observed.firstLists());
-    double messages = messages(observed.firstLists());
-    values.put(Quantity.GATHERER_FIRST_LIST_BYTES, bytes / gatherers);
+  private static void addFirstLists(Observed measurement, Map<Quantity, Double> values) {
+    double routers = measurement.size().gatherers();
+    double bytes = totalBytes(measurement.firstLists());
+    double messages = totalMessages(measurement.firstLists());
+    values.put(Quantity.GATHERER_FIRST_LIST_BYTES, bytes / routers);
     values.put(Quantity.DISCOVERY_FIRST_LIST_BYTES, bytes);
-    values.put(Quantity.GATHERER_FIRST_LIST_MESSAGES, messages / gatherers);
+    values.put(Quantity.GATHERER_FIRST_LIST_MESSAGES, messages / routers);
     values.put(Quantity.DISCOVERY_FIRST_LIST_MESSAGES, messages);
-    values.put(Quantity.GATHERER_FIRST_LIST_CPU, observed.firstListCpu().gatherersUs() / gatherers);
-    values.put(Quantity.DISCOVERY_FIRST_LIST_CPU, observed.firstListCpu().discoveryUs());
+    values.put(
+        Quantity.GATHERER_FIRST_LIST_CPU, measurement.firstListCpu().gatherersUs() / routers);
+    values.put(Quantity.DISCOVERY_FIRST_LIST_CPU, measurement.firstListCpu().discoveryUs());
   }
 
-  private static void changes(Observed observed, Map<Quantity, Double> values) {
-    double gatherers = observed.size().gatherers();
-    double changes = observed.listChanges();
-    double bytes = bytes(observed.changes()) / changes;
-    double messages = messages(observed.changes()) / changes;
-    values.put(Quantity.GATHERER_CHANGE_BYTES, bytes / gatherers);
+  private static void addChanges(Observed measurement, Map<Quantity, Double> values) {
+    double routers = measurement.size().gatherers();
+    double changes = measurement.listChanges();
+    double bytes = totalBytes(measurement.changes()) / changes;
+    double messages = totalMessages(measurement.changes()) / changes;
+    values.put(Quantity.GATHERER_CHANGE_BYTES, bytes / routers);
     values.put(Quantity.DISCOVERY_CHANGE_BYTES, bytes);
-    values.put(Quantity.GATHERER_CHANGE_MESSAGES, messages / gatherers);
+    values.put(Quantity.GATHERER_CHANGE_MESSAGES, messages / routers);
     values.put(Quantity.DISCOVERY_CHANGE_MESSAGES, messages);
     values.put(
-        Quantity.GATHERER_CHANGE_CPU, observed.changesCpu().gatherersUs() / changes / gatherers);
-    values.put(Quantity.DISCOVERY_CHANGE_CPU, observed.changesCpu().discoveryUs() / changes);
+        Quantity.GATHERER_CHANGE_CPU, measurement.changesCpu().gatherersUs() / changes / routers);
+    values.put(Quantity.DISCOVERY_CHANGE_CPU, measurement.changesCpu().discoveryUs() / changes);
   }
 
-  /** A call that waits for so long and tells nothing, again and again. */
-  private static void idle(Observed observed, Map<Quantity, Double> values) {
-    double gatherers = observed.size().gatherers();
+  /** Computes the rates of watches that are repeated and always reach their wait limit. */
+  private static void addIdleWatches(Observed measurement, Map<Quantity, Double> values) {
+    double routers = measurement.size().gatherers();
     double bytesPerS = 0;
     double messagesPerS = 0;
-    for (Exchange exchange : observed.idle()) {
-      double callsPerS = MS_PER_S / exchange.waitMs();
-      bytesPerS += exchange.bytes() * callsPerS;
-      messagesPerS += Exchange.MESSAGES * callsPerS;
+    for (Exchange exchange : measurement.idle()) {
+      double watchesPerS = MS_PER_S / exchange.waitMs();
+      bytesPerS += exchange.bytes() * watchesPerS;
+      messagesPerS += Exchange.MESSAGES * watchesPerS;
     }
-    double calls = observed.idle().size();
-    values.put(Quantity.GATHERER_IDLE_BYTES, bytesPerS / calls);
-    values.put(Quantity.DISCOVERY_IDLE_BYTES, bytesPerS / calls * gatherers);
-    values.put(Quantity.GATHERER_IDLE_MESSAGES, messagesPerS / calls);
-    values.put(Quantity.DISCOVERY_IDLE_MESSAGES, messagesPerS / calls * gatherers);
+    double watches = measurement.idle().size();
+    values.put(Quantity.GATHERER_IDLE_BYTES, bytesPerS / watches);
+    values.put(Quantity.DISCOVERY_IDLE_BYTES, bytesPerS / watches * routers);
+    values.put(Quantity.GATHERER_IDLE_MESSAGES, messagesPerS / watches);
+    values.put(Quantity.DISCOVERY_IDLE_MESSAGES, messagesPerS / watches * routers);
   }
 
-  private static void state(Observed observed, Map<Quantity, Double> values) {
-    double gatherers = observed.size().gatherers();
-    values.put(Quantity.GATHERER_RETAINED_HEAP, observed.heapBytes() / gatherers);
-    values.put(Quantity.GATHERER_DESCRIPTORS, observed.descriptors().gatherers() / gatherers);
-    values.put(Quantity.DISCOVERY_DESCRIPTORS, (double) observed.descriptors().discovery());
+  private static void addHeapAndDescriptors(Observed measurement, Map<Quantity, Double> values) {
+    double routers = measurement.size().gatherers();
+    values.put(Quantity.GATHERER_RETAINED_HEAP, measurement.heapBytes() / routers);
+    values.put(Quantity.GATHERER_DESCRIPTORS, measurement.descriptors().gatherers() / routers);
+    values.put(Quantity.DISCOVERY_DESCRIPTORS, (double) measurement.descriptors().discovery());
   }
 
-  private static double bytes(List<Exchange> exchanges) {
+  private static double totalBytes(List<Exchange> exchanges) {
     return exchanges.stream().mapToLong(Exchange::bytes).sum();
   }
 
-  private static double messages(List<Exchange> exchanges) {
+  private static double totalMessages(List<Exchange> exchanges) {
     return (double) exchanges.size() * Exchange.MESSAGES;
   }
 }
--- a/testbed/src/main/java/tidebank/testbed/scale/Quantity.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/Quantity.java
@@ -3,9 +3,9 @@
 import java.util.Arrays;
 
 /**
- * What is measured. Those of {@link Role#GATHERER} are a gatherer's share, those of {@link
- * Role#DISCOVERY} the sum over the fleet. Bytes are those of the TCP stream, messages are HTTP
- * requests and responses.
+ * A measured quantity. Quantities of {@link Role#GATHERER} are averages per router, those of {@link
+ * Role#DISCOVERY} totals over the fleet. Bytes are counted on the TCP connections, and messages are
+ * HTTP requests and responses.
  */
 public enum Quantity {
   GATHERER_FIRST_LIST_BYTES(
@@ -113,33 +113,34 @@
     return role;
   }
 
-  /** Its name in files, unique within its role. */
+  /** Returns the name in result files, which is unique within the role. */
   public String key() {
     return key;
   }
 
-  /** Its name in tables. */
+  /** Returns the name that tables show. */
   public String label() {
     return label;
   }
 
+  /** Returns the unit that result files and tables show. */
   public String unit() {
     return unit;
   }
 
-  /** What it is taken to grow with, and extrapolated by. */
+  /** Returns the count that the quantity is assumed to grow with, used for extrapolation. */
   public Driver driver() {
     return driver;
   }
 
   /**
-   * The quantity of this role and key.
+   * Returns the quantity with this role and key.
    *
-   * @throws IllegalArgumentException if there is none
+   * @throws IllegalArgumentException if there is no such quantity
    */
   static Quantity of(String role, String key) {
     return Arrays.stream(values())
-        .filter(each -> each.role.name().equals(role) && each.key.equals(key))
+        .filter(quantity -> quantity.role.name().equals(role) && quantity.key.equals(key))
         .findFirst()
         .orElseThrow(() -> new IllegalArgumentException("no quantity " + key + " of role " + role));
   }
--- a/testbed/src/main/java/tidebank/testbed/scale/RecordingShardPort.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/RecordingShardPort.java
@@ -5,8 +5,9 @@
 import tidebank.runtime.BackendPort;
 
 /**
- * The side of shard servers without a socket: it counts what it is told of the list. A hollow
- * gatherer holds no scans, so whatever would need a connection is a fault of the run.
+ * A shard server port without sockets, which counts the endpoint list updates that it receives. A
+ * simulated router has no queries, so a shard request or a health check is a fault of the run and
+ * throws an {@link IllegalStateException}.
  */
 final class RecordingShardPort implements BackendPort {
   private long wholeLists;
@@ -25,12 +26,12 @@
 
   @Override
   public AttemptRequest.Handle send(AttemptRequest request) {
-    throw new IllegalStateException("a hollow gatherer sent a dispatch");
+    throw new IllegalStateException("a simulated router sent a shard request");
   }
 
   @Override
   public void flush() {
-    // Nothing waits to be sent.
+    // Requests are never queued.
   }
 
   @Override
@@ -40,20 +41,20 @@
 
   @Override
   public void checkHealth(String server) {
-    throw new IllegalStateException("a hollow gatherer sent a probe");
+    throw new IllegalStateException("a simulated router sent a health check");
   }
 
-  /** Whole lists taken, the empty one it begins with included. */
+  /** Returns the number of snapshots received, including the empty one at the start. */
   long wholeLists() {
     return wholeLists;
   }
 
-  /** Answers taken that told of changes. */
+  /** Returns the number of deltas received. */
   long changes() {
     return changes;
   }
 
-  /** Entries of all lists and changes taken. */
+  /** Returns the number of entries in all snapshots and deltas received. */
   long entries() {
     return entries;
   }
--- a/testbed/src/main/java/tidebank/testbed/scale/Role.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/Role.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** A part of the fleet whose cost has a table of its own on the capacity page. */
+/** A part of the fleet that the capacity page treats separately. */
 public enum Role {
   GATHERER("gatherer: decisions and discovery client", true),
   DISCOVERY("discovery, as the stand-in shows it", true),
@@ -23,11 +23,12 @@
     this.measured = measured;
   }
 
+  /** Returns the name that tables show. */
   public String label() {
     return label;
   }
 
-  /** The roles that no run measures yet. */
+  /** Returns the roles that scale runs do not measure. */
   public static List<Role> notMeasured() {
     return Arrays.stream(values()).filter(role -> !role.measured).toList();
   }
--- a/testbed/src/main/java/tidebank/testbed/scale/ScaleFolder.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/ScaleFolder.java
@@ -8,38 +8,41 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** The folder of a run's results: what the run was, its points and the lines through them. */
+/** The directory of a run's results: the facts of the run, its points and the fits. */
 public final class ScaleFolder {
   private static final ObjectMapper JSON =
       new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
 
-  private final Path folder;
+  private final Path directory;
 
-  public ScaleFolder(Path folder) {
-    this.folder = folder;
+  public ScaleFolder(Path directory) {
+    this.directory = directory;
   }
 
-  /** Begins the results of a run, in place of those that are there. */
+  /** Starts the results of a run, replaces those of an earlier run, and returns the points file. */
   public Points begin(RunFacts run) throws IOException {
-    Files.createDirectories(folder);
+    Files.createDirectories(directory);
     Files.deleteIfExists(fitsPath());
-    write(folder.resolve("run.json"), run);
+    write(directory.resolve("run.json"), run);
     return new Points(pointsPath());
   }
 
+  /** Reads the facts of the run. */
   public RunFacts run() throws IOException {
-    return JSON.readValue(folder.resolve("run.json").toFile(), RunFacts.class);
+    return JSON.readValue(directory.resolve("run.json").toFile(), RunFacts.class);
   }
 
+  /** Reads the points of the run. */
   public List<Point> points() throws IOException {
     return Points.read(pointsPath());
   }
 
+  /** Reads the stored fits. */
   public List<Fit> fits() throws IOException {
     return JSON.readValue(fitsPath().toFile(), new TypeReference<List<Fit>>() {});
   }
 
-  /** Fits lines through the points and keeps them. */
+  /** Computes the fits of the points, stores and returns them. */
   public List<Fit> fit() throws IOException {
     List<Fit> fits = Fits.of(run(), points());
     write(fitsPath(), fits);
@@ -47,11 +50,11 @@
   }
 
   private Path pointsPath() {
-    return folder.resolve("points.csv");
+    return directory.resolve("points.csv");
   }
 
   private Path fitsPath() {
-    return folder.resolve("fits.json");
+    return directory.resolve("fits.json");
   }
 
   private static void write(Path path, Object value) throws IOException {
--- a/testbed/src/main/java/tidebank/testbed/scale/ScaleRun.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/ScaleRun.java
@@ -6,20 +6,21 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** Measures all sizes of a profile, all repeats, smallest first. */
+/** A scale run, which measures all sizes of a profile, smallest first, for each repeat. */
 public final class ScaleRun {
-  /** Takes the points of each measurement as it ends. */
+  /** A receiver of the points of each measurement, called when the measurement ends. */
   @FunctionalInterface
   public interface PointSink {
+    /** Adds the points of one measurement. */
     void add(List<Point> points) throws IOException;
   }
 
   private ScaleRun() {}
 
-  /** The facts of a run that is made here and now. */
-  public static RunFacts facts(String name, Profile profile) {
+  /** Returns the facts of a run of this profile on this machine. */
+  public static RunFacts facts(String profileName, Profile profile) {
     return new RunFacts(
-        name,
+        profileName,
         profile.seed(),
         profile.repeats(),
         profile.listChanges(),
@@ -28,17 +29,18 @@
   }
 
   /**
-   * Runs it: each size once unrecorded, so that code is compiled, then all repeats. A size that
-   * needs too much memory is refused before anything is measured.
+   * Measures each size once without recording, so that the code is compiled, and then all repeats.
+   * Checks the memory need of all sizes before the first measurement.
    *
-   * @param progress hears a line before each measurement
-   * @throws IOException where a size needs more memory than there is, or a measurement failed; what
-   *     was measured before it was handed on
+   * @param sink receives the points of each measurement
+   * @param progress receives a line of text before each measurement
+   * @throws IOException if a size needs more memory than allowed or a measurement fails; the sink
+   *     has received the points of all earlier measurements
    */
   public static void run(Profile profile, PointSink sink, Consumer<String> progress)
       throws IOException {
     List<Size> sizes = profile.sizes();
-    int all = sizes.size() * profile.repeats();
+    int total = sizes.size() * profile.repeats();
     int done = 0;
     for (Size size : sizes) {
       checkMemory(size);
@@ -51,7 +53,7 @@
     for (int repeat = 1; repeat <= profile.repeats(); repeat++) {
       for (Size size : sizes) {
         checkMemory(size);
-        progress.accept(++done + "/" + all + ": " + size + " shard servers, repeat " + repeat);
+        progress.accept(++done + "/" + total + ": " + size + " shard servers, repeat " + repeat);
         sink.add(measure(size, profile, repeat));
       }
     }
@@ -59,17 +61,17 @@
 
   private static void checkMemory(Size size) throws IOException {
     Machine machine = Machine.here();
-    Optional<String> refusal = MemoryNeed.refusal(size, machine.memoryBytes(), machine.heapBytes());
-    if (refusal.isPresent()) {
-      throw new IOException(refusal.get());
+    Optional<String> reason = MemoryNeed.refusal(size, machine.memoryBytes(), machine.heapBytes());
+    if (reason.isPresent()) {
+      throw new IOException(reason.get());
     }
   }
 
   private static List<Point> measure(Size size, Profile profile, int repeat) throws IOException {
     long seed = profile.seed() + repeat;
-    Observed observed = Measurement.of(size, profile.listChanges(), seed);
+    Observed result = Measurement.of(size, profile.listChanges(), seed);
     List<Point> points = new ArrayList<>();
-    Quantities.of(observed)
+    Quantities.of(result)
         .forEach((quantity, value) -> points.add(new Point(size, quantity, value, repeat, seed)));
     return points;
   }
--- a/testbed/src/main/java/tidebank/testbed/scale/SimulatedFleet.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/SimulatedFleet.java
@@ -5,15 +5,15 @@
 import java.util.List;
 import tidebank.testbed.scale.Observed.ProcessorTime;
 
-/** Hollow gatherers on one event loop, with discovery on another. */
+/** Simulated routers on one event loop, with emulated discovery on another. */
 final class SimulatedFleet implements AutoCloseable {
   private final Size size;
   private final long seed;
   private final DiscoveryRig discovery;
   private final EventLoopThread thread = new EventLoopThread();
-  private final List<SimulatedRouter> gatherers = new ArrayList<>();
+  private final List<SimulatedRouter> routers = new ArrayList<>();
 
-  /** Opens discovery; no gatherer is there yet. */
+  /** Starts discovery only; {@link #begin} creates the routers. */
   SimulatedFleet(Size size, long seed) {
     this.size = size;
     this.seed = seed;
@@ -24,33 +24,33 @@
     return discovery;
   }
 
-  /** Makes all gatherers and has them begin at once. */
+  /** Creates all routers, then starts them. */
   void begin() throws IOException {
     for (int i = 0; i < size.gatherers(); i++) {
-      gatherers.add(
+      routers.add(
           new SimulatedRouter(
               RouterFiles.config(size, i, discovery.address(i), seed), thread.loop()));
     }
-    gatherers.forEach(SimulatedRouter::begin);
+    routers.forEach(SimulatedRouter::begin);
   }
 
   SimulatedRouter gatherer(int number) {
-    return gatherers.get(number);
+    return routers.get(number);
   }
 
-  /** What the two event loops have taken so far. */
+  /** Returns the processor time that the two event loops have used so far. */
   ProcessorTime processorTime() {
     return new ProcessorTime(thread.processorTimeUs(), discovery.processorTimeUs());
   }
 
-  /** How many calls to discovery came to nothing. */
+  /** Returns the number of requests to discovery that failed, over all routers. */
   long callsFailed() {
-    return gatherers.stream().mapToLong(SimulatedRouter::callsFailed).sum();
+    return routers.stream().mapToLong(SimulatedRouter::callsFailed).sum();
   }
 
   @Override
   public void close() {
-    gatherers.forEach(SimulatedRouter::close);
+    routers.forEach(SimulatedRouter::close);
     thread.close();
     discovery.close();
   }
--- a/testbed/src/main/java/tidebank/testbed/scale/SimulatedRouter.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/SimulatedRouter.java
@@ -14,52 +14,52 @@
 import tidebank.runtime.TimerQueue;
 
 /**
- * A gatherer without sockets to clients and shard servers. Its decisions, its timers and its client
- * of discovery are the product's own; many share an event loop.
+ * A router without connections to clients and shard servers. Its policy, timers and discovery
+ * client are those of the real router. Many simulated routers share an event loop.
  */
 final class SimulatedRouter {
   private static final long NO_VERSION = -1;
 
   private final EventLoop loop;
   private final Counters counters = new Counters();
-  private final PolicyExecutor driver;
-  private final RecordingShardPort shards;
+  private final PolicyExecutor executor;
+  private final RecordingShardPort shardPort;
   private final DiscoveryClient discovery;
 
   SimulatedRouter(RouterConfig config, EventLoop loop) {
     this.loop = loop;
     Clock clock = new Clock();
     TimerQueue timers = new TimerQueue(loop, clock, counters);
-    driver = new PolicyExecutor(config.settings(), config.seed(), clock, timers, loop, counters);
-    shards = new RecordingShardPort();
-    discovery = new DiscoveryClient(config, template(config), driver, clock, timers, counters);
-    driver.connect(shards, discovery);
+    executor = new PolicyExecutor(config.settings(), config.seed(), clock, timers, loop, counters);
+    shardPort = new RecordingShardPort();
+    discovery = new DiscoveryClient(config, bootstrap(config), executor, clock, timers, counters);
+    executor.connect(shardPort, discovery);
   }
 
-  private Bootstrap template(RouterConfig config) {
-    int connectMs = (int) (config.transport().connectTimeoutUs() / 1000);
+  private Bootstrap bootstrap(RouterConfig config) {
+    int connectTimeoutMs = (int) (config.transport().connectTimeoutUs() / 1000);
     return new Bootstrap()
         .group(loop)
         .channel(NioSocketChannel.class)
         .option(ChannelOption.TCP_NODELAY, true)
-        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectMs);
+        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMs);
   }
 
-  /** Begins as a gatherer that remembers no list. */
+  /** Starts like a router without a cached endpoint list. */
   void begin() {
     loop.execute(
         () -> {
-          driver.endpointListReceived(ListUpdate.CACHED, List.of());
+          executor.endpointListReceived(ListUpdate.CACHED, List.of());
           discovery.start(NO_VERSION);
         });
   }
 
-  /** What it was asked to do with shard servers. */
+  /** Returns the port that counts the router's endpoint list updates. */
   RecordingShardPort shards() {
-    return shards;
+    return shardPort;
   }
 
-  /** How many calls to discovery came to nothing. */
+  /** Returns the number of requests to discovery that failed. */
   long callsFailed() {
     return loop.submit(() -> counters.get("list.calls-failed")).syncUninterruptibly().getNow();
   }
--- a/testbed/src/main/java/tidebank/testbed/scale/SimulatedServer.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/SimulatedServer.java
@@ -3,10 +3,11 @@
 import java.net.InetSocketAddress;
 import tidebank.testbed.emulator.ListedServer;
 
-/** A shard server that is listed and nothing else: no process, no listener. */
+/** A shard server that exists only in the endpoint list, without a process or a listener. */
 record SimulatedServer(int number) implements ListedServer {
-  /** A hollow gatherer connects to no shard server; a real one does only for scans. */
-  private static final InetSocketAddress NOWHERE = new InetSocketAddress("127.0.0.1", 10_001);
+  /** Unused: simulated routers connect to no shard server, and real ones do so only for queries. */
+  private static final InetSocketAddress UNUSED_ADDRESS =
+      new InetSocketAddress("127.0.0.1", 10_001);
 
   @Override
   public String name() {
@@ -14,7 +15,7 @@
   }
 
   @Override
-  public InetSocketAddress address(int gatherer) {
-    return NOWHERE;
+  public InetSocketAddress address(int router) {
+    return UNUSED_ADDRESS;
   }
 }
--- a/testbed/src/main/java/tidebank/testbed/scale/Size.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/Size.java
@@ -1,6 +1,11 @@
 package tidebank.testbed.scale;
 
-/** A fleet's size. */
+/**
+ * The size of a fleet.
+ *
+ * @param gatherers number of routers
+ * @param servers number of shard servers
+ */
 public record Size(int gatherers, int servers) {
   @Override
   public String toString() {
--- a/testbed/src/main/java/tidebank/testbed/scale/package-info.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/package-info.java
@@ -1,5 +1,6 @@
 /**
- * How cost grows with the fleet: hollow gatherers on a ladder of sizes, what they cost, straight
- * lines through that, and the tables of the capacity page.
+ * Scale runs, which measure how cost grows with the fleet: measurements of simulated routers at a
+ * range of sizes, linear fits through the results, and the tables of the capacity page. Routers are
+ * called gatherers in profiles, results and tables.
  */
 package tidebank.testbed.scale;
--- a/testbed/src/test/java/tidebank/testbed/scale/FitsTest.java
+++ b/testbed/src/test/java/tidebank/testbed/scale/FitsTest.java
@@ -14,29 +14,29 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Lines through points whose law is known, and the files that points and lines are kept in. */
+/** Fits through points computed from a known model, and the files of points and fits. */
 class FitsTest {
   private static final long SEED = 7;
   private static final Size FIXED = new Size(8, 200);
   private static final RunFacts RUN =
       new RunFacts("made", SEED, 3, 2, FIXED, new Machine(1, 1, 1, "none", "none", "none"));
 
-  private static List<Point> points(Quantity quantity, ToDoubleFunction<Size> law, double noise) {
-    SplittableRandom chance = new SplittableRandom(SEED);
+  private static List<Point> points(Quantity quantity, ToDoubleFunction<Size> model, double noise) {
+    SplittableRandom random = new SplittableRandom(SEED);
     List<Point> points = new ArrayList<>();
     for (int repeat = 1; repeat <= 3; repeat++) {
-      for (Size size : ladder()) {
-        double error = noise * (2 * chance.nextDouble() - 1);
-        points.add(new Point(size, quantity, law.applyAsDouble(size) + error, repeat, SEED));
+      for (Size size : measuredSizes()) {
+        double deviation = noise * (2 * random.nextDouble() - 1);
+        points.add(new Point(size, quantity, model.applyAsDouble(size) + deviation, repeat, SEED));
       }
     }
     return points;
   }
 
-  private static List<Size> ladder() {
+  private static List<Size> measuredSizes() {
     List<Size> sizes = new ArrayList<>(List.of(FIXED));
-    for (int gatherers : new int[] {2, 4, 12, 20}) {
-      sizes.add(new Size(gatherers, FIXED.servers()));
+    for (int routers : new int[] {2, 4, 12, 20}) {
+      sizes.add(new Size(routers, FIXED.servers()));
     }
     for (int servers : new int[] {100, 400, 800, 1600}) {
       sizes.add(new Size(FIXED.gatherers(), servers));
@@ -51,26 +51,28 @@
         .orElseThrow();
   }
 
+  /** Guards against wrong slopes, intercepts or point selections, on points without noise. */
   @Test
-  void aLineWithoutNoiseIsRecoveredExactly() {
+  void modelWithoutNoiseIsRecoveredExactly() {
     List<Point> points =
         points(Quantity.GATHERER_FIRST_LIST_BYTES, size -> 125.0 * size.servers() + 300, 0);
-    Fit byServers = fit(points, Driver.SERVERS);
-    Fit byGatherers = fit(points, Driver.GATHERERS);
-
-    assertThat(byServers.slope()).isCloseTo(125, within(1e-9));
-    assertThat(byServers.constant()).isCloseTo(300, within(1e-6));
-    assertThat(byServers.residual()).isCloseTo(0, within(1e-6));
-    assertThat(byServers.points()).isEqualTo(15);
-    assertThat(byServers.sizes()).isEqualTo(5);
-    assertThat(byServers.countHigh()).isEqualTo(1600);
-    assertThat(byServers.at(new Size(890, 4900))).isCloseTo(612_800, within(1e-3));
-    assertThat(byGatherers.slope()).isCloseTo(0, within(1e-9));
-    assertThat(byGatherers.grows()).isFalse();
+    Fit overServers = fit(points, Driver.SERVERS);
+    Fit overRouters = fit(points, Driver.GATHERERS);
+
+    assertThat(overServers.slope()).isCloseTo(125, within(1e-9));
+    assertThat(overServers.constant()).isCloseTo(300, within(1e-6));
+    assertThat(overServers.residual()).isCloseTo(0, within(1e-6));
+    assertThat(overServers.points()).isEqualTo(15);
+    assertThat(overServers.sizes()).isEqualTo(5);
+    assertThat(overServers.countHigh()).isEqualTo(1600);
+    assertThat(overServers.at(new Size(890, 4900))).isCloseTo(612_800, within(1e-3));
+    assertThat(overRouters.slope()).isCloseTo(0, within(1e-9));
+    assertThat(overRouters.grows()).isFalse();
   }
 
+  /** Guards against a confidence interval that misses the true slope of noisy points. */
   @Test
-  void aLineWithNoiseIsRecoveredAndItsIntervalHoldsTheSlope() {
+  void intervalContainsTrueSlopeOfNoisyPoints() {
     Fit fit =
         fit(
             points(Quantity.GATHERER_RETAINED_HEAP, size -> 700.0 * size.servers() + 9000, 20_000),
@@ -83,8 +85,9 @@
     assertThat(fit.spread()).isPositive();
   }
 
+  /** Guards against a fit over list entries that uses only the points of one varied count. */
   @Test
-  void costsOfListEntriesTakeAllPoints() {
+  void fitOverListEntriesUsesAllPoints() {
     Fit fit =
         fit(
             points(
@@ -97,37 +100,41 @@
     assertThat(fit.slope()).isCloseTo(125, within(1e-9));
   }
 
+  /** Guards against fits that differ between calls because resampling does not use the seed. */
   @Test
-  void theSameSeedGivesTheSameInterval() {
+  void sameSeedGivesSameInterval() {
     List<Point> points = points(Quantity.GATHERER_CHANGE_CPU, size -> 50, 30);
 
     assertThat(Fits.of(RUN, points)).isEqualTo(Fits.of(RUN, points));
   }
 
+  /** Guards against noise being extrapolated as growth, with a slope that may be zero. */
   @Test
-  void whereNoGrowthIsSeenTheModelIsTheMean() {
+  void predictionIsMeanWithoutGrowth() {
     Fit fit = fit(points(Quantity.GATHERER_CHANGE_CPU, size -> 50, 30), Driver.SERVERS);
 
     assertThat(fit.grows()).isFalse();
     assertThat(fit.at(new Size(890, 4900))).isEqualTo(fit.mean());
   }
 
+  /** Guards against points lost in a buffer when a run is interrupted. */
   @Test
-  void pointsAreOnDiskAsSoonAsTheyWereAdded(@TempDir Path folder) throws IOException {
-    List<Point> some = points(Quantity.GATHERER_CHANGE_BYTES, size -> 280, 1).subList(0, 9);
+  void pointsAreOnDiskWhenAddReturns(@TempDir Path folder) throws IOException {
+    List<Point> points = points(Quantity.GATHERER_CHANGE_BYTES, size -> 280, 1).subList(0, 9);
     ScaleFolder results = new ScaleFolder(folder);
     try (Points file = results.begin(RUN)) {
-      file.add(some);
+      file.add(points);
 
       assertThat(results.points()).hasSize(9);
     }
     assertThat(results.run()).isEqualTo(RUN);
-    assertThat(results.points().get(3).size()).isEqualTo(some.get(3).size());
-    assertThat(results.points().get(3).value()).isCloseTo(some.get(3).value(), within(1e-4));
+    assertThat(results.points().get(3).size()).isEqualTo(points.get(3).size());
+    assertThat(results.points().get(3).value()).isCloseTo(points.get(3).value(), within(1e-4));
   }
 
+  /** Guards against components of a fit that are lost or changed in its file. */
   @Test
-  void linesAreReadBackAsTheyWereWritten(@TempDir Path folder) throws IOException {
+  void fitsAreReadBackUnchanged(@TempDir Path folder) throws IOException {
     ScaleFolder results = new ScaleFolder(folder);
     try (Points file = results.begin(RUN)) {
       file.add(points(Quantity.GATHERER_CHANGE_BYTES, size -> 280, 1));
@@ -136,8 +143,9 @@
     assertThat(results.fit()).isNotEmpty().isEqualTo(results.fits());
   }
 
+  /** Guards against an error that does not name the file and line of a malformed point. */
   @Test
-  void aFaultyLineOfPointsIsNamed(@TempDir Path folder) throws IOException {
+  void malformedLineOfPointsIsNamed(@TempDir Path folder) throws IOException {
     Path file = folder.resolve("points.csv");
     Files.writeString(
         file,
@@ -148,14 +156,15 @@
         .hasMessageContainingAll("points.csv:2", "no quantity x");
   }
 
+  /** Guards against a size that fills the machine's memory or the heap in the middle of a run. */
   @Test
-  void aSizeThatNeedsMoreThanHalfOfTheMachineOrMoreThanTheHeapIsRefused() {
+  void sizeAboveHalfOfMemoryOrAboveHeapIsRejected() {
     Size target = new Size(890, 4900);
-    long need = MemoryNeed.bytes(target);
+    long required = MemoryNeed.bytes(target);
 
-    assertThat(MemoryNeed.refusal(target, 2 * need, need)).isEmpty();
-    assertThat(MemoryNeed.refusal(target, 2 * need - 2, need).orElseThrow())
+    assertThat(MemoryNeed.refusal(target, 2 * required, required)).isEmpty();
+    assertThat(MemoryNeed.refusal(target, 2 * required - 2, required).orElseThrow())
         .contains("890 x 4900", "half of the machine's memory");
-    assertThat(MemoryNeed.refusal(target, 2 * need, need - 1)).isPresent();
+    assertThat(MemoryNeed.refusal(target, 2 * required, required - 1)).isPresent();
   }
 }
--- a/testbed/src/test/java/tidebank/testbed/scale/ProfileTest.java
+++ b/testbed/src/test/java/tidebank/testbed/scale/ProfileTest.java
@@ -9,11 +9,11 @@
 import tidebank.config.Toml;
 
 /**
- * Profiles and targets that are wrong are refused by line and key; those that are committed are
- * read.
+ * Invalid profiles and targets are rejected with the line and key of each fault, and the committed
+ * ones are valid.
  */
 class ProfileTest {
-  private static final String GOOD =
+  private static final String VALID =
       """
       seed = 5
       repeats = 2
@@ -30,55 +30,64 @@
     return Profile.read(Toml.read("p.toml", text));
   }
 
-  private static void refused(String text, String... parts) {
+  private static void assertRejected(String text, String... messageParts) {
     assertThatThrownBy(() -> profile(text))
         .isInstanceOf(MalformedInputException.class)
-        .hasMessageContainingAll(parts);
+        .hasMessageContainingAll(messageParts);
   }
 
+  /** Guards against measuring the size with both fixed counts twice, as it is in both lists. */
   @Test
-  void eachSizeStandsOnceAndSmallOnesComeFirst() throws MalformedInputException {
-    Profile profile = profile(GOOD);
+  void sizesAreDistinctAndAscending() throws MalformedInputException {
+    Profile profile = profile(VALID);
 
     assertThat(profile.fixed()).isEqualTo(new Size(2, 10));
     assertThat(profile.sizes()).hasSize(9).doesNotHaveDuplicates().startsWith(new Size(1, 10));
     assertThat(profile.sizes()).endsWith(new Size(2, 50));
   }
 
+  /** Guards against a misspelled key that is ignored, so that its default is used. */
   @Test
-  void anUnknownKeyIsNamedWithItsLineAndTheOneThatWasMeant() {
-    refused(GOOD.replace("repeats", "repaets"), "p.toml:2", "repaets", "repeats");
-    refused(GOOD.replace("beside_gatherers", "beside_gaterers"), "p.toml:9", "beside_gatherers");
+  void unknownKeyIsNamedWithLineAndSimilarKey() {
+    assertRejected(VALID.replace("repeats", "repaets"), "p.toml:2", "repaets", "repeats");
+    assertRejected(
+        VALID.replace("beside_gatherers", "beside_gaterers"), "p.toml:9", "beside_gatherers");
   }
 
+  /** Guards against fits through too few sizes to show whether growth is linear. */
   @Test
-  void aLadderOfFewerThanFiveSizesIsRefused() {
-    refused(GOOD.replace("[1, 2, 3, 4, 5]", "[1, 2, 3, 4]"), "p.toml:5", "at least 5");
-    refused(GOOD.replace("sizes = [1, 2, 3, 4, 5]\n", ""), "gatherers.sizes", "at least 5");
+  void fewerThanFiveSizesAreRejected() {
+    assertRejected(VALID.replace("[1, 2, 3, 4, 5]", "[1, 2, 3, 4]"), "p.toml:5", "at least 5");
+    assertRejected(VALID.replace("sizes = [1, 2, 3, 4, 5]\n", ""), "gatherers.sizes", "at least 5");
   }
 
+  /** Guards against sizes that are duplicate, zero or fractional. */
   @Test
-  void aLadderHasToAscendInWholeNumbers() {
-    refused(GOOD.replace("[1, 2, 3, 4, 5]", "[1, 2, 2, 4, 5]"), "p.toml:5", "ascending");
-    refused(GOOD.replace("[1, 2, 3, 4, 5]", "[0, 1, 2, 4, 5]"), "p.toml:5", "ascending");
-    refused(GOOD.replace("[1, 2, 3, 4, 5]", "[1, 2.5, 3, 4, 5]"), "p.toml:5", "whole numbers");
+  void sizesThatAreNotAscendingWholeNumbersAreRejected() {
+    assertRejected(VALID.replace("[1, 2, 3, 4, 5]", "[1, 2, 2, 4, 5]"), "p.toml:5", "ascending");
+    assertRejected(VALID.replace("[1, 2, 3, 4, 5]", "[0, 1, 2, 4, 5]"), "p.toml:5", "ascending");
+    assertRejected(
+        VALID.replace("[1, 2, 3, 4, 5]", "[1, 2.5, 3, 4, 5]"), "p.toml:5", "whole numbers");
   }
 
+  /** Guards against a measurement that ends with a draining server. */
   @Test
-  void anOddNumberOfChangesIsRefused() {
-    refused(GOOD.replace("list_changes = 4", "list_changes = 5"), "p.toml:3", "even");
+  void oddNumberOfListChangesIsRejected() {
+    assertRejected(VALID.replace("list_changes = 4", "list_changes = 5"), "p.toml:3", "even");
   }
 
+  /** Guards against a parser that stops at the first of several faults. */
   @Test
-  void allFaultsAreToldAtOnce() {
-    refused(
-        GOOD.replace("seed = 5", "seed = -5").replace("repeats = 2", "repeats = 0"),
+  void allFaultsAreReportedTogether() {
+    assertRejected(
+        VALID.replace("seed = 5", "seed = -5").replace("repeats = 2", "repeats = 0"),
         "p.toml:1",
         "p.toml:2");
   }
 
+  /** Guards against committed files that no longer match the keys that the code reads. */
   @Test
-  void theProfileAndTheTargetOfTheRepositoryAreRead() throws MalformedInputException {
+  void committedProfileAndTargetAreValid() throws MalformedInputException {
     Profile profile = Profile.read(Path.of("..", "deploy", "scale", "small.toml"));
     Target target = Target.read(Path.of("..", "deploy", "scale", "target.toml"));
 
@@ -88,8 +97,9 @@
     assertThat(target.today()).isEqualTo(new Size(100, 200));
   }
 
+  /** Guards against a default in place of a figure that the operators did not state. */
   @Test
-  void aTargetHasNoDefaults() {
+  void missingKeysOfTargetAreReported() {
     assertThatThrownBy(
             () -> Target.read(Toml.read("t.toml", "[today]\ngatherers = 1\nserver = 2\n")))
         .isInstanceOf(MalformedInputException.class)
--- a/testbed/src/test/java/tidebank/testbed/scale/SimulatedRouterTest.java
+++ b/testbed/src/test/java/tidebank/testbed/scale/SimulatedRouterTest.java
@@ -17,58 +17,59 @@
 import tidebank.testbed.scale.Observed.ProcessorTime;
 
 /**
- * Hollow gatherers stand for real ones, and what they cost grows as it should: counted bytes and
- * messages, no times.
+ * Simulated routers exchange nearly as many bytes and messages with discovery as real routers, and
+ * these counts grow with the fleet as expected. Times are not compared.
  */
 class SimulatedRouterTest {
   private static final long SEED = 39;
   private static final int CHANGES = 6;
-  private static final Percentage TENTH = Percentage.withPercentage(10);
+  private static final Percentage TEN_PERCENT = Percentage.withPercentage(10);
 
-  /** The calls of all gatherers, by what was done. */
-  private record Calls(List<Exchange> firstLists, List<Exchange> changes, List<Exchange> idle) {
-    static Calls of(DiscoveryRig discovery) throws IOException {
-      return new Calls(discovery.firstLists(), discovery.change(CHANGES), discovery.idle());
+  /** The exchanges of all routers in each step of a measurement. */
+  private record StepExchanges(
+      List<Exchange> firstLists, List<Exchange> changes, List<Exchange> idle) {
+    static StepExchanges of(DiscoveryRig discovery) throws IOException {
+      return new StepExchanges(discovery.firstLists(), discovery.change(CHANGES), discovery.idle());
     }
   }
 
-  private static Calls hollow(Size size) throws IOException {
+  private static StepExchanges runSimulated(Size size) throws IOException {
     try (SimulatedFleet fleet = new SimulatedFleet(size, SEED)) {
       fleet.begin();
-      Calls calls = Calls.of(fleet.discovery());
+      StepExchanges steps = StepExchanges.of(fleet.discovery());
       assertThat(fleet.callsFailed()).isZero();
-      return calls;
+      return steps;
     }
   }
 
-  /** Counted quantities; those of time, memory and descriptors are left at nothing. */
+  /** Returns the quantities of a size, with 0 for those of time, memory and descriptors. */
   private static Map<Quantity, Double> quantities(Size size) throws IOException {
-    Calls calls = hollow(size);
-    ProcessorTime none = new ProcessorTime(0, 0);
+    StepExchanges steps = runSimulated(size);
+    ProcessorTime notMeasured = new ProcessorTime(0, 0);
     return Quantities.of(
         new Observed(
             size,
             CHANGES,
-            calls.firstLists(),
-            calls.changes(),
-            calls.idle(),
-            none,
-            none,
+            steps.firstLists(),
+            steps.changes(),
+            steps.idle(),
+            notMeasured,
+            notMeasured,
             0,
             new Descriptors(0, 0)));
   }
 
-  private static Calls real(Size size) throws Exception {
-    List<QueryRouter> gatherers = new ArrayList<>();
+  private static StepExchanges runReal(Size size) throws Exception {
+    List<QueryRouter> routers = new ArrayList<>();
     try (DiscoveryRig discovery = new DiscoveryRig(size, SEED)) {
       for (int i = 0; i < size.gatherers(); i++) {
-        gatherers.add(QueryRouter.start(RouterFiles.config(size, i, discovery.address(i), SEED)));
+        routers.add(QueryRouter.start(RouterFiles.config(size, i, discovery.address(i), SEED)));
       }
-      return Calls.of(discovery);
+      return StepExchanges.of(discovery);
     } finally {
-      CompletableFuture<?>[] ends =
-          gatherers.stream().map(QueryRouter::stop).toArray(CompletableFuture[]::new);
-      CompletableFuture.allOf(ends).get(20, TimeUnit.SECONDS);
+      CompletableFuture<?>[] stops =
+          routers.stream().map(QueryRouter::stop).toArray(CompletableFuture[]::new);
+      CompletableFuture.allOf(stops).get(20, TimeUnit.SECONDS);
     }
   }
 
@@ -76,36 +77,38 @@
     return exchanges.stream().mapToLong(Exchange::bytes).sum();
   }
 
-  private static void assertAlike(List<Exchange> hollow, List<Exchange> real) {
-    assertThat(hollow).isNotEmpty();
-    assertThat((double) hollow.size()).isCloseTo(real.size(), TENTH);
-    assertThat((double) bytes(hollow)).isCloseTo(bytes(real), TENTH);
+  private static void assertSimilar(List<Exchange> simulated, List<Exchange> real) {
+    assertThat(simulated).isNotEmpty();
+    assertThat((double) simulated.size()).isCloseTo(real.size(), TEN_PERCENT);
+    assertThat((double) bytes(simulated)).isCloseTo(bytes(real), TEN_PERCENT);
   }
 
+  /** Guards against measurements of simulated routers that do not hold for real ones. */
   @Test
-  void bytesAndMessagesOfHollowGatherersAreThoseOfRealOnes() throws Exception {
+  void bytesOfSimulatedRoutersAreWithinTenPercentOfReal() throws Exception {
     Size size = new Size(2, 200);
-    Calls hollow = hollow(size);
-    Calls real = real(size);
+    StepExchanges simulated = runSimulated(size);
+    StepExchanges real = runReal(size);
 
-    assertAlike(hollow.firstLists(), real.firstLists());
-    assertAlike(hollow.changes(), real.changes());
-    assertAlike(hollow.idle(), real.idle());
-    assertThat(hollow.idle().get(0).waitMs()).isEqualTo(real.idle().get(0).waitMs());
+    assertSimilar(simulated.firstLists(), real.firstLists());
+    assertSimilar(simulated.changes(), real.changes());
+    assertSimilar(simulated.idle(), real.idle());
+    assertThat(simulated.idle().get(0).waitMs()).isEqualTo(real.idle().get(0).waitMs());
   }
 
+  /** Guards against counting errors, such as missing headers or bytes of another exchange. */
   @Test
-  void theBytesOfAWholeListAreExact() throws IOException {
+  void bytesOfSnapshotAreExact() throws IOException {
     for (int servers : new int[] {50, 100, 200}) {
-      for (Exchange exchange : hollow(new Size(2, servers)).firstLists()) {
-        assertThat(exchange.responseBytes()).isEqualTo(wholeListBytes(servers));
+      for (Exchange exchange : runSimulated(new Size(2, servers)).firstLists()) {
+        assertThat(exchange.responseBytes()).isEqualTo(snapshotBytes(servers));
         assertThat(exchange.requestBytes()).isBetween(requestBytes(4), requestBytes(5));
       }
     }
   }
 
-  /** The answer as the protocol has it, put together here a second time. */
-  private static long wholeListBytes(int servers) {
+  /** Returns the length of a response, built here independently of the discovery emulator. */
+  private static long snapshotBytes(int servers) {
     StringBuilder body = new StringBuilder("{\"seq\":1,\"whole\":true,\"hosts\":[");
     for (int i = 0; i < servers; i++) {
       body.append(i == 0 ? "" : ",")
@@ -122,22 +125,24 @@
     return ("GET /registry/instances HTTP/1.1\r\nhost: " + host + "\r\n\r\n").length();
   }
 
+  /** Guards against snapshot bytes that do not grow linearly with the shard servers. */
   @Test
-  void theBytesOfAWholeListGrowByTheSameForEachServer() throws IOException {
-    // Names and numbers of servers 100 to 999 are of one length.
-    double at100 = perGatherer(new Size(2, 100));
-    double at200 = perGatherer(new Size(2, 200));
-    double at400 = perGatherer(new Size(2, 400));
+  void bytesOfSnapshotGrowEquallyPerServer() throws IOException {
+    // Names and numbers of servers 100 to 999 have the same length.
+    double at100 = firstListBytesPerRouter(new Size(2, 100));
+    double at200 = firstListBytesPerRouter(new Size(2, 200));
+    double at400 = firstListBytesPerRouter(new Size(2, 400));
 
     assertThat(at400 - at200).isEqualTo(2 * (at200 - at100));
   }
 
-  private static double perGatherer(Size size) throws IOException {
+  private static double firstListBytesPerRouter(Size size) throws IOException {
     return quantities(size).get(Quantity.GATHERER_FIRST_LIST_BYTES);
   }
 
+  /** Guards against changes that cost a router several exchanges, or more with more servers. */
   @Test
-  void theMessagesOfAChangeGoWithGatherersAndNotWithServers() throws IOException {
+  void messagesOfChangeGrowWithRoutersAndNotServers() throws IOException {
     for (Size size : List.of(new Size(1, 50), new Size(2, 50), new Size(4, 50), new Size(2, 400))) {
       Map<Quantity, Double> values = quantities(size);
 
@@ -148,22 +153,21 @@
     }
   }
 
+  /** Guards against a count that grows quadratically with the routers or the shard servers. */
   @Test
-  void nothingCountedIsQuadratic() throws IOException {
+  void countedQuantitiesGrowLinearly() throws IOException {
     Map<Size, Map<Quantity, Double>> values = new HashMap<>();
-    for (int scale : new int[] {1, 2, 4}) {
-      values.put(new Size(scale, 100), quantities(new Size(scale, 100)));
-      values.put(new Size(2, 100 * scale), quantities(new Size(2, 100 * scale)));
+    for (int factor : new int[] {1, 2, 4}) {
+      values.put(new Size(factor, 100), quantities(new Size(factor, 100)));
+      values.put(new Size(2, 100 * factor), quantities(new Size(2, 100 * factor)));
     }
-    for (Quantity quantity : COUNTED) {
-      assertStraight(
-          quantity, values, List.of(new Size(1, 100), new Size(2, 100), new Size(4, 100)));
-      assertStraight(
-          quantity, values, List.of(new Size(2, 100), new Size(2, 200), new Size(2, 400)));
+    for (Quantity quantity : COUNTED_QUANTITIES) {
+      assertLinear(quantity, values, List.of(new Size(1, 100), new Size(2, 100), new Size(4, 100)));
+      assertLinear(quantity, values, List.of(new Size(2, 100), new Size(2, 200), new Size(2, 400)));
     }
   }
 
-  private static final List<Quantity> COUNTED =
+  private static final List<Quantity> COUNTED_QUANTITIES =
       List.of(
           Quantity.GATHERER_FIRST_LIST_BYTES,
           Quantity.GATHERER_FIRST_LIST_MESSAGES,
@@ -178,8 +182,11 @@
           Quantity.DISCOVERY_IDLE_BYTES,
           Quantity.DISCOVERY_IDLE_MESSAGES);
 
-  /** Doubled twice, the second step is twice the first, to within a digit here and there. */
-  private static void assertStraight(
+  /**
+   * Checks that the second of two doublings adds twice as much as the first. The tolerance of 1%
+   * allows for names and numbers with more digits.
+   */
+  private static void assertLinear(
       Quantity quantity, Map<Size, Map<Quantity, Double>> values, List<Size> sizes) {
     double[] at = sizes.stream().mapToDouble(size -> values.get(size).get(quantity)).toArray();
 
@@ -188,15 +195,16 @@
         .isCloseTo(2 * (at[1] - at[0]), within(0.01 * at[1]));
   }
 
+  /** Guards against a simulated router that skips or repeats list updates, unlike a real one. */
   @Test
-  void aHollowGathererTakesEachEntryOnce() throws IOException {
+  void simulatedRouterReceivesEachEntryOnce() throws IOException {
     Size size = new Size(1, 100);
     try (SimulatedFleet fleet = new SimulatedFleet(size, SEED)) {
       fleet.begin();
-      Calls.of(fleet.discovery());
+      StepExchanges.of(fleet.discovery());
       RecordingShardPort shards = fleet.gatherer(0).shards();
 
-      // No call failed, so its event loop has taken all that it was told.
+      // No request failed, so the router's event loop has applied everything that discovery sent.
       assertThat(fleet.callsFailed()).isZero();
       assertThat(shards.wholeLists()).isEqualTo(2);
       assertThat(shards.changes()).isEqualTo(CHANGES);
@@ -204,8 +212,9 @@
     }
   }
 
+  /** Guards against a quantity that is declared but not measured. */
   @Test
-  void aMeasurementHasAValueOfEachQuantity() throws IOException {
+  void measurementHasValueForEachQuantity() throws IOException {
     Map<Quantity, Double> values = Quantities.of(Measurement.of(new Size(2, 100), CHANGES, SEED));
 
     assertThat(values).containsOnlyKeys(Quantity.values());
--- a/testbed/src/test/java/tidebank/testbed/scale/StoredScaleResultsTest.java
+++ b/testbed/src/test/java/tidebank/testbed/scale/StoredScaleResultsTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Results that an earlier build stored are read, and written to the same bytes. */
+/** Results stored by an earlier version are read, and written again with the same bytes. */
 class StoredScaleResultsTest {
   private static final Path STORED = Path.of("src/test/resources/fixtures/scale/small");
 
@@ -17,8 +17,9 @@
     assertThat(folder.resolve(file)).hasSameBinaryContentAs(STORED.resolve(file));
   }
 
+  /** Guards against renamed components, which would leave values of stored runs unread. */
   @Test
-  void theRunIsReadByItsNames() throws Exception {
+  void storedRunIsRead() throws Exception {
     RunFacts run = new ScaleFolder(STORED).run();
 
     assertThat(run)
@@ -33,8 +34,9 @@
                     2, 25274589184L, 6108151808L, "Linux", "amd64", "17.0.15+6-Debian-1deb12u1")));
   }
 
+  /** Guards against renamed or reordered names in the files, and against fits that differ. */
   @Test
-  void runPointsAndFitsAreWrittenToTheBytesTheyWereReadFrom() throws Exception {
+  void storedResultsAreRewrittenWithSameBytes() throws Exception {
     ScaleFolder stored = new ScaleFolder(STORED);
     ScaleFolder written = new ScaleFolder(folder);
 
