--- a/cli/src/main/java/tidebank/cli/ScaleCommands.java
+++ b/cli/src/main/java/tidebank/cli/ScaleCommands.java
@@ -18,9 +18,9 @@
 import tidebank.testbed.scale.CapacityPage;
 import tidebank.testbed.scale.Fit;
 import tidebank.testbed.scale.Point;
-import tidebank.testbed.scale.Points;
+import tidebank.testbed.scale.PointsFile;
 import tidebank.testbed.scale.Profile;
-import tidebank.testbed.scale.ScaleFolder;
+import tidebank.testbed.scale.ScaleResults;
 import tidebank.testbed.scale.ScaleRun;
 import tidebank.testbed.scale.Target;
 
@@ -70,7 +70,7 @@
       Profile read = Profile.read(profile);
       PrintWriter progress = spec.commandLine().getErr();
       String name = profile.getFileName().toString();
-      try (Points file = new ScaleFolder(out).begin(ScaleRun.facts(name, read))) {
+      try (PointsFile file = new ScaleResults(out).create(ScaleRun.facts(name, read))) {
         ScaleRun.run(
             read,
             some -> add(file, some),
@@ -87,7 +87,7 @@
       return Tidebank.DONE;
     }
 
-    private void add(Points file, List<Point> some) throws IOException {
+    private void add(PointsFile file, List<Point> some) throws IOException {
       file.add(some);
       points += some.size();
     }
@@ -104,7 +104,7 @@
 
     @Override
     public Integer call() throws IOException {
-      List<Fit> fits = new ScaleFolder(folder).fit();
+      List<Fit> fits = new ScaleResults(folder).fit();
       PrintWriter out = out();
       if (json) {
         out.println(new ObjectMapper().writeValueAsString(fits));
@@ -156,9 +156,10 @@
 
     @Override
     public Integer call() throws IOException {
-      ScaleFolder results = new ScaleFolder(folder);
+      ScaleResults results = new ScaleResults(folder);
       String before = Files.readString(file);
-      String after = CapacityPage.with(before, results.run(), results.fits(), Target.read(target));
+      String after =
+          CapacityPage.render(before, results.run(), results.fits(), Target.read(target));
       boolean changed = !after.equals(before);
       if (changed) {
         Files.writeString(file, after);
--- a/testbed/src/main/java/tidebank/testbed/scale/Budgets.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/Budgets.java
@@ -15,7 +15,7 @@
   /** Returns the budget in the quantity's unit, or empty if the target states none. */
   static OptionalDouble of(Quantity quantity, Target target) {
     Target.Control control = target.control();
-    double effectiveWithinS = target.configuration().inForceS();
+    double effectiveWithinS = target.configuration().effectiveWithinS();
     return switch (quantity) {
       case GATHERER_FIRST_LIST_BYTES, GATHERER_CHANGE_BYTES ->
           OptionalDouble.of(control.bytesPerS() * effectiveWithinS);
--- a/testbed/src/main/java/tidebank/testbed/scale/CapacityPage.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/CapacityPage.java
@@ -14,10 +14,11 @@
    * @throws IOException if a marker of a table is missing or occurs more than once, or if an end
    *     marker precedes its begin marker
    */
-  public static String with(String page, RunFacts run, List<Fit> fits, Target target)
+  public static String render(String page, RunFacts run, List<Fit> fits, Target target)
       throws IOException {
     String text = page;
-    for (Map.Entry<String, String> table : new CapacityTables(run, fits, target).all().entrySet()) {
+    for (Map.Entry<String, String> table :
+        new CapacityTables(run, fits, target).byMarker().entrySet()) {
       text = replace(text, table.getKey(), table.getValue());
     }
     return text;
--- a/testbed/src/main/java/tidebank/testbed/scale/CapacityTables.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/CapacityTables.java
@@ -26,7 +26,7 @@
   }
 
   /** Returns the text of each table, by the name of its markers. */
-  Map<String, String> all() {
+  Map<String, String> byMarker() {
     Map<String, String> tables = new LinkedHashMap<>();
     tables.put("run", runSummary());
     tables.put("gatherer", roleTable(Role.GATHERER));
@@ -73,7 +73,7 @@
                 + " | budget | extrapolated by | breaks at |\n"
                 + "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n");
     fits.stream()
-        .filter(fit -> fit.quantity().role() == role && fit.extrapolates())
+        .filter(fit -> fit.quantity().role() == role && fit.usesQuantityDriver())
         .sorted(Comparator.comparingDouble(this::breakingMultiple))
         .forEach(fit -> table.append(fitRow(fit)));
     return table.toString();
@@ -90,8 +90,8 @@
         number(fit.residual()),
         percent(fit.spread()),
         measuredRange(fit),
-        number(fit.at(target.today())),
-        number(fit.at(size)),
+        number(fit.predict(target.today())),
+        number(fit.predict(size)),
         budget.isPresent() ? number(budget.getAsDouble()) : "none stated",
         ratio(fit.driver().count(size) / fit.countHigh()),
         breaksAt(fit, budget));
@@ -129,11 +129,11 @@
     if (budget.isEmpty()) {
       return Double.POSITIVE_INFINITY;
     }
-    if (!fit.grows()) {
+    if (!fit.hasGrowth()) {
       return fit.mean() > budget.getAsDouble() ? 0 : Double.MAX_VALUE;
     }
     double count = (budget.getAsDouble() - fit.constant()) / fit.slope();
-    return fit.driver().multiple(Math.max(0, count), target.today());
+    return fit.driver().growthFactor(Math.max(0, count), target.today());
   }
 
   private String breaksAt(Fit fit, OptionalDouble budget) {
@@ -152,7 +152,7 @@
                 + " mean |\n"
                 + "| --- | --- | --- | --- | --- |\n");
     for (Fit fit : fits) {
-      if (!fit.extrapolates() && fit.quantity().driver() != Driver.LIST_ENTRIES) {
+      if (!fit.usesQuantityDriver() && fit.quantity().driver() != Driver.LIST_ENTRIES) {
         double growth = fit.slope() * (fit.countHigh() - fit.countLow());
         table.append(
             row(
--- a/testbed/src/main/java/tidebank/testbed/scale/DiscoveryRig.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/DiscoveryHarness.java
@@ -15,21 +15,22 @@
  * exchanges. It runs the steps of a measurement, for simulated and real routers alike. Each step
  * waits for all routers.
  */
-final class DiscoveryRig implements AutoCloseable {
+final class DiscoveryHarness implements AutoCloseable {
   private static final long FIRST_VERSION = 1;
 
   private final EventLoopThread thread = new EventLoopThread();
-  private final Exchanges exchanges;
+  private final ExchangeLog exchanges;
   private final DiscoveryEmulator discovery;
   private final ListChanges changes;
   private long version = FIRST_VERSION;
 
-  DiscoveryRig(Size size, long seed) {
-    exchanges = new Exchanges(size.gatherers());
+  DiscoveryHarness(Size size, long seed) {
+    exchanges = new ExchangeLog(size.gatherers());
     List<SimulatedServer> servers =
         IntStream.range(0, size.servers()).mapToObj(SimulatedServer::new).toList();
     discovery = new DiscoveryEmulator(servers, size.gatherers(), null, new Clock(), thread.loop());
-    discovery.setConnectionObserver((router, pipeline) -> ExchangeRecorder.record(router, pipeline, exchanges));
+    discovery.setConnectionObserver(
+        (router, pipeline) -> ExchangeRecorder.install(router, pipeline, exchanges));
     changes = new ListChanges(discovery, size.servers(), seed);
     discovery.open();
   }
@@ -53,39 +54,39 @@
    * Waits until each router has its first endpoint list and returns the exchanges that sent
    * snapshots.
    */
-  List<Exchange> firstLists() throws IOException {
-    exchanges.awaitAcknowledged(version);
-    return takeOfKind(ExchangeKind.WHOLE_LIST);
+  List<Exchange> awaitFirstLists() throws IOException {
+    exchanges.awaitVersion(version);
+    return takeOfKind(ExchangeKind.SNAPSHOT);
   }
 
   /**
    * Changes the endpoint list several times, each time after all routers have the previous version.
    * Returns the exchanges that sent deltas.
    */
-  List<Exchange> change(int times) throws IOException {
+  List<Exchange> applyChanges(int times) throws IOException {
     for (int i = 0; i < times; i++) {
       version++;
-      changes.next();
-      exchanges.awaitAcknowledged(version);
+      changes.applyNext();
+      exchanges.awaitVersion(version);
     }
-    return takeOfKind(ExchangeKind.CHANGES);
+    return takeOfKind(ExchangeKind.DELTA);
   }
 
   /**
    * Ends all watches with an empty response, as at their wait limit, and returns one exchange of
    * each router.
    */
-  List<Exchange> idle() throws IOException {
+  List<Exchange> endIdleWatches() throws IOException {
     discovery.expireWatches();
-    exchanges.awaitAnswered(ExchangeKind.NOTHING);
+    exchanges.awaitResponses(ExchangeKind.EMPTY);
     Set<Integer> seenRouters = new HashSet<>();
-    return takeOfKind(ExchangeKind.NOTHING).stream()
-        .filter(exchange -> seenRouters.add(exchange.gatherer()))
+    return takeOfKind(ExchangeKind.EMPTY).stream()
+        .filter(exchange -> seenRouters.add(exchange.router()))
         .toList();
   }
 
   private List<Exchange> takeOfKind(ExchangeKind kind) {
-    List<Exchange> taken = new ArrayList<>(exchanges.take());
+    List<Exchange> taken = new ArrayList<>(exchanges.takeAll());
     taken.removeIf(exchange -> exchange.kind() != kind);
     return taken;
   }
--- a/testbed/src/main/java/tidebank/testbed/scale/Driver.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/Driver.java
@@ -38,7 +38,7 @@
    * Returns the factor by which a fleet has to grow to reach a count, if its routers and shard
    * servers grow by the same factor.
    */
-  double multiple(double count, Size fleet) {
+  double growthFactor(double count, Size fleet) {
     double ratio = count / count(fleet);
     return this == LIST_ENTRIES ? Math.sqrt(ratio) : ratio;
   }
--- a/testbed/src/main/java/tidebank/testbed/scale/Exchange.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/Exchange.java
@@ -9,10 +9,9 @@
  * @param responseBytes bytes of the response on the TCP connection, HTTP headers included
  * @param waitMs wait limit of the request, in milliseconds; 0 if it is not a watch
  */
-record Exchange(
-    int gatherer, ExchangeKind kind, long requestBytes, long responseBytes, long waitMs) {
+record Exchange(int router, ExchangeKind kind, long requestBytes, long responseBytes, long waitMs) {
   /** Messages of one exchange: the request and the response. */
-  static final int MESSAGES = 2;
+  static final int MESSAGES_PER_EXCHANGE = 2;
 
   /** Returns the bytes of the request and the response together. */
   long bytes() {
--- a/testbed/src/main/java/tidebank/testbed/scale/ExchangeKind.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/ExchangeKind.java
@@ -2,8 +2,8 @@
 
 /** The content of a response of discovery. */
 enum ExchangeKind {
-  WHOLE_LIST,
-  CHANGES,
+  SNAPSHOT,
+  DELTA,
   /** No change: the watch reached its wait limit. */
-  NOTHING
+  EMPTY
 }
--- a/testbed/src/main/java/tidebank/testbed/scale/Exchanges.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/ExchangeLog.java
@@ -10,19 +10,19 @@
  * The exchanges with discovery, and the list version that each router has. Thread-safe: one thread
  * writes and another reads.
  */
-final class Exchanges {
+final class ExchangeLog {
   /** Far longer than any step takes; after this time the step is taken to have failed. */
   private static final long TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(60);
 
-  private final long[] acknowledged;
+  private final long[] recordVersion;
   private List<Exchange> exchanges = new ArrayList<>();
   private int connections;
 
-  Exchanges(int routers) {
-    acknowledged = new long[routers];
+  ExchangeLog(int routers) {
+    recordVersion = new long[routers];
   }
 
-  synchronized void connected() {
+  synchronized void countConnection() {
     connections++;
   }
 
@@ -32,8 +32,8 @@
   }
 
   /** Records that a router requested the changes after a version, and so has this version. */
-  synchronized void acknowledged(int router, long version) {
-    acknowledged[router] = version;
+  synchronized void recordVersion(int router, long version) {
+    recordVersion[router] = version;
     notifyAll();
   }
 
@@ -43,7 +43,7 @@
   }
 
   /** Removes and returns the exchanges added since the previous call. */
-  synchronized List<Exchange> take() {
+  synchronized List<Exchange> takeAll() {
     List<Exchange> taken = exchanges;
     exchanges = new ArrayList<>();
     return taken;
@@ -54,14 +54,14 @@
    *
    * @throws IOException on timeout or interruption
    */
-  void awaitAcknowledged(long version) throws IOException {
+  void awaitVersion(long version) throws IOException {
     await(
         () -> allRoutersHave(version),
         "timeout: not every router has version " + version + " of the endpoint list");
   }
 
   private boolean allRoutersHave(long version) {
-    for (long acknowledgedVersion : acknowledged) {
+    for (long acknowledgedVersion : recordVersion) {
       if (acknowledgedVersion < version) {
         return false;
       }
@@ -74,16 +74,16 @@
    *
    * @throws IOException on timeout or interruption
    */
-  void awaitAnswered(ExchangeKind kind) throws IOException {
+  void awaitResponses(ExchangeKind kind) throws IOException {
     await(
-        () -> routersSent(kind) == acknowledged.length,
+        () -> routersSent(kind) == recordVersion.length,
         "timeout: not every router was sent a response of kind " + kind);
   }
 
   private long routersSent(ExchangeKind kind) {
     return exchanges.stream()
         .filter(exchange -> exchange.kind() == kind)
-        .mapToInt(Exchange::gatherer)
+        .mapToInt(Exchange::router)
         .distinct()
         .count();
   }
--- a/testbed/src/main/java/tidebank/testbed/scale/ExchangeRecorder.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/ExchangeRecorder.java
@@ -26,13 +26,13 @@
   private static final String EMPTY_LIST_END = "\"hosts\":[]}";
 
   private final int router;
-  private final Exchanges exchanges;
+  private final ExchangeLog exchanges;
   private final ByteCounter bytes;
   private long readBefore;
   private long requestBytes;
   private long waitMs;
 
-  private ExchangeRecorder(int router, Exchanges exchanges, ByteCounter bytes) {
+  private ExchangeRecorder(int router, ExchangeLog exchanges, ByteCounter bytes) {
     this.router = router;
     this.exchanges = exchanges;
     this.bytes = bytes;
@@ -42,12 +42,12 @@
    * Installs a recorder on a router's connection, before the last handler of the pipeline, which
    * sends the responses.
    */
-  static void record(int router, ChannelPipeline pipeline, Exchanges exchanges) {
+  static void install(int router, ChannelPipeline pipeline, ExchangeLog exchanges) {
     ByteCounter bytes = new ByteCounter();
     pipeline.addFirst(bytes);
     String responder = pipeline.lastContext().name();
     pipeline.addBefore(responder, null, new ExchangeRecorder(router, exchanges, bytes));
-    exchanges.connected();
+    exchanges.countConnection();
   }
 
   @Override
@@ -58,7 +58,7 @@
     readBefore = bytes.read();
     waitMs = parseParameter(parameters, "wait_ms", 0);
     context.fireChannelRead(message);
-    exchanges.acknowledged(router, parseParameter(parameters, "after", 0));
+    exchanges.recordVersion(router, parseParameter(parameters, "after", 0));
   }
 
   private static long parseParameter(
@@ -86,8 +86,8 @@
                 Math.min(HEAD_BYTES, length),
                 StandardCharsets.US_ASCII);
     if (head.contains(SNAPSHOT_FLAG)) {
-      return ExchangeKind.WHOLE_LIST;
+      return ExchangeKind.SNAPSHOT;
     }
-    return head.endsWith(EMPTY_LIST_END) ? ExchangeKind.NOTHING : ExchangeKind.CHANGES;
+    return head.endsWith(EMPTY_LIST_END) ? ExchangeKind.EMPTY : ExchangeKind.DELTA;
   }
 }
--- a/testbed/src/main/java/tidebank/testbed/scale/Fit.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/Fit.java
@@ -36,17 +36,17 @@
     double valueLow,
     double valueHigh) {
   /** Returns the fitted value at a size, or the mean if no growth is seen. */
-  double at(Size size) {
-    return grows() ? slope * driver.count(size) + constant : mean;
+  double predict(Size size) {
+    return hasGrowth() ? slope * driver.count(size) + constant : mean;
   }
 
   /** Returns whether this fit is over the driver that its quantity is extrapolated with. */
-  boolean extrapolates() {
+  boolean usesQuantityDriver() {
     return driver == quantity.driver();
   }
 
   /** Returns whether the slope's confidence interval lies above zero. */
-  boolean grows() {
+  boolean hasGrowth() {
     return slopeLow > 0;
   }
 }
--- a/testbed/src/main/java/tidebank/testbed/scale/ListChanges.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/ListChanges.java
@@ -26,7 +26,7 @@
   }
 
   /** Applies the next change. */
-  void next() {
+  void applyNext() {
     if (drainingServer < 0) {
       drainingServer = random.nextInt(servers);
       discovery.updateServer(drainingServer, Health.Terminating, KEEP_START_TIME);
--- a/testbed/src/main/java/tidebank/testbed/scale/Machine.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/Machine.java
@@ -21,7 +21,7 @@
     String architecture,
     String java) {
   /** Returns the figures of this machine and process. */
-  static Machine here() {
+  static Machine current() {
     OperatingSystemMXBean system = ManagementFactory.getPlatformMXBean(OperatingSystemMXBean.class);
     return new Machine(
         system.getAvailableProcessors(),
--- a/testbed/src/main/java/tidebank/testbed/scale/Measurement.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/Measurement.java
@@ -2,8 +2,8 @@
 
 import java.io.IOException;
 import java.util.List;
-import tidebank.testbed.scale.Observed.Descriptors;
-import tidebank.testbed.scale.Observed.ProcessorTime;
+import tidebank.testbed.scale.RawMeasurement.Descriptors;
+import tidebank.testbed.scale.RawMeasurement.ProcessorTime;
 
 /**
  * The measurement of one fleet size: simulated routers start, receive list changes and then hold
@@ -18,29 +18,29 @@
    * @param listChanges number of list changes that each router receives
    * @throws IOException if a step times out or is interrupted, or a request to discovery failed
    */
-  static Observed of(Size size, int listChanges, long seed) throws IOException {
+  static RawMeasurement of(Size size, int listChanges, long seed) throws IOException {
     try (SimulatedFleet fleet = new SimulatedFleet(size, seed)) {
       return measure(fleet, size, listChanges);
     }
   }
 
-  private static Observed measure(SimulatedFleet fleet, Size size, int listChanges)
+  private static RawMeasurement measure(SimulatedFleet fleet, Size size, int listChanges)
       throws IOException {
-    DiscoveryRig discovery = fleet.discovery();
-    long descriptorsBefore = ProcessFigures.descriptors();
-    long heapBefore = ProcessFigures.retainedHeapBytes();
+    DiscoveryHarness discovery = fleet.discovery();
+    long descriptorsBefore = ProcessStats.openDescriptors();
+    long heapBefore = ProcessStats.retainedHeapBytes();
     ProcessorTime beforeLists = fleet.processorTime();
-    fleet.begin();
-    List<Exchange> firstLists = discovery.firstLists();
+    fleet.start();
+    List<Exchange> firstLists = discovery.awaitFirstLists();
     ProcessorTime afterLists = fleet.processorTime();
-    long heap = ProcessFigures.retainedHeapBytes() - heapBefore;
-    long descriptorsOpened = ProcessFigures.descriptors() - descriptorsBefore;
+    long heap = ProcessStats.retainedHeapBytes() - heapBefore;
+    long descriptorsOpened = ProcessStats.openDescriptors() - descriptorsBefore;
     ProcessorTime beforeChanges = fleet.processorTime();
-    List<Exchange> changes = discovery.change(listChanges);
+    List<Exchange> changes = discovery.applyChanges(listChanges);
     ProcessorTime afterChanges = fleet.processorTime();
-    List<Exchange> idle = discovery.idle();
+    List<Exchange> idle = discovery.endIdleWatches();
     checkNoRequestFailed(fleet, size);
-    return new Observed(
+    return new RawMeasurement(
         size,
         listChanges,
         firstLists,
@@ -62,7 +62,7 @@
   }
 
   private static void checkNoRequestFailed(SimulatedFleet fleet, Size size) throws IOException {
-    long failed = fleet.callsFailed();
+    long failed = fleet.failedRequests();
     if (failed > 0) {
       throw new IOException(
           size + ": measurement is invalid, " + failed + " requests to discovery failed");
--- a/testbed/src/main/java/tidebank/testbed/scale/MemoryNeed.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/MemoryEstimate.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 /** An upper bound of the memory that measuring a size takes, known before the measurement. */
-final class MemoryNeed {
+final class MemoryEstimate {
   /** Upper bound for one list entry, with both ends of its transfer in this process. */
   private static final long BYTES_PER_LIST_ENTRY = 4096;
 
@@ -11,10 +11,10 @@
   private static final long BASE_BYTES = 64 << 20;
   private static final long MB = 1 << 20;
 
-  private MemoryNeed() {}
+  private MemoryEstimate() {}
 
   /** Returns the upper bound in bytes. */
-  static long bytes(Size size) {
+  static long requiredBytes(Size size) {
     return BASE_BYTES
         + size.gatherers() * BYTES_PER_ROUTER
         + (long) Driver.LIST_ENTRIES.count(size) * BYTES_PER_LIST_ENTRY;
@@ -26,8 +26,8 @@
    * @param machineBytes memory of the machine, half of which this process may use
    * @param heapBytes maximum heap size of this process
    */
-  static Optional<String> refusal(Size size, long machineBytes, long heapBytes) {
-    long required = bytes(size);
+  static Optional<String> rejectionReason(Size size, long machineBytes, long heapBytes) {
+    long required = requiredBytes(size);
     long available = Math.min(machineBytes / 2, heapBytes);
     if (required <= available) {
       return Optional.empty();
--- a/testbed/src/main/java/tidebank/testbed/scale/Points.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/PointsFile.java
@@ -17,7 +17,7 @@
 /**
  * The CSV file of measured values, one value a line. Points are on disk when {@link #add} returns.
  */
-public final class Points implements Closeable {
+public final class PointsFile implements Closeable {
   private static final int DECIMALS = 4;
   private static final String[] HEADER = {
     "gatherers", "servers", "role", "quantity", "unit", "value", "repeat", "seed"
@@ -27,7 +27,7 @@
   private final CsvWriter csv;
 
   /** Creates the file and replaces an existing one. */
-  public Points(Path path) throws IOException {
+  public PointsFile(Path path) throws IOException {
     writer = Files.newBufferedWriter(path);
     csv = CsvWriter.builder().lineDelimiter(LineDelimiter.LF).build(writer);
     csv.writeRecord(HEADER);
--- a/testbed/src/main/java/tidebank/testbed/scale/ProcessFigures.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/ProcessStats.java
@@ -5,7 +5,7 @@
 import java.lang.management.OperatingSystemMXBean;
 
 /** Readings of the heap and file descriptors of this process. */
-final class ProcessFigures {
+final class ProcessStats {
   private static final int MAX_COLLECTIONS = 20;
 
   /** Number of consecutive collections without further reduction that end the loop. */
@@ -14,7 +14,7 @@
   /** Bytes that the process itself allocates between two collections. */
   private static final long NOISE_BYTES = 4096;
 
-  private ProcessFigures() {}
+  private ProcessStats() {}
 
   /**
    * Returns the heap in use, in bytes, after full collections that are repeated until they free
@@ -35,7 +35,7 @@
   }
 
   /** Returns the number of open file descriptors, or 0 if the system does not report it. */
-  static long descriptors() {
+  static long openDescriptors() {
     OperatingSystemMXBean system = ManagementFactory.getOperatingSystemMXBean();
     return system instanceof UnixOperatingSystemMXBean unix ? unix.getOpenFileDescriptorCount() : 0;
   }
--- a/testbed/src/main/java/tidebank/testbed/scale/Profile.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/Profile.java
@@ -17,19 +17,19 @@
  * @param repeats number of measurements of each size
  * @param listChanges number of list changes in each measurement; even, because each server that
  *     drains returns to service with the next change
- * @param gathererSizes router counts in ascending order, measured with {@code fixedServers}
+ * @param routerCounts router counts in ascending order, measured with {@code fixedServers}
  * @param fixedServers number of shard servers while the router count varies
- * @param serverSizes shard server counts in ascending order, measured with {@code fixedGatherers}
- * @param fixedGatherers number of routers while the shard server count varies
+ * @param serverCounts shard server counts in ascending order, measured with {@code fixedRouters}
+ * @param fixedRouters number of routers while the shard server count varies
  */
 public record Profile(
     long seed,
     int repeats,
     int listChanges,
-    List<Integer> gathererSizes,
+    List<Integer> routerCounts,
     int fixedServers,
-    List<Integer> serverSizes,
-    int fixedGatherers) {
+    List<Integer> serverCounts,
+    int fixedRouters) {
   /** With fewer sizes, the points do not show whether growth is linear. */
   private static final int MIN_SIZES = 5;
 
@@ -93,15 +93,15 @@
   }
 
   /** Returns the size with both fixed counts. */
-  public Size fixed() {
-    return new Size(fixedGatherers, fixedServers);
+  public Size fixedSize() {
+    return new Size(fixedRouters, fixedServers);
   }
 
   /** Returns all distinct sizes, in ascending order of their list entries. */
   public List<Size> sizes() {
     Set<Size> sizes = new LinkedHashSet<>();
-    gathererSizes.forEach(count -> sizes.add(new Size(count, fixedServers)));
-    serverSizes.forEach(count -> sizes.add(new Size(fixedGatherers, count)));
+    routerCounts.forEach(count -> sizes.add(new Size(count, fixedServers)));
+    serverCounts.forEach(count -> sizes.add(new Size(fixedRouters, count)));
     return sizes.stream().sorted(Comparator.comparingDouble(Driver.LIST_ENTRIES::count)).toList();
   }
 }
--- a/testbed/src/main/java/tidebank/testbed/scale/Observed.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/RawMeasurement.java
@@ -14,7 +14,7 @@
  * @param heapBytes heap that all routers together retain
  * @param descriptors open file descriptors of the routers and of discovery
  */
-record Observed(
+record RawMeasurement(
     Size size,
     int listChanges,
     List<Exchange> firstLists,
@@ -25,14 +25,13 @@
     long heapBytes,
     Descriptors descriptors) {
   /** Processor time of the routers' event loop and of discovery's, in microseconds. */
-  record ProcessorTime(double gatherersUs, double discoveryUs) {
+  record ProcessorTime(double routersUs, double discoveryUs) {
     /** Returns the processor time used since an earlier reading. */
     ProcessorTime minus(ProcessorTime earlier) {
-      return new ProcessorTime(
-          gatherersUs - earlier.gatherersUs, discoveryUs - earlier.discoveryUs);
+      return new ProcessorTime(routersUs - earlier.routersUs, discoveryUs - earlier.discoveryUs);
     }
   }
 
   /** Open file descriptors of all routers together and of discovery. */
-  record Descriptors(long gatherers, long discovery) {}
+  record Descriptors(long routers, long discovery) {}
 }
--- a/testbed/src/main/java/tidebank/testbed/scale/RecordingShardPort.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/RecordingShardPort.java
@@ -10,16 +10,16 @@
  * throws an {@link IllegalStateException}.
  */
 final class RecordingShardPort implements BackendPort {
-  private long wholeLists;
-  private long changes;
+  private long snapshots;
+  private long deltas;
   private long entries;
 
   @Override
   public void updateEndpoints(List<ResolvedEndpoint> members, boolean full) {
     if (full) {
-      wholeLists++;
+      snapshots++;
     } else {
-      changes++;
+      deltas++;
     }
     entries += members.size();
   }
@@ -45,13 +45,13 @@
   }
 
   /** Returns the number of snapshots received, including the empty one at the start. */
-  long wholeLists() {
-    return wholeLists;
+  long snapshots() {
+    return snapshots;
   }
 
   /** Returns the number of deltas received. */
-  long changes() {
-    return changes;
+  long deltas() {
+    return deltas;
   }
 
   /** Returns the number of entries in all snapshots and deltas received. */
--- a/testbed/src/main/java/tidebank/testbed/scale/RouterFiles.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/RouterConfigs.java
@@ -9,11 +9,11 @@
 import tidebank.testbed.deployment.Deployment;
 
 /** The configuration of the routers of a scale run, the same for simulated and real routers. */
-final class RouterFiles {
+final class RouterConfigs {
   private static final int MAX_SOCKETS = 1024;
   private static final String LOOPBACK_ANY_PORT = "127.0.0.1:0";
 
-  private RouterFiles() {}
+  private RouterConfigs() {}
 
   /**
    * Returns the configuration of one router, read from a temporary file.
--- a/testbed/src/main/java/tidebank/testbed/scale/ScaleFolder.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/ScaleResults.java
@@ -9,22 +9,22 @@
 import java.util.List;
 
 /** The directory of a run's results: the facts of the run, its points and the fits. */
-public final class ScaleFolder {
+public final class ScaleResults {
   private static final ObjectMapper JSON =
       new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
 
   private final Path directory;
 
-  public ScaleFolder(Path directory) {
+  public ScaleResults(Path directory) {
     this.directory = directory;
   }
 
   /** Starts the results of a run, replaces those of an earlier run, and returns the points file. */
-  public Points begin(RunFacts run) throws IOException {
+  public PointsFile create(RunFacts run) throws IOException {
     Files.createDirectories(directory);
     Files.deleteIfExists(fitsPath());
     write(directory.resolve("run.json"), run);
-    return new Points(pointsPath());
+    return new PointsFile(pointsPath());
   }
 
   /** Reads the facts of the run. */
@@ -34,7 +34,7 @@
 
   /** Reads the points of the run. */
   public List<Point> points() throws IOException {
-    return Points.read(pointsPath());
+    return PointsFile.read(pointsPath());
   }
 
   /** Reads the stored fits. */
--- a/testbed/src/main/java/tidebank/testbed/scale/ScaleRun.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/ScaleRun.java
@@ -24,8 +24,8 @@
         profile.seed(),
         profile.repeats(),
         profile.listChanges(),
-        profile.fixed(),
-        Machine.here());
+        profile.fixedSize(),
+        Machine.current());
   }
 
   /**
@@ -60,8 +60,9 @@
   }
 
   private static void checkMemory(Size size) throws IOException {
-    Machine machine = Machine.here();
-    Optional<String> reason = MemoryNeed.refusal(size, machine.memoryBytes(), machine.heapBytes());
+    Machine machine = Machine.current();
+    Optional<String> reason =
+        MemoryEstimate.rejectionReason(size, machine.memoryBytes(), machine.heapBytes());
     if (reason.isPresent()) {
       throw new IOException(reason.get());
     }
@@ -69,7 +70,7 @@
 
   private static List<Point> measure(Size size, Profile profile, int repeat) throws IOException {
     long seed = profile.seed() + repeat;
-    Observed result = Measurement.of(size, profile.listChanges(), seed);
+    RawMeasurement result = Measurement.of(size, profile.listChanges(), seed);
     List<Point> points = new ArrayList<>();
     Quantities.of(result)
         .forEach((quantity, value) -> points.add(new Point(size, quantity, value, repeat, seed)));
--- a/testbed/src/main/java/tidebank/testbed/scale/SimulatedFleet.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/SimulatedFleet.java
@@ -3,38 +3,38 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import tidebank.testbed.scale.Observed.ProcessorTime;
+import tidebank.testbed.scale.RawMeasurement.ProcessorTime;
 
 /** Simulated routers on one event loop, with emulated discovery on another. */
 final class SimulatedFleet implements AutoCloseable {
   private final Size size;
   private final long seed;
-  private final DiscoveryRig discovery;
+  private final DiscoveryHarness discovery;
   private final EventLoopThread thread = new EventLoopThread();
   private final List<SimulatedRouter> routers = new ArrayList<>();
 
-  /** Starts discovery only; {@link #begin} creates the routers. */
+  /** Starts discovery only; {@link #start} creates the routers. */
   SimulatedFleet(Size size, long seed) {
     this.size = size;
     this.seed = seed;
-    discovery = new DiscoveryRig(size, seed);
+    discovery = new DiscoveryHarness(size, seed);
   }
 
-  DiscoveryRig discovery() {
+  DiscoveryHarness discovery() {
     return discovery;
   }
 
   /** Creates all routers, then starts them. */
-  void begin() throws IOException {
+  void start() throws IOException {
     for (int i = 0; i < size.gatherers(); i++) {
       routers.add(
           new SimulatedRouter(
-              RouterFiles.config(size, i, discovery.address(i), seed), thread.loop()));
+              RouterConfigs.config(size, i, discovery.address(i), seed), thread.loop()));
     }
-    routers.forEach(SimulatedRouter::begin);
+    routers.forEach(SimulatedRouter::start);
   }
 
-  SimulatedRouter gatherer(int number) {
+  SimulatedRouter router(int number) {
     return routers.get(number);
   }
 
@@ -44,8 +44,8 @@
   }
 
   /** Returns the number of requests to discovery that failed, over all routers. */
-  long callsFailed() {
-    return routers.stream().mapToLong(SimulatedRouter::callsFailed).sum();
+  long failedRequests() {
+    return routers.stream().mapToLong(SimulatedRouter::failedRequests).sum();
   }
 
   @Override
--- a/testbed/src/main/java/tidebank/testbed/scale/SimulatedRouter.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/SimulatedRouter.java
@@ -46,7 +46,7 @@
   }
 
   /** Starts like a router without a cached endpoint list. */
-  void begin() {
+  void start() {
     loop.execute(
         () -> {
           executor.endpointListReceived(ListUpdate.CACHED, List.of());
@@ -55,12 +55,12 @@
   }
 
   /** Returns the port that counts the router's endpoint list updates. */
-  RecordingShardPort shards() {
+  RecordingShardPort shardPort() {
     return shardPort;
   }
 
   /** Returns the number of requests to discovery that failed. */
-  long callsFailed() {
+  long failedRequests() {
     return loop.submit(() -> counters.get("list.calls-failed")).syncUninterruptibly().getNow();
   }
 
--- a/testbed/src/main/java/tidebank/testbed/scale/Target.java
+++ b/testbed/src/main/java/tidebank/testbed/scale/Target.java
@@ -18,7 +18,7 @@
    * @param size planned counts of routers and shard servers
    * @param queriesPerS queries per second
    * @param serversPerQuery number of shard servers that a query goes to
-   * @param answerMs time in milliseconds within which queries have to be answered
+   * @param answerWithinMs time in milliseconds within which queries have to be answered
    * @param answerShare share of the queries that this holds for
    * @param regions number of regions
    * @param zones number of zones
@@ -27,7 +27,7 @@
       Size size,
       double queriesPerS,
       int serversPerQuery,
-      double answerMs,
+      double answerWithinMs,
       double answerShare,
       int regions,
       int zones) {}
@@ -35,9 +35,9 @@
   /**
    * The rate of configuration changes, and the time within which a change has to take effect.
    *
-   * @param inForceS time in seconds until a change has to be in effect in the whole fleet
+   * @param effectiveWithinS time in seconds until a change has to be in effect in the whole fleet
    */
-  public record Configuration(double changesPerDay, double inForceS) {}
+  public record Configuration(double changesPerDay, double effectiveWithinS) {}
 
   /**
    * The budget of the control plane.
--- a/testbed/src/test/java/tidebank/testbed/ArchitectureTest.java
+++ b/testbed/src/test/java/tidebank/testbed/ArchitectureTest.java
@@ -48,7 +48,7 @@
           "tidebank.testbed.scale.Budgets",
           "tidebank.testbed.scale.CapacityTables",
           "tidebank.testbed.scale.Fits",
-          "tidebank.testbed.scale.MemoryNeed",
+          "tidebank.testbed.scale.MemoryEstimate",
           "tidebank.testbed.scale.Quantities",
           "tidebank.testbed.emulator.SlotsModel",
           "tidebank.testbed.trace.RowAccounting",
--- a/testbed/src/test/java/tidebank/testbed/scale/CapacityPageTest.java
+++ b/testbed/src/test/java/tidebank/testbed/scale/CapacityPageTest.java
@@ -12,12 +12,12 @@
 class CapacityPageTest {
   private static final Path ROOT = Path.of("..");
   private static final Path PAGE = ROOT.resolve("docs/CAPACITY.md");
-  private static final ScaleFolder RESULTS =
-      new ScaleFolder(ROOT.resolve("deploy/scale/results/small"));
+  private static final ScaleResults RESULTS =
+      new ScaleResults(ROOT.resolve("deploy/scale/results/small"));
 
   private static String render(String page) throws IOException {
     Target target = Target.read(ROOT.resolve("deploy/scale/target.toml"));
-    return CapacityPage.with(page, RESULTS.run(), RESULTS.fits(), target);
+    return CapacityPage.render(page, RESULTS.run(), RESULTS.fits(), target);
   }
 
   /**
@@ -57,7 +57,7 @@
     assertThat(RESULTS.points())
         .hasSize(profile.sizes().size() * profile.repeats() * Quantity.values().length);
     assertThat(RESULTS.run().seed()).isEqualTo(profile.seed());
-    assertThat(RESULTS.run().fixed()).isEqualTo(profile.fixed());
+    assertThat(RESULTS.run().fixed()).isEqualTo(profile.fixedSize());
     assertThat(RESULTS.run().listChanges()).isEqualTo(profile.listChanges());
   }
 
--- a/testbed/src/test/java/tidebank/testbed/scale/FitsTest.java
+++ b/testbed/src/test/java/tidebank/testbed/scale/FitsTest.java
@@ -65,9 +65,9 @@
     assertThat(overServers.points()).isEqualTo(15);
     assertThat(overServers.sizes()).isEqualTo(5);
     assertThat(overServers.countHigh()).isEqualTo(1600);
-    assertThat(overServers.at(new Size(890, 4900))).isCloseTo(612_800, within(1e-3));
+    assertThat(overServers.predict(new Size(890, 4900))).isCloseTo(612_800, within(1e-3));
     assertThat(overRouters.slope()).isCloseTo(0, within(1e-9));
-    assertThat(overRouters.grows()).isFalse();
+    assertThat(overRouters.hasGrowth()).isFalse();
   }
 
   /** Guards against a confidence interval that misses the true slope of noisy points. */
@@ -113,16 +113,16 @@
   void predictionIsMeanWithoutGrowth() {
     Fit fit = fit(points(Quantity.GATHERER_CHANGE_CPU, size -> 50, 30), Driver.SERVERS);
 
-    assertThat(fit.grows()).isFalse();
-    assertThat(fit.at(new Size(890, 4900))).isEqualTo(fit.mean());
+    assertThat(fit.hasGrowth()).isFalse();
+    assertThat(fit.predict(new Size(890, 4900))).isEqualTo(fit.mean());
   }
 
   /** Guards against points lost in a buffer when a run is interrupted. */
   @Test
   void pointsAreOnDiskWhenAddReturns(@TempDir Path folder) throws IOException {
     List<Point> points = points(Quantity.GATHERER_CHANGE_BYTES, size -> 280, 1).subList(0, 9);
-    ScaleFolder results = new ScaleFolder(folder);
-    try (Points file = results.begin(RUN)) {
+    ScaleResults results = new ScaleResults(folder);
+    try (PointsFile file = results.create(RUN)) {
       file.add(points);
 
       assertThat(results.points()).hasSize(9);
@@ -135,8 +135,8 @@
   /** Guards against components of a fit that are lost or changed in its file. */
   @Test
   void fitsAreReadBackUnchanged(@TempDir Path folder) throws IOException {
-    ScaleFolder results = new ScaleFolder(folder);
-    try (Points file = results.begin(RUN)) {
+    ScaleResults results = new ScaleResults(folder);
+    try (PointsFile file = results.create(RUN)) {
       file.add(points(Quantity.GATHERER_CHANGE_BYTES, size -> 280, 1));
     }
 
@@ -151,7 +151,7 @@
         file,
         "gatherers,servers,role,quantity,unit,value,repeat,seed\n2,200,GATHERER,x,us,1,1,1\n");
 
-    assertThatThrownBy(() -> Points.read(file))
+    assertThatThrownBy(() -> PointsFile.read(file))
         .isInstanceOf(IOException.class)
         .hasMessageContainingAll("points.csv:2", "no quantity x");
   }
@@ -160,11 +160,11 @@
   @Test
   void sizeAboveHalfOfMemoryOrAboveHeapIsRejected() {
     Size target = new Size(890, 4900);
-    long required = MemoryNeed.bytes(target);
+    long required = MemoryEstimate.requiredBytes(target);
 
-    assertThat(MemoryNeed.refusal(target, 2 * required, required)).isEmpty();
-    assertThat(MemoryNeed.refusal(target, 2 * required - 2, required).orElseThrow())
+    assertThat(MemoryEstimate.rejectionReason(target, 2 * required, required)).isEmpty();
+    assertThat(MemoryEstimate.rejectionReason(target, 2 * required - 2, required).orElseThrow())
         .contains("890 x 4900", "half of the machine's memory");
-    assertThat(MemoryNeed.refusal(target, 2 * required, required - 1)).isPresent();
+    assertThat(MemoryEstimate.rejectionReason(target, 2 * required, required - 1)).isPresent();
   }
 }
--- a/testbed/src/test/java/tidebank/testbed/scale/ProfileTest.java
+++ b/testbed/src/test/java/tidebank/testbed/scale/ProfileTest.java
@@ -41,7 +41,7 @@
   void sizesAreDistinctAndAscending() throws MalformedInputException {
     Profile profile = profile(VALID);
 
-    assertThat(profile.fixed()).isEqualTo(new Size(2, 10));
+    assertThat(profile.fixedSize()).isEqualTo(new Size(2, 10));
     assertThat(profile.sizes()).hasSize(9).doesNotHaveDuplicates().startsWith(new Size(1, 10));
     assertThat(profile.sizes()).endsWith(new Size(2, 50));
   }
@@ -91,8 +91,8 @@
     Profile profile = Profile.read(Path.of("..", "deploy", "scale", "small.toml"));
     Target target = Target.read(Path.of("..", "deploy", "scale", "target.toml"));
 
-    assertThat(profile.gathererSizes()).hasSizeGreaterThanOrEqualTo(5);
-    assertThat(profile.serverSizes()).hasSizeGreaterThanOrEqualTo(5);
+    assertThat(profile.routerCounts()).hasSizeGreaterThanOrEqualTo(5);
+    assertThat(profile.serverCounts()).hasSizeGreaterThanOrEqualTo(5);
     assertThat(target.fleet().size()).isEqualTo(new Size(890, 4900));
     assertThat(target.today()).isEqualTo(new Size(100, 200));
   }
--- a/testbed/src/test/java/tidebank/testbed/scale/SimulatedRouterTest.java
+++ b/testbed/src/test/java/tidebank/testbed/scale/SimulatedRouterTest.java
@@ -13,8 +13,8 @@
 import org.assertj.core.data.Percentage;
 import org.junit.jupiter.api.Test;
 import tidebank.runtime.QueryRouter;
-import tidebank.testbed.scale.Observed.Descriptors;
-import tidebank.testbed.scale.Observed.ProcessorTime;
+import tidebank.testbed.scale.RawMeasurement.Descriptors;
+import tidebank.testbed.scale.RawMeasurement.ProcessorTime;
 
 /**
  * Simulated routers exchange nearly as many bytes and messages with discovery as real routers, and
@@ -28,16 +28,17 @@
   /** The exchanges of all routers in each step of a measurement. */
   private record StepExchanges(
       List<Exchange> firstLists, List<Exchange> changes, List<Exchange> idle) {
-    static StepExchanges of(DiscoveryRig discovery) throws IOException {
-      return new StepExchanges(discovery.firstLists(), discovery.change(CHANGES), discovery.idle());
+    static StepExchanges of(DiscoveryHarness discovery) throws IOException {
+      return new StepExchanges(
+          discovery.awaitFirstLists(), discovery.applyChanges(CHANGES), discovery.endIdleWatches());
     }
   }
 
   private static StepExchanges runSimulated(Size size) throws IOException {
     try (SimulatedFleet fleet = new SimulatedFleet(size, SEED)) {
-      fleet.begin();
+      fleet.start();
       StepExchanges steps = StepExchanges.of(fleet.discovery());
-      assertThat(fleet.callsFailed()).isZero();
+      assertThat(fleet.failedRequests()).isZero();
       return steps;
     }
   }
@@ -47,7 +48,7 @@
     StepExchanges steps = runSimulated(size);
     ProcessorTime notMeasured = new ProcessorTime(0, 0);
     return Quantities.of(
-        new Observed(
+        new RawMeasurement(
             size,
             CHANGES,
             steps.firstLists(),
@@ -61,9 +62,9 @@
 
   private static StepExchanges runReal(Size size) throws Exception {
     List<QueryRouter> routers = new ArrayList<>();
-    try (DiscoveryRig discovery = new DiscoveryRig(size, SEED)) {
+    try (DiscoveryHarness discovery = new DiscoveryHarness(size, SEED)) {
       for (int i = 0; i < size.gatherers(); i++) {
-        routers.add(QueryRouter.start(RouterFiles.config(size, i, discovery.address(i), SEED)));
+        routers.add(QueryRouter.start(RouterConfigs.config(size, i, discovery.address(i), SEED)));
       }
       return StepExchanges.of(discovery);
     } finally {
@@ -200,14 +201,14 @@
   void simulatedRouterReceivesEachEntryOnce() throws IOException {
     Size size = new Size(1, 100);
     try (SimulatedFleet fleet = new SimulatedFleet(size, SEED)) {
-      fleet.begin();
+      fleet.start();
       StepExchanges.of(fleet.discovery());
-      RecordingShardPort shards = fleet.gatherer(0).shards();
+      RecordingShardPort shards = fleet.router(0).shardPort();
 
       // No request failed, so the router's event loop has applied everything that discovery sent.
-      assertThat(fleet.callsFailed()).isZero();
-      assertThat(shards.wholeLists()).isEqualTo(2);
-      assertThat(shards.changes()).isEqualTo(CHANGES);
+      assertThat(fleet.failedRequests()).isZero();
+      assertThat(shards.snapshots()).isEqualTo(2);
+      assertThat(shards.deltas()).isEqualTo(CHANGES);
       assertThat(shards.entries()).isEqualTo(size.servers() + CHANGES);
     }
   }
--- a/testbed/src/test/java/tidebank/testbed/scale/StoredScaleResultsTest.java
+++ b/testbed/src/test/java/tidebank/testbed/scale/StoredScaleResultsTest.java
@@ -20,7 +20,7 @@
   /** Guards against renamed components, which would leave values of stored runs unread. */
   @Test
   void storedRunIsRead() throws Exception {
-    RunFacts run = new ScaleFolder(STORED).run();
+    RunFacts run = new ScaleResults(STORED).run();
 
     assertThat(run)
         .isEqualTo(
@@ -37,10 +37,10 @@
   /** Guards against renamed or reordered names in the files, and against fits that differ. */
   @Test
   void storedResultsAreRewrittenWithSameBytes() throws Exception {
-    ScaleFolder stored = new ScaleFolder(STORED);
-    ScaleFolder written = new ScaleFolder(folder);
+    ScaleResults stored = new ScaleResults(STORED);
+    ScaleResults written = new ScaleResults(folder);
 
-    try (Points points = written.begin(stored.run())) {
+    try (PointsFile points = written.create(stored.run())) {
       points.add(stored.points());
     }
     written.fit();
