--- a/testbed/src/main/java/tidebank/testbed/chaos/ConnectionOwners.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/ConnectionOwners.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 
 /**
- * Finds the process that owns one end of a TCP connection on this machine, from {@code
+ * A lookup of the process that owns one end of a TCP connection on this machine, based on {@code
  * /proc/net/tcp} and {@code /proc/PID/fd}. Linux only.
  */
 final class ConnectionOwners {
@@ -20,16 +20,17 @@
   private ConnectionOwners() {}
 
   /**
-   * Returns the name of the process that owns one end of a connection, or null.
+   * Returns the name of the process that owns one end of a connection, or null if none of the given
+   * processes does.
    *
-   * @param port of that end
-   * @param peerPort of the other end
-   * @param processes process numbers by name
+   * @param port port of that end
+   * @param peerPort port of the other end
+   * @param pidByName IDs of the processes to consider, by name
    */
-  static String findOwner(int port, int peerPort, Map<String, Long> processes) {
+  static String findOwner(int port, int peerPort, Map<String, Long> pidByName) {
     String inode = findInode(port, peerPort);
     if (inode != null) {
-      for (Map.Entry<String, Long> process : processes.entrySet()) {
+      for (Map.Entry<String, Long> process : pidByName.entrySet()) {
         if (hasOpenFile(process.getValue(), "socket:[" + inode + "]")) {
           return process.getKey();
         }
@@ -51,8 +52,8 @@
             return columns[INODE_COLUMN];
           }
         }
-      } catch (IOException absent) {
-        // This machine has only the other table.
+      } catch (IOException fault) {
+        // The table does not exist, for example where IPv6 is disabled.
       }
     }
     return null;
@@ -65,7 +66,7 @@
           return true;
         }
       }
-    } catch (IOException gone) {
+    } catch (IOException fault) {
       // The process has ended.
     }
     return false;
@@ -74,8 +75,8 @@
   private static boolean isLinkTo(Path file, String target) {
     try {
       return Files.readSymbolicLink(file).toString().equals(target);
-    } catch (IOException closed) {
-      // It was closed meanwhile, so it is not the one.
+    } catch (IOException fault) {
+      // The descriptor was closed in the meantime, so it is not the open connection.
       return false;
     }
   }
--- a/testbed/src/main/java/tidebank/testbed/chaos/FaultProxy.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/FaultProxy.java
@@ -24,19 +24,18 @@
 import tidebank.testbed.chaos.FaultyLink.Fault;
 
 /**
- * A TCP proxy in front of the processes of a cluster, which forwards their traffic and injects
- * faults into the link between any two of them. One event loop owns all of its state; the methods
- * may be called from any other thread.
+ * A TCP proxy in front of the processes of a cluster. Forwards their traffic and injects faults
+ * into the link between any two of them. A single event loop owns all links and connections; the
+ * methods may be called from any other thread.
  */
 final class FaultProxy implements AutoCloseable {
-  /** Finds the process at the other end of an accepted connection. */
+  /** Lookup of the process that opened an accepted connection. */
   interface CallerLookup {
     /**
-     * Returns the name of the calling process.
+     * Returns the name of the calling process, or null if it is unknown.
      *
-     * @param port of the caller's end
-     * @param proxyPort of the proxy's end
-     * @return null if it belongs to no known process
+     * @param port port of the caller's end
+     * @param proxyPort port of the proxy's end
      */
     String find(int port, int proxyPort);
   }
@@ -57,12 +56,12 @@
   }
 
   /**
-   * Opens a listener in front of an address.
+   * Opens a listener that forwards connections to an address.
    *
-   * @param to the process that listens at the target
-   * @param recorded whether the history records what goes through it
-   * @return the listener's own address
-   * @throws IOException if it can't listen
+   * @param to name of the process that listens at the target address
+   * @param recorded whether the history records the traffic of this listener
+   * @return address of the listener
+   * @throws IOException if the listener can't be bound
    */
   InetSocketAddress openListener(String to, InetSocketAddress target, boolean recorded)
       throws IOException {
@@ -83,19 +82,20 @@
             .awaitUninterruptibly();
     if (!binding.isSuccess()) {
       throw new IOException(
-          "a proxy before " + target + " can't listen: " + binding.cause().getMessage());
+          "proxy for " + target + " can't bind a listener: " + binding.cause().getMessage());
     }
     listeners.add(binding.channel());
     return (InetSocketAddress) binding.channel().localAddress();
   }
 
   /**
-   * Puts a fault on the link between two processes in place of the one there is; returns once that
-   * is done.
+   * Injects a fault into the link between two processes and waits until it is in effect. Replaces
+   * the current fault of the link, except that {@code RESET} and {@code HALF_OPEN} leave it in
+   * effect.
    *
-   * @param delayUs of {@code DELAY} and {@code FLAP}, in microseconds
-   * @param jitterUs of {@code DELAY}, in microseconds
-   * @param bytesPerS of {@code TRICKLE}
+   * @param delayUs latency of {@code DELAY} or interval of {@code FLAP}, in microseconds
+   * @param jitterUs maximum jitter of {@code DELAY}, in microseconds
+   * @param bytesPerS bandwidth of {@code TRICKLE}, in bytes per second
    */
   void inject(String from, String to, Fault fault, long delayUs, long jitterUs, long bytesPerS) {
     group
@@ -138,11 +138,16 @@
     return connections.stream().filter(connection -> connection.link() == link).toList();
   }
 
+  /** Resets all connections of a link and refuses new ones. */
   private void refuse(FaultyLink link) {
     link.setRefusing(true);
     connectionsOf(link).forEach(ProxiedConnection::reset);
   }
 
+  /**
+   * Switches a flapping link between refusing and healthy and schedules the next switch. Does
+   * nothing if the flapping was ended since the switch was scheduled, or if the proxy is closing.
+   */
   private void toggleRefusal(FaultyLink link, int generation) {
     if (link.generation() != generation || group.isShuttingDown()) {
       return;
@@ -158,6 +163,10 @@
             () -> toggleRefusal(link, generation), link.flapIntervalUs(), TimeUnit.MICROSECONDS);
   }
 
+  /**
+   * Forwards an accepted connection to the target address. Resets it if the caller is unknown or
+   * the link refuses connections.
+   */
   private void accept(
       SocketChannel channel, String to, InetSocketAddress target, boolean recorded) {
     String from =
@@ -184,13 +193,13 @@
         .handler(
             new ChannelInitializer<SocketChannel>() {
               @Override
-              protected void initChannel(SocketChannel called) {
-                connection.setTarget(called);
-                called.pipeline().addLast(connection.targetHandler());
+              protected void initChannel(SocketChannel targetChannel) {
+                connection.setTarget(targetChannel);
+                targetChannel.pipeline().addLast(connection.targetHandler());
               }
             })
         .connect(target)
-        .addListener(connected -> connection.onConnected(connected.isSuccess()));
+        .addListener(connecting -> connection.onConnected(connecting.isSuccess()));
   }
 
   @Override
--- a/testbed/src/main/java/tidebank/testbed/chaos/FaultyLink.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/FaultyLink.java
@@ -3,40 +3,43 @@
 import tidebank.model.SeededRandom;
 
 /**
- * The faults in effect on the link from one process to another; applies to all its connections.
- * Owned by the event loop of {@link FaultProxy}.
+ * The faults in effect on the link from one process to another. They apply to all connections of
+ * the link. Confined to the event loop of {@link FaultProxy}.
  */
 final class FaultyLink {
-  /** A fault that a script can put on a link. Scripts use these names in lower case. */
+  /** A fault that a script can inject into a link. Scripts use these names in lower case. */
   public enum Fault {
     /** Ends all faults of the link. */
     HEAL,
-    /** All bytes take {@code ms} longer, and up to {@code jitter_ms} more. */
+    /** Delays all bytes by {@code ms} and a random jitter of up to {@code jitter_ms}. */
     DELAY,
-    /** Nothing arrives that the caller sends. */
+    /** Holds back all bytes from the caller until the fault ends. */
     SILENT_UP,
-    /** Nothing arrives that the called process sends. */
+    /** Holds back all bytes from the called process until the fault ends. */
     SILENT_DOWN,
-    /** Nothing arrives in either direction. */
+    /** Holds back all bytes in both directions until the fault ends. */
     CUT,
-    /** Open connections are reset; new ones are fine. */
+    /** Resets open connections; new ones are not affected. */
     RESET,
-    /** Open connections end at the called side unseen by the caller; new ones are fine. */
+    /**
+     * Closes open connections on the called side only, so that the caller does not notice; new ones
+     * are not affected.
+     */
     HALF_OPEN,
-    /** {@code bytes_s} bytes pass in a second, each way. */
+    /** Limits the bandwidth to {@code bytes_s} bytes per second in each direction. */
     TRICKLE,
-    /** Open connections are reset, and new ones at once. */
+    /** Resets open connections, and new ones as soon as they are accepted. */
     REFUSE,
-    /** Refused and healed in turn, for {@code ms} each. */
+    /** Alternates between {@code REFUSE} and no fault, each for {@code ms}. */
     FLAP;
 
-    /** Returns whether this fault hits open connections once and leaves no state on the link. */
+    /** Returns whether this fault affects open connections once and does not change the link. */
     boolean isMomentary() {
       return this == RESET || this == HALF_OPEN;
     }
   }
 
-  /** Faults in effect in one direction. */
+  /** The faults in effect in one direction. */
   static final class Direction {
     private final SeededRandom random;
     private long delayUs;
@@ -55,24 +58,24 @@
       silent = false;
     }
 
-    private void setDelay(long fixedUs, long randomUs) {
-      delayUs = fixedUs;
-      jitterUs = randomUs;
+    private void setDelay(long newDelayUs, long newJitterUs) {
+      delayUs = newDelayUs;
+      jitterUs = newJitterUs;
     }
 
-    /** Draws the latency of the next chunk, in microseconds. */
+    /** Returns the latency of the next chunk, in microseconds, including random jitter. */
     long nextLatencyUs() {
       return delayUs + (long) (jitterUs == 0 ? 0 : jitterUs * random.nextDouble());
     }
 
-    /** Returns the bandwidth in bytes a second; 0 for no bound. */
+    /** Returns the bandwidth in bytes per second; 0 if it is not limited. */
     long bytesPerS() {
       return bytesPerS;
     }
 
     /**
-     * Returns whether nothing arrives for now. What was sent stays under way until the fault ends,
-     * as with lost packets that are sent again.
+     * Returns whether all bytes are held back. They are delivered once the fault ends, as with TCP
+     * retransmission after packet loss.
      */
     boolean isSilent() {
       return silent;
@@ -84,7 +87,10 @@
   private boolean refusing;
   private long flapIntervalUs;
 
-  /** Counts changes, by which a scheduled flap notices that it was ended. */
+  /**
+   * Number of calls of {@link #heal}; a scheduled switch of a flapping link does nothing if it
+   * changed.
+   */
   private int generation;
 
   FaultyLink(long seed) {
@@ -93,12 +99,12 @@
     down = new Direction(random);
   }
 
-  /** From the caller to the called process. */
+  /** Returns the direction from the caller to the called process. */
   Direction up() {
     return up;
   }
 
-  /** From the called process to the caller. */
+  /** Returns the direction from the called process to the caller. */
   Direction down() {
     return down;
   }
@@ -111,9 +117,9 @@
     generation++;
   }
 
-  void setDelay(long fixedUs, long randomUs) {
-    up.setDelay(fixedUs, randomUs);
-    down.setDelay(fixedUs, randomUs);
+  void setDelay(long newDelayUs, long newJitterUs) {
+    up.setDelay(newDelayUs, newJitterUs);
+    down.setDelay(newDelayUs, newJitterUs);
   }
 
   void limitBandwidth(long bytesPerS) {
@@ -129,16 +135,16 @@
     down.silent = true;
   }
 
-  void setRefusing(boolean on) {
-    refusing = on;
+  void setRefusing(boolean newRefusing) {
+    refusing = newRefusing;
   }
 
   boolean isRefusing() {
     return refusing;
   }
 
-  void setFlapInterval(long us) {
-    flapIntervalUs = us;
+  void setFlapInterval(long intervalUs) {
+    flapIntervalUs = intervalUs;
   }
 
   long flapIntervalUs() {
--- a/testbed/src/main/java/tidebank/testbed/chaos/History.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/History.java
@@ -13,25 +13,25 @@
 import tidebank.lease.LeaseTableState;
 
 /**
- * What went over the links of a cluster and what was done to its processes, as seen from outside of
- * them. Times are microseconds since the history began. Thread-safe: written by the proxy, the
- * observer and the script, and read once they have ended.
+ * The recorded history of a run: commands, results and reads on the links of a cluster, and events
+ * such as injected faults, all observed from outside the processes. Times are microseconds since
+ * the history was created. Thread-safe: the proxy, the observer and the script write to it
+ * concurrently; the checks read it after all of them have ended.
  */
 public final class History {
-  /**
-   * Errors of a result that a copy of a command may get after another copy was answered otherwise.
-   */
+  /** Codes of errors that a late copy of a command may get after another copy got a result. */
   private static final Set<String> ERRORS_OF_LATE_COPIES =
       Set.of("TB-1006", "TB-1007", "TB-1008", "TB-1010");
 
   /**
-   * A command, however often it was sent. Stored as JSON under the names given here.
+   * A command with all its copies. Stored as JSON with the property names given here.
    *
-   * @param from the process that sent its latest copy
-   * @param calledAt when the first copy was sent
-   * @param returnedAt when the first result was seen, or {@link Long#MAX_VALUE}
-   * @param result the first, or null
-   * @param copies how often it was sent
+   * @param from process that sent the latest copy
+   * @param calledAt time at which the first copy was sent
+   * @param returnedAt time at which the first result was seen, or {@link Long#MAX_VALUE} if there
+   *     is none
+   * @param result first result, or null if there is none
+   * @param copies number of times the command was sent
    */
   @JsonPropertyOrder({"from", "command", "call", "back", "answer", "copies"})
   public record RecordedCommand(
@@ -45,17 +45,18 @@
       return new RecordedCommand(sender, command, calledAt, returnedAt, result, copies + 1);
     }
 
-    private RecordedCommand withResult(long at, CommandResult first) {
-      return new RecordedCommand(from, command, calledAt, at, first, copies);
+    private RecordedCommand withResult(long at, CommandResult firstResult) {
+      return new RecordedCommand(from, command, calledAt, at, firstResult, copies);
     }
   }
 
   /**
-   * A read of the coordinators' state. Stored as JSON under the names given here.
+   * A read of the coordinators' state. Stored as JSON with the property names given here.
    *
-   * @param from the process that read it
-   * @param calledAt when it was asked for
-   * @param returnedAt when it was seen
+   * @param from process that read the state
+   * @param calledAt time at which the read was sent
+   * @param returnedAt time at which its result was seen
+   * @param state state that was read
    */
   @JsonPropertyOrder({"from", "call", "back", "state"})
   public record RecordedRead(
@@ -65,9 +66,11 @@
       LeaseTableState state) {}
 
   /**
-   * Something that was done or seen, for people. Stored as JSON under the names given here.
+   * An event for the timeline and the report. Stored as JSON with the property names given here.
    *
-   * @param process or role that it concerns
+   * @param at time of the event
+   * @param process process or role that the event concerns
+   * @param description description of the event
    */
   @JsonPropertyOrder({"at", "who", "what"})
   public record TimelineEvent(
@@ -81,7 +84,7 @@
   private final List<String> violations = new ArrayList<>();
   private final Map<String, Integer> copiesSentByProcess = new HashMap<>();
 
-  /** Returns the time of this history, in microseconds. */
+  /** Returns the current time, in microseconds since the history was created. */
   public long now() {
     return (System.nanoTime() - startedNs) / 1000;
   }
@@ -90,7 +93,10 @@
     return command.session() + '#' + command.sequence();
   }
 
-  /** Records that a process sent a command, or another copy of it. */
+  /**
+   * Records that a process sent a command or another copy of it. Two different commands with the
+   * same session and sequence number are a violation.
+   */
   public synchronized void recordSentCommand(String from, LeaseCommand command) {
     copiesSentByProcess.merge(from, 1, Integer::sum);
     Integer index = indexByCommandKey.putIfAbsent(key(command), commands.size());
@@ -98,15 +104,22 @@
       commands.add(new RecordedCommand(from, command, now(), Long.MAX_VALUE, null, 1));
       return;
     }
-    RecordedCommand first = commands.get(index);
-    commands.set(index, first.withCopyFrom(from));
-    if (!first.command().equals(command)) {
+    RecordedCommand recorded = commands.get(index);
+    commands.set(index, recorded.withCopyFrom(from));
+    if (!recorded.command().equals(command)) {
       violations.add(
-          "one number for two commands of a session: " + first.command() + " and " + command);
+          "same sequence number for two commands of a session: "
+              + recorded.command()
+              + " and "
+              + command);
     }
   }
 
-  /** Records a decided result of a command. An error that only kept it undecided is none. */
+  /**
+   * Records the result of a copy of a command. Must be called only with results that a leader
+   * decided, not with errors that leave the command undecided. A result that differs from the first
+   * one is a violation, unless it is an error that late copies may get.
+   */
   public synchronized void recordResult(LeaseCommand command, CommandResult result) {
     int index = indexByCommandKey.get(key(command));
     RecordedCommand recorded = commands.get(index);
@@ -114,21 +127,22 @@
       commands.set(index, recorded.withResult(now(), result));
     } else if (!recorded.result().equals(result)
         && (result.error() == null || !ERRORS_OF_LATE_COPIES.contains(result.error().code()))) {
-      violations.add("two answers to " + command + ": " + recorded.result() + " and " + result);
+      violations.add(
+          "two different results of " + command + ": " + recorded.result() + " and " + result);
     }
   }
 
-  /** Records that a process read the coordinators' state. */
+  /** Records a read of the coordinators' state that returned now. */
   public synchronized void recordRead(String from, long calledAt, LeaseTableState state) {
     reads.add(new RecordedRead(from, calledAt, now(), state));
   }
 
-  /** Records an event for people. */
+  /** Records an event that happened now. */
   public synchronized void recordEvent(String process, String description) {
     events.add(new TimelineEvent(now(), process, description));
   }
 
-  /** Returns how many commands a process has sent, each copy counted. */
+  /** Returns how many commands a process has sent; each copy counts. */
   public synchronized int countCommandsSentBy(String process) {
     return copiesSentByProcess.getOrDefault(process, 0);
   }
@@ -143,7 +157,7 @@
                 && recorded.result().error() == null);
   }
 
-  /** Returns how many claims of a task a process has sent, answered or not. */
+  /** Returns how many claims of a task a process has sent, with or without a result. */
   public synchronized int countClaimsSentBy(String process, String task) {
     return count(
         recorded ->
@@ -152,7 +166,7 @@
                 && recorded.command().task().equals(task));
   }
 
-  /** Returns how many publications of a task were sent by any process, answered or not. */
+  /** Returns how many publications of a task all processes sent, with or without a result. */
   public synchronized int countPublicationsSentFor(String task) {
     return count(
         recorded ->
@@ -164,22 +178,22 @@
     return (int) commands.stream().filter(condition).count();
   }
 
-  /** Returns all commands, in the order of their first copies. */
+  /** Returns all commands, ordered by the time their first copies were sent. */
   public synchronized List<RecordedCommand> commands() {
     return List.copyOf(commands);
   }
 
-  /** Returns all reads, in the order in which they returned. */
+  /** Returns all reads, ordered by the time they returned. */
   public synchronized List<RecordedRead> reads() {
     return List.copyOf(reads);
   }
 
-  /** Returns all events for people, in order. */
+  /** Returns all events, ordered by time. */
   public synchronized List<TimelineEvent> events() {
     return List.copyOf(events);
   }
 
-  /** Returns the violations that were seen while recording. */
+  /** Returns the violations that were detected while recording. */
   public synchronized List<String> violations() {
     return List.copyOf(violations);
   }
--- a/testbed/src/main/java/tidebank/testbed/chaos/LeaseRules.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/LeaseRules.java
@@ -16,18 +16,19 @@
 import tidebank.testbed.chaos.History.RecordedRead;
 
 /**
- * The rules of leases, checked on a history alone: commands and reads of each task are
- * linearizable, and no task is granted before the lease of the previous holder can be over. Pure.
+ * The rules of leases that a recorded history must satisfy: the commands and reads of each task are
+ * linearizable, and no task is granted while the previous holder may still consider its lease
+ * valid. The check uses only the history, not the cluster. Stateless.
  */
 public final class LeaseRules {
   /**
-   * The state of a task as far as it does not depend on time. The holder stays named after its
-   * lease has ended, until another member claims the task.
+   * The part of a task's state that does not depend on time. An expired lease does not clear the
+   * session of its holder; only a release or the next grant does.
    *
-   * @param fencingToken of the last grant
-   * @param session of the holder, or "" after it released the task
-   * @param revision of what is published
-   * @param value that is published
+   * @param fencingToken fencing token of the last grant, or 0 before the first
+   * @param session session of the last holder, or "" after it released the task
+   * @param revision revision of the published value, or 0 before the first publication
+   * @param value last published value, or ""
    */
   public record TaskState(long fencingToken, String session, long revision, String value) {
     static final TaskState INITIAL = new TaskState(0, "", 0, "");
@@ -55,7 +56,7 @@
 
   private LeaseRules() {}
 
-  /** Returns all violations in a history; empty if every rule holds. */
+  /** Returns a description of each violation in a history; empty if every rule holds. */
   public static List<String> findViolations(History history, LeaseConfig config) {
     List<String> violations = new ArrayList<>(history.violations());
     TreeSet<String> tasks = new TreeSet<>();
@@ -74,7 +75,7 @@
 
   // ---- linearizability
 
-  /** Returns the operations of a history on one task. */
+  /** Returns the commands and reads of a history that concern one task. */
   static List<LinearizabilityChecker.Operation<TaskState>> operationsOn(
       List<RecordedCommand> commands, List<RecordedRead> reads, String task) {
     List<LinearizabilityChecker.Operation<TaskState>> operations = new ArrayList<>();
@@ -100,13 +101,13 @@
 
   private static LinearizabilityChecker.Operation<TaskState> readOperation(
       RecordedRead read, TaskLease lease) {
-    TaskState state =
+    TaskState expected =
         new TaskState(lease.fencingToken(), lease.session(), lease.revision(), lease.value());
     return new LinearizabilityChecker.Operation<>(
-        read.from() + " read " + state,
+        read.from() + " read " + expected,
         read.calledAt(),
         read.returnedAt(),
-        now -> now.equals(state) ? now : null);
+        state -> state.equals(expected) ? state : null);
   }
 
   private static String describe(RecordedCommand recorded) {
@@ -114,9 +115,9 @@
     return command.member()
         + ' '
         + command.kind()
-        + (command.fencingToken() == 0 ? "" : " by " + command.fencingToken())
-        + (command.kind() == Kind.PUBLISH ? " after " + command.revision() : "")
-        + " at "
+        + (command.fencingToken() == 0 ? "" : " with token " + command.fencingToken())
+        + (command.kind() == Kind.PUBLISH ? " after revision " + command.revision() : "")
+        + " sent at "
         + recorded.calledAt() / 1000
         + " ms: "
         + describe(recorded.result());
@@ -124,14 +125,14 @@
 
   private static String describe(CommandResult result) {
     if (result == null) {
-      return "no answer";
+      return "no result";
     }
-    return result.error() == null ? "done, owns " + result.leases() : result.error().code();
+    return result.error() == null ? "succeeded, leases " + result.leases() : result.error().code();
   }
 
   /**
-   * Returns the effect that a command without a result may have had, wherever it fits; null if it
-   * has none on the task.
+   * Returns the transition of a command without a result, which may also never have taken effect;
+   * null if the command can't affect the task.
    */
   private static UnaryOperator<TaskState> transitionWithoutResult(
       LeaseCommand command, String task) {
@@ -142,30 +143,32 @@
       return null;
     }
     return switch (command.kind()) {
-      case CLAIM -> now -> now.withGrantTo(command.session());
-      case RELEASE -> now -> now.isHeldBy(command) ? now.withoutHolder() : now;
-      case PUBLISH -> now -> now.accepts(command) ? now.withPublication(command.value()) : now;
+      case CLAIM -> state -> state.withGrantTo(command.session());
+      case RELEASE -> state -> state.isHeldBy(command) ? state.withoutHolder() : state;
+      case PUBLISH ->
+          state -> state.accepts(command) ? state.withPublication(command.value()) : state;
       default -> null;
     };
   }
 
   private static UnaryOperator<TaskState> leaveTransition(LeaseCommand command) {
-    return now -> now.session().equals(command.session()) ? now.withoutHolder() : now;
+    return state -> state.session().equals(command.session()) ? state.withoutHolder() : state;
   }
 
   /**
-   * Returns the effect of a command, after which the task must be as the leases in its result say;
-   * null if the result says nothing of the task.
+   * Returns the transition of a command with a result. If the result lists a lease of the task, the
+   * state after the command must have its fencing token and the command's session. Returns null if
+   * the result implies nothing about the task.
    */
   private static UnaryOperator<TaskState> transitionWithResult(
       LeaseCommand command, CommandResult result, String task) {
-    UnaryOperator<TaskState> effect = transitionWithoutGrantCheck(command, result, task);
+    UnaryOperator<TaskState> transition = transitionWithoutGrantCheck(command, result, task);
     long token = grantedToken(result, task);
     if (token == 0) {
-      return effect;
+      return transition;
     }
-    return now -> {
-      TaskState after = effect == null ? now : effect.apply(now);
+    return state -> {
+      TaskState after = transition == null ? state : transition.apply(state);
       return after != null
               && after.fencingToken() == token
               && after.session().equals(command.session())
@@ -187,7 +190,7 @@
       case CLAIM -> claimTransition(command, result, task);
       case RELEASE ->
           error == null
-              ? now -> now.isHeldBy(command) ? now.withoutHolder() : null
+              ? state -> state.isHeldBy(command) ? state.withoutHolder() : null
               : rejectionTransition(command, error);
       case PUBLISH -> publishTransition(command, result);
       default -> null;
@@ -198,32 +201,38 @@
       LeaseCommand command, CommandResult result, String task) {
     TidebankException.Details error = result.error();
     if (error == null) {
-      return now -> applyClaim(now, command, grantedToken(result, task));
+      return state -> applyClaim(state, command, grantedToken(result, task));
     }
     if (error.is(MembershipException.LeaseHeldByOther.class)) {
-      return now -> now.session().equals(command.session()) || now.session().isEmpty() ? null : now;
+      return state ->
+          state.session().equals(command.session()) || state.session().isEmpty() ? null : state;
     }
     return null;
   }
 
-  private static TaskState applyClaim(TaskState now, LeaseCommand command, long token) {
-    if (token == now.fencingToken() && now.session().equals(command.session())) {
-      return now;
+  /**
+   * Returns the state after a successful claim: unchanged if the result repeats the claimer's
+   * current grant, otherwise with a new grant. Returns null if the token fits neither.
+   */
+  private static TaskState applyClaim(TaskState state, LeaseCommand command, long token) {
+    if (token == state.fencingToken() && state.session().equals(command.session())) {
+      return state;
     }
-    return token == now.fencingToken() + 1 ? now.withGrantTo(command.session()) : null;
+    return token == state.fencingToken() + 1 ? state.withGrantTo(command.session()) : null;
   }
 
   private static UnaryOperator<TaskState> publishTransition(
       LeaseCommand command, CommandResult result) {
     TidebankException.Details error = result.error();
     if (error == null) {
-      return now ->
-          now.accepts(command) && result.revision() == now.revision() + 1
-              ? now.withPublication(command.value())
+      return state ->
+          state.accepts(command) && result.revision() == state.revision() + 1
+              ? state.withPublication(command.value())
               : null;
     }
     if (error.is(MembershipException.RevisionConflict.class)) {
-      return now -> now.isHeldBy(command) && now.revision() != command.revision() ? now : null;
+      return state ->
+          state.isHeldBy(command) && state.revision() != command.revision() ? state : null;
     }
     return rejectionTransition(command, error);
   }
@@ -231,38 +240,39 @@
   private static UnaryOperator<TaskState> rejectionTransition(
       LeaseCommand command, TidebankException.Details error) {
     if (error.is(MembershipException.StaleFencingToken.class)) {
-      return now -> now.isHeldBy(command) ? null : now;
+      return state -> state.isHeldBy(command) ? null : state;
     }
     if (error.is(MembershipException.LeaseExpired.class)) {
-      return now -> now.isHeldBy(command) ? now : null;
+      return state -> state.isHeldBy(command) ? state : null;
     }
     return null;
   }
 
-  // ---- leases that must not overlap
+  // ---- overlapping leases
 
   /**
-   * Returns the grants that came too early. A claim or renewal that was called at c lets its holder
-   * believe in its lease until c + lease / (1 + drift) at the latest: it counts lease x (1 - drift)
-   * / (1 + drift) from before, by a clock that is 1 - drift slow at the worst. No successor may
-   * have its result before, unless the holder released the task.
+   * Returns a description of each grant that came too early. A member whose claim or renewal was
+   * sent at time c considers its lease valid until c + lease / (1 + drift) at the latest: it counts
+   * lease x (1 - drift) / (1 + drift) from before it sent the command, on a clock with a rate of at
+   * least 1 - drift. Until then no other member may get a result that grants it the task, unless
+   * the holder released it.
    */
   static List<String> findOverlappingGrants(
       List<RecordedCommand> commands, String task, LeaseConfig config) {
     List<String> violations = new ArrayList<>();
-    long leaseUs = (long) (config.leaseUs() / (1 + config.maxClockDrift()));
-    for (RecordedCommand next : commands) {
-      long token = next.command().kind() == Kind.CLAIM ? grantedToken(next, task) : 0;
+    long maxValidityUs = (long) (config.leaseUs() / (1 + config.maxClockDrift()));
+    for (RecordedCommand claim : commands) {
+      long token = claim.command().kind() == Kind.CLAIM ? grantedToken(claim, task) : 0;
       if (token == 0) {
         continue;
       }
-      for (RecordedCommand before : commands) {
-        long held = extendsLease(before.command(), task) ? grantedToken(before, task) : 0;
-        if (held > 0
-            && held < token
-            && next.returnedAt() < before.calledAt() + leaseUs
-            && !wasReleased(commands, before, held, task, next.returnedAt())) {
-          violations.add(describeOverlap(task, before, held, next, token, leaseUs));
+      for (RecordedCommand earlier : commands) {
+        long earlierToken = extendsLease(earlier.command(), task) ? grantedToken(earlier, task) : 0;
+        if (earlierToken > 0
+            && earlierToken < token
+            && claim.returnedAt() < earlier.calledAt() + maxValidityUs
+            && !wasReleased(commands, earlier, earlierToken, task, claim.returnedAt())) {
+          violations.add(describeOverlap(task, earlier, earlierToken, claim, token, maxValidityUs));
         }
       }
     }
@@ -276,32 +286,37 @@
 
   private static String describeOverlap(
       String task,
-      RecordedCommand before,
-      long held,
-      RecordedCommand next,
+      RecordedCommand earlier,
+      long earlierToken,
+      RecordedCommand claim,
       long token,
-      long leaseUs) {
+      long maxValidityUs) {
     return task
         + ": token "
         + token
         + " of "
-        + next.command().member()
+        + claim.command().member()
         + " was granted at "
-        + next.returnedAt() / 1000
-        + " ms, the lease of token "
-        + held
+        + claim.returnedAt() / 1000
+        + " ms, but the lease with token "
+        + earlierToken
         + " of "
-        + before.command().member()
-        + " lasts to "
-        + (before.calledAt() + leaseUs) / 1000
+        + earlier.command().member()
+        + " is valid until "
+        + (earlier.calledAt() + maxValidityUs) / 1000
         + " ms";
   }
 
+  /** Returns whether the holder had sent a release of this grant, or a leave, before a time. */
   private static boolean wasReleased(
-      List<RecordedCommand> commands, RecordedCommand holder, long token, String task, long until) {
+      List<RecordedCommand> commands,
+      RecordedCommand holder,
+      long token,
+      String task,
+      long before) {
     return commands.stream()
-        .filter(one -> one.command().session().equals(holder.command().session()))
-        .filter(one -> one.calledAt() < until)
+        .filter(recorded -> recorded.command().session().equals(holder.command().session()))
+        .filter(recorded -> recorded.calledAt() < before)
         .map(RecordedCommand::command)
         .anyMatch(
             command ->
@@ -311,7 +326,7 @@
                         && command.fencingToken() == token));
   }
 
-  /** Returns the token by which a successful command left its sender the task, or 0. */
+  /** Returns the fencing token of the task's lease in a successful result; 0 if there is none. */
   private static long grantedToken(RecordedCommand recorded, String task) {
     return recorded.result() == null || recorded.result().error() != null
         ? 0
@@ -328,7 +343,7 @@
             .orElse(0);
   }
 
-  /** Returns a task in a state; null if the state is null or has no such task. */
+  /** Returns the lease of a task; null if the state is null or does not contain the task. */
   static TaskLease findTask(LeaseTableState state, String task) {
     return state == null
         ? null
--- a/testbed/src/main/java/tidebank/testbed/chaos/LinearizabilityChecker.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/LinearizabilityChecker.java
@@ -11,23 +11,24 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Checks whether overlapping operations can have taken effect one after the other, each at some
- * moment between its call and its return. Uses the search of Wing and Gong with the memoization of
- * Lowe: a set of operations done is never tried twice with the same state. Pure.
+ * A checker that decides whether a history of concurrent operations is linearizable: whether each
+ * operation can have taken effect at one moment between its call and its return. Uses the search of
+ * Wing and Gong with the memoization of Lowe: the same set of applied operations with the same
+ * state is never explored twice. Stateless.
  */
 public final class LinearizabilityChecker {
-  /** Steps after which a history counts as undecided. */
+  /** Search steps after which the check gives up and reports the history as undecided. */
   private static final int MAX_STEPS = 2_000_000;
 
   /**
-   * One operation.
+   * An operation of a history. Both times are in the same unit.
    *
-   * @param description for people
-   * @param calledAt when it was called
-   * @param returnedAt when its result was there; {@link Long#MAX_VALUE} if there was none: it may
-   *     have taken effect at any time, or never
-   * @param transition returns the state after it, or null if it can't have had its result in the
-   *     state before
+   * @param description description for violation messages
+   * @param calledAt time of the call
+   * @param returnedAt time of the result, or {@link Long#MAX_VALUE} without a result: the operation
+   *     may have taken effect at any time after the call, or never
+   * @param transition maps the state before the operation to the state after it; returns null if
+   *     the operation can't have returned its result in that state
    */
   public record Operation<S>(
       String description, long calledAt, long returnedAt, UnaryOperator<S> transition) {
@@ -39,8 +40,8 @@
   /**
    * The outcome of a check.
    *
-   * @param violation describes where the search got stuck; "" if the history is linearizable
-   * @param steps of the search
+   * @param violation where the search failed or that it gave up; "" if the history is linearizable
+   * @param steps number of search steps
    */
   public record Outcome(String violation, int steps) {
     /** Returns whether the history is linearizable. */
@@ -49,7 +50,7 @@
     }
   }
 
-  /** Checks a history that starts in an initial state. */
+  /** Checks a history that starts in a given state. */
   public static <S> Outcome check(List<Operation<S>> history, S initial) {
     return new Search<>(history, initial).run();
   }
@@ -58,9 +59,11 @@
 
   /** A depth-first search over the orders in which the operations may have taken effect. */
   private static final class Search<S> {
-    private record Choice<S>(int operation, S before) {}
+    /** An applied operation and the state before it. */
+    private record Choice<S>(int operation, S stateBefore) {}
 
-    private record Configuration<S>(BitSet done, S state) {}
+    /** A node of the search: the set of applied operations and the state after them. */
+    private record Configuration<S>(BitSet applied, S state) {}
 
     private final List<Operation<S>> operations;
     private final BitSet applied;
@@ -80,44 +83,48 @@
     }
 
     Outcome run() {
-      int from = 0;
+      int firstCandidate = 0;
       int steps = 0;
       while (unappliedReturned > 0) {
         if (++steps > MAX_STEPS) {
-          return new Outcome("undecided after " + MAX_STEPS + " steps", steps);
+          return new Outcome("undecided: no linearization found in " + MAX_STEPS + " steps", steps);
         }
-        int next = findNextOperation(from);
+        int next = findNextOperation(firstCandidate);
         if (next >= 0) {
           apply(next);
-          from = 0;
+          firstCandidate = 0;
           continue;
         }
-        recordFurthestState();
+        recordDeadEnd();
         if (path.isEmpty()) {
           return new Outcome(furthestDeadEnd, steps);
         }
-        from = undoLast() + 1;
+        firstCandidate = undoLast() + 1;
       }
       return new Outcome("", steps);
     }
 
     /**
-     * Returns the first operation from an index on that may take effect next and leads to a pair of
-     * done operations and state that was not visited; -1 if there is none.
+     * Returns the index of the first operation, at or after a given index, that may take effect
+     * next and leads to a configuration that was not visited yet; -1 if there is none.
      */
-    private int findNextOperation(int from) {
+    private int findNextOperation(int firstCandidate) {
       long earliestReturn = Long.MAX_VALUE;
       for (int i = applied.nextClearBit(0);
           i < operations.size() && operations.get(i).calledAt() <= earliestReturn;
           i = applied.nextClearBit(i + 1)) {
         earliestReturn = Math.min(earliestReturn, operations.get(i).returnedAt());
-        if (i >= from && leadsToUnvisitedState(i)) {
+        if (i >= firstCandidate && leadsToUnvisitedState(i)) {
           return i;
         }
       }
       return -1;
     }
 
+    /**
+     * Returns whether an operation can be next and leads to a configuration that was not visited
+     * yet; marks that configuration as visited.
+     */
     private boolean leadsToUnvisitedState(int operation) {
       S after = operations.get(operation).transition().apply(state);
       if (after == null) {
@@ -136,17 +143,17 @@
       state = operations.get(operation).transition().apply(state);
     }
 
-    /** Takes the last operation back; returns its index. */
+    /** Undoes the last applied operation and returns its index. */
     private int undoLast() {
       Choice<S> last = path.pop();
       applied.clear(last.operation());
       unappliedReturned += operations.get(last.operation()).hasReturned() ? 1 : 0;
-      state = last.before();
+      state = last.stateBefore();
       return last.operation();
     }
 
-    /** Keeps a description of the state in which most operations were done. */
-    private void recordFurthestState() {
+    /** Keeps the description of the dead end with the most applied operations. */
+    private void recordDeadEnd() {
       if (applied.cardinality() > maxApplied) {
         maxApplied = applied.cardinality();
         furthestDeadEnd = describeDeadEnd();
@@ -162,13 +169,13 @@
         earliestReturn = Math.min(earliestReturn, operations.get(i).returnedAt());
         candidates.add(operations.get(i).description());
       }
-      return "after "
+      return "after applying "
           + applied.cardinality()
           + " of "
           + operations.size()
-          + " operations, with "
+          + " operations, in state "
           + state
-          + ", none of these fits: "
+          + ", none of these operations can be next: "
           + String.join("; ", candidates);
     }
   }
--- a/testbed/src/main/java/tidebank/testbed/chaos/Markup.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/Markup.java
@@ -1,10 +1,10 @@
 package tidebank.testbed.chaos;
 
-/** Text in HTML and SVG. */
+/** Escaping of text for HTML and SVG. */
 final class Markup {
   private Markup() {}
 
-  /** Returns a text with the characters replaced that have a meaning in HTML and SVG. */
+  /** Returns a text with the special characters of HTML and SVG replaced by entities. */
   static String escape(String text) {
     return text.replace("&", "&amp;")
         .replace("<", "&lt;")
--- a/testbed/src/main/java/tidebank/testbed/chaos/ProxiedConnection.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/ProxiedConnection.java
@@ -13,16 +13,20 @@
 import java.util.function.LongSupplier;
 
 /**
- * A connection through {@link FaultProxy}: the caller's channel, the called process's channel, and
- * the bytes under way in each direction, subject to the faults of the link. Owned by the proxy's
- * event loop.
+ * A connection through {@link FaultProxy}: the channel to the caller, the channel to the target,
+ * which is the called process, and the queued bytes in each direction. The faults of the link
+ * decide when bytes are delivered. Confined to the proxy's event loop.
  */
 final class ProxiedConnection {
-  /** Bytes under way in one direction above which their sender is not read. */
+  /** Queued bytes in one direction above which the proxy stops reading from the sender. */
   private static final int HIGH_WATER_BYTES = 1 << 20;
 
+  /** Queued bytes in one direction at or below which the proxy reads from the sender again. */
   private static final int LOW_WATER_BYTES = HIGH_WATER_BYTES / 2;
+
+  /** Chunks per second into which a stream is split when the bandwidth is limited. */
   private static final int CHUNKS_PER_S = 20;
+
   private static final long US_PER_S = 1_000_000;
 
   private final FaultyLink link;
@@ -37,9 +41,11 @@
   private boolean closed;
 
   /**
-   * @param recorder of the traffic, or null
-   * @param clock microseconds
-   * @param onClosed called once, when the connection is over
+   * Creates a connection whose target channel is not known yet.
+   *
+   * @param recorder recorder of the traffic, or null
+   * @param clock clock in microseconds
+   * @param onClosed called once, when the connection has ended
    */
   ProxiedConnection(
       FaultyLink link,
@@ -68,17 +74,17 @@
     return new TargetHandler();
   }
 
-  /** Sets the channel to the called process, before it is connected. */
+  /** Sets the channel to the target, before it is connected. */
   void setTarget(Channel channel) {
     target = channel;
   }
 
-  /** Starts to forward once the called process has accepted, or resets the caller. */
+  /** Starts forwarding once the target has accepted the connection, or resets the caller. */
   void onConnected(boolean success) {
     if (!success) {
       reset();
     } else if (closed) {
-      // The caller has gone meanwhile.
+      // The connection was closed or reset in the meantime.
       target.close();
     } else {
       caller.config().setAutoRead(true);
@@ -101,7 +107,7 @@
     }
   }
 
-  /** Closes the called side; the caller's channel stays open, and what it sends is lost. */
+  /** Closes the channel to the target. The caller's stays open, and bytes from it are dropped. */
   void closeTargetSide() {
     targetSideClosed = true;
     if (target != null) {
@@ -121,12 +127,13 @@
     }
   }
 
-  /** Forwards what is due in both directions. */
+  /** Delivers the bytes that are due in both directions. */
   void forward() {
     up.forward();
     down.forward();
   }
 
+  /** Passes the end of one channel on to the other, after the queued bytes. */
   private void onInactive(Channel other, DelayQueue toOther) {
     if (other != null && other.isOpen()) {
       toOther.end();
@@ -136,18 +143,18 @@
   }
 
   /**
-   * Bytes under way.
+   * Bytes that are delivered together.
    *
-   * @param bytes null for the end of the connection
-   * @param dueAt when they arrive
+   * @param bytes bytes, or null for the end of the connection
+   * @param dueAt time of delivery, in microseconds of the clock
    */
   private record Chunk(ByteBuf bytes, long dueAt) {}
 
-  /** The bytes under way in one direction. */
+  /** The queue of undelivered bytes in one direction. */
   private final class DelayQueue {
     private final FaultyLink.Direction direction;
     private final Deque<Chunk> chunks = new ArrayDeque<>();
-    private long bytesUnderWay;
+    private long queuedBytes;
     private long lastDueAt;
     private boolean scheduled;
 
@@ -168,18 +175,20 @@
         bytes.release();
         return;
       }
-      bytesUnderWay += bytes.readableBytes();
-      long rate = direction.bytesPerS();
-      int chunk = rate == 0 ? bytes.readableBytes() : (int) Math.max(1, rate / CHUNKS_PER_S);
-      while (bytes.readableBytes() > chunk) {
-        push(bytes.readRetainedSlice(chunk), transmissionUs(chunk, rate));
+      queuedBytes += bytes.readableBytes();
+      long bytesPerS = direction.bytesPerS();
+      int chunkBytes =
+          bytesPerS == 0 ? bytes.readableBytes() : (int) Math.max(1, bytesPerS / CHUNKS_PER_S);
+      while (bytes.readableBytes() > chunkBytes) {
+        push(bytes.readRetainedSlice(chunkBytes), transmissionUs(chunkBytes, bytesPerS));
       }
-      push(bytes, transmissionUs(bytes.readableBytes(), rate));
-      if (bytesUnderWay > HIGH_WATER_BYTES) {
+      push(bytes, transmissionUs(bytes.readableBytes(), bytesPerS));
+      if (queuedBytes > HIGH_WATER_BYTES) {
         source().config().setAutoRead(false);
       }
     }
 
+    /** Returns the time that a number of bytes takes at a bandwidth; 0 if it is not limited. */
     private static long transmissionUs(int bytes, long bytesPerS) {
       return bytesPerS == 0 ? 0 : bytes * US_PER_S / bytesPerS;
     }
@@ -191,6 +200,7 @@
       forward();
     }
 
+    /** Queues the end of the connection. */
     void end() {
       push(null, 0);
     }
@@ -226,13 +236,14 @@
         destination().close();
         return;
       }
-      bytesUnderWay -= chunk.bytes().readableBytes();
+      queuedBytes -= chunk.bytes().readableBytes();
       destination().writeAndFlush(chunk.bytes());
-      if (bytesUnderWay <= LOW_WATER_BYTES && source().isOpen()) {
+      if (queuedBytes <= LOW_WATER_BYTES && source().isOpen()) {
         source().config().setAutoRead(true);
       }
     }
 
+    /** Releases all queued bytes without delivering them. */
     void drop() {
       for (Chunk chunk : chunks) {
         if (chunk.bytes() != null) {
@@ -243,7 +254,7 @@
     }
   }
 
-  /** Takes in what the caller sends. */
+  /** Receives the caller's bytes. */
   private final class CallerHandler extends ChannelInboundHandlerAdapter {
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
@@ -263,12 +274,12 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-      // A reset on one side is passed on as one.
+      // A reset of one channel is passed on as a reset of the other.
       reset();
     }
   }
 
-  /** Takes in what the called process sends. */
+  /** Receives the target's bytes. */
   private final class TargetHandler extends ChannelInboundHandlerAdapter {
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
@@ -288,7 +299,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-      // A reset on one side is passed on as one.
+      // A reset of one channel is passed on as a reset of the other.
       reset();
     }
   }
--- a/testbed/src/main/java/tidebank/testbed/chaos/PublishedReports.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/PublishedReports.java
@@ -12,17 +12,17 @@
 import tidebank.lease.TaskLease;
 
 /**
- * Checks the chain of published reports from outside of the cluster: each report follows the one
- * before, fencing tokens never decrease, and the sums are the queries that were sent. Belongs to
- * the observer's thread until the run is over.
+ * A check of the published reports from outside the cluster: each report names its predecessor,
+ * report numbers have no gaps and fencing tokens never decrease. Also sums up the queries that the
+ * reports count. Confined to the observer's thread until the run has ended.
  */
 final class PublishedReports {
-  /** Every query of a run is throttled, as no shard server is there. */
+  /** Counts every query of a run: without shard servers the routers throttle all of them. */
   private static final String QUERY_COUNTER = "scans.throttled";
 
   private final Path folder;
   private final List<String> violations = new ArrayList<>();
-  private String lastName = "";
+  private String lastCheckedName = "";
   private long lastToken;
   private long queriesCounted;
   private int count;
@@ -31,40 +31,46 @@
     folder = sharedFolder.resolve("reports");
   }
 
-  /** Checks all reports that were published since the last call. */
+  /**
+   * Checks all reports that were published since the last call.
+   *
+   * @param lease current lease of the report task, with the name of the newest report as value
+   */
   void check(TaskLease lease) {
     Deque<FleetReport> newReports = readNewReports(lease.value());
     newReports.forEach(this::check);
     if (!newReports.isEmpty() && lease.publishingToken() != lastToken) {
       violations.add(
           lease.value()
-              + " was published by token "
+              + " was published with fencing token "
               + lease.publishingToken()
-              + " and says "
+              + ", but contains fencing token "
               + lastToken);
     }
-    lastName = lease.value();
+    lastCheckedName = lease.value();
   }
 
-  /** Reads from the newest report back to the last one known; the oldest comes first. */
+  /** Reads the reports from the newest one back to the last one checked; returns oldest first. */
   private Deque<FleetReport> readNewReports(String newest) {
     Deque<FleetReport> reports = new ArrayDeque<>();
     try {
-      for (String name = newest; !name.equals(lastName); name = reports.getFirst().previous()) {
+      for (String name = newest;
+          !name.equals(lastCheckedName);
+          name = reports.getFirst().previous()) {
         if (name.isEmpty()) {
           violations.add(
-              "the reports from "
+              "the chain of reports back from "
                   + newest
-                  + " back do not lead to "
-                  + lastName
-                  + ", which was published");
+                  + " does not contain "
+                  + lastCheckedName
+                  + ", which was published before");
           break;
         }
         reports.addFirst(
             LeaseCodec.read(Files.readAllBytes(folder.resolve(name)), FleetReport.class));
       }
     } catch (IOException fault) {
-      violations.add(newest + " is published and can't be read: " + fault);
+      violations.add(newest + " is published, but can't be read: " + fault);
     }
     return reports;
   }
@@ -74,19 +80,19 @@
       violations.add(
           "report "
               + report.number()
-              + " is by token "
+              + " has fencing token "
               + report.fencingToken()
-              + ", the one before by "
+              + ", but the report before it has "
               + lastToken);
     }
     if (report.number() != ++count) {
-      violations.add("report " + report.number() + " stands in place " + count);
+      violations.add("report " + report.number() + " was published at position " + count);
     }
     lastToken = report.fencingToken();
     queriesCounted += report.window().getOrDefault(QUERY_COUNTER, 0L);
   }
 
-  /** Returns how many queries all reports count together. */
+  /** Returns the sum of the queries that all reports count. */
   long queriesCounted() {
     return queriesCounted;
   }
@@ -96,6 +102,7 @@
     return count;
   }
 
+  /** Returns the violations found so far. */
   List<String> violations() {
     return violations;
   }
--- a/testbed/src/main/java/tidebank/testbed/chaos/RunArtifacts.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/RunArtifacts.java
@@ -11,8 +11,8 @@
 import tidebank.testbed.chaos.ScriptRunner.Verdict;
 
 /**
- * The files of a run's folder: the script, the verdict, the history, and for people a timeline and
- * a report. The logs of the processes are in the same folder.
+ * The files in the folder of a run: the script, the verdict and the history, and a timeline and a
+ * report for human readers. The folder also contains the logs of the processes.
  */
 public final class RunArtifacts {
   private static final ObjectMapper JSON = LeaseJson.configure(new ObjectMapper());
@@ -24,7 +24,7 @@
 
   private RunArtifacts() {}
 
-  /** Writes all files but the script, which is there already. */
+  /** Writes all files except the script, which must exist already. */
   static void write(Path folder, Script script, History history, Verdict verdict)
       throws IOException {
     writeHistory(folder.resolve(HISTORY_FILE), history);
@@ -64,7 +64,7 @@
   }
 
   /**
-   * Returns the command line that runs the script of a folder again.
+   * Returns the command line that repeats the run of a folder.
    *
    * @throws IOException if the names of the built-in scripts can't be read
    */
@@ -82,10 +82,10 @@
   }
 
   /**
-   * Reads the verdict of a run's folder.
+   * Reads the verdict from the folder of a run.
    *
-   * @throws TestbedException.RunUnknown if there is none
-   * @throws IOException if it can't be read
+   * @throws TestbedException.RunUnknown if the folder contains no verdict
+   * @throws IOException if the verdict can't be read
    */
   public static Verdict readVerdict(Path folder) throws IOException {
     Path file = folder.resolve(VERDICT_FILE);
--- a/testbed/src/main/java/tidebank/testbed/chaos/RunReport.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/RunReport.java
@@ -3,7 +3,7 @@
 import tidebank.testbed.chaos.History.TimelineEvent;
 import tidebank.testbed.chaos.ScriptRunner.Verdict;
 
-/** Renders the HTML report of a run. */
+/** The HTML report of a run. */
 final class RunReport {
   private static final double US_PER_S = 1e6;
   private static final String STYLE =
@@ -12,6 +12,13 @@
 
   private RunReport() {}
 
+  /**
+   * Returns the HTML page.
+   *
+   * @param timeline timeline as an SVG element
+   * @param replayCommand command line that repeats the run
+   * @param scriptText script as TOML
+   */
   static String render(
       Script script,
       History history,
@@ -38,7 +45,7 @@
         .append(STYLE)
         .append("</style></head><body>\n<h1>")
         .append(name)
-        .append(verdict.passed() ? ": all held" : ": broken")
+        .append(verdict.passed() ? ": all rules hold" : ": rules broken")
         .append("</h1>\n<p>")
         .append(Markup.escape(script.description()))
         .append("</p>\n");
@@ -54,8 +61,8 @@
     }
     page.append(
         String.format(
-            "<p>%.1f s; %d commands and %d reads looked at; %d reports published; %d scans sent, %d"
-                + " of them counted. Again: <code>%s</code></p>%n",
+            "<p>%.1f s; %d commands and %d reads checked; %d reports published; %d queries sent, %d"
+                + " of them counted in reports. Repeat with: <code>%s</code></p>%n",
             verdict.durationUs() / US_PER_S,
             verdict.commands(),
             verdict.reads(),
@@ -64,7 +71,7 @@
             verdict.queriesCounted(),
             replayCommand));
     if (!verdict.unownedIntervals().isEmpty()) {
-      page.append("<p>Without an owner of the report, after ")
+      page.append("<p>Intervals without a holder of the report task, by fault: ")
           .append(UnownedIntervals.describe(verdict.unownedIntervals()))
           .append("</p>\n");
     }
@@ -72,9 +79,9 @@
 
   private static void appendEvents(StringBuilder page, History history) {
     page.append(
-        "<p>Blue: from the grant of the report to its last renewal. Green: published; red:"
-            + " refused.</p>\n"
-            + "<table><tr><th>at</th><th>to</th><th>what</th></tr>\n");
+        "<p>Blue bars: leases of the report task, from the claim to the last renewal. Green dots:"
+            + " publications. Red dots: rejected publications. Red lines: events.</p>\n"
+            + "<table><tr><th>Time</th><th>Process</th><th>Event</th></tr>\n");
     for (TimelineEvent event : history.events()) {
       page.append(
           String.format(
--- a/testbed/src/main/java/tidebank/testbed/chaos/SharedFolderCheck.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/SharedFolderCheck.java
@@ -15,96 +15,104 @@
 import tidebank.lease.TaskLease;
 
 /**
- * Checks what the retention task removes from the shared folder: no file that was not in a
- * published list before, and none that had not expired. Thread-safe: the script creates files, the
- * observer checks.
+ * A check of the files that the retention task removes from the shared folder: each of them must be
+ * in a removal list that was published before, and must have expired. Thread-safe: the script
+ * creates the files, the observer checks the removals.
  */
 final class SharedFolderCheck {
   private static final Duration EXPIRED_AGE = Duration.ofDays(60);
-  private static final Duration KEPT_AGE = Duration.ofDays(2);
+  private static final Duration UNEXPIRED_AGE = Duration.ofDays(2);
   private static final int FILE_BYTES = 100;
 
   private final Path folder;
   private final Set<String> expired = new HashSet<>();
-  private final Set<String> kept = new HashSet<>();
-  private final Set<String> namesInLists = new HashSet<>();
-  private final Set<String> reported = new HashSet<>();
+  private final Set<String> unexpired = new HashSet<>();
+  private final Set<String> listedNames = new HashSet<>();
+  private final Set<String> reportedNames = new HashSet<>();
   private final List<String> violations = new ArrayList<>();
-  private String lastList = "";
-  private int batches;
+  private String lastListName = "";
+  private int batchCount;
 
   SharedFolderCheck(Path folder) {
     this.folder = folder;
   }
 
   /**
-   * Creates files in the shared folder.
+   * Creates expired and unexpired files in the shared folder.
    *
-   * @param count of expired files, and of as many that are not
+   * @param count number of expired files; the same number of unexpired files is created
    */
   synchronized void createFiles(int count) throws IOException {
-    String batch = "captures/of-" + ++batches;
-    Files.createDirectories(folder.resolve(batch));
+    String batchFolder = "captures/of-" + ++batchCount;
+    Files.createDirectories(folder.resolve(batchFolder));
     for (int i = 0; i < 2 * count; i++) {
       boolean isExpired = i < count;
-      String name = batch + "/" + i + ".tbc";
-      Path file = Files.write(folder.resolve(batch).resolve(i + ".part"), new byte[FILE_BYTES]);
-      Duration age = isExpired ? EXPIRED_AGE : KEPT_AGE;
+      String name = batchFolder + "/" + i + ".tbc";
+      Path file =
+          Files.write(folder.resolve(batchFolder).resolve(i + ".part"), new byte[FILE_BYTES]);
+      Duration age = isExpired ? EXPIRED_AGE : UNEXPIRED_AGE;
       Files.setLastModifiedTime(file, FileTime.from(Instant.now().minus(age)));
-      // In place at once with its age: a list that is made now must not find it young, or half
-      // there.
+      // Renamed only after its age is set, so that a concurrent scan of the folder never sees it as
+      // new or incomplete.
       Files.move(file, folder.resolve(name));
-      (isExpired ? expired : kept).add(name);
+      (isExpired ? expired : unexpired).add(name);
     }
   }
 
-  /** Returns the files that were removed so far. To be called before the state is read. */
+  /**
+   * Returns the names of all files that were removed so far. Must be called before the state is
+   * read: the lists published in that state then cover every permitted removal.
+   */
   synchronized Set<String> findRemovedFiles() {
     Set<String> removed = new HashSet<>(expired);
-    removed.addAll(kept);
+    removed.addAll(unexpired);
     removed.removeIf(name -> Files.exists(folder.resolve(name)));
     return removed;
   }
 
   /**
-   * Checks removals against the lists published so far.
+   * Checks removals against the removal lists published so far.
    *
-   * @param lease of the retention task, read after the removals were seen
-   * @param removed as {@link #findRemovedFiles} returned them
+   * @param lease lease of the retention task, read after {@code removed} was determined
+   * @param removed names of the removed files, from {@link #findRemovedFiles}
    */
   synchronized void checkRemovals(TaskLease lease, Set<String> removed) {
     readNewLists(lease.value());
     for (String name : removed) {
-      boolean allowed = namesInLists.contains(name) && !kept.contains(name);
-      if (!allowed && reported.add(name)) {
+      boolean allowed = listedNames.contains(name) && !unexpired.contains(name);
+      if (!allowed && reportedNames.add(name)) {
         violations.add(
             name
-                + " was removed, and "
-                + (namesInLists.contains(name) ? "was not too old" : "no published list names it"));
+                + " was removed, but "
+                + (listedNames.contains(name)
+                    ? "had not expired"
+                    : "is in no published removal list"));
       }
     }
   }
 
+  /** Reads the published lists from the newest one back to the last one that was read. */
   private void readNewLists(String newest) {
     try {
-      for (String name = newest; !name.equals(lastList) && !name.isEmpty(); ) {
+      for (String name = newest; !name.equals(lastListName) && !name.isEmpty(); ) {
         RemovalList list =
             LeaseCodec.read(
                 Files.readAllBytes(folder.resolve("removals").resolve(name)), RemovalList.class);
-        namesInLists.addAll(list.names());
+        listedNames.addAll(list.names());
         name = list.previous();
       }
     } catch (IOException fault) {
-      violations.add(newest + " is published and can't be read: " + fault);
+      violations.add(newest + " is published, but can't be read: " + fault);
     }
-    lastList = newest;
+    lastListName = newest;
   }
 
-  /** Returns how many expired files are still there. */
+  /** Returns how many expired files have not been removed yet. */
   synchronized long countExpiredFilesLeft() {
     return expired.stream().filter(name -> Files.exists(folder.resolve(name))).count();
   }
 
+  /** Returns the violations found so far. */
   synchronized List<String> violations() {
     return List.copyOf(violations);
   }
--- a/testbed/src/main/java/tidebank/testbed/chaos/TimelineSvg.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/TimelineSvg.java
@@ -10,22 +10,22 @@
 import tidebank.testbed.chaos.ScriptRunner.Verdict;
 
 /**
- * Draws the timeline of a run: a lane for each process, with the events that concern it, the times
- * in which it held the report, and what it published.
+ * The timeline of a run as SVG. Each process has a lane with its events, its leases of the report
+ * task and its publications.
  */
 final class TimelineSvg {
-  private static final int LEFT_PX = 90;
-  private static final int WIDTH_PX = 1000;
-  private static final int RIGHT_PX = 20;
-  private static final int LANE_PX = 34;
-  private static final int TOP_PX = 20;
-  private static final int BOTTOM_PX = 30;
+  private static final int LEFT_MARGIN_PX = 90;
+  private static final int PLOT_WIDTH_PX = 1000;
+  private static final int RIGHT_MARGIN_PX = 20;
+  private static final int LANE_HEIGHT_PX = 34;
+  private static final int TOP_MARGIN_PX = 20;
+  private static final int BOTTOM_MARGIN_PX = 30;
 
   private final StringBuilder svg = new StringBuilder();
   private final History history;
   private final List<String> processes = new ArrayList<>();
   private final double pxPerUs;
-  private final int height;
+  private final int heightPx;
 
   private TimelineSvg(Script script, History history, Verdict verdict) {
     this.history = history;
@@ -35,10 +35,11 @@
     for (int i = 0; i < script.members(); i++) {
       processes.add("g" + i);
     }
-    pxPerUs = WIDTH_PX / (double) Math.max(1, verdict.durationUs());
-    height = (processes.size() + 1) * LANE_PX + BOTTOM_PX;
+    pxPerUs = PLOT_WIDTH_PX / (double) Math.max(1, verdict.durationUs());
+    heightPx = (processes.size() + 1) * LANE_HEIGHT_PX + BOTTOM_MARGIN_PX;
   }
 
+  /** Returns the timeline as an SVG element. */
   static String render(Script script, History history, Verdict verdict) {
     return new TimelineSvg(script, history, verdict).render();
   }
@@ -48,7 +49,7 @@
         String.format(
             "<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"%d\" height=\"%d\""
                 + " font-family=\"sans-serif\" font-size=\"11\">\n",
-            LEFT_PX + WIDTH_PX + RIGHT_PX, height));
+            LEFT_MARGIN_PX + PLOT_WIDTH_PX + RIGHT_MARGIN_PX, heightPx));
     drawLanes();
     leasesByToken().forEach(this::drawLease);
     history.commands().forEach(this::drawPublication);
@@ -57,11 +58,11 @@
   }
 
   private int laneY(String process) {
-    return TOP_PX + processes.indexOf(process) * LANE_PX;
+    return TOP_MARGIN_PX + processes.indexOf(process) * LANE_HEIGHT_PX;
   }
 
   private double x(long us) {
-    return LEFT_PX + us * pxPerUs;
+    return LEFT_MARGIN_PX + us * pxPerUs;
   }
 
   private void drawLanes() {
@@ -71,19 +72,20 @@
           String.format(
               "<text x=\"8\" y=\"%d\">%s</text><line x1=\"%d\" y1=\"%d\" x2=\"%d\" y2=\"%d\""
                   + " stroke=\"#ccc\"/>%n",
-              y + 4, process, LEFT_PX, y, LEFT_PX + WIDTH_PX, y));
+              y + 4, process, LEFT_MARGIN_PX, y, LEFT_MARGIN_PX + PLOT_WIDTH_PX, y));
     }
   }
 
   /**
-   * A lease of the report.
+   * A lease of the report task. Times are microseconds of the history.
    *
-   * @param from when it was claimed
-   * @param until when its last renewal returned
+   * @param holder name of the process that holds the task
+   * @param from time at which the claim was sent
+   * @param until time at which the last renewal returned
    */
   private record Lease(String holder, long from, long until) {
-    private Lease until(long later) {
-      return new Lease(holder, from, later);
+    private Lease withUntil(long newUntil) {
+      return new Lease(holder, from, newUntil);
     }
   }
 
@@ -98,7 +100,7 @@
                     byToken.merge(
                         lease.fencingToken(),
                         new Lease(command.from(), command.calledAt(), command.returnedAt()),
-                        (first, last) -> first.until(last.until())));
+                        (first, last) -> first.withUntil(last.until())));
       }
     }
     return byToken;
@@ -132,11 +134,11 @@
   }
 
   private void drawEvents() {
-    boolean low = false;
+    boolean labelBelow = false;
     for (TimelineEvent event : history.events()) {
-      int y = processes.contains(event.process()) ? laneY(event.process()) : height - 24;
+      int y = processes.contains(event.process()) ? laneY(event.process()) : heightPx - 24;
       double x = x(event.at());
-      // Labels above and below the lane in turn, so that two in a row can be read.
+      // Labels alternate between above and below the lane, so that neighbors do not overlap.
       svg.append(
           String.format(
               "<line x1=\"%.1f\" y1=\"%d\" x2=\"%.1f\" y2=\"%d\" stroke=\"#c0392b\"/>"
@@ -146,9 +148,9 @@
               x,
               y + 8,
               x + 2,
-              y - 8 + (low ? 24 : 0),
+              y - 8 + (labelBelow ? 24 : 0),
               Markup.escape(event.description())));
-      low = !low;
+      labelBelow = !labelBelow;
     }
   }
 }
--- a/testbed/src/main/java/tidebank/testbed/chaos/TrafficRecorder.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/TrafficRecorder.java
@@ -20,8 +20,9 @@
 import tidebank.lease.LeaseTableState;
 
 /**
- * Decodes the traffic of one connection to a coordinator and records commands, results and reads in
- * the history. Sees the bytes before any fault is injected. Belongs to the proxy's event loop.
+ * A recorder of the traffic on one connection to a coordinator. Decodes the requests and responses
+ * and records commands, results and reads of the state in the history. Gets the bytes before any
+ * fault affects them. Confined to the proxy's event loop.
  */
 final class TrafficRecorder {
   private static final Logger LOG = LoggerFactory.getLogger(TrafficRecorder.class);
@@ -30,10 +31,11 @@
   private static final String STATE_PATH = "/fleet/state";
 
   /**
-   * A call without a response so far.
+   * A call that has no response yet.
    *
-   * @param command null if it is another call, or could not be read
-   * @param readsState whether it is a read of the state
+   * @param command command of the call; null if the call is not a command or could not be decoded
+   * @param readsState whether the call reads the state
+   * @param calledAt time of the call, in the history's microseconds
    */
   private record PendingCall(LeaseCommand command, boolean readsState, long calledAt) {}
 
@@ -50,7 +52,7 @@
     this.from = from;
   }
 
-  /** Decodes bytes from the caller. The buffer is only read. */
+  /** Decodes bytes from the caller; does not consume the buffer. */
   void decodeRequests(ByteBuf bytes) {
     requests.writeInbound(bytes.copy());
     for (FullHttpRequest request = requests.readInbound();
@@ -63,14 +65,14 @@
           history.recordSentCommand(from, command);
         }
       } catch (IOException fault) {
-        LOG.warn("unreadable command: from={} error={}", from, fault.getMessage());
+        LOG.warn("command not decoded: from={} error={}", from, fault.getMessage());
       }
       pending.add(new PendingCall(command, request.uri().equals(STATE_PATH), history.now()));
       request.release();
     }
   }
 
-  /** Decodes bytes from the coordinator. The buffer is only read. */
+  /** Decodes bytes from the coordinator; does not consume the buffer. */
   void decodeResponses(ByteBuf bytes) {
     responses.writeInbound(bytes.copy());
     for (FullHttpResponse response = responses.readInbound();
@@ -82,7 +84,7 @@
           record(call, ByteBufUtil.getBytes(response.content()));
         }
       } catch (IOException fault) {
-        LOG.warn("unreadable response: to={} error={}", from, fault.getMessage());
+        LOG.warn("response not decoded: to={} error={}", from, fault.getMessage());
       }
       response.release();
     }
@@ -93,7 +95,7 @@
       history.recordRead(from, call.calledAt(), LeaseCodec.read(body, LeaseTableState.class));
     } else if (call.command() != null) {
       CommandResult result = LeaseCodec.read(body, CommandResult.class);
-      // A result without a configuration was not decided by a leader.
+      // Only results that a leader decided contain the lease configuration.
       if (result != null && result.config() != null) {
         history.recordResult(call.command(), result);
       }
--- a/testbed/src/main/java/tidebank/testbed/chaos/UnownedIntervals.java
+++ b/testbed/src/main/java/tidebank/testbed/chaos/UnownedIntervals.java
@@ -12,38 +12,47 @@
 import tidebank.testbed.chaos.History.TimelineEvent;
 
 /**
- * Measures how long a task was without a holder that could act, by the fault that the holder before
- * had. Pure.
+ * The intervals during which a task had no working holder, grouped by the fault that hit the
+ * previous holder. Stateless.
  */
 public final class UnownedIntervals {
-  /** Events by which a holder can no longer act; the first or second group is the kind of fault. */
+  /**
+   * Matches descriptions of events that stop a holder or cut its link to the coordinators. The kind
+   * of fault is the first group for a process and the second for a link.
+   */
   private static final Pattern HOLDER_LOST =
       Pattern.compile("(kill|term|stop) .*|link .* to stewards: (cut|silent up|silent down)");
 
   private static final int US_PER_MS = 1000;
 
-  private record Grant(long token, String holder, long at) {}
+  /**
+   * A successful claim.
+   *
+   * @param grantedAt time at which the holder got the result
+   */
+  private record Grant(long token, String holder, long grantedAt) {}
 
   private UnownedIntervals() {}
 
   /**
-   * Returns the intervals from each loss of the holder to the result of the next grant, in
-   * microseconds, by kind of fault and in the order of the run.
+   * Returns the intervals, in microseconds, from each fault that hit the holder to the result of
+   * the next grant. The keys are the kinds of faults; the intervals of a kind are in the order of
+   * the run. A fault without a later grant is left out.
    */
   public static Map<String, List<Long>> measure(
       List<TimelineEvent> events, List<RecordedCommand> commands, String task) {
     List<Grant> grants = findGrants(commands, task);
     Map<String, List<Long>> intervals = new TreeMap<>();
     for (TimelineEvent event : events) {
-      Matcher lost = HOLDER_LOST.matcher(event.description());
-      if (lost.matches()) {
-        String kind = lost.group(1) != null ? lost.group(1) : lost.group(2);
+      Matcher fault = HOLDER_LOST.matcher(event.description());
+      if (fault.matches()) {
+        String kind = fault.group(1) != null ? fault.group(1) : fault.group(2);
         findGrantAfterLoss(grants, event)
             .ifPresent(
                 next ->
                     intervals
-                        .computeIfAbsent(kind, absent -> new ArrayList<>())
-                        .add(next.at() - event.at()));
+                        .computeIfAbsent(kind, key -> new ArrayList<>())
+                        .add(next.grantedAt() - event.at()));
       }
     }
     return intervals;
@@ -65,30 +74,33 @@
     return grants;
   }
 
-  /** Returns the grant that ended the interval, if the event hit the holder of that moment. */
+  /**
+   * Returns the first grant after an event; empty if the event did not hit the holder at that time,
+   * or if no grant with a higher token followed.
+   */
   private static Optional<Grant> findGrantAfterLoss(List<Grant> grants, TimelineEvent event) {
     Optional<Grant> held =
         grants.stream()
-            .filter(grant -> grant.at() <= event.at())
-            .reduce((first, last) -> last)
+            .filter(grant -> grant.grantedAt() <= event.at())
+            .reduce((earlier, later) -> later)
             .filter(grant -> grant.holder().equals(event.process()));
     return held.flatMap(
-        before ->
+        lost ->
             grants.stream()
-                .filter(grant -> grant.at() > event.at())
+                .filter(grant -> grant.grantedAt() > event.at())
                 .findFirst()
-                .filter(next -> next.token() > before.token()));
+                .filter(next -> next.token() > lost.token()));
   }
 
-  /** Returns count, median and maximum of each kind, for people. */
+  /** Formats the number, median and maximum of the intervals of each kind of fault. */
   public static String describe(Map<String, List<Long>> intervals) {
     List<String> descriptions = new ArrayList<>();
     intervals.forEach(
-        (kind, all) -> {
-          List<Long> sorted = all.stream().sorted().toList();
+        (kind, ofKind) -> {
+          List<Long> sorted = ofKind.stream().sorted().toList();
           descriptions.add(
               String.format(
-                  "%s %d: median %d ms, most %d ms",
+                  "%s: %d intervals, median %d ms, maximum %d ms",
                   kind,
                   sorted.size(),
                   sorted.get(sorted.size() / 2) / US_PER_MS,
--- a/testbed/src/test/java/tidebank/testbed/chaos/FaultProxyTest.java
+++ b/testbed/src/test/java/tidebank/testbed/chaos/FaultProxyTest.java
@@ -17,12 +17,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** One listener before a server that sends back what it gets, and what may be done to the link. */
+/** Injects faults into the link to an echo server behind the proxy. */
 @Timeout(30)
 class FaultProxyTest {
   private final History history = new History();
   private final List<Socket> sockets = new ArrayList<>();
-  private final Map<String, Long> processes = Map.of("me", ProcessHandle.current().pid());
+  private final Map<String, Long> pidByName = Map.of("me", ProcessHandle.current().pid());
   private FaultProxy proxy;
   private ServerSocket server;
   private InetSocketAddress listener;
@@ -30,33 +30,33 @@
   @BeforeEach
   void open() throws Exception {
     server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-    Thread echo =
+    Thread acceptThread =
         new Thread(
             () -> {
               try {
                 while (true) {
-                  Socket one = server.accept();
-                  Thread each =
+                  Socket accepted = server.accept();
+                  Thread connectionThread =
                       new Thread(
                           () -> {
-                            try (one) {
-                              one.getInputStream().transferTo(one.getOutputStream());
-                            } catch (IOException gone) {
-                              // As the test wanted.
+                            try (accepted) {
+                              accepted.getInputStream().transferTo(accepted.getOutputStream());
+                            } catch (IOException fault) {
+                              // The test closed or reset the connection.
                             }
                           });
-                  each.setDaemon(true);
-                  each.start();
+                  connectionThread.setDaemon(true);
+                  connectionThread.start();
                 }
-              } catch (IOException closed) {
-                // The test is over.
+              } catch (IOException fault) {
+                // The test has ended and closed the server.
               }
             });
-    echo.setDaemon(true);
-    echo.start();
+    acceptThread.setDaemon(true);
+    acceptThread.start();
     proxy =
         new FaultProxy(
-            (port, proxyPort) -> ConnectionOwners.findOwner(port, proxyPort, processes),
+            (port, proxyPort) -> ConnectionOwners.findOwner(port, proxyPort, pidByName),
             history,
             1);
     listener =
@@ -65,8 +65,8 @@
 
   @AfterEach
   void close() throws IOException {
-    for (Socket one : sockets) {
-      one.close();
+    for (Socket socket : sockets) {
+      socket.close();
     }
     proxy.close();
     server.close();
@@ -83,94 +83,104 @@
     socket.getOutputStream().write(text.getBytes());
   }
 
-  private static String got(Socket socket, int bytes) throws IOException {
+  private static String receive(Socket socket, int bytes) throws IOException {
     return new String(socket.getInputStream().readNBytes(bytes));
   }
 
-  private void put(FaultyLink.Fault fault, long ms, long bytesPerS) {
+  private void inject(FaultyLink.Fault fault, long ms, long bytesPerS) {
     proxy.inject("me", "echo", fault, ms * 1000, 0, bytesPerS);
   }
 
+  /** Guards against silent links that deliver bytes, or lose them instead of holding them back. */
   @Test
-  void silenceHoldsWhatIsSentInOneDirectionUntilItEnds() throws Exception {
+  void silencedBytesArriveOnceTheFaultEnds() throws Exception {
     Socket socket = connect();
     send(socket, "one");
-    assertThat(got(socket, 3)).isEqualTo("one");
+    assertThat(receive(socket, 3)).isEqualTo("one");
     for (FaultyLink.Fault fault :
         List.of(FaultyLink.Fault.SILENT_UP, FaultyLink.Fault.SILENT_DOWN, FaultyLink.Fault.CUT)) {
-      put(fault, 0, 0);
+      inject(fault, 0, 0);
       send(socket, "two");
       socket.setSoTimeout(50);
-      assertThatThrownBy(() -> got(socket, 1))
+      assertThatThrownBy(() -> receive(socket, 1))
           .as(fault.name())
           .isInstanceOf(SocketTimeoutException.class);
-      put(FaultyLink.Fault.HEAL, 0, 0);
+      inject(FaultyLink.Fault.HEAL, 0, 0);
       socket.setSoTimeout(10_000);
-      assertThat(got(socket, 3)).isEqualTo("two");
+      assertThat(receive(socket, 3)).isEqualTo("two");
     }
   }
 
+  /**
+   * Guards against delays and bandwidth limits that do not apply, and against lost or reordered
+   * bytes.
+   */
   @Test
-  void delaysAddUpAndTricklesTakeTheirTimeAndNothingIsLostOrSwapped() throws Exception {
+  void delayAndTrickleSlowDownWithoutLossOrReordering() throws Exception {
     Socket socket = connect();
-    put(FaultyLink.Fault.DELAY, 40, 0);
-    long before = System.nanoTime();
+    inject(FaultyLink.Fault.DELAY, 40, 0);
+    long startNs = System.nanoTime();
     send(socket, "there and back");
-    assertThat(got(socket, 14)).isEqualTo("there and back");
-    assertThat(System.nanoTime() - before).isGreaterThanOrEqualTo(80_000_000L);
-    put(FaultyLink.Fault.TRICKLE, 0, 1000);
-    before = System.nanoTime();
+    assertThat(receive(socket, 14)).isEqualTo("there and back");
+    assertThat(System.nanoTime() - startNs).isGreaterThanOrEqualTo(80_000_000L);
+    inject(FaultyLink.Fault.TRICKLE, 0, 1000);
+    startNs = System.nanoTime();
     String text = "0123456789".repeat(20);
     send(socket, text);
-    assertThat(got(socket, 200)).isEqualTo(text);
-    assertThat(System.nanoTime() - before)
-        .as("200 bytes at 1,000 a second")
+    assertThat(receive(socket, 200)).isEqualTo(text);
+    assertThat(System.nanoTime() - startNs)
+        .as("200 bytes at 1,000 bytes per second")
         .isGreaterThanOrEqualTo(200_000_000L);
   }
 
+  /**
+   * Guards against a reset that affects later connections, a half-open connection whose caller
+   * notices, and a refused link that carries data.
+   */
   @Test
-  void aResetBreaksWhatThereIsARefusalWhatComesAndAHalfOpenOneIsNeverTold() throws Exception {
-    Socket first = connect();
-    send(first, "x");
-    got(first, 1);
-    put(FaultyLink.Fault.RESET, 0, 0);
-    assertThatThrownBy(() -> got(first, 1))
+  void resetHalfOpenAndRefuseAffectTheirConnectionsOnly() throws Exception {
+    Socket resetSocket = connect();
+    send(resetSocket, "x");
+    receive(resetSocket, 1);
+    inject(FaultyLink.Fault.RESET, 0, 0);
+    assertThatThrownBy(() -> receive(resetSocket, 1))
         .isInstanceOf(IOException.class)
         .hasMessageContaining("reset");
-    Socket second = connect();
-    send(second, "y");
-    assertThat(got(second, 1)).isEqualTo("y");
-    put(FaultyLink.Fault.HALF_OPEN, 0, 0);
-    send(second, "z");
-    second.setSoTimeout(50);
-    assertThatThrownBy(() -> got(second, 1)).isInstanceOf(SocketTimeoutException.class);
-    put(FaultyLink.Fault.REFUSE, 0, 0);
+    Socket halfOpenSocket = connect();
+    send(halfOpenSocket, "y");
+    assertThat(receive(halfOpenSocket, 1)).isEqualTo("y");
+    inject(FaultyLink.Fault.HALF_OPEN, 0, 0);
+    send(halfOpenSocket, "z");
+    halfOpenSocket.setSoTimeout(50);
+    assertThatThrownBy(() -> receive(halfOpenSocket, 1)).isInstanceOf(SocketTimeoutException.class);
+    inject(FaultyLink.Fault.REFUSE, 0, 0);
     assertThatThrownBy(
             () -> {
-              Socket third = connect();
-              send(third, "a");
-              got(third, 1);
-              send(third, "b");
-              got(third, 1);
+              Socket refusedSocket = connect();
+              send(refusedSocket, "a");
+              receive(refusedSocket, 1);
+              send(refusedSocket, "b");
+              receive(refusedSocket, 1);
             })
         .isInstanceOf(IOException.class);
-    put(FaultyLink.Fault.HEAL, 0, 0);
-    Socket fourth = connect();
-    send(fourth, "w");
-    assertThat(got(fourth, 1)).isEqualTo("w");
+    inject(FaultyLink.Fault.HEAL, 0, 0);
+    Socket healedSocket = connect();
+    send(healedSocket, "w");
+    assertThat(receive(healedSocket, 1)).isEqualTo("w");
   }
 
+  /** Guards against connections that are attributed to the wrong process. */
   @Test
-  void whoCallsIsKnownByTheSystemAndAStrangerIsTurnedAway() throws Exception {
+  void connectionOwnerIsFoundAmongGivenProcessesOnly() throws Exception {
     Socket socket = connect();
     send(socket, "x");
-    got(socket, 1);
-    assertThat(ConnectionOwners.findOwner(socket.getLocalPort(), listener.getPort(), processes))
+    receive(socket, 1);
+    assertThat(ConnectionOwners.findOwner(socket.getLocalPort(), listener.getPort(), pidByName))
         .isEqualTo("me");
     assertThat(
             ConnectionOwners.findOwner(
                 socket.getLocalPort(), listener.getPort(), Map.of("other", 1L)))
         .isNull();
-    assertThat(ConnectionOwners.findOwner(1, listener.getPort(), processes)).isNull();
+    assertThat(ConnectionOwners.findOwner(1, listener.getPort(), pidByName)).isNull();
   }
 }
--- a/testbed/src/test/java/tidebank/testbed/chaos/LinearizabilityCheckerTest.java
+++ b/testbed/src/test/java/tidebank/testbed/chaos/LinearizabilityCheckerTest.java
@@ -7,94 +7,118 @@
 import org.junit.jupiter.api.Test;
 import tidebank.model.SeededRandom;
 
-/** A register with compare-and-set, in histories that can and that can't have been. */
+/** Checks linearizable and non-linearizable histories of a register with compare-and-set. */
 class LinearizabilityCheckerTest {
-  private static final long NEVER = Long.MAX_VALUE;
+  private static final long NO_RETURN = Long.MAX_VALUE;
 
-  private static LinearizabilityChecker.Operation<Integer> read(long call, long back, int value) {
+  private static LinearizabilityChecker.Operation<Integer> read(
+      long calledAt, long returnedAt, int value) {
     return new LinearizabilityChecker.Operation<>(
-        "read " + value, call, back, now -> now == value ? now : null);
+        "read " + value, calledAt, returnedAt, state -> state == value ? state : null);
   }
 
-  private static LinearizabilityChecker.Operation<Integer> set(
-      long call, long back, int from, int to, boolean done) {
+  private static LinearizabilityChecker.Operation<Integer> compareAndSet(
+      long calledAt, long returnedAt, int expected, int newValue, boolean succeeded) {
     return new LinearizabilityChecker.Operation<>(
-        "set " + from + " to " + to,
-        call,
-        back,
-        now -> done == (now == from) ? done ? to : now : null);
+        "set " + expected + " to " + newValue,
+        calledAt,
+        returnedAt,
+        state -> succeeded == (state == expected) ? succeeded ? newValue : state : null);
   }
 
-  private static boolean holds(List<LinearizabilityChecker.Operation<Integer>> history) {
+  private static boolean isLinearizable(List<LinearizabilityChecker.Operation<Integer>> history) {
     return LinearizabilityChecker.check(history, 0).holds();
   }
 
+  /**
+   * Guards against undetected stale reads, lost writes and conflicting writes, and against false
+   * violations for overlapping operations.
+   */
   @Test
-  void whatOverlapsMayHaveComeInAnyOrderAndWhatFollowsMayNot() {
-    assertThat(holds(List.of(set(0, 10, 0, 1, true), read(1, 9, 0), read(2, 8, 1)))).isTrue();
-    assertThat(holds(List.of(set(0, 10, 0, 1, true), read(1, 3, 1), read(4, 8, 0))))
-        .as("the new value, then the old")
+  void onlyOverlappingOperationsMayTakeEffectInAnyOrder() {
+    assertThat(
+            isLinearizable(List.of(compareAndSet(0, 10, 0, 1, true), read(1, 9, 0), read(2, 8, 1))))
+        .isTrue();
+    assertThat(
+            isLinearizable(List.of(compareAndSet(0, 10, 0, 1, true), read(1, 3, 1), read(4, 8, 0))))
+        .as("read of the old value after a read of the new one")
         .isFalse();
-    assertThat(holds(List.of(set(0, 2, 0, 1, true), read(3, 4, 0))))
-        .as("a write that was lost")
+    assertThat(isLinearizable(List.of(compareAndSet(0, 2, 0, 1, true), read(3, 4, 0))))
+        .as("lost write")
         .isFalse();
-    assertThat(holds(List.of(set(0, 9, 0, 1, true), set(1, 8, 0, 2, true))))
-        .as("two that both took it")
+    assertThat(
+            isLinearizable(
+                List.of(compareAndSet(0, 9, 0, 1, true), compareAndSet(1, 8, 0, 2, true))))
+        .as("two successful compare-and-sets of the same value")
         .isFalse();
-    assertThat(holds(List.of(set(0, 9, 0, 1, true), set(1, 8, 0, 2, false)))).isTrue();
+    assertThat(
+            isLinearizable(
+                List.of(compareAndSet(0, 9, 0, 1, true), compareAndSet(1, 8, 0, 2, false))))
+        .isTrue();
   }
 
+  /**
+   * Guards against operations without a result that count as done, as failed, as done twice or as
+   * done before their call.
+   */
   @Test
-  void oneWithoutAnAnswerMayHaveTakenEffectOnceAtAnyTimeLaterOrNever() {
-    LinearizabilityChecker.Operation<Integer> unheard =
-        new LinearizabilityChecker.Operation<>("unheard", 0, NEVER, now -> now == 0 ? 1 : now);
-    assertThat(holds(List.of(unheard, read(5, 6, 0)))).isTrue();
-    assertThat(holds(List.of(unheard, read(5, 6, 0), read(7, 8, 1)))).isTrue();
-    assertThat(holds(List.of(unheard, read(5, 6, 1), read(7, 8, 0)))).isFalse();
+  void operationWithoutResultMayTakeEffectLaterOrNever() {
+    LinearizabilityChecker.Operation<Integer> withoutResult =
+        new LinearizabilityChecker.Operation<>(
+            "unheard", 0, NO_RETURN, state -> state == 0 ? 1 : state);
+    assertThat(isLinearizable(List.of(withoutResult, read(5, 6, 0)))).isTrue();
+    assertThat(isLinearizable(List.of(withoutResult, read(5, 6, 0), read(7, 8, 1)))).isTrue();
+    assertThat(isLinearizable(List.of(withoutResult, read(5, 6, 1), read(7, 8, 0)))).isFalse();
     assertThat(
-            holds(
+            isLinearizable(
                 List.of(
                     read(1, 2, 1),
-                    new LinearizabilityChecker.Operation<>("later", 5, NEVER, now -> 1))))
-        .as("before it was asked")
+                    new LinearizabilityChecker.Operation<>("later", 5, NO_RETURN, state -> 1))))
+        .as("effect before the call")
         .isFalse();
   }
 
+  /** Guards against violations that do not tell where the search failed. */
   @Test
-  void itSaysWhereItStoodStill() {
+  void violationNamesAppliedOperationsAndCandidates() {
     LinearizabilityChecker.Outcome outcome =
-        LinearizabilityChecker.check(List.of(set(0, 2, 0, 1, true), read(3, 4, 7)), 0);
+        LinearizabilityChecker.check(List.of(compareAndSet(0, 2, 0, 1, true), read(3, 4, 7)), 0);
     assertThat(outcome.violation())
-        .isEqualTo("after 1 of 2 operations, with 1, none of these fits: read 7");
+        .isEqualTo(
+            "after applying 1 of 2 operations, in state 1, none of these operations can be next:"
+                + " read 7");
   }
 
+  /** Guards against wrong outcomes for long histories with much overlap. */
   @Test
-  void historiesMadeByARealRegisterHoldAndWithOneAnswerChangedTheyDoNot() {
-    int found = 0;
+  void registerHistoryHoldsUntilWrongReadIsAdded() {
+    int violationCount = 0;
     for (long seed = 0; seed < 200; seed++) {
-      SeededRandom chance = new SeededRandom(seed);
+      SeededRandom random = new SeededRandom(seed);
       List<LinearizabilityChecker.Operation<Integer>> history = new ArrayList<>();
       int value = 0;
-      int last = 0;
+      int lastIndex = 0;
       for (int i = 0; i < 300; i++) {
-        // Each takes effect at 10 i; it was called up to five operations before and answered up to
-        // five after.
-        long call = 10 * i - (int) (50 * chance.nextDouble());
-        long back = 10 * i + 1 + (int) (50 * chance.nextDouble());
-        if (chance.nextDouble() < 0.5) {
-          history.add(read(call, back, value));
+        // Operation i takes effect at time 10 i and overlaps with up to five operations before and
+        // after it.
+        long calledAt = 10 * i - (int) (50 * random.nextDouble());
+        long returnedAt = 10 * i + 1 + (int) (50 * random.nextDouble());
+        if (random.nextDouble() < 0.5) {
+          history.add(read(calledAt, returnedAt, value));
         } else {
-          boolean fits = chance.nextDouble() < 0.7;
-          history.add(set(call, back, fits ? value : value + 1000, i + 1, fits));
-          value = fits ? i + 1 : value;
+          boolean succeeds = random.nextDouble() < 0.7;
+          history.add(
+              compareAndSet(
+                  calledAt, returnedAt, succeeds ? value : value + 1000, i + 1, succeeds));
+          value = succeeds ? i + 1 : value;
         }
-        last = i;
+        lastIndex = i;
       }
-      assertThat(holds(history)).as("seed " + seed).isTrue();
-      // What nobody ever wrote, or a value of long before.
-      history.add(read(10 * last + 100, 10 * last + 200, seed % 2 == 0 ? -1 : 0));
-      found += holds(history) ? 0 : 1;
+      assertThat(isLinearizable(history)).as("seed " + seed).isTrue();
+      // Reads a value that was never written, or the initial value.
+      history.add(read(10 * lastIndex + 100, 10 * lastIndex + 200, seed % 2 == 0 ? -1 : 0));
+      violationCount += isLinearizable(history) ? 0 : 1;
     }
-    assertThat(found).isEqualTo(200);
+    assertThat(violationCount).isEqualTo(200);
   }
 }
--- a/testbed/src/test/java/tidebank/testbed/chaos/SharedFolderCheckTest.java
+++ b/testbed/src/test/java/tidebank/testbed/chaos/SharedFolderCheckTest.java
@@ -13,53 +13,61 @@
 import tidebank.fleet.RemovalList;
 import tidebank.lease.TaskLease;
 
-/** Removals that a list had named before, and ones that none had. */
+/** Checks permitted and forbidden removals of files from the shared folder. */
 class SharedFolderCheckTest {
-  private static final String OLD = "captures/of-1/0.tbc";
-  private static final String YOUNG = "captures/of-1/1.tbc";
+  private static final String EXPIRED = "captures/of-1/0.tbc";
+  private static final String UNEXPIRED = "captures/of-1/1.tbc";
 
   @TempDir Path folder;
-  private SharedFolderCheck stored;
+  private SharedFolderCheck folderCheck;
 
   @BeforeEach
-  void litter() throws Exception {
-    stored = new SharedFolderCheck(folder);
-    stored.createFiles(1);
+  void createFiles() throws Exception {
+    folderCheck = new SharedFolderCheck(folder);
+    folderCheck.createFiles(1);
     Files.createDirectories(folder.resolve("removals"));
   }
 
-  private TaskLease published(String... names) throws Exception {
+  private TaskLease publishList(String... names) throws Exception {
     Files.write(
         folder.resolve("removals/removal-1-by-1.json"),
         LeaseCodec.write(new RemovalList(1, "", 1, List.of(names))));
     return new TaskLease("retention", 1, "g0", "x", 0, "g0", "", 1, 1, "removal-1-by-1.json");
   }
 
+  /** Guards against violations reported for permitted removals. */
   @Test
-  void whatAPublishedListNamesMayGo() throws Exception {
-    TaskLease duty = published(OLD);
-    assertThat(stored.findRemovedFiles()).isEmpty();
-    Files.delete(folder.resolve(OLD));
-    stored.checkRemovals(duty, stored.findRemovedFiles());
-    assertThat(stored.countExpiredFilesLeft()).isZero();
-    assertThat(stored.violations()).isEmpty();
+  void removalOfListedExpiredFileIsAllowed() throws Exception {
+    TaskLease lease = publishList(EXPIRED);
+    assertThat(folderCheck.findRemovedFiles()).isEmpty();
+    Files.delete(folder.resolve(EXPIRED));
+    folderCheck.checkRemovals(lease, folderCheck.findRemovedFiles());
+    assertThat(folderCheck.countExpiredFilesLeft()).isZero();
+    assertThat(folderCheck.violations()).isEmpty();
   }
 
+  /** Guards against an undetected removal that a list names only afterwards. */
   @Test
-  void whatGoesBeforeItsListIsPublishedIsFound() throws Exception {
-    Files.delete(folder.resolve(OLD));
-    Set<String> gone = stored.findRemovedFiles();
-    stored.checkRemovals(new TaskLease("retention", 1, "g0", "x", 0, "g0", "", 0, 0, ""), gone);
-    stored.checkRemovals(published(OLD), gone);
-    assertThat(stored.violations())
-        .containsExactly(OLD + " was removed, and no published list names it");
+  void removalBeforeListIsPublishedIsFound() throws Exception {
+    Files.delete(folder.resolve(EXPIRED));
+    Set<String> removed = folderCheck.findRemovedFiles();
+    folderCheck.checkRemovals(
+        new TaskLease("retention", 1, "g0", "x", 0, "g0", "", 0, 0, ""), removed);
+    folderCheck.checkRemovals(publishList(EXPIRED), removed);
+    assertThat(folderCheck.violations())
+        .containsExactly(EXPIRED + " was removed, but is in no published removal list");
   }
 
+  /**
+   * Guards against an undetected removal of a file that had not expired but was in a published
+   * list.
+   */
   @Test
-  void whatAListNamesThatIsNotTooOldIsFound() throws Exception {
-    TaskLease duty = published(YOUNG);
-    Files.delete(folder.resolve(YOUNG));
-    stored.checkRemovals(duty, stored.findRemovedFiles());
-    assertThat(stored.violations()).containsExactly(YOUNG + " was removed, and was not too old");
+  void removalOfListedUnexpiredFileIsFound() throws Exception {
+    TaskLease lease = publishList(UNEXPIRED);
+    Files.delete(folder.resolve(UNEXPIRED));
+    folderCheck.checkRemovals(lease, folderCheck.findRemovedFiles());
+    assertThat(folderCheck.violations())
+        .containsExactly(UNEXPIRED + " was removed, but had not expired");
   }
 }
