--- a/testbed/src/main/java/tidebank/testbed/account/QueryRecord.java
+++ b/testbed/src/main/java/tidebank/testbed/account/QueryRecord.java
@@ -1,18 +1,19 @@
 package tidebank.testbed.account;
 
 /**
- * How one scan of a client went, all its tries together.
+ * The result of one query of a client, over all its attempts. Times are in microseconds from the
+ * start of the replay.
  *
- * @param number its place in the trace
- * @param intendedUs when it was to be sent, from the start of the replay
- * @param sentUs when its first try was sent
- * @param endUs when its last answer was whole, or when the client gave up
- * @param outcome how it ended
- * @param answeredWeight of the parts' weight that the answer holds, 0 without one
- * @param complete whether the answer is marked whole
- * @param attempts how often it was sent
- * @param benefit of a whole answer in time
- * @param earnedBenefit what this end earned of it
+ * @param number position in the trace, from 0
+ * @param intendedUs intended time of sending
+ * @param sentUs when the first attempt was sent
+ * @param endUs when the last response was complete, or when the client gave up
+ * @param outcome how the query ended
+ * @param answeredWeight share of the weight that the response covers, 0 to 1; 0 without a response
+ * @param complete whether the response is marked complete
+ * @param attempts how often the client sent the query
+ * @param benefit the benefit of a complete response within the latency objective
+ * @param earnedBenefit the benefit that this result earned
  */
 public record QueryRecord(
     long number,
@@ -27,14 +28,21 @@
     int attempts,
     double benefit,
     double earnedBenefit) {
-  /** How a scan ended for its client: back-pressure is told apart from loss. */
+  /** How a query ended for its client. Throttling is kept apart from failures. */
   public enum Outcome {
+    /** Answered within the latency objective. */
     COMPLETED,
+    /** Answered after the latency objective but within the timeout. */
     COMPLETED_LATE,
+    /** The last attempt was throttled. */
     THROTTLED,
+    /** The last attempt got an error response. */
     ABANDONED,
+    /** Not answered within the timeout. */
     TIMED_OUT,
+    /** The connection was lost after the request had been written. */
     BROKEN_OFF,
+    /** No connection, or it was lost before the request had been written. */
     NOT_REACHED
   }
 }
--- a/testbed/src/main/java/tidebank/testbed/account/RuleAudit.java
+++ b/testbed/src/main/java/tidebank/testbed/account/RuleAudit.java
@@ -14,18 +14,44 @@
 import tidebank.model.Idempotency;
 
 /**
- * Checks the six rules from the outside: by what clients sent and got, what servers got, and what
- * gatherers were told. Pure; all times come in, in microseconds of one clock. Events may come a
- * little out of order (they are gathered from several threads): a scan is judged only when its time
- * and a while are over, and is forgotten then.
+ * A checker of the six rules that routers have to keep, as seen from outside of them: by what
+ * clients sent and received, what shard servers received, and what discovery announced to routers.
+ * Each client attempt counts as a query of its own.
+ *
+ * <ol>
+ *   <li>Each query gets one final response, in time, and no attempt reaches a server after it.
+ *   <li>A non-idempotent shard request is not sent again once it may have been executed, and its
+ *       query is not throttled then.
+ *   <li>A server that drains or is gone gets no attempts after the drain grace period.
+ *   <li>A server in slow start is not overloaded.
+ *   <li>A response holds only values that servers returned, reaches the query's minimum weight, and
+ *       is marked complete only if it covers all shards.
+ *   <li>Retries and hedged attempts stay within the retry budget.
+ * </ol>
+ *
+ * <p>It has no clock: callers pass all times, in microseconds of one clock. Events come from
+ * several threads and may be slightly out of order, so a query is checked and removed only one
+ * second after the latest time for its response.
  */
 public final class RuleAudit {
-  /** How long after a scan's end its last traces may still come in. */
-  private static final long WHILE_US = 1_000_000;
+  /** How long after the latest time for a query's response its last events may still arrive. */
+  private static final long LATE_EVENT_GRACE_US = 1_000_000;
 
-  private static final int KEPT = 50;
+  private static final int MAX_KEPT_VIOLATIONS = 50;
 
-  /** What the rules depend on. */
+  /**
+   * The limits that the rules set.
+   *
+   * @param answerSlackUs how long after its deadline a query may get its response
+   * @param deliverySlackUs how long after it was written a message may be received
+   * @param drainGraceUs how long a router may still send to a server after discovery announced that
+   *     it drains or is gone
+   * @param overloadMultiple multiple of a server's current capacity that it may be sent
+   * @param overloadWindowUs window over which the work sent to a server is summed
+   * @param retryBudgetFloor further attempts allowed in each window at any number of requests
+   * @param retryBudgetRatio further attempts allowed per query and shard request in the window
+   * @param retryBudgetWindowUs window of the retry budget; 0 disables the check
+   */
   public record Settings(
       long answerSlackUs,
       long deliverySlackUs,
@@ -36,186 +62,221 @@
       double retryBudgetRatio,
       long retryBudgetWindowUs) {}
 
-  /** How an answer came back to the client. */
+  /** The response to a client attempt, or the reason why there is none. */
   public enum Response {
     ANSWERED,
     THROTTLED,
     FAILED,
-    /** The client left before it had asked in full. */
+    /** The request could not be written completely. */
     REQUEST_NOT_SENT,
     /**
-     * The gatherer ended the connection. Lost if it had begun on the scan; else the end may have
-     * crossed the request.
+     * The router closed the connection. The query counts as lost only if the router had sent shard
+     * requests for it; otherwise the close may have crossed the request.
      */
     CONNECTION_CLOSED,
+    /** The client stopped waiting, or still waits. */
     NO_RESPONSE
   }
 
-  /** What became of a dispatch at its server. */
+  /** Whether a shard server accepted an attempt for execution. */
   public enum Execution {
     EXECUTED,
     NOT_EXECUTED
   }
 
-  /** A broken rule: which, when, and what was seen. */
+  /**
+   * A violation of a rule.
+   *
+   * @param rule the rule's number, 1 to 6
+   * @param atUs when it was violated
+   * @param description what was observed, for people to read
+   */
   public record Violation(int rule, long atUs, String description) {}
 
-  private static final class Held {
-    final int gatherer;
-    final Idempotency repeat;
-    final double floor;
-    final long limitUs;
-    final Map<Integer, Double> weights;
-    final Map<Integer, List<Sent>> sent = new HashMap<>();
-    long answeredUs = -1;
-    Response reply = Response.NO_RESPONSE;
-    int answers;
-    boolean gathererDied;
+  /** A query that has not been checked yet, with the events recorded for it. */
+  private static final class TrackedQuery {
+    final int router;
+    final Idempotency idempotency;
+    final double minimumWeight;
+    final long deadlineUs;
+    final Map<Integer, Double> weightByShard;
+    final Map<Integer, List<Attempt>> attemptsByShard = new HashMap<>();
+    long respondedUs = -1;
+    Response response = Response.NO_RESPONSE;
+    int responses;
+    boolean routerKilled;
 
-    Held(
-        int gatherer,
-        Idempotency repeat,
-        double floor,
-        long limitUs,
-        Map<Integer, Double> weights) {
-      this.gatherer = gatherer;
-      this.repeat = repeat;
-      this.floor = floor;
-      this.limitUs = limitUs;
-      this.weights = weights;
+    TrackedQuery(
+        int router,
+        Idempotency idempotency,
+        double minimumWeight,
+        long deadlineUs,
+        Map<Integer, Double> weightByShard) {
+      this.router = router;
+      this.idempotency = idempotency;
+      this.minimumWeight = minimumWeight;
+      this.deadlineUs = deadlineUs;
+      this.weightByShard = weightByShard;
     }
   }
 
-  private record Sent(long atUs, int server, Execution run) {}
+  /** An attempt of a shard request, as received by a shard server. */
+  private record Attempt(long atUs, int server, Execution execution) {}
 
-  private record Told(long atUs, boolean mayHaveWork) {}
+  /** Discovery's announcement to a router whether a server accepts new requests. */
+  private record Announcement(long atUs, boolean acceptsRequests) {}
 
-  private static final class Cold {
+  /** The work that a server in slow start received within the overload window. */
+  private static final class SlowStartLoad {
+    /** Pairs of arrival time and work, both in microseconds. */
     final Deque<double[]> arrivals = new ArrayDeque<>();
-    double sum;
-    boolean fell;
+
+    double workUs;
+    boolean violated;
   }
 
-  private final Settings figures;
-  private final Map<String, Held> scans = new LinkedHashMap<>();
-  private final Map<Integer, Map<Integer, Deque<Told>>> recordAnnouncement = new HashMap<>();
-  private final Map<Integer, Cold> cold = new HashMap<>();
-  private final Map<Integer, Deque<Long>> taken = new HashMap<>();
-  private final Map<Integer, Deque<Long>> further = new HashMap<>();
+  private final Settings settings;
+  private final Map<String, TrackedQuery> queries = new LinkedHashMap<>();
+
+  /** By router and server. */
+  private final Map<Integer, Map<Integer, Deque<Announcement>>> announcements = new HashMap<>();
+
+  private final Map<Integer, SlowStartLoad> slowStartLoads = new HashMap<>();
+  private final Map<Integer, Deque<Long>> requestTimes = new HashMap<>();
+  private final Map<Integer, Deque<Long>> furtherAttemptTimes = new HashMap<>();
   private final Map<Integer, Long> countsByRule = new TreeMap<>();
   private final List<Violation> violations = new ArrayList<>();
   private long checkedQueries;
   private long attempts;
 
-  public RuleAudit(Settings figures) {
-    this.figures = figures;
+  public RuleAudit(Settings settings) {
+    this.settings = settings;
   }
 
-  /** A client's try was written whole to a gatherer. */
+  /**
+   * Records that a client is about to send a query to a router.
+   *
+   * @param id the correlation ID, which differs between the attempts of a client
+   * @param idempotency whether its shard requests may be executed again
+   * @param minimumWeight least share of the weight that a response has to cover
+   * @param weightByShard the requested shards and their shares of the weight
+   */
   public void recordQuery(
       String id,
-      int gatherer,
-      Idempotency repeat,
-      double floor,
+      int router,
+      Idempotency idempotency,
+      double minimumWeight,
       long atUs,
-      long limitUs,
-      Map<Integer, Double> weights) {
-    scans.put(id, new Held(gatherer, repeat, floor, limitUs, Map.copyOf(weights)));
-    if (figures.retryBudgetWindowUs() > 0) {
-      Deque<Long> times = taken.computeIfAbsent(gatherer, g -> new ArrayDeque<>());
-      for (int i = 0; i <= weights.size(); i++) {
+      long deadlineUs,
+      Map<Integer, Double> weightByShard) {
+    queries.put(
+        id,
+        new TrackedQuery(
+            router, idempotency, minimumWeight, deadlineUs, Map.copyOf(weightByShard)));
+    if (settings.retryBudgetWindowUs() > 0) {
+      Deque<Long> times = requestTimes.computeIfAbsent(router, r -> new ArrayDeque<>());
+      // The query itself and each of its shard requests count toward the budget.
+      for (int i = 0; i <= weightByShard.size(); i++) {
         times.add(atUs);
       }
-      within(times, atUs);
+      countWithinBudgetWindow(times, atUs);
     }
   }
 
-  /** A part came whole to a server. */
+  /**
+   * Records that an attempt of a shard request arrived at a shard server.
+   *
+   * @param id the correlation ID of the query that it belongs to
+   */
   public void recordAttempt(
-      String id, int shard, int gatherer, int server, long atUs, Execution run) {
+      String id, int shard, int router, int server, long atUs, Execution execution) {
     attempts++;
-    Held held = scans.get(id);
-    if (held == null) {
-      // Its scan was judged long ago, or never asked: either way nothing should come.
-      breaks(1, atUs, "a part of scan " + id + " came to server " + server + " long after its end");
+    TrackedQuery query = queries.get(id);
+    if (query == null) {
+      // The query was checked and removed before, or was never sent.
+      addViolation(
+          1, atUs, "attempt for unknown or finished query " + id + " arrived at server " + server);
       return;
     }
-    List<Sent> before = held.sent.computeIfAbsent(shard, s -> new ArrayList<>());
-    if (!held.weights.containsKey(shard)) {
-      breaks(5, atUs, "scan " + id + " never asked for shard " + shard);
+    List<Attempt> received = query.attemptsByShard.computeIfAbsent(shard, s -> new ArrayList<>());
+    if (!query.weightByShard.containsKey(shard)) {
+      addViolation(5, atUs, "query " + id + " did not request shard " + shard);
     }
-    before.add(new Sent(atUs, server, run));
-    Deque<Told> lines = recordAnnouncement.getOrDefault(gatherer, Map.of()).get(server);
-    Told last = null;
-    for (Told line : lines == null ? new ArrayDeque<Told>() : lines) {
-      last = line.atUs <= atUs ? line : last;
+    received.add(new Attempt(atUs, server, execution));
+    Deque<Announcement> history = announcements.getOrDefault(router, Map.of()).get(server);
+    Announcement last = null;
+    for (Announcement announcement : history == null ? new ArrayDeque<Announcement>() : history) {
+      last = announcement.atUs <= atUs ? announcement : last;
     }
     if (last != null
-        && !last.mayHaveWork
-        && atUs > last.atUs + figures.drainGraceUs() + figures.deliverySlackUs()) {
-      breaks(
+        && !last.acceptsRequests
+        && atUs > last.atUs + settings.drainGraceUs() + settings.deliverySlackUs()) {
+      addViolation(
           3,
           atUs,
-          "gatherer "
-              + gatherer
-              + " sent to server "
+          "router "
+              + router
+              + " sent an attempt to server "
               + server
               + " "
               + (atUs - last.atUs) / 1000
-              + " ms after it was told that it drains or is gone");
+              + " ms after discovery announced it as draining or gone");
     }
-    if (before.size() > 1 && figures.retryBudgetWindowUs() > 0) {
-      Deque<Long> times = further.computeIfAbsent(gatherer, g -> new ArrayDeque<>());
+    if (received.size() > 1 && settings.retryBudgetWindowUs() > 0) {
+      Deque<Long> times = furtherAttemptTimes.computeIfAbsent(router, r -> new ArrayDeque<>());
       times.add(atUs);
       double allowed =
-          figures.retryBudgetFloor()
-              + figures.retryBudgetRatio() * within(taken.get(gatherer), atUs);
-      long made = within(times, atUs);
-      if (made > allowed) {
-        breaks(
+          settings.retryBudgetFloor()
+              + settings.retryBudgetRatio()
+                  * countWithinBudgetWindow(requestTimes.get(router), atUs);
+      long furtherAttempts = countWithinBudgetWindow(times, atUs);
+      if (furtherAttempts > allowed) {
+        addViolation(
             6,
             atUs,
-            "gatherer "
-                + gatherer
+            "router "
+                + router
                 + " made "
-                + made
-                + " further dispatches where "
-                + allowed
-                + " are allowed");
+                + furtherAttempts
+                + " further attempts in the window, retry budget is "
+                + allowed);
       }
     }
   }
 
-  private long within(Deque<Long> times, long now) {
+  private long countWithinBudgetWindow(Deque<Long> times, long now) {
     while (times != null
         && !times.isEmpty()
-        && times.peekFirst() < now - figures.retryBudgetWindowUs()) {
+        && times.peekFirst() < now - settings.retryBudgetWindowUs()) {
       times.pollFirst();
     }
     return times == null ? 0 : times.size();
   }
 
   /**
-   * Work came to a server that can do only this share of its work now (1: warm), of so much a
-   * second.
+   * Records that work arrived at a server.
+   *
+   * @param workUs the work, in microseconds of execution time
+   * @param capacityUsPerS the work that the warm server executes per second
+   * @param warmth share of this capacity that the server has now; 1 after slow start
    */
   public void recordWork(
       int server, long atUs, double workUs, double capacityUsPerS, double warmth) {
     if (warmth >= 1) {
-      cold.remove(server);
+      slowStartLoads.remove(server);
       return;
     }
-    Cold state = cold.computeIfAbsent(server, s -> new Cold());
-    state.arrivals.add(new double[] {atUs, workUs});
-    state.sum += workUs;
-    while (state.arrivals.peekFirst()[0] < atUs - figures.overloadWindowUs()) {
-      state.sum -= state.arrivals.pollFirst()[1];
+    SlowStartLoad load = slowStartLoads.computeIfAbsent(server, s -> new SlowStartLoad());
+    load.arrivals.add(new double[] {atUs, workUs});
+    load.workUs += workUs;
+    while (load.arrivals.peekFirst()[0] < atUs - settings.overloadWindowUs()) {
+      load.workUs -= load.arrivals.pollFirst()[1];
     }
     double allowed =
-        figures.overloadMultiple() * warmth * capacityUsPerS * figures.overloadWindowUs() / 1e6;
-    if (state.sum > allowed * 1.1 && !state.fell) {
-      state.fell = true;
-      breaks(
+        settings.overloadMultiple() * warmth * capacityUsPerS * settings.overloadWindowUs() / 1e6;
+    if (load.workUs > allowed * 1.1 && !load.violated) {
+      load.violated = true;
+      addViolation(
           4,
           atUs,
           "server "
@@ -223,206 +284,225 @@
               + ", at "
               + Math.round(100 * warmth)
               + "% of its capacity, was sent "
-              + Math.round(state.sum / 1000)
+              + Math.round(load.workUs / 1000)
               + " ms of work in "
-              + figures.overloadWindowUs() / 1000
+              + settings.overloadWindowUs() / 1000
               + " ms");
     }
   }
 
-  /** Discovery wrote to a gatherer that a server may have work, or may have no new work. */
-  public void recordAnnouncement(int gatherer, int server, boolean mayHaveWork, long atUs) {
-    Deque<Told> lines =
-        recordAnnouncement
-            .computeIfAbsent(gatherer, g -> new HashMap<>())
+  /**
+   * Records that discovery announced to a router whether a server accepts new requests. Only
+   * changes are kept.
+   */
+  public void recordAnnouncement(int router, int server, boolean acceptsRequests, long atUs) {
+    Deque<Announcement> history =
+        announcements
+            .computeIfAbsent(router, r -> new HashMap<>())
             .computeIfAbsent(server, s -> new ArrayDeque<>());
-    if (lines.isEmpty() || lines.peekLast().mayHaveWork != mayHaveWork) {
-      lines.add(new Told(atUs, mayHaveWork));
-      if (lines.size() > 64) {
-        lines.pollFirst();
+    if (history.isEmpty() || history.peekLast().acceptsRequests != acceptsRequests) {
+      history.add(new Announcement(atUs, acceptsRequests));
+      if (history.size() > 64) {
+        history.pollFirst();
       }
     }
   }
 
-  /** A gatherer was killed or ended: what it held is no longer its duty. */
-  public void recordRouterExit(int gatherer) {
-    scans.values().stream()
-        .filter(held -> held.gatherer == gatherer && held.answers == 0)
-        .forEach(held -> held.gathererDied = true);
+  /** Records that a router was killed; it no longer owes responses to its open queries. */
+  public void recordRouterExit(int router) {
+    queries.values().stream()
+        .filter(query -> query.router == router && query.responses == 0)
+        .forEach(query -> query.routerKilled = true);
   }
 
   /**
-   * A client has its reply whole, or has given up waiting.
+   * Records that a client received the complete response to a query, or stopped waiting for it.
    *
-   * @param in the shards whose right value stands in the answer
-   * @param wrong how many values stand in it that no server made for it
+   * @param correctShards the shards with a correct value in the response
+   * @param wrongValues number of values in the response that no server returned for this query
+   * @param complete whether the response is marked complete
    */
   public void recordResponse(
-      String id, long atUs, Response reply, Set<Integer> in, int wrong, boolean whole) {
-    Held held = scans.get(id);
-    if (held == null) {
+      String id,
+      long atUs,
+      Response response,
+      Set<Integer> correctShards,
+      int wrongValues,
+      boolean complete) {
+    TrackedQuery query = queries.get(id);
+    if (query == null) {
       return;
     }
-    if (reply == Response.REQUEST_NOT_SENT || reply == Response.CONNECTION_CLOSED) {
-      held.reply = reply;
-      held.answeredUs = atUs;
+    if (response == Response.REQUEST_NOT_SENT || response == Response.CONNECTION_CLOSED) {
+      query.response = response;
+      query.respondedUs = atUs;
       return;
     }
-    if (reply == Response.NO_RESPONSE) {
-      held.answeredUs = atUs;
+    if (response == Response.NO_RESPONSE) {
+      query.respondedUs = atUs;
       return;
     }
-    held.answers++;
-    held.answeredUs = atUs;
-    held.reply = reply;
-    if (held.answers > 1) {
-      breaks(1, atUs, "scan " + id + " got " + held.answers + " final answers");
+    query.responses++;
+    query.respondedUs = atUs;
+    query.response = response;
+    if (query.responses > 1) {
+      addViolation(1, atUs, "query " + id + " got " + query.responses + " final responses");
     }
-    if (atUs > held.limitUs + figures.answerSlackUs() + figures.deliverySlackUs()) {
-      breaks(
+    if (atUs > query.deadlineUs + settings.answerSlackUs() + settings.deliverySlackUs()) {
+      addViolation(
           1,
           atUs,
-          "scan " + id + " got its answer " + (atUs - held.limitUs) / 1000 + " ms after its time");
+          "query "
+              + id
+              + " got its response "
+              + (atUs - query.deadlineUs) / 1000
+              + " ms after its deadline");
     }
-    if (reply == Response.ANSWERED) {
-      double share = 0;
-      for (int shard : new HashSet<>(in)) {
-        share += held.weights.getOrDefault(shard, 0.0);
+    if (response == Response.ANSWERED) {
+      double weight = 0;
+      for (int shard : new HashSet<>(correctShards)) {
+        weight += query.weightByShard.getOrDefault(shard, 0.0);
       }
-      if (wrong > 0) {
-        breaks(
+      if (wrongValues > 0) {
+        addViolation(
             5,
             atUs,
-            "scan " + id + " was answered with " + wrong + " values that no server made for it");
+            "response to query "
+                + id
+                + " holds "
+                + wrongValues
+                + " values that no server returned for it");
       }
-      if (share < held.floor - 1e-4) {
-        breaks(
+      if (weight < query.minimumWeight - 1e-4) {
+        addViolation(
             5,
             atUs,
-            "scan "
+            "response to query "
                 + id
-                + " was answered from a share of "
-                + share
-                + ", its least is "
-                + held.floor);
+                + " covers a weight of "
+                + weight
+                + ", minimum is "
+                + query.minimumWeight);
       }
-      if (whole && in.size() < held.weights.size()) {
-        breaks(
+      if (complete && correctShards.size() < query.weightByShard.size()) {
+        addViolation(
             5,
             atUs,
-            "scan "
+            "response to query "
                 + id
-                + " was marked whole with "
-                + in.size()
+                + " is marked complete with "
+                + correctShards.size()
                 + " of "
-                + held.weights.size()
-                + " parts");
+                + query.weightByShard.size()
+                + " shards");
       }
     }
   }
 
   /**
-   * Judges what has had its time; to be called now and then, and with the end of time at the end.
+   * Checks and removes the queries with no further events to come. To be called regularly, and at
+   * the end with a time past all deadlines.
    */
   public void checkDueQueries(long nowUs) {
-    Iterator<Map.Entry<String, Held>> entries = scans.entrySet().iterator();
+    Iterator<Map.Entry<String, TrackedQuery>> entries = queries.entrySet().iterator();
     while (entries.hasNext()) {
-      Map.Entry<String, Held> entry = entries.next();
-      Held held = entry.getValue();
-      if (held.limitUs + figures.answerSlackUs() + WHILE_US > nowUs) {
-        // Scans of one table type come in order; a longer one in front only delays the others'
-        // judgement.
+      Map.Entry<String, TrackedQuery> entry = entries.next();
+      TrackedQuery query = entry.getValue();
+      if (query.deadlineUs + settings.answerSlackUs() + LATE_EVENT_GRACE_US > nowUs) {
+        // Deadlines are in order only within a query class, so later entries may be due already.
         continue;
       }
-      checkDueQueries(entry.getKey(), held);
+      checkQuery(entry.getKey(), query);
       checkedQueries++;
       entries.remove();
     }
   }
 
-  private void checkDueQueries(String id, Held held) {
-    boolean answered =
-        held.reply == Response.ANSWERED
-            || held.reply == Response.THROTTLED
-            || held.reply == Response.FAILED;
-    boolean taken =
-        held.reply == Response.NO_RESPONSE
-            || held.reply == Response.CONNECTION_CLOSED && !held.sent.isEmpty();
-    if (!answered && !held.gathererDied && taken) {
-      breaks(
+  private void checkQuery(String id, TrackedQuery query) {
+    boolean responded =
+        query.response == Response.ANSWERED
+            || query.response == Response.THROTTLED
+            || query.response == Response.FAILED;
+    boolean accepted =
+        query.response == Response.NO_RESPONSE
+            || query.response == Response.CONNECTION_CLOSED && !query.attemptsByShard.isEmpty();
+    if (!responded && !query.routerKilled && accepted) {
+      addViolation(
           1,
-          held.limitUs,
-          "scan "
+          query.deadlineUs,
+          "query "
               + id
-              + (held.reply == Response.NO_RESPONSE
-                  ? " never got a final answer"
-                  : " lost its connection though parts of it had been sent"));
+              + (query.response == Response.NO_RESPONSE
+                  ? " got no final response"
+                  : " lost its connection after shard requests had been sent"));
     }
-    for (Map.Entry<Integer, List<Sent>> entry : held.sent.entrySet()) {
-      List<Sent> sent = entry.getValue();
-      sent.sort((a, b) -> Long.compare(a.atUs, b.atUs));
-      if (answered) {
-        for (Sent one : sent) {
-          if (one.atUs > held.answeredUs + figures.deliverySlackUs()) {
-            breaks(
+    for (Map.Entry<Integer, List<Attempt>> entry : query.attemptsByShard.entrySet()) {
+      List<Attempt> shardAttempts = entry.getValue();
+      shardAttempts.sort((a, b) -> Long.compare(a.atUs, b.atUs));
+      if (responded) {
+        for (Attempt attempt : shardAttempts) {
+          if (attempt.atUs > query.respondedUs + settings.deliverySlackUs()) {
+            addViolation(
                 1,
-                one.atUs,
+                attempt.atUs,
                 "shard "
                     + entry.getKey()
-                    + " of scan "
+                    + " of query "
                     + id
                     + " was sent "
-                    + (one.atUs - held.answeredUs) / 1000
-                    + " ms after the final answer");
+                    + (attempt.atUs - query.respondedUs) / 1000
+                    + " ms after the final response");
           }
         }
       }
-      if (held.repeat == Idempotency.NON_IDEMPOTENT) {
-        boolean ran = false;
-        for (Sent one : sent) {
-          if (ran) {
-            breaks(
+      if (query.idempotency == Idempotency.NON_IDEMPOTENT) {
+        boolean executed = false;
+        for (Attempt attempt : shardAttempts) {
+          if (executed) {
+            addViolation(
                 2,
-                one.atUs,
+                attempt.atUs,
                 "shard "
                     + entry.getKey()
-                    + " of scan "
+                    + " of non-idempotent query "
                     + id
-                    + ", which must not run twice, was sent again after it may have run");
+                    + " was sent again after it may have been executed");
           }
-          ran |= one.run == Execution.EXECUTED;
+          executed |= attempt.execution == Execution.EXECUTED;
         }
-        if (ran && held.reply == Response.THROTTLED) {
-          breaks(
+        if (executed && query.response == Response.THROTTLED) {
+          addViolation(
               2,
-              held.answeredUs,
-              "scan " + id + ", which must not run twice, was throttled after a part had run");
+              query.respondedUs,
+              "non-idempotent query " + id + " was throttled after a shard request was executed");
         }
       }
     }
   }
 
-  private void breaks(int rule, long atUs, String what) {
+  private void addViolation(int rule, long atUs, String description) {
     countsByRule.merge(rule, 1L, Long::sum);
-    if (violations.size() < KEPT) {
-      violations.add(new Violation(rule, atUs, what));
+    if (violations.size() < MAX_KEPT_VIOLATIONS) {
+      violations.add(new Violation(rule, atUs, description));
     }
   }
 
-  /** How often each rule was broken; empty is good. */
+  /** Returns the number of violations by the rule's number, without rules that were kept. */
   public Map<Integer, Long> countsByRule() {
     return countsByRule;
   }
 
-  /** The first of them, in words. */
+  /** Returns the first violations, at most {@value #MAX_KEPT_VIOLATIONS}. */
   public List<Violation> violations() {
     return violations;
   }
 
+  /** Returns the number of queries checked and removed so far. */
   public long checkedQueries() {
     return checkedQueries;
   }
 
+  /** Returns the number of attempts of shard requests that arrived at shard servers. */
   public long attempts() {
     return attempts;
   }
--- a/testbed/src/main/java/tidebank/testbed/replay/ClientRetryPolicy.java
+++ b/testbed/src/main/java/tidebank/testbed/replay/ClientRetryPolicy.java
@@ -5,95 +5,110 @@
 import tidebank.model.Idempotency;
 
 /**
- * Decides what a client does after a try: ask again and when, or give up. A request that must not
- * run twice is asked again only if no try of it can have run. Pure: time comes in, chance comes
- * from a seed and the request's own name.
+ * The retry policy of the emulated clients: decides whether and when a client retries a query. A
+ * non-idempotent query is retried only if no attempt of it can have been executed. It has no clock:
+ * callers pass the time. Jitter is derived from a seed and the query's name, so it is the same in
+ * every run.
  */
 public final class ClientRetryPolicy {
-  /** How a try came back. */
+  /** The result of one client attempt. */
   public enum AttemptResult {
     ANSWERED,
     THROTTLED,
     FAILED,
-    /** The connection never came up, or broke before the request was written whole. */
+    /** No connection was established, or it was lost before the request was written completely. */
     NOT_REACHED,
-    /** It broke or ended afterwards. */
+    /** The connection was lost after the request was written. */
     BROKEN_OFF,
     TIMED_OUT
   }
 
-  private static final int DOUBLINGS_MOST = 6;
+  private static final int MAX_DOUBLINGS = 6;
 
-  private final int retries;
-  private final long waitUs;
+  private final int maxRetries;
+  private final long baseDelayUs;
   private final long seed;
 
-  public ClientRetryPolicy(int retries, long waitUs, long seed) {
-    this.retries = retries;
-    this.waitUs = waitUs;
+  /**
+   * Creates a policy.
+   *
+   * @param maxRetries maximum number of retries of a query
+   * @param baseDelayUs mean delay before the first retry
+   * @param seed seed of the jitter
+   */
+  public ClientRetryPolicy(int maxRetries, long baseDelayUs, long seed) {
+    this.maxRetries = maxRetries;
+    this.baseDelayUs = baseDelayUs;
     this.seed = seed;
   }
 
   /**
-   * Which gatherer a try goes to: those that are admitted in turn; if none is, all in turn, as a
-   * front that knows no better.
+   * Selects the router for an attempt, round robin over the available routers, or over all if none
+   * is available.
    *
-   * @param turn counts tries
-   * @param admitted whether each gatherer is
+   * @param attemptNumber number of attempts that were sent before, to any router
+   * @param available whether each router is available
+   * @return the router's index
    */
-  static int selectRouter(long turn, boolean[] admitted) {
+  static int selectRouter(long attemptNumber, boolean[] available) {
     int count = 0;
-    for (boolean one : admitted) {
-      count += one ? 1 : 0;
+    for (boolean isAvailable : available) {
+      count += isAvailable ? 1 : 0;
     }
     if (count == 0) {
-      return (int) (turn % admitted.length);
+      return (int) (attemptNumber % available.length);
     }
-    long skip = turn % count;
+    long skip = attemptNumber % count;
     for (int i = 0; ; i++) {
-      if (admitted[i] && skip-- == 0) {
+      if (available[i] && skip-- == 0) {
         return i;
       }
     }
   }
 
-  /** Whether trying again can do no harm: proved never to have run, or may run again. */
-  static boolean isSafeToRetry(Idempotency repeat, AttemptResult came) {
-    return switch (came) {
+  /**
+   * Returns whether a retry is needed and safe: the query was not executed, or may be executed
+   * again. Never true after a timeout, which leaves no time for a retry.
+   */
+  static boolean isSafeToRetry(Idempotency idempotency, AttemptResult result) {
+    return switch (result) {
       case ANSWERED, TIMED_OUT -> false;
       case THROTTLED, NOT_REACHED -> true;
-      case FAILED, BROKEN_OFF -> repeat == Idempotency.IDEMPOTENT;
+      case FAILED, BROKEN_OFF -> idempotency == Idempotency.IDEMPOTENT;
     };
   }
 
   /**
-   * When to try again, or -1 to give up.
+   * Computes when to send the next attempt. The delay doubles with each attempt, with a jitter of
+   * ±50%.
    *
-   * @param name of the request, for its chance
-   * @param tries made so far
-   * @param holdOffUs what the gatherer asked to wait, 0 if nothing
-   * @param limitUs when the client's time is over
+   * @param name the query's name, from which its jitter is derived
+   * @param attempts number of attempts so far
+   * @param retryAfterUs least delay that the router asked for, or 0
+   * @param deadlineUs the client's deadline
+   * @return the time of the next attempt in microseconds, or -1 to give up
    */
   public long computeRetryTime(
       String name,
-      Idempotency repeat,
-      AttemptResult came,
-      int tries,
+      Idempotency idempotency,
+      AttemptResult result,
+      int attempts,
       long nowUs,
-      long holdOffUs,
-      long limitUs) {
-    if (tries > retries || !isSafeToRetry(repeat, came)) {
+      long retryAfterUs,
+      long deadlineUs) {
+    if (attempts > maxRetries || !isSafeToRetry(idempotency, result)) {
       return -1;
     }
-    long doubled = waitUs << Math.min(tries - 1, DOUBLINGS_MOST);
-    long wait = Math.max(holdOffUs, doubled / 2 + (long) (chance(name, tries) * doubled));
-    // A try needs a moment of its own; without one it is no try.
-    return nowUs + wait + waitUs > limitUs ? -1 : nowUs + wait;
+    long meanDelay = baseDelayUs << Math.min(attempts - 1, MAX_DOUBLINGS);
+    long delay =
+        Math.max(retryAfterUs, meanDelay / 2 + (long) (randomFraction(name, attempts) * meanDelay));
+    // Gives up if the attempt would have less time until the deadline than the base delay.
+    return nowUs + delay + baseDelayUs > deadlineUs ? -1 : nowUs + delay;
   }
 
-  private double chance(String name, int tries) {
+  private double randomFraction(String name, int attempts) {
     CRC32 crc = new CRC32();
-    crc.update((seed + "/" + name + "/" + tries).getBytes(StandardCharsets.UTF_8));
+    crc.update((seed + "/" + name + "/" + attempts).getBytes(StandardCharsets.UTF_8));
     return crc.getValue() / 0x1p32;
   }
 }
--- a/testbed/src/main/java/tidebank/testbed/replay/Incident.java
+++ b/testbed/src/main/java/tidebank/testbed/replay/Incident.java
@@ -1,30 +1,30 @@
 package tidebank.testbed.replay;
 
 /**
- * Something that happens to a server or a gatherer in a replay.
+ * An incident that a replay injects into a shard server, discovery or a router.
  *
- * @param atUs from the start of the replay
- * @param kind what happens
- * @param index which server or gatherer
+ * @param atUs when it is injected, in microseconds from the start of the replay
+ * @param kind the kind of incident
+ * @param index the index of the server or router, from 0
  */
 public record Incident(long atUs, Kind kind, int index) {
-  /** What can happen. */
+  /** The kinds of incidents. */
   public enum Kind {
-    /** The server takes no more and ends what it has; the roster says so. */
+    /** The server rejects new requests and completes those it has; discovery reports it. */
     SERVER_DRAINS,
-    /** The server dies, and the roster says nothing yet. */
+    /** The server fails, and discovery does not report it yet. */
     SERVER_DIES,
-    /** The roster says that it is gone. */
+    /** Discovery reports the server as gone. */
     ROSTER_GONE,
-    /** The server is back, cold, and the roster says so. */
+    /** The server is back and in slow start, and discovery reports it as ready. */
     SERVER_BACK,
-    /** The server takes parts and answers none. */
+    /** The server accepts shard requests and sends no responses. */
     SERVER_SILENT,
-    /** It answers again. */
+    /** The silent server sends responses again. */
     SERVER_SPEAKS,
-    /** The gatherer gets SIGKILL and is started anew. */
+    /** The router gets SIGKILL and is started again. */
     GATHERER_KILLED,
-    /** The gatherer gets SIGTERM and is started anew once it has ended. */
+    /** The router gets SIGTERM and is started again after it has ended. */
     GATHERER_RESTARTED
   }
 }
--- a/testbed/src/main/java/tidebank/testbed/replay/LoadGenerator.java
+++ b/testbed/src/main/java/tidebank/testbed/replay/LoadGenerator.java
@@ -52,61 +52,63 @@
 import tidebank.testbed.trace.TraceRow;
 
 /**
- * The clients of a replay: an open loop, in which arrivals never wait for answers. A scan is sent
- * at its intended time or as soon after it as this process can; how late that was is measured, and
- * a scan's time counts from when it was intended. All of it belongs to one event loop; only the
- * reading of the trace has a thread of its own.
+ * The open-loop load generator of a replay: arrivals never wait for responses. A query is sent at
+ * its intended time or as soon as possible afterwards. The lateness is recorded, and latency counts
+ * from the intended time, to avoid coordinated omission. Everything runs on one event loop, except
+ * that a separate thread reads the trace.
  */
 final class LoadGenerator {
-  private static final int AHEAD = 20_000;
-  private static final int BODY_MOST = 4 << 20;
+  private static final int MAX_READ_AHEAD = 20_000;
+  private static final int MAX_RESPONSE_BYTES = 4 << 20;
 
   /**
-   * How long after a client's time an answer is still waited for, to tell a late answer from none.
+   * How long after its deadline a client still waits for a response, so that the audit can tell a
+   * late response from a missing one.
    */
-  private static final long PATIENCE_US = 300_000;
+  private static final long LATE_RESPONSE_WAIT_US = 300_000;
 
-  private static final int CONNECTIONS_MOST = 2000;
+  private static final int MAX_CONNECTIONS_PER_ROUTER = 2000;
 
-  /** One gatherer as its clients see it. */
+  /** A router's address, availability and connections, as seen by the clients. */
   static final class RouterEndpoint {
     final int index;
     volatile InetSocketAddress address;
     volatile boolean available = true;
     private final Deque<Channel> idle = new ArrayDeque<>();
-    private int open;
+    private int openConnections;
 
-    RouterEndpoint(int number, InetSocketAddress address) {
-      this.index = number;
+    RouterEndpoint(int index, InetSocketAddress address) {
+      this.index = index;
       this.address = address;
     }
   }
 
-  private static final class Scan {
+  /** A query read from the trace, with its request body and the attempts made so far. */
+  private static final class Query {
     final long number;
     final TraceRow row;
-    final Deployment.Type type;
-    final long intended;
-    final long limit;
-    final Map<Integer, Double> weights = new HashMap<>();
+    final Deployment.Type queryClass;
+    final long intendedUs;
+    final long deadlineUs;
+    final Map<Integer, Double> weightByShard = new HashMap<>();
     final String body;
-    long sent = -1;
-    int tries;
+    long firstSentUs = -1;
+    int attempts;
 
-    Scan(long number, TraceRow row, Deployment.Type type, long intended, int shards) {
+    Query(long number, TraceRow row, Deployment.Type queryClass, long intendedUs, int shards) {
       this.number = number;
       this.row = row;
-      this.type = type;
-      this.intended = intended;
-      limit = intended + type.timeoutUs();
-      int parts = Math.min(row.parts(), shards);
-      StringBuilder ranges = new StringBuilder("{\"ranges\":[");
-      for (int place = 0; place < parts; place++) {
-        int shard = (row.depot() + place) % shards;
-        double weight = parts == row.parts() ? row.weightOf(place) : 1.0 / parts;
-        weights.put(shard, weight);
-        ranges
-            .append(place > 0 ? "," : "")
+      this.queryClass = queryClass;
+      this.intendedUs = intendedUs;
+      deadlineUs = intendedUs + queryClass.timeoutUs();
+      int shardCount = Math.min(row.parts(), shards);
+      StringBuilder requestBody = new StringBuilder("{\"ranges\":[");
+      for (int position = 0; position < shardCount; position++) {
+        int shard = (row.depot() + position) % shards;
+        double weight = shardCount == row.parts() ? row.weightOf(position) : 1.0 / shardCount;
+        weightByShard.put(shard, weight);
+        requestBody
+            .append(position > 0 ? "," : "")
             .append("{\"range\":")
             .append(shard)
             .append(",\"portion\":")
@@ -114,71 +116,78 @@
             .append('}');
       }
       body =
-          ranges
+          requestBody
               .append("],\"predicate\":\"")
-              .append(EmulatorPayloads.queryText(safe(row.key()), row.workUs()))
+              .append(EmulatorPayloads.queryText(sanitize(row.key()), row.workUs()))
               .append("\"}")
               .toString();
     }
 
-    private static String safe(String key) {
+    private static String sanitize(String key) {
       return key.replaceAll("[^A-Za-z0-9_.:/-]", "_");
     }
   }
 
-  private final class Try {
-    final Scan scan;
-    final RouterEndpoint target;
+  /** A client attempt: one request for a query to one router. */
+  private final class Attempt {
+    final Query query;
+    final RouterEndpoint router;
     final String id;
     Channel channel;
     ScheduledFuture<?> timer;
     boolean written;
-    boolean over;
+    boolean finished;
 
-    Try(Scan scan, RouterEndpoint target) {
-      this.scan = scan;
-      this.target = target;
-      id = seedText + "-" + Long.toString(scan.number, 36) + "-" + scan.tries;
+    Attempt(Query query, RouterEndpoint router) {
+      this.query = query;
+      this.router = router;
+      id = idPrefix + "-" + Long.toString(query.number, 36) + "-" + query.attempts;
     }
   }
 
-  private final Deployment site;
-  private final List<RouterEndpoint> targets;
-  private final ClientRetryPolicy rules;
+  private final Deployment deployment;
+  private final List<RouterEndpoint> routers;
+  private final ClientRetryPolicy retryPolicy;
   private final RuleAudit audit;
   private final Clock clock;
   private final EventLoop loop;
-  private final String seedText;
-  private final Consumer<QueryRecord> to;
+  private final String idPrefix;
+  private final Consumer<QueryRecord> results;
   private final ObjectMapper json = new ObjectMapper();
   private final Bootstrap bootstrap;
-  private final BlockingQueue<Scan> ahead = new ArrayBlockingQueue<>(AHEAD);
-  private final CompletableFuture<Void> ended = new CompletableFuture<>();
+  private final BlockingQueue<Query> upcoming = new ArrayBlockingQueue<>(MAX_READ_AHEAD);
+  private final CompletableFuture<Void> done = new CompletableFuture<>();
   private final Histogram lateness = new Histogram(TimeUnit.MINUTES.toMicros(10), 3);
   private final Histogram latency = new Histogram(TimeUnit.MINUTES.toMicros(10), 3);
-  private volatile boolean read;
+  private volatile boolean traceRead;
   private long startUs;
-  private long held;
+  private long openQueries;
   private long sentQueries;
-  private long turn;
+  private long attemptCount;
 
+  /**
+   * Creates a load generator.
+   *
+   * @param idPrefix prefix of the correlation IDs of all attempts
+   * @param results receives the result of each query, on the event loop
+   */
   LoadGenerator(
-      Deployment site,
-      List<RouterEndpoint> targets,
-      ClientRetryPolicy rules,
+      Deployment deployment,
+      List<RouterEndpoint> routers,
+      ClientRetryPolicy retryPolicy,
       RuleAudit audit,
       Clock clock,
       EventLoop loop,
-      String seedText,
-      Consumer<QueryRecord> to) {
-    this.site = site;
-    this.targets = targets;
-    this.rules = rules;
+      String idPrefix,
+      Consumer<QueryRecord> results) {
+    this.deployment = deployment;
+    this.routers = routers;
+    this.retryPolicy = retryPolicy;
     this.audit = audit;
     this.clock = clock;
     this.loop = loop;
-    this.seedText = seedText;
-    this.to = to;
+    this.idPrefix = idPrefix;
+    this.results = results;
     bootstrap =
         new Bootstrap()
             .group(loop)
@@ -193,15 +202,18 @@
                         .pipeline()
                         .addLast(
                             new HttpClientCodec(),
-                            new HttpObjectAggregator(BODY_MOST),
-                            new Answers());
+                            new HttpObjectAggregator(MAX_RESPONSE_BYTES),
+                            new ResponseHandler());
                   }
                 });
   }
 
   /**
-   * Begins to send rows whose times count from this moment. The future ends when the last has its
-   * end.
+   * Starts to send the queries of a trace.
+   *
+   * @param startAtUs the time to which the rows' times are relative
+   * @return completed when the last query has ended or {@link #stop} was called; failed if the
+   *     trace can't be read or names an unknown query class
    */
   CompletableFuture<Void> start(Iterator<TraceRow> rows, long startAtUs) {
     startUs = startAtUs;
@@ -210,110 +222,117 @@
             () -> {
               try {
                 long number = 0;
-                while (rows.hasNext() && !ended.isDone()) {
+                while (rows.hasNext() && !done.isDone()) {
                   TraceRow row = rows.next();
-                  Deployment.Type type = site.types().get(row.tableType());
-                  if (type == null) {
+                  Deployment.Type queryClass = deployment.types().get(row.tableType());
+                  if (queryClass == null) {
                     throw new IOException(
-                        "table type \""
+                        "query class \""
                             + row.tableType()
-                            + "\" of the trace is none of the site's: "
-                            + String.join(", ", site.types().keySet()));
+                            + "\" of the trace is not defined in the deployment; defined are "
+                            + String.join(", ", deployment.types().keySet()));
                   }
-                  Scan scan =
-                      new Scan(number++, row, type, startAtUs + row.timeUs(), site.shards());
-                  while (!ahead.offer(scan, 100, TimeUnit.MILLISECONDS)) {
-                    if (ended.isDone()) {
+                  Query query =
+                      new Query(
+                          number++, row, queryClass, startAtUs + row.timeUs(), deployment.shards());
+                  while (!upcoming.offer(query, 100, TimeUnit.MILLISECONDS)) {
+                    if (done.isDone()) {
                       return;
                     }
                   }
                 }
-                read = true;
+                traceRead = true;
               } catch (Exception fault) {
-                ended.completeExceptionally(fault);
+                done.completeExceptionally(fault);
               }
             },
             "trace reader");
     reader.setDaemon(true);
     reader.start();
-    loop.execute(this::pump);
-    return ended;
+    loop.execute(this::sendDueQueries);
+    return done;
   }
 
+  /** Stops sending; queries that have not ended get no result. */
   void stop() {
-    ended.complete(null);
+    done.complete(null);
   }
 
+  /** Returns the number of queries sent so far, without retries. */
   long sentQueries() {
     return sentQueries;
   }
 
+  /** Returns the times from the intended time to sending, in microseconds. */
   Histogram lateness() {
     return lateness;
   }
 
+  /** Returns the times from the intended time to the response, in microseconds. */
   Histogram latency() {
     return latency;
   }
 
-  /** Sends what is due, and comes back for the next. */
-  private void pump() {
-    if (ended.isDone()) {
+  /** Sends the queries that are due and schedules itself for the next one. */
+  private void sendDueQueries() {
+    if (done.isDone()) {
       return;
     }
     long now = clock.now();
-    for (Scan next = ahead.peek(); next != null && next.intended <= now; next = ahead.peek()) {
-      ahead.poll();
-      held++;
-      next.sent = now;
-      lateness.recordValue(Math.min(lateness.getHighestTrackableValue(), now - next.intended));
+    for (Query next = upcoming.peek();
+        next != null && next.intendedUs <= now;
+        next = upcoming.peek()) {
+      upcoming.poll();
+      openQueries++;
+      next.firstSentUs = now;
+      lateness.recordValue(Math.min(lateness.getHighestTrackableValue(), now - next.intendedUs));
       sentQueries++;
       send(next);
     }
-    Scan next = ahead.peek();
-    if (next == null && read && held == 0) {
-      ended.complete(null);
+    Query next = upcoming.peek();
+    if (next == null && traceRead && openQueries == 0) {
+      done.complete(null);
       return;
     }
-    long wait = next == null ? 1000 : Math.max(0, Math.min(next.intended - clock.now(), 50_000));
-    loop.schedule(this::pump, wait, TimeUnit.MICROSECONDS);
+    long wait = next == null ? 1000 : Math.max(0, Math.min(next.intendedUs - clock.now(), 50_000));
+    loop.schedule(this::sendDueQueries, wait, TimeUnit.MICROSECONDS);
   }
 
-  private RouterEndpoint target() {
-    boolean[] admitted = new boolean[targets.size()];
-    for (int i = 0; i < admitted.length; i++) {
-      admitted[i] = targets.get(i).available;
+  private RouterEndpoint nextRouter() {
+    boolean[] available = new boolean[routers.size()];
+    for (int i = 0; i < available.length; i++) {
+      available[i] = routers.get(i).available;
     }
-    return targets.get(ClientRetryPolicy.selectRouter(turn++, admitted));
+    return routers.get(ClientRetryPolicy.selectRouter(attemptCount++, available));
   }
 
-  private void send(Scan scan) {
-    scan.tries++;
-    Try one = new Try(scan, target());
-    one.timer =
+  private void send(Query query) {
+    query.attempts++;
+    Attempt attempt = new Attempt(query, nextRouter());
+    attempt.timer =
         loop.schedule(
-            () -> over(one, AttemptResult.TIMED_OUT, 0),
-            scan.limit + PATIENCE_US - clock.now(),
+            () -> finish(attempt, AttemptResult.TIMED_OUT, 0),
+            query.deadlineUs + LATE_RESPONSE_WAIT_US - clock.now(),
             TimeUnit.MICROSECONDS);
     Channel idle;
-    while ((idle = one.target.idle.pollLast()) != null) {
+    while ((idle = attempt.router.idle.pollLast()) != null) {
       if (idle.isActive()) {
-        write(one, idle);
+        write(attempt, idle);
         return;
       }
     }
-    if (one.target.open >= CONNECTIONS_MOST) {
-      over(one, AttemptResult.NOT_REACHED, 0);
+    if (attempt.router.openConnections >= MAX_CONNECTIONS_PER_ROUTER) {
+      finish(attempt, AttemptResult.NOT_REACHED, 0);
       return;
     }
-    one.target.open++;
+    attempt.router.openConnections++;
     bootstrap
-        .connect(one.target.address)
+        .connect(attempt.router.address)
         .addListener(
             (ChannelFuture connected) -> {
               if (!connected.isSuccess()) {
-                one.target.open--;
-                over(one, AttemptResult.NOT_REACHED, 0);
+                attempt.router.openConnections--;
+                finish(attempt, AttemptResult.NOT_REACHED, 0);
                 return;
               }
               Channel channel = connected.channel();
@@ -321,80 +340,83 @@
                   .closeFuture()
                   .addListener(
                       closed -> {
-                        one.target.open--;
-                        one.target.idle.remove(channel);
+                        attempt.router.openConnections--;
+                        attempt.router.idle.remove(channel);
                       });
-              if (one.over) {
-                one.target.idle.add(channel);
+              if (attempt.finished) {
+                attempt.router.idle.add(channel);
               } else {
-                write(one, channel);
+                write(attempt, channel);
               }
             });
   }
 
-  private void write(Try one, Channel channel) {
-    Scan scan = one.scan;
+  private void write(Attempt attempt, Channel channel) {
+    Query query = attempt.query;
     long now = clock.now();
-    long left = scan.limit - now;
-    if (left <= 0) {
-      one.target.idle.add(channel);
-      over(one, AttemptResult.TIMED_OUT, 0);
+    long remainingUs = query.deadlineUs - now;
+    if (remainingUs <= 0) {
+      attempt.router.idle.add(channel);
+      finish(attempt, AttemptResult.TIMED_OUT, 0);
       return;
     }
-    one.channel = channel;
-    channel.pipeline().get(Answers.class).current = one;
-    ByteBuf body = Unpooled.copiedBuffer(scan.body, StandardCharsets.UTF_8);
+    attempt.channel = channel;
+    channel.pipeline().get(ResponseHandler.class).pending = attempt;
+    ByteBuf body = Unpooled.copiedBuffer(query.body, StandardCharsets.UTF_8);
     DefaultFullHttpRequest request =
         new DefaultFullHttpRequest(
-            HttpVersion.HTTP_1_1, HttpMethod.POST, "/" + scan.type.name(), body);
+            HttpVersion.HTTP_1_1, HttpMethod.POST, "/" + query.queryClass.name(), body);
     request
         .headers()
         .set(HttpHeaderNames.HOST, "replay")
-        .set("X-Correlation-Id", one.id)
-        .set("X-Account", scan.row.account().isEmpty() ? "nobody" : scan.row.account())
-        .set("X-Time-Left", left + "u")
+        .set("X-Correlation-Id", attempt.id)
+        .set("X-Account", query.row.account().isEmpty() ? "nobody" : query.row.account())
+        .set("X-Time-Left", remainingUs + "u")
         .setInt(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
-    if (scan.tries > 1) {
+    if (query.attempts > 1) {
       request.headers().set("X-Repeat", "1");
     }
-    // Told before it is written, so that no dispatch of it can be seen first.
+    // Recorded before the request is written, so that the audit sees it before its shard requests.
     audit.recordQuery(
-        one.id,
-        one.target.index,
-        scan.type.repeat(),
-        scan.type.floor(),
+        attempt.id,
+        attempt.router.index,
+        query.queryClass.repeat(),
+        query.queryClass.floor(),
         now,
-        scan.limit,
-        scan.weights);
+        query.deadlineUs,
+        query.weightByShard);
     channel
         .writeAndFlush(request)
         .addListener(
             written -> {
-              one.written = written.isSuccess();
+              attempt.written = written.isSuccess();
               if (!written.isSuccess()) {
                 channel.close();
-                over(one, AttemptResult.NOT_REACHED, 0);
+                finish(attempt, AttemptResult.NOT_REACHED, 0);
               }
             });
   }
 
-  /** A try is over, and with it perhaps the scan. */
-  private void over(Try one, AttemptResult came, long holdOffUs) {
-    if (one.over) {
+  /**
+   * Ends an attempt without a usable response: schedules a retry, or records the query's result.
+   */
+  private void finish(Attempt attempt, AttemptResult result, long retryAfterUs) {
+    if (attempt.finished) {
       return;
     }
-    one.over = true;
-    one.timer.cancel(false);
+    attempt.finished = true;
+    attempt.timer.cancel(false);
     long now = clock.now();
-    if (one.channel != null
-        && came != AttemptResult.ANSWERED
-        && came != AttemptResult.THROTTLED
-        && came != AttemptResult.FAILED) {
-      // No answer: the client leaves; whether that was the gatherer's fault is the audit's to say.
+    if (attempt.channel != null
+        && result != AttemptResult.ANSWERED
+        && result != AttemptResult.THROTTLED
+        && result != AttemptResult.FAILED) {
+      // Without a response the client closes the connection; the audit decides whether the router
+      // is at fault.
       audit.recordResponse(
-          one.id,
+          attempt.id,
           now,
-          switch (came) {
+          switch (result) {
             case TIMED_OUT -> RuleAudit.Response.NO_RESPONSE;
             case BROKEN_OFF -> RuleAudit.Response.CONNECTION_CLOSED;
             default -> RuleAudit.Response.REQUEST_NOT_SENT;
@@ -402,24 +424,24 @@
           Set.of(),
           0,
           false);
-      one.channel.close();
+      attempt.channel.close();
     }
-    Scan scan = one.scan;
-    long again =
-        rules.computeRetryTime(
-            String.valueOf(scan.number),
-            scan.type.repeat(),
-            came,
-            scan.tries,
+    Query query = attempt.query;
+    long retryAtUs =
+        retryPolicy.computeRetryTime(
+            String.valueOf(query.number),
+            query.queryClass.repeat(),
+            result,
+            query.attempts,
             now,
-            holdOffUs,
-            scan.limit);
-    if (again >= 0 && !ended.isDone()) {
-      loop.schedule(() -> send(scan), again - now, TimeUnit.MICROSECONDS);
+            retryAfterUs,
+            query.deadlineUs);
+    if (retryAtUs >= 0 && !done.isDone()) {
+      loop.schedule(() -> send(query), retryAtUs - now, TimeUnit.MICROSECONDS);
       return;
     }
-    QueryRecord.Outcome end =
-        switch (came) {
+    QueryRecord.Outcome outcome =
+        switch (result) {
           case ANSWERED -> QueryRecord.Outcome.COMPLETED;
           case THROTTLED -> QueryRecord.Outcome.THROTTLED;
           case FAILED -> QueryRecord.Outcome.ABANDONED;
@@ -427,132 +449,135 @@
           case BROKEN_OFF -> QueryRecord.Outcome.BROKEN_OFF;
           case TIMED_OUT -> QueryRecord.Outcome.TIMED_OUT;
         };
-    record(scan, end, now, 0, false);
+    recordResult(query, outcome, now, 0, false);
   }
 
-  private void answered(Try one, double share, boolean whole) {
-    one.over = true;
-    one.timer.cancel(false);
+  private void recordAnswer(Attempt attempt, double answeredWeight, boolean complete) {
+    attempt.finished = true;
+    attempt.timer.cancel(false);
     long now = clock.now();
-    long took = now - one.scan.intended;
-    record(
-        one.scan,
-        took <= one.scan.type.targetUs()
+    long latencyUs = now - attempt.query.intendedUs;
+    recordResult(
+        attempt.query,
+        latencyUs <= attempt.query.queryClass.targetUs()
             ? QueryRecord.Outcome.COMPLETED
-            : took <= one.scan.type.timeoutUs()
+            : latencyUs <= attempt.query.queryClass.timeoutUs()
                 ? QueryRecord.Outcome.COMPLETED_LATE
                 : QueryRecord.Outcome.TIMED_OUT,
         now,
-        share,
-        whole);
+        answeredWeight,
+        complete);
   }
 
-  private void record(Scan scan, QueryRecord.Outcome end, long now, double share, boolean whole) {
+  private void recordResult(
+      Query query, QueryRecord.Outcome outcome, long now, double answeredWeight, boolean complete) {
     boolean completed =
-        end == QueryRecord.Outcome.COMPLETED || end == QueryRecord.Outcome.COMPLETED_LATE;
-    long took = now - scan.intended;
+        outcome == QueryRecord.Outcome.COMPLETED || outcome == QueryRecord.Outcome.COMPLETED_LATE;
+    long latencyUs = now - query.intendedUs;
     if (completed) {
-      latency.recordValue(Math.min(latency.getHighestTrackableValue(), took));
+      latency.recordValue(Math.min(latency.getHighestTrackableValue(), latencyUs));
     }
     double earned =
         completed
             ? ServiceScore.computeEarnedBenefit(
-                scan.type.benefit(),
-                took,
-                scan.type.targetUs(),
-                scan.type.timeoutUs(),
-                scan.type.lateShare(),
-                whole,
-                share,
-                scan.type.partialShare())
+                query.queryClass.benefit(),
+                latencyUs,
+                query.queryClass.targetUs(),
+                query.queryClass.timeoutUs(),
+                query.queryClass.lateShare(),
+                complete,
+                answeredWeight,
+                query.queryClass.partialShare())
             : 0;
-    held--;
-    to.accept(
+    openQueries--;
+    results.accept(
         new QueryRecord(
-            scan.number,
-            scan.type.name(),
-            scan.row.account(),
-            scan.intended - startUs,
-            scan.sent - startUs,
+            query.number,
+            query.queryClass.name(),
+            query.row.account(),
+            query.intendedUs - startUs,
+            query.firstSentUs - startUs,
             now - startUs,
-            end,
-            share,
-            whole,
-            scan.tries,
-            scan.type.benefit(),
+            outcome,
+            answeredWeight,
+            complete,
+            query.attempts,
+            query.queryClass.benefit(),
             earned));
   }
 
-  /** Reads what comes back on a connection. */
-  private final class Answers extends SimpleChannelInboundHandler<FullHttpResponse> {
-    private Try current;
+  /** Reads the responses on a connection. */
+  private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private Attempt pending;
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
-      Try one = current;
-      current = null;
-      if (one == null) {
+      Attempt attempt = pending;
+      pending = null;
+      if (attempt == null) {
         context.close();
         return;
       }
-      boolean stays = HttpUtil.isKeepAlive(response);
+      boolean keepAlive = HttpUtil.isKeepAlive(response);
       int status = response.status().code();
       long now = clock.now();
       if (status == 200) {
-        ok(one, response, now);
+        handleSuccess(attempt, response, now);
       } else {
         boolean throttled = status == 429 || status == 503;
         audit.recordResponse(
-            one.id,
+            attempt.id,
             now,
             throttled ? RuleAudit.Response.THROTTLED : RuleAudit.Response.FAILED,
             Set.of(),
             0,
             false);
-        over(
-            one,
+        finish(
+            attempt,
             throttled ? AttemptResult.THROTTLED : AttemptResult.FAILED,
-            holdOff(response.headers().get("Retry-After")));
+            parseRetryAfter(response.headers().get("Retry-After")));
       }
-      if (stays) {
-        one.target.idle.add(context.channel());
+      if (keepAlive) {
+        attempt.router.idle.add(context.channel());
       } else {
         context.close();
       }
     }
 
-    private void ok(Try one, FullHttpResponse response, long now) {
-      Set<Integer> in = new HashSet<>();
-      int wrong = 0;
-      boolean whole;
-      double share = 0;
+    private void handleSuccess(Attempt attempt, FullHttpResponse response, long now) {
+      Set<Integer> correctShards = new HashSet<>();
+      int wrongValues = 0;
+      boolean complete;
+      double answeredWeight = 0;
       try (ByteBufInputStream body = new ByteBufInputStream(response.content())) {
         JsonNode answer = json.readTree((java.io.InputStream) body);
-        whole = answer.path("total").asBoolean();
+        complete = answer.path("total").asBoolean();
         for (JsonNode part : answer.path("answers")) {
           int shard = part.path("range").asInt(-1);
           if (part.path("blob")
               .asText()
-              .equals(EmulatorPayloads.responseValue(one.id + "." + shard))) {
-            if (in.add(shard)) {
-              share += one.scan.weights.getOrDefault(shard, 0.0);
+              .equals(EmulatorPayloads.responseValue(attempt.id + "." + shard))) {
+            if (correctShards.add(shard)) {
+              answeredWeight += attempt.query.weightByShard.getOrDefault(shard, 0.0);
             }
           } else {
-            wrong++;
+            wrongValues++;
           }
         }
       } catch (IOException fault) {
-        audit.recordResponse(one.id, now, RuleAudit.Response.FAILED, Set.of(), 0, false);
-        over(one, AttemptResult.FAILED, 0);
+        audit.recordResponse(attempt.id, now, RuleAudit.Response.FAILED, Set.of(), 0, false);
+        finish(attempt, AttemptResult.FAILED, 0);
         return;
       }
-      audit.recordResponse(one.id, now, RuleAudit.Response.ANSWERED, in, wrong, whole);
-      if (!one.over) {
-        answered(one, share, whole);
+      audit.recordResponse(
+          attempt.id, now, RuleAudit.Response.ANSWERED, correctShards, wrongValues, complete);
+      if (!attempt.finished) {
+        recordAnswer(attempt, answeredWeight, complete);
       }
     }
 
-    private static long holdOff(String seconds) {
+    /** Returns the header's value in microseconds, or 0 if it is absent or not a number. */
+    private static long parseRetryAfter(String seconds) {
       try {
         return seconds == null ? 0 : Math.max(0, Math.round(Double.parseDouble(seconds) * 1e6));
       } catch (NumberFormatException fault) {
@@ -562,10 +587,10 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-      Try one = current;
-      current = null;
-      if (one != null) {
-        over(one, one.written ? AttemptResult.BROKEN_OFF : AttemptResult.NOT_REACHED, 0);
+      Attempt attempt = pending;
+      pending = null;
+      if (attempt != null) {
+        finish(attempt, attempt.written ? AttemptResult.BROKEN_OFF : AttemptResult.NOT_REACHED, 0);
       }
     }
 
@@ -576,15 +601,15 @@
   }
 
   /**
-   * Connections that are still open are closed; to be called on the loop's thread or before its
-   * end.
+   * Closes all idle connections. To be called on another thread than the event loop's, while the
+   * loop still runs.
    */
   void close() {
     loop.submit(
             () -> {
-              for (RouterEndpoint target : targets) {
-                new ArrayList<>(target.idle).forEach(Channel::close);
-                target.idle.clear();
+              for (RouterEndpoint router : routers) {
+                new ArrayList<>(router.idle).forEach(Channel::close);
+                router.idle.clear();
               }
             })
         .awaitUninterruptibly();
--- a/testbed/src/main/java/tidebank/testbed/replay/Replay.java
+++ b/testbed/src/main/java/tidebank/testbed/replay/Replay.java
@@ -37,32 +37,29 @@
 import tidebank.testbed.trace.TraceRow;
 
 /**
- * Plays rows through real gatherer processes on loopback, between clients, shard servers and
- * discovery that are stand-ins in this process, and accounts for what came of it.
+ * A replay of a trace against router processes on loopback. Clients, shard servers and discovery
+ * are emulated in this process. The replay audits the rules and computes the score.
  */
 public final class Replay {
   private static final Logger LOG = LoggerFactory.getLogger(Replay.class);
-  private static final long AUDIT_EVERY_MS = 20;
-  private static final long LEAD_US = 200_000;
+  private static final long AUDIT_INTERVAL_MS = 20;
+  private static final long START_DELAY_US = 200_000;
 
-  /**
-   * On loopback a thing that was written can be this much later at the other side, on a busy
-   * machine.
-   */
-  private static final long SEND_SLACK_US = 100_000;
+  /** How late a message on loopback may be received on a busy machine. */
+  private static final long DELIVERY_SLACK_US = 100_000;
 
-  private static final int SOCKETS = 1024;
+  private static final int MAX_ROUTER_SOCKETS = 1024;
 
   /**
-   * What to play with.
+   * The setup of a replay.
    *
-   * @param routers processes
-   * @param servers stand-ins
-   * @param seed of ids and chance
-   * @param incidents what happens meanwhile
-   * @param captureFolder where each gatherer records what it is told, in a folder of its own; null
-   *     for nowhere
-   * @param jvmFlags what the gatherers' JVMs are told beside the deployment's flags
+   * @param routers number of router processes
+   * @param servers number of emulated shard servers
+   * @param seed seed of the correlation IDs and the random choices
+   * @param incidents the incidents to inject
+   * @param captureFolder the folder in which each router writes its capture, in a subfolder of its
+   *     own; null for no captures
+   * @param jvmFlags further JVM flags of the routers
    */
   public record Plan(
       Deployment deployment,
@@ -72,20 +69,37 @@
       List<Incident> incidents,
       Path captureFolder,
       List<String> jvmFlags) {
-    public Plan(Deployment site, int gatherers, int servers, long seed, List<Incident> incidents) {
-      this(site, gatherers, servers, seed, incidents, null, List.of());
+    /** Creates a plan without captures and without further JVM flags. */
+    public Plan(
+        Deployment deployment, int routers, int servers, long seed, List<Incident> incidents) {
+      this(deployment, routers, servers, seed, incidents, null, List.of());
     }
 
+    /** Returns a copy in which the routers write captures below the folder. */
     public Plan withCaptureFolder(Path folder) {
       return new Plan(deployment, routers, servers, seed, incidents, folder, jvmFlags);
     }
 
+    /** Returns a copy with these further JVM flags. */
     public Plan withJvmFlags(String... flags) {
       return new Plan(deployment, routers, servers, seed, incidents, captureFolder, List.of(flags));
     }
   }
 
-  /** What came of it. */
+  /**
+   * The result of a replay.
+   *
+   * @param serviceBySecond service by second of the run, NaN if the queries have no benefit
+   * @param violationsByRule number of violations by the rule's number
+   * @param violations the first violations
+   * @param checkedQueries number of client attempts that the audit checked
+   * @param attempts number of attempts that arrived at shard servers
+   * @param lateness times from the intended time to sending, in microseconds
+   * @param latency times from the intended time to the response, in microseconds
+   * @param exitCodes exit codes of the routers by name; those of restarts have the suffix "
+   *     restarted"
+   * @param sentQueries number of queries sent, without retries
+   */
   public record Outcome(
       ServiceScore.Summary scoreSummary,
       Map<Long, Double> serviceBySecond,
@@ -100,6 +114,7 @@
       Map<String, Integer> exitCodes,
       long sentQueries,
       double durationS) {
+    /** Returns whether all rules were kept. */
     public boolean hasNoViolations() {
       return violationsByRule.isEmpty();
     }
@@ -108,183 +123,203 @@
   private final Plan plan;
   private final Consumer<QueryRecord> records;
   private final LongConsumer progress;
-  private final ServiceScore account = new ServiceScore();
+  private final ServiceScore score = new ServiceScore();
   private final List<RouterProcess> processes = new ArrayList<>();
-  private final Map<String, Integer> exits = new TreeMap<>();
-  private volatile boolean ending;
-  private volatile LoadGenerator clients;
+  private final Map<String, Integer> exitCodes = new TreeMap<>();
+  private volatile boolean killed;
+  private volatile LoadGenerator loadGenerator;
 
-  /** Records are handed on as scans end, on an event loop; the progress is told the scans sent. */
+  /**
+   * Creates a replay.
+   *
+   * @param records receives the result of each query, on an event loop
+   * @param progress receives the number of queries sent so far, regularly, on an event loop
+   */
   public Replay(Plan plan, Consumer<QueryRecord> records, LongConsumer progress) {
     this.plan = plan;
     this.records = records;
     this.progress = progress;
   }
 
-  /** Ends a replay that is under way; what was sent so far is accounted for. */
+  /** Stops a running replay; its outcome covers the queries that have ended by then. */
   public void interrupt() {
-    LoadGenerator running = clients;
+    LoadGenerator running = loadGenerator;
     if (running != null) {
       running.stop();
     }
   }
 
-  /** Ends all gatherers at once, whatever they hold. */
+  /** Kills all routers at once, with their open queries. */
   public void kill() {
-    ending = true;
+    killed = true;
     synchronized (processes) {
       processes.forEach(RouterProcess::close);
     }
   }
 
-  /** Plays the rows to their end. */
+  /**
+   * Replays all rows of a trace.
+   *
+   * @throws IOException if a router can't be started, the trace can't be read or names an unknown
+   *     query class, or the thread is interrupted
+   */
   public Outcome run(Iterator<TraceRow> rows) throws IOException {
-    Deployment site = plan.deployment();
+    Deployment deployment = plan.deployment();
     Clock clock = new Clock();
-    EmulatorLog ledger = new EmulatorLog();
+    EmulatorLog emulatorLog = new EmulatorLog();
     RuleAudit audit =
         new RuleAudit(
             new RuleAudit.Settings(
-                site.rules().answerSlackUs(),
-                SEND_SLACK_US,
-                site.rules().drainGraceUs(),
-                site.rules().fallMultiple(),
-                site.rules().fallAfterUs(),
-                site.rules().freeFurther(),
-                site.rules().furtherShare(),
-                site.rules().furtherSpanUs()));
+                deployment.rules().answerSlackUs(),
+                DELIVERY_SLACK_US,
+                deployment.rules().drainGraceUs(),
+                deployment.rules().fallMultiple(),
+                deployment.rules().fallAfterUs(),
+                deployment.rules().freeFurther(),
+                deployment.rules().furtherShare(),
+                deployment.rules().furtherSpanUs()));
     MultiThreadIoEventLoopGroup group =
         new MultiThreadIoEventLoopGroup(
             2, new DefaultThreadFactory("replay", true), NioIoHandler.newFactory());
-    EventLoop front = group.next();
-    EventLoop back = group.next();
+    EventLoop clientLoop = group.next();
+    EventLoop serverLoop = group.next();
     List<ShardServerEmulator> servers = new ArrayList<>();
-    Thread onExit = new Thread(this::kill);
-    Runtime.getRuntime().addShutdownHook(onExit);
+    Thread shutdownHook = new Thread(this::kill);
+    Runtime.getRuntime().addShutdownHook(shutdownHook);
     try {
       for (int i = 0; i < plan.servers(); i++) {
         ServerModel model =
             new SlotsModel(
-                site.server().slots(),
-                site.server().queue(),
-                site.server().coldFrom(),
-                site.server().warmUs());
+                deployment.server().slots(),
+                deployment.server().queue(),
+                deployment.server().coldFrom(),
+                deployment.server().warmUs());
         ShardServerEmulator server =
             new ShardServerEmulator(
-                i, plan.servers(), plan.routers(), site, model, ledger, clock, back);
+                i,
+                plan.servers(),
+                plan.routers(),
+                deployment,
+                model,
+                emulatorLog,
+                clock,
+                serverLoop);
         server.open();
         servers.add(server);
       }
       DiscoveryEmulator discovery =
-          new DiscoveryEmulator(servers, plan.routers(), ledger, clock, back);
+          new DiscoveryEmulator(servers, plan.routers(), emulatorLog, clock, serverLoop);
       discovery.open();
-      List<LoadGenerator.RouterEndpoint> targets = startGatherers(discovery);
-      ClientRetryPolicy rules =
-          new ClientRetryPolicy(site.clients().retries(), site.clients().waitUs(), plan.seed());
-      LoadGenerator sender =
+      List<LoadGenerator.RouterEndpoint> routers = startRouters(discovery);
+      ClientRetryPolicy retryPolicy =
+          new ClientRetryPolicy(
+              deployment.clients().retries(), deployment.clients().waitUs(), plan.seed());
+      LoadGenerator generator =
           new LoadGenerator(
-              site,
-              targets,
-              rules,
+              deployment,
+              routers,
+              retryPolicy,
               audit,
               clock,
-              front,
+              clientLoop,
               Long.toHexString(plan.seed()),
               record -> {
-                account.add(record);
+                score.add(record);
                 records.accept(record);
               });
-      long start = clock.now() + LEAD_US;
-      front.scheduleAtFixedRate(
+      long start = clock.now() + START_DELAY_US;
+      clientLoop.scheduleAtFixedRate(
           () -> {
-            ledger.drainTo(audit);
-            audit.checkDueQueries(clock.now() - SEND_SLACK_US);
-            progress.accept(sender.sentQueries());
+            emulatorLog.drainTo(audit);
+            audit.checkDueQueries(clock.now() - DELIVERY_SLACK_US);
+            progress.accept(generator.sentQueries());
           },
-          AUDIT_EVERY_MS,
-          AUDIT_EVERY_MS,
+          AUDIT_INTERVAL_MS,
+          AUDIT_INTERVAL_MS,
           TimeUnit.MILLISECONDS);
-      clients = sender;
-      CompletableFuture<Void> ended = sender.start(rows, start);
-      Thread script =
+      loadGenerator = generator;
+      CompletableFuture<Void> done = generator.start(rows, start);
+      Thread incidentThread =
           new Thread(
-              () -> play(start, clock, servers, discovery, targets, audit, front, ended),
+              () ->
+                  runIncidents(start, clock, servers, discovery, routers, audit, clientLoop, done),
               "incidents");
-      script.setDaemon(true);
-      script.start();
-      await(ended);
-      double seconds = (clock.now() - start) / 1e6;
-      // What was sent late is still on its way; the audit wants to see it.
-      await(front.schedule(() -> null, SEND_SLACK_US + 100_000, TimeUnit.MICROSECONDS));
-      front
+      incidentThread.setDaemon(true);
+      incidentThread.start();
+      awaitDone(done);
+      double durationS = (clock.now() - start) / 1e6;
+      // Lets messages that are still on their way arrive, so that the audit sees them.
+      awaitDone(
+          clientLoop.schedule(() -> null, DELIVERY_SLACK_US + 100_000, TimeUnit.MICROSECONDS));
+      clientLoop
           .submit(
               () -> {
-                ledger.drainTo(audit);
+                emulatorLog.drainTo(audit);
                 audit.checkDueQueries(Long.MAX_VALUE / 2);
               })
           .syncUninterruptibly();
-      sender.close();
-      stopGatherers();
+      generator.close();
+      stopRouters();
       return new Outcome(
-          account.summarize(),
-          account.serviceBySecond(),
-          account.serviceByClass(),
-          account.serviceByTenant(),
+          score.summarize(),
+          score.serviceBySecond(),
+          score.serviceByClass(),
+          score.serviceByTenant(),
           audit.countsByRule(),
           audit.violations(),
           audit.checkedQueries(),
           audit.attempts(),
-          sender.lateness(),
-          sender.latency(),
-          exits,
-          sender.sentQueries(),
-          seconds);
+          generator.lateness(),
+          generator.latency(),
+          exitCodes,
+          generator.sentQueries(),
+          durationS);
     } finally {
       kill();
       try {
-        Runtime.getRuntime().removeShutdownHook(onExit);
+        Runtime.getRuntime().removeShutdownHook(shutdownHook);
       } catch (IllegalStateException exiting) {
-        // The process is on its way out, and the hook runs already.
+        // The JVM is shutting down, and the hook runs already.
       }
       ShardServerEmulator.closeAll(servers, group);
     }
   }
 
-  private List<LoadGenerator.RouterEndpoint> startGatherers(DiscoveryEmulator discovery)
+  private List<LoadGenerator.RouterEndpoint> startRouters(DiscoveryEmulator discovery)
       throws IOException {
     List<RouterProcess> started = new ArrayList<>();
     for (int i = 0; i < plan.routers(); i++) {
-      started.add(start(i, "127.0.0.1:0", discovery));
+      started.add(startRouter(i, "127.0.0.1:0", discovery));
     }
-    List<LoadGenerator.RouterEndpoint> targets = new ArrayList<>();
+    List<LoadGenerator.RouterEndpoint> routers = new ArrayList<>();
     for (int i = 0; i < started.size(); i++) {
       started.get(i).awaitReady();
-      targets.add(new LoadGenerator.RouterEndpoint(i, started.get(i).awaitAddress()));
+      routers.add(new LoadGenerator.RouterEndpoint(i, started.get(i).awaitAddress()));
     }
-    return targets;
+    return routers;
   }
 
-  private RouterProcess start(int number, String listen, DiscoveryEmulator discovery)
+  private RouterProcess startRouter(int index, String listen, DiscoveryEmulator discovery)
       throws IOException {
-    String seed = String.format("%016x", plan.seed() * 31 + number);
-    InetSocketAddress from = discovery.address(number);
+    String seed = String.format("%016x", plan.seed() * 31 + index);
+    InetSocketAddress discoveryAddress = discovery.address(index);
     RouterProcess process =
         RouterProcess.start(
-            "g" + number,
+            "g" + index,
             plan.deployment()
                 .routerConfigJson(
-                    "g" + number,
+                    "g" + index,
                     listen,
-                    "127.0.0.1:" + from.getPort(),
+                    "127.0.0.1:" + discoveryAddress.getPort(),
                     seed,
                     plan.routers(),
                     plan.servers(),
-                    SOCKETS),
-            own(number),
+                    MAX_ROUTER_SOCKETS),
+            writeOperatorFile(index),
             plan.jvmFlags());
     synchronized (processes) {
       processes.add(process);
-      if (ending) {
+      if (killed) {
         process.close();
       }
     }
@@ -292,112 +327,115 @@
   }
 
   /**
-   * The operator's own file of a gatherer that records; one started anew goes on in the same
-   * folder.
+   * Writes the operator's configuration file of a router that writes a capture. A restarted router
+   * uses the same folder.
+   *
+   * @return the file, or null if the plan has no captures
    */
-  private Path own(int number) throws IOException {
+  private Path writeOperatorFile(int index) throws IOException {
     if (plan.captureFolder() == null) {
       return null;
     }
-    Path folder = plan.captureFolder().toAbsolutePath().resolve("g" + number);
+    Path folder = plan.captureFolder().toAbsolutePath().resolve("g" + index);
     Files.createDirectories(folder);
     return Files.writeString(
         folder.resolve("gatherer.toml"),
         "[capture]\nfolder = '" + folder + "'\nactions = \"whole\"\n");
   }
 
-  private RouterProcess latest(int number) {
+  private RouterProcess findLatestProcess(int index) {
     synchronized (processes) {
       for (int i = processes.size() - 1; i >= 0; i--) {
-        if (processes.get(i).name().equals("g" + number)) {
+        if (processes.get(i).name().equals("g" + index)) {
           return processes.get(i);
         }
       }
     }
-    throw new IllegalArgumentException("no gatherer " + number);
+    throw new IllegalArgumentException("router g" + index + " was not started");
   }
 
-  private void play(
+  private void runIncidents(
       long start,
       Clock clock,
       List<ShardServerEmulator> servers,
       DiscoveryEmulator discovery,
-      List<LoadGenerator.RouterEndpoint> targets,
+      List<LoadGenerator.RouterEndpoint> routers,
       RuleAudit audit,
-      EventLoop front,
-      CompletableFuture<Void> ended) {
+      EventLoop clientLoop,
+      CompletableFuture<Void> done) {
     List<Incident> incidents = new ArrayList<>(plan.incidents());
     incidents.sort(Comparator.comparingLong(Incident::atUs));
     for (Incident incident : incidents) {
       long wait = start + incident.atUs() - clock.now();
       try {
         if (wait > 0) {
-          ended.get(wait, TimeUnit.MICROSECONDS);
+          done.get(wait, TimeUnit.MICROSECONDS);
         }
-        if (ended.isDone()) {
+        if (done.isDone()) {
           return;
         }
-      } catch (TimeoutException due) {
-        // The usual way: it is time.
-      } catch (ExecutionException | InterruptedException over) {
+      } catch (TimeoutException incidentDue) {
+        // The incident's time has come before the replay ended.
+      } catch (ExecutionException | InterruptedException stopped) {
         return;
       }
-      LOG.debug("incident: {} {}", incident.kind(), incident.index());
+      LOG.debug("incident injected: kind={} index={}", incident.kind(), incident.index());
       try {
-        happen(incident, clock, servers, discovery, targets, audit, front);
+        inject(incident, clock, servers, discovery, routers, audit, clientLoop);
       } catch (IOException | RuntimeException fault) {
-        ended.completeExceptionally(fault);
+        done.completeExceptionally(fault);
         return;
       }
     }
   }
 
-  private void happen(
+  private void inject(
       Incident incident,
       Clock clock,
       List<ShardServerEmulator> servers,
       DiscoveryEmulator discovery,
-      List<LoadGenerator.RouterEndpoint> targets,
+      List<LoadGenerator.RouterEndpoint> routers,
       RuleAudit audit,
-      EventLoop front)
+      EventLoop clientLoop)
       throws IOException {
-    int number = incident.index();
+    int index = incident.index();
     switch (incident.kind()) {
       case SERVER_DRAINS -> {
-        discovery.updateServer(number, Health.Terminating, 0);
-        servers.get(number).drain();
+        discovery.updateServer(index, Health.Terminating, 0);
+        servers.get(index).drain();
       }
-      case SERVER_DIES -> servers.get(number).kill();
-      case ROSTER_GONE -> discovery.updateServer(number, Health.Gone, 0);
+      case SERVER_DIES -> servers.get(index).kill();
+      case ROSTER_GONE -> discovery.updateServer(index, Health.Gone, 0);
       case SERVER_BACK -> {
-        servers.get(number).restart();
-        discovery.updateServer(number, Health.Ready, clock.now() / 1000);
+        servers.get(index).restart();
+        discovery.updateServer(index, Health.Ready, clock.now() / 1000);
       }
-      case SERVER_SILENT -> servers.get(number).setSilent(true);
-      case SERVER_SPEAKS -> servers.get(number).setSilent(false);
+      case SERVER_SILENT -> servers.get(index).setSilent(true);
+      case SERVER_SPEAKS -> servers.get(index).setSilent(false);
       case GATHERER_KILLED, GATHERER_RESTARTED -> {
-        RouterProcess old = latest(number);
-        LoadGenerator.RouterEndpoint target = targets.get(number);
+        RouterProcess oldProcess = findLatestProcess(index);
+        LoadGenerator.RouterEndpoint router = routers.get(index);
         if (incident.kind() == Incident.Kind.GATHERER_KILLED) {
-          old.kill();
-          front.execute(() -> audit.recordRouterExit(number));
-          target.available = false;
-          old.waitFor(2000);
+          oldProcess.kill();
+          clientLoop.execute(() -> audit.recordRouterExit(index));
+          router.available = false;
+          oldProcess.waitFor(2000);
         } else {
-          target.available = false;
-          old.terminate();
-          exits.put("g" + number + " restarted", old.waitFor(10_000));
+          router.available = false;
+          oldProcess.terminate();
+          exitCodes.put("g" + index + " restarted", oldProcess.waitFor(10_000));
         }
-        RouterProcess fresh = start(number, "127.0.0.1:" + target.address.getPort(), discovery);
-        fresh.awaitReady();
-        target.address = fresh.awaitAddress();
-        target.available = true;
+        RouterProcess newProcess =
+            startRouter(index, "127.0.0.1:" + router.address.getPort(), discovery);
+        newProcess.awaitReady();
+        router.address = newProcess.awaitAddress();
+        router.available = true;
       }
     }
   }
 
-  /** SIGTERM to all; each has the time that the platform gives. */
-  private void stopGatherers() {
+  /** Sends SIGTERM to all running routers and waits up to 10 s for each to exit. */
+  private void stopRouters() {
     List<RouterProcess> all;
     synchronized (processes) {
       all = new ArrayList<>(processes);
@@ -406,10 +444,10 @@
     alive.forEach(RouterProcess::terminate);
     for (RouterProcess process : alive) {
       int code = process.waitFor(10_000);
-      exits.put(process.name(), code);
+      exitCodes.put(process.name(), code);
       if (code != 0) {
         LOG.warn(
-            "gatherer {} ended with {}; it said last:\n{}",
+            "router failed: name={} exit_code={} output:\n{}",
             process.name(),
             code,
             process.lastLines());
@@ -417,7 +455,7 @@
     }
   }
 
-  private static void await(java.util.concurrent.Future<?> future) throws IOException {
+  private static void awaitDone(java.util.concurrent.Future<?> future) throws IOException {
     try {
       future.get();
     } catch (ExecutionException fault) {
--- a/testbed/src/test/java/tidebank/testbed/ReplayTest.java
+++ b/testbed/src/test/java/tidebank/testbed/ReplayTest.java
@@ -23,8 +23,8 @@
 import tidebank.testbed.trace.TraceRow;
 
 /**
- * Real gatherer processes between stand-ins: what goes well, what breaks, and that nothing is left
- * behind.
+ * Replays short traces against router processes, between emulated clients, shard servers and
+ * discovery.
  */
 @Timeout(60)
 class ReplayTest {
@@ -32,16 +32,17 @@
 
   @TempDir Path folder;
 
-  private static List<TraceRow> rows(int seconds, int perS) {
+  private static List<TraceRow> rows(int seconds, int rowsPerS) {
     List<TraceRow> rows = new ArrayList<>();
-    for (int i = 0; i < seconds * perS; i++) {
-      String type =
+    for (int i = 0; i < seconds * rowsPerS; i++) {
+      String queryClass =
           i % 4 == 0 ? "delivery-confirm" : i % 4 == 1 ? "depot-manifest" : "network-trace";
-      int parts = type.equals("network-trace") ? 8 : type.equals("depot-manifest") ? 3 : 1;
+      int parts =
+          queryClass.equals("network-trace") ? 8 : queryClass.equals("depot-manifest") ? 3 : 1;
       rows.add(
           new TraceRow(
-              i * S / perS,
-              type,
+              i * S / rowsPerS,
+              queryClass,
               i % 24,
               parts,
               "k" + i % 50,
@@ -52,17 +53,19 @@
     return rows;
   }
 
-  private Replay.Outcome play(List<TraceRow> rows, List<Incident> incidents, RunFolder to)
+  private Replay.Outcome replay(List<TraceRow> rows, List<Incident> incidents, RunFolder run)
       throws Exception {
     Replay replay =
-        new Replay(new Replay.Plan(Deployment.standard(), 2, 6, 1, incidents), to::add, sent -> {});
+        new Replay(
+            new Replay.Plan(Deployment.standard(), 2, 6, 1, incidents), run::add, sent -> {});
     return replay.run(rows.iterator());
   }
 
+  /** Guards against queries lost, rules violated or a report incomplete without any incident. */
   @Test
-  void aCalmReplayAnswersEverythingKeepsTheRulesAndLeavesAReport() throws Exception {
+  void replayWithoutIncidentsCompletesAllAndWritesReport() throws Exception {
     RunFolder run = RunFolder.create(folder, "calm");
-    Replay.Outcome outcome = play(rows(2, 60), List.of(), run);
+    Replay.Outcome outcome = replay(rows(2, 60), List.of(), run);
     assertThat(outcome.violations()).isEmpty();
     assertThat(outcome.scoreSummary().countByOutcome())
         .isEqualTo(Map.of(QueryRecord.Outcome.COMPLETED, 120L));
@@ -80,11 +83,15 @@
     assertThat(Files.readString(run.folder().resolve("latency.hlog"))).contains("lateness_us");
   }
 
+  /**
+   * Guards against routers that violate a rule when servers drain or fail, and against a replay
+   * that can't go on after a router was killed.
+   */
   @Test
-  void serversThatDrainAndDieAndAGathererThatIsKilledBreakNoRule() throws Exception {
+  void drainedAndFailedServersAndKilledRouterKeepRules() throws Exception {
     RunFolder run = RunFolder.create(folder, "trouble");
     Replay.Outcome outcome =
-        play(
+        replay(
             rows(4, 60),
             List.of(
                 new Incident(S / 2, Kind.SERVER_DRAINS, 1),
@@ -100,8 +107,9 @@
     run.close();
   }
 
+  /** Guards against replays of one trace and seed that can't be compared with each other. */
   @Test
-  void oneSeedSendsTheSameScansAtTheSameIntendedTimes() throws Exception {
+  void sameSeedSendsSameQueriesAtSameIntendedTimes() throws Exception {
     List<List<String>> sent = new ArrayList<>();
     for (int round = 0; round < 2; round++) {
       ConcurrentLinkedQueue<QueryRecord> records = new ConcurrentLinkedQueue<>();
@@ -118,8 +126,9 @@
     assertThat(sent.get(0)).hasSize(50).isEqualTo(sent.get(1));
   }
 
+  /** Guards against an unclear message, or router processes left behind, when a replay fails. */
   @Test
-  void aTableTypeThatTheSiteLacksIsTold() {
+  void unknownQueryClassIsNamedAndRoutersAreStopped() {
     List<TraceRow> rows = List.of(new TraceRow(0, "unheard-of", 0, 1, "", 1, 1000, ""));
     assertThatThrownBy(
             () ->
@@ -137,17 +146,18 @@
         .isEmpty();
   }
 
+  /** Guards against values or faults of a deployment file that are ignored without a message. */
   @Test
-  void aSiteIsReadOverTheDefaultsAndItsFaultsAreNamed() throws Exception {
+  void deploymentFileOverridesDefaultsAndFaultsAreNamed() throws Exception {
     Path file =
         Files.writeString(
             folder.resolve("site.toml"),
             "shards = 8\n[servers]\nslots = 2\n[[table_type]]\n"
                 + "name = 'a'\nrepeat = 'replayable'\ntarget_ms = 300\ntimeout_ms = 900\n");
-    Deployment site = Deployment.read(file);
-    assertThat(site.shards()).isEqualTo(8);
-    assertThat(site.types()).containsOnlyKeys("a");
-    assertThat(site.width()).isEqualTo(Deployment.standard().width());
+    Deployment deployment = Deployment.read(file);
+    assertThat(deployment.shards()).isEqualTo(8);
+    assertThat(deployment.types()).containsOnlyKeys("a");
+    assertThat(deployment.width()).isEqualTo(Deployment.standard().width());
     Files.writeString(
         file,
         "shard = 8\n"
--- a/testbed/src/test/java/tidebank/testbed/replay/ClientRetryPolicyTest.java
+++ b/testbed/src/test/java/tidebank/testbed/replay/ClientRetryPolicyTest.java
@@ -4,26 +4,31 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Which gatherer a try goes to. */
+/** Tests to which router a client attempt is sent. */
 class ClientRetryPolicyTest {
-  private static int[] six(boolean... admitted) {
-    int[] to = new int[6];
-    for (int turn = 0; turn < to.length; turn++) {
-      to[turn] = ClientRetryPolicy.selectRouter(turn, admitted);
+  private static int[] selectSix(boolean... available) {
+    int[] selected = new int[6];
+    for (int i = 0; i < selected.length; i++) {
+      selected[i] = ClientRetryPolicy.selectRouter(i, available);
     }
-    return to;
+    return selected;
   }
 
+  /**
+   * Guards against a neighbor that takes all the attempts of an unavailable router: they have to be
+   * spread evenly over the available ones.
+   */
   @Test
-  void thoseThatAreAdmittedTakeTurnsAndTheirNeighboursGetNoMoreThanTheirShare() {
-    assertThat(six(true, true, true)).containsExactly(0, 1, 2, 0, 1, 2);
-    // Walking on to the next would give gatherer 2 what gatherer 1 should have had.
-    assertThat(six(true, false, true, true)).containsExactly(0, 2, 3, 0, 2, 3);
-    assertThat(six(false, true)).containsExactly(1, 1, 1, 1, 1, 1);
+  void availableRoutersGetEqualShares() {
+    assertThat(selectSix(true, true, true)).containsExactly(0, 1, 2, 0, 1, 2);
+    // Skipping to the next available index would send router 2 the share of router 1 as well.
+    assertThat(selectSix(true, false, true, true)).containsExactly(0, 2, 3, 0, 2, 3);
+    assertThat(selectSix(false, true)).containsExactly(1, 1, 1, 1, 1, 1);
   }
 
+  /** Guards against a client that sends nothing while it believes all routers to be unavailable. */
   @Test
-  void whereNoneIsAdmittedAllAreTried() {
-    assertThat(six(false, false)).containsExactly(0, 1, 0, 1, 0, 1);
+  void allRoutersTakeTurnsIfNoneIsAvailable() {
+    assertThat(selectSix(false, false)).containsExactly(0, 1, 0, 1, 0, 1);
   }
 }
