--- a/testbed/src/main/java/tidebank/testbed/replay/Incident.java
+++ b/testbed/src/main/java/tidebank/testbed/replay/Incident.java
@@ -5,9 +5,9 @@
  *
  * @param atUs when it is injected, in microseconds from the start of the replay
  * @param kind the kind of incident
- * @param index the index of the server or router, from 0
+ * @param number the index of the server or router, from 0
  */
-public record Incident(long atUs, Kind kind, int index) {
+public record Incident(long atUs, Kind kind, int number) {
   /** The kinds of incidents. */
   public enum Kind {
     /** The server rejects new requests and completes those it has; discovery reports it. */
--- a/testbed/src/main/java/tidebank/testbed/replay/Replay.java
+++ b/testbed/src/main/java/tidebank/testbed/replay/Replay.java
@@ -379,7 +379,7 @@
       } catch (ExecutionException | InterruptedException stopped) {
         return;
       }
-      LOG.debug("incident injected: kind={} index={}", incident.kind(), incident.index());
+      LOG.debug("incident injected: kind={} index={}", incident.kind(), incident.number());
       try {
         inject(incident, clock, servers, discovery, routers, audit, clientLoop);
       } catch (IOException | RuntimeException fault) {
@@ -398,7 +398,7 @@
       RuleAudit audit,
       EventLoop clientLoop)
       throws IOException {
-    int index = incident.index();
+    int index = incident.number();
     switch (incident.kind()) {
       case SERVER_DRAINS -> {
         discovery.updateServer(index, Health.Terminating, 0);
