--- a/testbed/src/test/java/tidebank/coordinator/CoordinatorFixturesTest.java
+++ b/testbed/src/test/java/tidebank/coordinator/CoordinatorFixturesTest.java
@@ -411,6 +411,12 @@
     }
   }
 
+  private static boolean isLeaderNotReady(JsonNode result) {
+    JsonNode error = result.path("fault");
+    return error.path("code").asText().equals("TB-1102")
+        && error.path("what").asText().contains("LeaderNotReadyException");
+  }
+
   /** Sends the last command of the stored data directory again. */
   private JsonNode sendDuplicate(CoordinatorProcesses coordinators) throws Exception {
     return JSON.readTree(
@@ -436,8 +442,7 @@
       // after which the same command with the same number is to be sent again.
       long deadline = System.nanoTime() + TIMEOUT_NS;
       JsonNode duplicateResult = sendDuplicate(coordinators);
-      while (duplicateResult.path("fault").path("code").asText().equals("TB-1102")
-          && System.nanoTime() < deadline) {
+      while (isLeaderNotReady(duplicateResult) && System.nanoTime() < deadline) {
         Thread.sleep(10);
         duplicateResult = sendDuplicate(coordinators);
       }
